--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,8 +1,6 @@
-// Package placement decides where a call goes: the upstream that answers it, the
-// engines that read parts of its prompt, those that keep a part of it, when it
-// is sent, or that it is refused for now. It is pure: no clock, no lock, no I/O. A
-// decision is made from a snapshot of what is known of the upstreams, and says
-// what decided it.
+// Package placement decides where a call goes: the upstream that answers it, the engines that
+// prefill parts of its prompt, those that store a part of it, how long sending is delayed, or that
+// the call is refused for now. Decisions are pure functions of a snapshot of the upstreams' load.
 package placement
 
 import (
@@ -11,111 +9,109 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// Request is what a decision looks at of a call.
+// Request has the properties of a call that a decision depends on.
 type Request struct {
 	Engine *engine.Figures // published figures of the engines; nil for a plain service
 	Prompt int             // tokens
-	Answer int             // tokens at the most
-	Goal   time.Duration   // until the first event; 0 if there is none
-	Pause  time.Duration   // longest between two events; 0 if there is none
-	Left   time.Duration   // until the call has to end
-	Waited time.Duration   // since the caller's first try, as far as can be told
-	Again  bool            // it seems to have been refused before
-	Begun  bool            // the caller has a part of its answer
+	Answer int             // largest number of tokens of the answer
+	Goal   time.Duration   // goal for the time until the first event; 0 if there is none
+	Pause  time.Duration   // goal for the longest pause between two events; 0 if there is none
+	Left   time.Duration   // until the deadline
+	Waited time.Duration   // estimated time since the caller's first attempt
+	Again  bool            // the call was probably refused before
+	Begun  bool            // the caller has received a part of the answer
 }
 
-// Long reports whether several engines may read the prompt of the call.
+// Long reports whether several engines may share the prefill of the prompt.
 func (r Request) Long() bool {
 	return r.Engine != nil && r.Prompt >= splitFrom
 }
 
-// Worth estimates the worth of a call beside that of others. Operators publish
-// none, and value a long answer by its length.
+// Worth estimates the worth of a call relative to others from the length of its prompt, since no
+// worth is configured.
 func (r Request) Worth() float64 {
 	return 1 + float64(r.Prompt)/worthTokens
 }
 
-// worthTokens is how many prompt tokens add as much to a call's worth as the call
-// itself.
+// worthTokens is the number of prompt tokens that add 1 to a call's base worth of 1.
 const worthTokens = 10_000
 
-// Candidate is an upstream that may be given the call, and its load as all
-// processes together are known to have made it.
+// Candidate is an upstream that may get the call, with its known load from all gateways.
 type Candidate struct {
-	Slots   int           // calls that it works on at a time
-	Open    int           // calls that are not over
-	Tokens  int           // of memory that its calls hold
-	Stakes  Stakes        // what is lost by pauses that are too long for its calls
-	Reading time.Duration // of prompts, still to be done, as long as it takes the upstream
-	Pace    float64       // how many times as long as published it takes for what it does; 0 counts as 1
+	Slots   int           // calls that it processes concurrently
+	Open    int           // calls that have not ended
+	Tokens  int           // memory reserved by its calls, in tokens
+	Stakes  Stakes        // worth of its calls by pause goal
+	Reading time.Duration // pending prefill, at the upstream's actual speed
+	Pace    float64       // actual time divided by published time; 0 counts as 1
 	Helps   int           // parts of prompts that it holds for other engines
-	Told    int           // calls that it has by its own word; 0 if that is old
-	Avoided bool          // it failed lately
-	Limited bool          // it bounds the requests that it takes, so that it gets no orders to keep parts of prompts
+	Told    int           // calls that it reports itself; 0 if the report is stale
+	Avoided bool          // it failed recently
+	Limited bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
 	Tried   bool          // by the same call
 }
 
-// state returns what an engine has to do, with the call.
+// state returns the state of the engine with the call added.
 func (c *Candidate) state(r Request) engine.State {
 	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.Prompt, Reading: c.Reading, Pace: c.Pace}
 }
 
-// slower returns how much longer than published the candidate takes for some reading.
+// extraTime returns the time beyond the published one that the candidate takes for a prefill.
 func (c *Candidate) slower(reading time.Duration) time.Duration {
 	return time.Duration(max(c.Pace-1, 0) * float64(reading))
 }
 
-// Snapshot is what is known at a moment.
+// Snapshot is the input of a decision besides the request.
 type Snapshot struct {
-	Candidates []Candidate    // of one service, in an order that all processes share
-	Others     int            // other processes that give work to the same upstreams
-	Heard      float64        // part of all processes whose load is known, this one among them
-	Unheard    float64        // calls that the heard ones are thought to have placed and that are not counted yet
+	Candidates []Candidate    // of one service, in an order that all gateways share
+	Others     int            // other gateways that send calls to the same upstreams
+	Heard      float64        // part of all gateways, including this one, whose load is known
+	Unheard    float64        // estimate of the calls that known peers have placed but not yet reported
 	Demand     Demand         // for long prompts
-	Chance     func() float64 // from 0 to 1, decides among equals
+	Chance     func() float64 // random numbers in [0, 1) for tie-breaking
 }
 
 // Plan is a decision.
 type Plan struct {
 	Target  int           // index of the upstream that answers
-	Helpers []int         // indices of those that read parts of the prompt as well
-	Keepers []int         // those of the helpers that keep a part of the prompt
-	Kept    int           // tokens at each of them
-	Reading time.Duration // of the prompt, at the target and at each helper
+	Helpers []int         // indices of those that prefill other parts of the prompt
+	Keepers []int         // those of the helpers that store a part of the prompt
+	Kept    int           // prompt tokens stored at each keeper
+	Reading time.Duration // prefill time at the target and at each helper
 	First   time.Duration // predicted time until the first event
-	Wait    time.Duration // until what was given before is read at all of them
-	Hold    time.Duration // for which the sending is held back
-	Cost    float64       // worth that is lost by it, its own lateness among it
-	// Displaced is the worth that others lose by the reading of a long prompt, beside Cost.
+	Wait    time.Duration // until the target and the helpers have finished their present backlog
+	Hold    time.Duration // delay before the call is sent
+	Cost    float64       // worth lost by longer pauses of other calls and by the call's own lateness
+	// Displaced is the worth that other calls lose to the prefill of a long prompt, besides Cost.
 	Displaced float64
-	Turn      int           // unheard calls of others that are taken to go before it
-	Backlog   time.Duration // that engines have still to read on average
-	Taken     float64       // part of the slots that are taken
+	Turn      int           // unreported calls of peers that were assumed to be placed first
+	Backlog   time.Duration // mean pending prefill of the engines
+	Taken     float64       // part of the slots that is in use
 	Asked     float64       // part of the engines' time that expected prompts take
 	Known     float64       // part of that demand that is known, from 0 to 1
-	Full      bool          // no engine has memory for it now
-	Refused   bool          // what it would take from others is worth more than it, or no engine has memory for it
-	// ComeBack is when the caller of a refused call should come back.
+	Full      bool          // no engine has memory for the call
+	Refused   bool          // the call costs others more than it is worth, would be late, or finds no memory
+	// ComeBack is the retry delay for the caller of a refused call.
 	ComeBack time.Duration
 }
 
-// Mechanism is a part of a policy that can be left out, to see what it is worth.
+// Mechanism is a part of a policy that can be disabled to measure its effect.
 type Mechanism string
 
 // The mechanisms.
 const (
-	Packing     Mechanism = "packing"     // calls that bear short pauses keep to the first engines of the common order
-	Spreading   Mechanism = "spreading"   // chance decides among engines of about the same cost
-	Turns       Mechanism = "turns"       // calls of one moment are placed as if one after another
-	Splitting   Mechanism = "splitting"   // several engines read a long prompt
-	Pauses      Mechanism = "pauses"      // long parts go where the calls that write bear them
-	Restricting Mechanism = "restricting" // calls are answered where others bear no longer pauses
-	Holding     Mechanism = "holding"     // parts are held back until earlier ones are nearly read
-	Refusing    Mechanism = "refusing"    // long calls that are worth less than what they take come back later
-	Shedding    Mechanism = "shedding"    // short calls that would be late come back later once slots are taken
-	Rooming     Mechanism = "rooming"     // long calls are answered where there is memory, and come back later where there is none
-	Forecasting Mechanism = "forecasting" // callers of refused long calls are told when the call would be taken
-	Returning   Mechanism = "returning"   // calls that were refused before go before others
+	Packing     Mechanism = "packing"     // calls with short pause goals are packed on the first engines of the common order
+	Spreading   Mechanism = "spreading"   // random choice among engines of about the same cost
+	Turns       Mechanism = "turns"       // concurrent calls of several gateways are placed as if one after another
+	Splitting   Mechanism = "splitting"   // several engines share the prefill of a long prompt
+	Pauses      Mechanism = "pauses"      // prefill goes where the pauses of calls in decode stay within their goals
+	Restricting Mechanism = "restricting" // a long call avoids targets on which all calls have longer pause goals
+	Holding     Mechanism = "holding"     // sending is delayed until the backlog is nearly done
+	Refusing    Mechanism = "refusing"    // long calls that cost others more than they are worth are refused
+	Shedding    Mechanism = "shedding"    // short calls that would be late are refused once all slots are in use
+	Rooming     Mechanism = "rooming"     // long calls go where there is memory, and are refused where there is none
+	Forecasting Mechanism = "forecasting" // the retry delay of a refused long call is when it would be admitted
+	Returning   Mechanism = "returning"   // calls that were refused before are admitted more readily
 )
 
 // Mechanisms returns all mechanisms.
@@ -123,16 +119,16 @@
 	return []Mechanism{Packing, Spreading, Turns, Splitting, Pauses, Restricting, Holding, Refusing, Shedding, Rooming, Forecasting, Returning}
 }
 
-// Policy decides. It is immutable.
+// Policy places calls. It is immutable.
 type Policy struct {
 	without map[Mechanism]bool
 	pricing pricing
 }
 
-// Option changes a policy as it is made.
+// Option configures a policy.
 type Option func(*Policy)
 
-// Without leaves mechanisms out.
+// Without disables mechanisms.
 func Without(ms ...Mechanism) Option {
 	return func(p *Policy) {
 		for _, m := range ms {
@@ -141,7 +137,7 @@
 	}
 }
 
-// New returns a policy.
+// New returns a policy with all mechanisms but those that options disable.
 func New(os ...Option) *Policy {
 	p := &Policy{without: map[Mechanism]bool{}, pricing: pricings[BusyEngines]}
 	for _, o := range os {
@@ -150,12 +146,12 @@
 	return p
 }
 
-// has reports whether the policy has a mechanism.
+// has reports whether a mechanism is enabled.
 func (p *Policy) has(m Mechanism) bool {
 	return !p.without[m]
 }
 
-// Place decides for a call. It returns false if there is no upstream for it.
+// Place makes the plan for a call. It returns false if there is no upstream for it.
 func (p *Policy) Place(s Snapshot, r Request) (l Plan, ok bool) {
 	switch {
 	case r.Engine == nil:
@@ -175,27 +171,26 @@
 	return l, ok
 }
 
-// slotShare returns the part of the engines' slots that is taken.
+// slotShare returns the part of the engines' slots that is in use.
 func slotShare(cs []Candidate, e *engine.Figures) float64 {
 	return float64(openCalls(cs)) / float64(max(e.Slots*len(cs), 1))
 }
 
-// holdShare is the part of the reading that was given to the engines before for
-// which the sending of a call is held back. A pass reads all that waits, so parts
-// of two long prompts that wait at an engine at once make both late. What is held
-// keeps its place, since the engines' time is accounted for it.
+// sendDelayShare is the part of the engines' backlog by which sending is delayed. A pass prefills
+// everything that waits, so parts of two long prompts that wait at one engine make both late. A
+// delayed call doesn't lose its place, since the engines' time is already reserved for it.
 const holdShare = 0.7
 
-// avoidCost keeps an upstream that failed lately behind all others, yet usable
-// when there is no other.
+// avoidCost ranks an upstream that failed recently behind all others, but keeps it usable when
+// there is no other.
 const avoidCost = 1e9
 
-// tieShare is a random part of costs that breaks ties without deciding between
+// tieBreakCost is the weight of a random cost that breaks ties: too small to reverse the order of
 // costs that differ.
 const tieShare = 1e-3
 
-// plain takes the upstream with the fewest calls for its slots, by its own word and
-// by what processes have given to it.
+// placePlain picks the upstream with the fewest calls per slot, by its own report or by what the
+// gateways have placed on it, whichever is more.
 func (p *Policy) plain(s Snapshot) (l Plan, ok bool) {
 	cost := func(_ int, c *Candidate) float64 {
 		return float64(max(c.Open, c.Told))/float64(max(c.Slots, 1)) + s.Chance()*tieShare
@@ -205,7 +200,7 @@
 	return l, l.Target >= 0
 }
 
-// turn draws how many unheard calls go before one that is decided on the snapshot.
+// callsAhead draws how many unreported calls of peers are placed before this one.
 func (p *Policy) turn(s Snapshot) int {
 	if !p.has(Turns) {
 		return 0
