--- a/placement/long.go
+++ b/placement/long.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	splitFrom  = 9_000 // tokens, from which on engines share the reading of a prompt
-	maxHelpers = 16    // that an engine takes for one prompt
-	// lateShare is the part of a call's worth that is lost when it is late.
+	splitFrom  = 9_000 // tokens of the shortest prompt whose prefill may be split
+	maxHelpers = 16    // for one prompt; an engine accepts no more
+	// lateLossShare is the part of a call's worth that is lost when it is late.
 	lateShare = 0.75
 )
 
-// longOrShort places a call whose prompt several engines may read. An answer
-// whose prompt was split makes each step of its engine longer, so that splitting
-// costs more the busier the engines are.
+// placeLongOrShort places a call whose prompt may be split, on several engines or on one. A split
+// prompt makes each decode step of the target longer, so splitting costs more on busy engines.
 func (p *Policy) longOrShort(s Snapshot, r Request) (Plan, bool) {
 	l, ok := p.long(s, r)
 	e := r.Engine
@@ -36,25 +35,24 @@
 	return l, true
 }
 
-// price is the worth of a second of an engine to others.
+// pricePerSecond is the worth of a second of an engine to other calls.
 func price(cs []Candidate, e *engine.Figures) float64 {
 	return busyShare(cs, e) * secondWorth(e)
 }
 
-// busyShare is how much a second of an engine is needed by others, from 0 to 1:
-// by what waits to be read, or by the slots that are taken.
+// busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
+// or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
 	reading := float64(meanReading(cs)) / float64(saturatedFrom)
 	return min(max(slotNeed(cs, e), reading, leastBusy), 1)
 }
 
-// slotNeed is how much slots are needed by others: 0 or less while enough are free, 1 once it is
-// twice as many as that.
+// slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
 func slotNeed(cs []Candidate, e *engine.Figures) float64 {
 	return slotShare(cs, e)/fullFrom - 1
 }
 
-// meanReading returns how much engines have still to read on average.
+// meanPrefillBacklog returns the mean of the engines' pending prefill.
 func meanReading(cs []Candidate) (d time.Duration) {
 	for i := range cs {
 		d += cs[i].Reading
@@ -63,16 +61,14 @@
 }
 
 const (
-	// fullFrom is the part of all slots from which on slots are counted as
-	// needed; at twice as much they are needed wholly.
+	// slotShortageFrom is the part of all slots in use above which slots count as short.
 	fullFrom = 0.45
-	// leastBusy is the least of what a second of an engine is counted as.
+	// minBusyShare keeps the price of an idle engine above 0.
 	leastBusy = 0.05
 )
 
-// long places a call whose prompt several engines read in even parts. It weighs
-// how soon the first event would come against how many calls would see a pause
-// that is too long for them.
+// placeLong places a call whose prompt several engines prefill in equal parts. It weighs the time
+// until the first event against the worth of calls whose pauses would miss their goals.
 func (p *Policy) long(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	cs, at := usable(s.Candidates, r)
@@ -103,17 +99,18 @@
 	return l, true
 }
 
-// helpMargin is how many parts fewer than its slots an engine is given for others: it
-// refuses a part beyond, with the whole prompt, and parts of the moment are not heard yet.
+// helperSlotMargin is how many parts fewer than its slots an engine gets for other engines. An
+// engine without a free slot refuses a part, and the whole prompt fails with it; parts that peers
+// have just placed are not reported yet.
 const helpMargin = 2
 
-// usable returns the candidates that may read parts of a prompt, and where each of
-// them stands among all. Those that hold all the parts that they take, and those that failed lately,
-// are used when there are no others.
+// usable returns the candidates that may prefill parts of a prompt, and their indices in all.
+// Candidates with no room for a part, and then those that failed recently, are included only when
+// there are not enough others.
 func usable(all []Candidate, r Request) (cs []Candidate, at []int) {
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
-	ordered := keepers(r, r.Engine) > 1 // some get orders to set memory aside
+	ordered := keepers(r, r.Engine) > 1 // some get orders to reserve memory
 	free := func(c *Candidate) bool { return c.Helps < max(r.Engine.Slots-helpMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
@@ -135,31 +132,31 @@
 	return cs, at
 }
 
-// translate replaces indices by those of the same candidates among all.
+// toCandidateIndices replaces indices of usable candidates by those of the same candidates in the
+// snapshot.
 func translate(is, at []int) {
 	for i := range is {
 		is[i] = at[is[i]]
 	}
 }
 
-// What a second of an engine is worth to others at the most: that of a second of a prompt of
-// referencePrompt tokens.
+// An engine's second has at most the worth of a second of prefill of a prompt of
+// referencePromptTokens.
 const (
 	referencePrompt = 100_000     // tokens
-	saturatedFrom   = time.Second // backlog from which on a second has its whole price
-	// refusedAgain is the part of its worth that is lost beside it when a call
-	// that came back after a refusal is refused again: its caller does not come
-	// back a third time.
+	saturatedFrom   = time.Second // prefill backlog from which a second has its full price
+	// secondRefusalLoss is the part of a call's worth that a second refusal loses besides the call
+	// itself: its caller doesn't retry a third time.
 	refusedAgain = 0.3
 )
 
-// secondWorth returns the worth of a second of reading once some waits everywhere.
+// worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
 func secondWorth(e *engine.Figures) float64 {
 	r := Request{Engine: e, Prompt: referencePrompt}
 	return r.Worth() / e.Reading(r.Prompt, 1).Seconds()
 }
 
-// worthwhile reports whether a long prompt is worth what it takes from others.
+// worthwhile reports whether a long prompt is worth at least what it costs other calls.
 func (p *Policy) worthwhile(r Request, l Plan) bool {
 	if r.Begun {
 		return true
@@ -174,8 +171,8 @@
 	return gain >= l.Displaced
 }
 
-// keep picks the helpers that keep parts of a prompt that is too long for the
-// memory of one engine: those with the most memory free.
+// pickKeepers picks the helpers that store parts of a prompt that is too long for the memory of one
+// engine: those with the most free memory.
 func (l *Plan) keep(cs []Candidate, r Request) {
 	n := keepers(r, r.Engine)
 	if n == 1 {
@@ -187,12 +184,11 @@
 	l.Kept = keptTokens(r, n)
 }
 
-// cheapestSet returns the engines that read a prompt in even parts at the least
-// cost, how long a part takes, and the cost. For each number of parts, and each
-// bound on what an engine has yet to read, it looks at those within the bound on
-// which the least is lost by longer pauses. Among sets with which the call is late
-// the sooner is taken, but no more than what a late answer loses is counted as cost: a
-// call that is late already was refused on idle engines else.
+// cheapestSet returns the set of engines that prefill a prompt in equal parts at the least cost, the
+// time of a part, and the cost. For each number of parts and each bound on the backlog it takes the
+// engines within the bound that lose the least by longer pauses. Late sets are compared by how late
+// they are, but the cost returned includes lateness only up to the loss of a late answer: otherwise
+// a call that is late already would be refused even on idle engines.
 func (p *Policy) cheapestSet(cs []Candidate, r Request) (best []int, part time.Duration, cost float64) {
 	e := r.Engine
 	least := 0.0
@@ -205,7 +201,7 @@
 			first := e.First(cs[is[within-1]].state(r), t)
 			late := r.Worth() * lateShare * r.lateness(first)
 			if best != nil && late >= least {
-				break // it only becomes later with what has more to read
+				break // engines with more backlog only make it later
 			}
 			set, lost := leastHarm(hs, n, within)
 			if c := lost*lateShare + late; best == nil || c < least {
@@ -217,12 +213,12 @@
 	return best, part, cost
 }
 
-// setSample bounds the engines that a long prompt is weighed against: several
-// times as many as can read parts of it.
+// maxSampledEngines bounds the engines that are compared for a long prompt: several times as many
+// as can prefill parts of it.
 const setSample = 64
 
-// leastBurdened returns the engines that a prompt is weighed against: of many, those at
-// which a part of it does the least harm.
+// sampleEngines returns the engines that are compared for a prompt: where there are many, those at
+// which a part of it causes the least loss.
 func (p *Policy) leastBurdened(cs []Candidate, r Request) []int {
 	is := make([]int, len(cs))
 	for i := range is {
@@ -238,21 +234,21 @@
 	return is
 }
 
-// bySoonest sorts engines by when they would have read a part of a prompt, the soonest first.
-// A part at an engine that is slow holds up the whole prompt.
+// sortByPrefillEnd sorts engines by when they would finish a part of a prompt, the earliest first.
+// A part at a slow engine delays the whole prompt.
 func bySoonest(cs []Candidate, is []int, part time.Duration) {
 	end := func(i int) time.Duration { return cs[i].Reading + cs[i].slower(part) }
 	slices.SortStableFunc(is, func(a, b int) int { return cmp.Compare(end(a), end(b)) })
 }
 
-// harm is what is lost when a part of a prompt is read at an engine.
+// engineLoss is the worth lost when an engine prefills a part of a prompt.
 type harm struct {
 	engine int
-	place  int // of the engine in the order by what it has to read
+	place  int // of the engine in the order by the end of its prefill
 	lost   float64
 }
 
-// harms returns what is lost at each engine, the least first.
+// engineLosses returns the loss at each engine, the least first.
 func (p *Policy) harms(cs []Candidate, is []int, r Request, part time.Duration) []harm {
 	hs := make([]harm, len(is))
 	for place, i := range is {
@@ -262,8 +258,8 @@
 	return hs
 }
 
-// harm returns the worth of the calls at the engine that would see a pause too
-// long for them only because of the part.
+// pauseLoss returns the worth of the engine's calls whose pauses would miss their goals only because
+// of the part.
 func (p *Policy) harm(c *Candidate, r Request, part time.Duration) float64 {
 	if !p.has(Pauses) {
 		return 0
@@ -272,8 +268,8 @@
 	return c.Stakes.Lost(r.Engine.Pause(s, 0), r.Engine.Pause(s, part))
 }
 
-// leastHarm returns the n engines at which the least is lost among the first in
-// the order by what they have to read, and how much is.
+// leastLossSet returns the n engines with the least loss among the first `within` by the end of
+// their prefill, and the sum of their losses.
 func leastHarm(hs []harm, n, within int) (set []int, lost float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
