--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -9,23 +9,23 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// Pricing names a way to find what the reading of a long prompt takes from other calls.
+// Pricing names a way to estimate what the prefill of a long prompt costs other calls.
 type Pricing string
 
-// The ways.
+// The ways of pricing.
 const (
-	MeanBacklog  Pricing = "mean_backlog" // a second costs more the longer engines have to read on average
-	BusyEngines  Pricing = "busy_engines" // a second costs more the more engines have something to read
-	Displacement Pricing = "displacement" // the worth of expected prompts that find no time beside it
+	MeanBacklog  Pricing = "mean_backlog" // an engine second costs more the larger the mean prefill backlog
+	BusyEngines  Pricing = "busy_engines" // an engine second costs more the more engines have a backlog
+	Displacement Pricing = "displacement" // the worth of expected prompts that the call leaves no engine time for
 )
 
-// Pricings returns all ways.
+// Pricings returns all ways of pricing.
 func Pricings() []Pricing {
 	return []Pricing{MeanBacklog, BusyEngines, Displacement}
 }
 
-// pricing returns what others lose by the reading of a plan on a set of engines, beside pauses that
-// become too long.
+// pricing returns what other calls lose to the prefill of a plan on a set of engines, besides pauses
+// that miss their goals.
 type pricing func(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) (worth float64)
 
 var pricings = map[Pricing]pricing{
@@ -34,29 +34,31 @@
 	Displacement: displaced,
 }
 
-// WithPricing sets how the reading of long prompts is priced.
+// WithPricing sets how the prefill of long prompts is priced.
 func WithPricing(x Pricing) Option {
 	return func(p *Policy) { p.pricing = pricings[x] }
 }
 
-// Demand is what is known of the prompts that are about to come: those that came of late.
+// Demand forecasts the prompts that will arrive from those that arrived recently.
 type Demand struct {
 	Prompts []Expected
-	Memory  time.Duration // mean age of what the rates were taken from
-	Known   float64       // part of what came in that time that is known, from 0 to 1
+	Memory  time.Duration // mean age of the samples behind the rates
+	Known   float64       // part of those samples that is available, from 0 to 1
 }
 
-// Expected are prompts that take about the same time to read.
+// ExpectedPrompts are prompts with about the same prefill time.
 type Expected struct {
-	Rate    float64       // a second
-	Reading time.Duration // of one of them, by published figures
+	Rate    float64       // prompts a second
+	Reading time.Duration // of one prompt, by published figures
 }
 
+// priceByMeanBacklog implements [MeanBacklog].
 func priceByMean(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	return price(cs, r.Engine) * r.Engine.Reading(r.Prompt, 1).Seconds()
 }
 
-// priceByBusy answers loads on which a few engines have much to read and others nothing.
+// priceByBusyEngines implements [BusyEngines]. The mean backlog is misleading where a few engines
+// have a large backlog and the others none.
 func priceByBusy(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	busy := 0.0
 	for i := range cs {
@@ -66,11 +68,10 @@
 	return min(max(slotNeed(cs, r.Engine), busy, leastBusy), 1) * secondWorth(r.Engine) * r.Engine.Reading(r.Prompt, 1).Seconds()
 }
 
-// displaced returns the worth of the expected prompts that find time on the engines without a
-// plan and none with it. It answers loads whose mix and sizes change: seconds that nobody is
-// expected to ask for are free, whatever the backlog, and a prompt that takes many of them
-// pays for those who come while it is read. As far as demand is not known yet, after a start, what
-// engines have to read stands for it; slots that are short are paid for in any case.
+// priceByDisplacement implements [Displacement], for loads whose mix and sizes change: engine time
+// for which no demand is expected is free whatever the backlog, and a long prompt pays for the
+// prompts that arrive during its prefill. While the demand is not fully known, as after a start, the
+// mean backlog replaces it. Short slots are priced in any case.
 func displaced(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
 	horizon := max(r.Goal, l.First)
 	until := horizon + time.Duration(expectedWait*float64(r.Goal))
@@ -81,14 +82,14 @@
 	return max(s.Demand.Known*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.Prompt, 1).Seconds())
 }
 
-// slotPrice is the worth of a second of an engine where slots are short.
+// slotPricePerSecond is the worth of a second of an engine where slots are short.
 func slotPrice(cs []Candidate, e *engine.Figures) float64 {
 	return min(max(slotNeed(cs, e), 0), 1) * secondWorth(e)
 }
 
-// room returns for how long engines can read parts like those of a plan until a moment, without the
-// plan and with it. An engine whose calls would see a pause that is too long for them has no room,
-// so that a plan takes none there.
+// freePrefillTime returns the engines' total time for parts like those of the plan within `until`,
+// without the plan and with it. An engine at which a part would make pauses of other calls miss
+// their goals has none.
 func (p *Policy) room(cs []Candidate, set []int, r Request, l Plan, until time.Duration) (before, after time.Duration) {
 	for i := range cs {
 		c := cs[i]
@@ -107,27 +108,27 @@
 	return before, after
 }
 
-// published returns how long something takes by published figures that takes the candidate d.
+// publishedTime returns the time by published figures of work that takes the candidate d.
 func (c *Candidate) published(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / max(c.Pace, 1))
 }
 
-// expectedWait is the part of their goals for which prompts that are expected may wait.
+// expectedWaitShare is the part of their goals that expected prompts may wait.
 const expectedWait = 0.25
 
-// harmless is the worth that may be lost at an engine that counts as free to read: that of one
-// short call.
+// maxFreeLoss is the largest loss at which an engine still counts as free for prefill: the worth of
+// one short call.
 const harmless = 1
 
-// expectedDemand is what a kind of expected prompts asks for until a horizon.
+// expectedDemand is the prefill that one kind of expected prompts needs until a horizon.
 type expectedDemand struct {
-	density  float64 // worth of a second of reading
+	density  float64 // worth a second of prefill
 	seconds  float64 // mean
 	variance float64 // of the seconds
 }
 
-// densest returns the expected demand until a horizon, what earns the most a second first. Rates are
-// uncertain by the number of prompts that they were taken from.
+// demandByDensity returns the expected demand until a horizon, the most worth a second first. The
+// variance includes the uncertainty of the rates, which come from a limited number of prompts.
 func densest(d Demand, e *engine.Figures, horizon time.Duration) (ds []expectedDemand) {
 	h := horizon.Seconds()
 	spread := 1 + h/(2*max(d.Memory.Seconds(), 1e-3))
@@ -144,8 +145,8 @@
 	return ds
 }
 
-// earned returns the worth of demand that is served in some seconds of engines, the densest first.
-// How much comes is taken to be normal.
+// servedWorth returns the expected worth of the demand that is served in an engine time, the
+// densest first. The demand is assumed to be normally distributed.
 func earned(ds []expectedDemand, seconds float64) (worth float64) {
 	var mean, variance float64
 	for i, d := range ds {
@@ -160,7 +161,7 @@
 	return worth
 }
 
-// expectedMin returns the mean of the lesser of a normal variable and a bound.
+// expectedMin returns the mean of the smaller of a normal variable and a bound.
 func expectedMin(mean, deviation, bound float64) float64 {
 	if deviation <= 0 {
 		return min(mean, bound)
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// When to come back after a refusal: at the soonest when something may have changed,
-// at the latest when the backlog of a burst has been read.
+// Bounds of the retry delay after a refusal: the load hardly changes sooner, and the backlog of a
+// burst is done by the upper bound.
 const (
 	shortReturn = time.Second
 	longReturn  = 4 * time.Second
-	// returnStep is how exactly the time is found.
+	// retryAfterStep is the resolution of the forecast.
 	returnStep = 250 * time.Millisecond
 )
 
-// comeBack returns when to come back after a refusal of which no more is known than when the
-// first event would have come.
+// defaultRetryAfter returns the retry delay where there is no forecast, from the predicted time of
+// the first event.
 func comeBack(first time.Duration) time.Duration {
 	return min(max(first/2, shortReturn), longReturn)
 }
 
-// comeBackLong returns when the caller of a long prompt that is refused should come back: when the same
-// arithmetic would take it, as far as the backlog runs off beside what is expected to come. It
-// answers bursts in which callers come back together before there is room, and are refused again.
+// forecastRetryAfter returns the delay after which a refused long prompt would be admitted, given
+// the part of the engines' time that expected demand leaves for the backlog. Without it, the callers
+// of a burst retry together before there is room and are refused again.
 func (p *Policy) comeBackLong(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
 	if !p.has(Forecasting) || l.Full {
 		return comeBack(l.First)
@@ -44,7 +44,7 @@
 	return comeBack(l.First)
 }
 
-// after returns the request as it is when its caller comes back.
+// afterRefusal returns the request as it is when its caller retries after d.
 func (r Request) after(d time.Duration) Request {
 	r.Waited += d
 	r.Left -= d
@@ -52,7 +52,7 @@
 	return r
 }
 
-// runOff returns candidates that have read for a while.
+// withLessBacklog returns the candidates after d more of prefill.
 func runOff(cs []Candidate, d time.Duration) []Candidate {
 	then := slices.Clone(cs)
 	for i := range then {
@@ -61,7 +61,7 @@
 	return then
 }
 
-// waitOf returns until when something is read at some of the candidates.
+// maxBacklog returns the largest prefill backlog of some candidates.
 func waitOf(cs []Candidate, set []int) (d time.Duration) {
 	for _, i := range set {
 		d = max(d, cs[i].Reading)
@@ -69,7 +69,7 @@
 	return d
 }
 
-// load returns the part of the time of some engines that the demand takes.
+// load returns the part of the engines' time that the demand takes.
 func (d Demand) load(engines int) (x float64) {
 	for _, p := range d.Prompts {
 		x += p.Rate * p.Reading.Seconds()
