--- a/placement/short.go
+++ b/placement/short.go
@@ -7,22 +7,20 @@
 )
 
 const (
-	// packShare is the part of an engine's slots up to which calls that bear
-	// short pauses are packed on the same engines, so that long prompts find
-	// others on which they hold nobody up.
+	// packShare is the part of an engine's slots up to which calls with short pause goals are packed
+	// on the same engines, so that prefill of long prompts on the others delays no such call.
 	packShare = 0.625
-	// orderCost is by how much the last engine of the common order costs more
-	// than the first: more than what a few writers more make of a prediction, and
-	// less than a pause that is too long.
+	// commonOrderCost is how much more the last engine of the common order costs than the first: more
+	// than a few more calls in decode change a prediction, and less than a pause that misses its goal.
 	orderCost = 0.15
-	// memoryShare is the part of an engine's memory that placement fills;
-	// beyond, the engine would preempt.
+	// usableMemoryShare is the part of an engine's memory that placement fills; above it the engine
+	// would preempt calls.
 	memoryShare = 0.95
 )
 
-// short places a call whose prompt is read by one engine. Calls that bear short
-// pauses only are packed on the first engines of the common order that have room,
-// away from those that read long prompts.
+// placeShort places a call whose prompt is prefilled by one engine. Calls with short pause goals are
+// packed on the first engines of the common order that have room, away from the prefill of long
+// prompts.
 func (p *Policy) short(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	l.Reading = e.Reading(r.Prompt, 1)
@@ -39,7 +37,7 @@
 	return l, true
 }
 
-// give adds a call whose prompt the candidate reads alone.
+// addCall adds a call whose whole prompt the candidate prefills.
 func (c *Candidate) give(r Request, reading time.Duration) {
 	c.Open++
 	c.Tokens += r.Prompt + r.Answer
@@ -47,7 +45,7 @@
 	c.Reading += reading + c.slower(reading)
 }
 
-// shortCost returns what it costs to give a short call to a candidate.
+// shortCost returns the cost function for placing a short call on a candidate.
 func (p *Policy) shortCost(s Snapshot, r Request, reading time.Duration) func(i int, c *Candidate) float64 {
 	e := r.Engine
 	pack := max(int(packShare*s.Heard*float64(e.Slots)), 1)
@@ -64,32 +62,31 @@
 		t := c.state(r)
 		x := r.lateness(e.First(t, reading))
 		if r.Pause > 0 {
-			x += tooLong(e.Pause(t, reading), r.Pause) // it would begin within a pass that is too long for it
+			x += tooLong(e.Pause(t, reading), r.Pause) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
 		if i >= lane || c.Open >= pack {
-			x += spread // more than chance makes up
+			x += spread // more than the random cost below
 		}
 		x += order * float64(max(i-lane+1, 0))
 		return x + spread*s.Chance()
 	}
 }
 
-// lateFor reports whether the first event comes too late if it comes after that
-// long.
+// missesGoal reports whether a first event after the given time would miss the goal.
 func (r Request) lateFor(first time.Duration) bool {
 	return r.Goal > 0 && float64(r.Waited+first) > surelyLate*float64(r.Goal)
 }
 
-// slotsTaken reports whether all slots of the engines are taken. A call that would
-// be late is refused then: what it takes makes others late that come in time.
+// allSlotsTaken reports whether all slots of the engines are in use. A call that would be late is
+// refused then, because serving it would make calls late that would be in time.
 func slotsTaken(cs []Candidate, e *engine.Figures) bool {
 	return slotShare(cs, e) >= 1
 }
 
-// slotWait returns how long a call waits for a slot: those that write give theirs
-// back evenly over the time that an answer of the usual length takes.
+// slotWait returns how long a call waits for a slot. Calls in decode are assumed to free their slots
+// evenly over the time of an answer of the usual length.
 func slotWait(c *Candidate, r Request) time.Duration {
 	e := r.Engine
 	ahead := c.Open - e.Slots + 1
@@ -100,17 +97,16 @@
 	return time.Duration(ahead) * time.Duration(passes) * e.Pass(c.state(r)) / time.Duration(max(e.Slots, 1))
 }
 
-// A burst that begins is not known by how many calls have been heard. So the first
-// engines of the common order that have room for a call of each other process together
-// count alike, and chance decides among those of about the same cost. Those beyond cost
-// more than chance makes up, so that others stay free to read.
+// The start of a burst isn't visible in the reported load. So the first engines of the common order
+// that together have room for one call of each peer have equal cost, with a random choice among
+// them. Engines after them cost more than the random part, so that they stay free for prefill.
 const (
-	leastRoom   = 4    // calls; more where there are more other processes, each of which may have picked once unheard
-	roomShare   = 0.05 // of those that are open
-	spreadShare = 0.1  // of a call's worth, less than a pause that is too long
+	leastRoom   = 4    // calls; more with more peers, each of which may have placed one unreported call
+	roomShare   = 0.05 // of the open calls
+	spreadShare = 0.1  // of a call's worth; less than the cost of a pause that misses its goal
 )
 
-// laneWidth returns how many engines of the common order count alike.
+// equalCostEngines returns how many engines at the start of the common order have equal cost.
 func laneWidth(s Snapshot, pack int) (n int) {
 	cs := s.Candidates
 	need := max(leastRoom, s.Others, int(roomShare*float64(openCalls(cs))))
@@ -124,7 +120,7 @@
 	return n
 }
 
-// openCalls returns how many calls the candidates have together.
+// openCalls returns the number of open calls of all candidates.
 func openCalls(cs []Candidate) (n int) {
 	for i := range cs {
 		n += cs[i].Open
@@ -132,18 +128,16 @@
 	return n
 }
 
-// Predictions are off by a third now and then: an answer that is predicted well
-// within its goal will be in time, one that is predicted somewhat beyond it
-// will not.
+// Predictions are sometimes off by a third, so the chance of a late first event rises linearly
+// between these parts of the goal.
 const (
 	surelyInTime = 0.5
 	surelyLate   = 1.1
-	perGoalMore  = 0.1 // cost of each further goal that it is late by
+	perGoalMore  = 0.1 // lateness added for each goal's length of time
 )
 
-// lateness estimates the chance that a call is late, counted from its caller's
-// first try, and rises slowly beyond that, so that a late answer is still not put
-// off further.
+// lateness estimates the chance that a call misses its goal, counted from its caller's first
+// attempt. It keeps rising slowly for late calls, so that they aren't delayed further.
 func (r Request) lateness(first time.Duration) float64 {
 	if r.Goal <= 0 {
 		return 0
@@ -153,8 +147,8 @@
 	return chance + perGoalMore*x
 }
 
-// crowding is the cost of an engine's calls beyond those that are packed on it.
-// It is over 1 once the slots are full: then a call would wait for one.
+// crowding is the cost of an engine's calls beyond the packed ones. It is above 1 once all slots
+// are in use, when a call would wait for one.
 func crowding(open, pack, slots int) float64 {
 	switch {
 	case open < pack:
@@ -166,7 +160,7 @@
 	}
 }
 
-// memoryCost is high where the call does not fit into an engine's memory.
+// memoryCost is high where the call doesn't fit into the engine's memory, and 0 elsewhere.
 func memoryCost(c *Candidate, r Request) float64 {
 	if float64(c.Tokens+ownTokens(r)) > memoryShare*float64(r.Engine.Capacity) {
 		return 3
@@ -174,22 +168,22 @@
 	return 0
 }
 
-// ownTokens returns how much memory a call takes at the engine that answers it.
+// targetTokens returns the memory that a call takes at the engine that answers it.
 func ownTokens(r Request) int {
 	n := keepers(r, r.Engine)
 	return r.Prompt - (n-1)*keptTokens(r, n) + r.Answer
 }
 
-// keptTokens returns how much of a prompt each of its other keepers keeps, where it has n.
+// keptTokens returns how many tokens each keeper stores of a prompt that is stored at n engines.
 func keptTokens(r Request, n int) int {
 	return (r.Prompt + n - 1) / n
 }
 
-// partShare is the part of an engine's memory that one prompt takes at the most;
-// a longer prompt is kept at several.
+// promptMemoryShare is the part of an engine's memory that one prompt may take where it is stored
+// at several engines.
 const partShare = 0.45
 
-// keepers returns at how many engines a prompt has to be kept.
+// keeperCount returns the number of engines, the target included, that have to store a prompt.
 func keepers(r Request, e *engine.Figures) int {
 	if float64(r.Prompt+r.Answer) <= memoryShare*float64(e.Capacity) {
 		return 1
--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Pauses are told apart by classes, each a fifth longer than the one before.
+// Pause goals are grouped into classes, each about a fifth longer than the one before.
 const (
 	shortestPause   = 50 * time.Millisecond
 	classesToDouble = 4
 	pauseClassCount = 6*classesToDouble + 1 // up to 3.2 s
 )
 
-// pauseClasses are the pauses by which calls are told apart: one belongs to the
-// longest that is no longer than its pause goal.
+// pauseClasses are the pauses of the classes. A call belongs to the longest that doesn't exceed its
+// pause goal.
 var pauseClasses = newPauseClasses()
 
 func newPauseClasses() (cs [pauseClassCount]time.Duration) {
@@ -23,7 +23,7 @@
 	return cs
 }
 
-// Stakes is the worth of calls by their class of pauses, in thousandths.
+// Stakes is the worth of open calls by pause class, in thousandths.
 type Stakes [pauseClassCount]int
 
 // Plus returns the sum of two stakes.
@@ -42,10 +42,10 @@
 	return s
 }
 
-// stakeUnit is the worth of one thousandth.
+// stakesPerWorth is the unit of Stakes: thousandths of worth.
 const stakeUnit = 1000
 
-// Stakes returns what is at stake in one call.
+// Stakes returns the worth of one call in its pause class.
 func (r Request) Stakes() (s Stakes) {
 	if r.Pause <= 0 {
 		return s
@@ -60,8 +60,7 @@
 	return s
 }
 
-// bearsNoMoreThan reports whether a call is at stake that bears a pause no longer
-// than the given one.
+// hasGoalUpTo reports whether any of the calls has a pause class no longer than the given pause.
 func (s *Stakes) bearsNoMoreThan(pause time.Duration) bool {
 	for i, c := range pauseClasses {
 		if c > pause {
@@ -74,30 +73,28 @@
 	return false
 }
 
-// Calls that bear short pauses are sent elsewhere, or given up by their
-// callers, when a pause lasts much longer still: then the rest of their worth is
-// lost, and their prompt is read again.
+// Calls with short pause goals are retried elsewhere, or cancelled by their callers, when a pause
+// is much longer than the goal: more of their worth is lost, and their prompt is prefilled again.
 const (
 	resentAfter = time.Second
-	resentClass = 400 * time.Millisecond // those that bear longer pauses wait longer
+	resentClass = 400 * time.Millisecond // calls with longer pause goals wait longer
 	resentShare = 0.5
 )
 
-// A pause is predicted from what is known to be read, and more may come meanwhile, so
-// what is at stake is lost little by little.
+// A pause is predicted from the known backlog, and more prefill may arrive meanwhile, so the loss
+// rises linearly between these parts of the pause goal.
 const (
-	surelyBorne  = 0.7 // of the pause goal
+	surelyBorne  = 0.7
 	surelyTooFar = 1.1
 )
 
-// tooLong estimates the chance that a pause is too long for a call with the goal.
+// pauseMissChance estimates the chance that a pause misses a goal.
 func tooLong(pause, goal time.Duration) float64 {
 	x := float64(pause) / float64(goal)
 	return min(max((x-surelyBorne)/(surelyTooFar-surelyBorne), 0), 1)
 }
 
-// Lost returns the worth of the calls that is lost by a pause of after where they
-// had one of before.
+// Lost returns the worth that the calls lose when their longest pause grows from before to after.
 func (s *Stakes) Lost(before, after time.Duration) (worth float64) {
 	for i, c := range pauseClasses {
 		if s[i] == 0 {
--- a/placement/target.go
+++ b/placement/target.go
@@ -6,24 +6,21 @@
 )
 
 const (
-	// restrictCost is what it costs to let a call write at an engine where all
-	// others bear longer pauses: parts of prompts that held nobody up there would
-	// from then on.
+	// mixedPauseCost is the cost of answering a call at an engine where all calls have longer pause
+	// goals: from then on prefill that fits those goals would delay this call.
 	restrictCost = 1
-	// answerOrderCost is by how much the last engine of the common order costs more
-	// than the first as the one that answers a long prompt. Each engine at which
-	// anybody writes spends a part of its time on token steps, whatever the number
-	// of writers.
+	// answerOrderCost is how much more the last engine of the common order costs than the first as
+	// the target of a long prompt. Every engine in decode spends a part of its time on token steps,
+	// however few calls it has, so long answers are kept on few engines.
 	answerOrderCost = 0.3
-	// answerSpread is how much chance weighs among the engines that may answer: two long prompts
-	// of one moment at the same engine wait for its memory one after the other.
+	// answerSpreadCost is the weight of the random choice among targets: two concurrent long prompts
+	// at the same engine would wait for its memory one after the other.
 	answerSpread = 0.1
 )
 
-// cheapestOf returns the engine of a set that answers: one with room in its slots
-// and its memory, and the same ones for all calls that bear about the same pauses. Among
-// those of about the same cost chance decides, so that two prompts of one moment do not
-// meet.
+// pickTarget returns the engine of a set that answers: one with free slots and memory, and the same
+// few for calls with similar pause goals. The choice among engines of about the same cost is random,
+// so that two gateways don't pick the same one for concurrent prompts.
 func (p *Policy) cheapestOf(s Snapshot, cs []Candidate, set []int, r Request) (best int) {
 	pack := int(packShare * float64(r.Engine.Slots))
 	spread := answerSpread
@@ -45,10 +42,9 @@
 	return best
 }
 
-// withRoom returns a set of engines of which one at least has memory for the prompt, and
-// how much more is lost by it. The engines at which the least harm is done are those at which
-// other long prompts are answered, so that all of a set may be full. The one at which the most
-// is lost makes room.
+// replaceForMemory returns a set of which at least one engine has memory for the prompt, and the
+// additional loss. The engines with the least loss are often those that answer other long prompts,
+// so that all engines of a set may be full. The one with the largest loss is replaced.
 func (p *Policy) withRoom(cs []Candidate, set []int, r Request, part time.Duration) (roomy []int, more float64) {
 	room := func(i int) bool { return memoryCost(&cs[i], r) == 0 }
 	if !p.has(Rooming) || slices.ContainsFunc(set, room) {
--- a/placement/turn.go
+++ b/placement/turn.go
@@ -5,14 +5,11 @@
 	"slices"
 )
 
-// Calls that come to many processes within the time in which these hear of each
-// other's picks are decided on the same snapshot, and would all go to the engine that
-// costs least in it. So each process places the calls that others are thought
-// to have placed meanwhile first, one after another as one process would, and its own
-// at a turn that chance draws among them.
+// Gateways that place calls before their peers' reports arrive decide on the same snapshot, and
+// would all pick the cheapest engine in it. So each gateway first adds a random number of the calls
+// that its peers are estimated to have placed meanwhile, one after another, and then its own.
 
-// turn draws how many of the calls that others have placed unheard go before this
-// one.
+// drawCallsAhead draws how many unreported calls of peers are placed before this one.
 func (s Snapshot) turn() int {
 	if s.Unheard <= 0 {
 		return 0
@@ -20,9 +17,9 @@
 	return int(s.Chance() * (s.Unheard + 1))
 }
 
-// cheapestInTurn returns the index of the candidate that costs least once a number of
-// like calls have been given to the cheapest one after another, and the candidates as
-// they are then. The index is -1 if there is none that was not tried.
+// cheapestAfter returns the index of the cheapest candidate once a number of similar calls have each
+// been added to the cheapest one, and the candidates with those calls. The index is -1 if all were
+// tried.
 func cheapestInTurn(cs []Candidate, before int, cost func(i int, c *Candidate) float64, give func(c *Candidate)) (after []Candidate, best int) {
 	costs := make([]float64, len(cs))
 	for i := range cs {
@@ -41,7 +38,7 @@
 	return after, best
 }
 
-// fullCost is the cost of a candidate with what holds for every kind of call.
+// candidateCost returns the cost of a candidate with the penalties that apply to every kind of call.
 func fullCost(i int, c *Candidate, cost func(i int, c *Candidate) float64) float64 {
 	switch {
 	case c.Tried:
@@ -53,7 +50,7 @@
 	}
 }
 
-// least returns the index of the least cost, or -1 if there is none below infinity.
+// indexOfLeast returns the index of the lowest finite cost, or -1 if there is none.
 func least(costs []float64) (best int) {
 	best = -1
 	for i, c := range costs {
