--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -24,7 +24,7 @@
 	return Request{Engine: figures(), Prompt: 210_000, Answer: 800, Goal: 3 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
-// snapshot returns engines that all have the same to do.
+// snapshot returns a snapshot of n engines with the same load.
 func snapshot(n int, c Candidate) Snapshot {
 	s := Snapshot{Heard: 1, Chance: func() float64 { return 0 }}
 	for range n {
@@ -93,8 +93,8 @@
 	})
 }
 
-// Seen on a quiet day of 103 gateways: archives of 400,000 tokens and more were refused
-// while engines had 0.2 to 0.3 s to read and a sixth of their slots was taken.
+// Guards against refusing prompts of 400,000 tokens and more on a nearly idle fleet: with 0.2 to
+// 0.3 s of prefill backlog and a sixth of the slots in use their price exceeded their worth.
 func TestTheLongestPromptsAreServedWhileEnginesHaveTime(t *testing.T) {
 	for _, tokens := range []int{400_000, 500_000} {
 		r := archive()
@@ -122,8 +122,8 @@
 	require.Greater(t, late.Cost, fresh.Cost, "it is late whatever is done, so it is worth less")
 }
 
-// Found in the logs of scale-2 of ampct-valico: callers that came back late were
-// refused again, since lateness cost them more than they were worth.
+// Guards against refusing callers a second time on an idle fleet: counted from the first attempt
+// they were late already, and the cost of lateness exceeded the worth of the call.
 func TestCallsThatAreLateAlreadyAreServedWhereNobodyIsHarmed(t *testing.T) {
 	for _, tokens := range []int{16_000, 44_000, 250_000} {
 		r := season()
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -9,7 +9,8 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// slowFigures are those of engines that read two thirds as fast and twice as slowly by the pair.
+// slowFigures returns figures of engines with about two thirds of the read rate and twice the time
+// per pair.
 func slowFigures() *engine.Figures {
 	return &engine.Figures{
 		Slots: 12, Capacity: 344_250, Step: 1310 * time.Microsecond, StepPerWriter: 917 * time.Nanosecond, StepPerContext: 2130 * time.Nanosecond,
@@ -17,12 +18,12 @@
 	}
 }
 
-// review is a call of the longest kind.
+// longestCall is a call of the longest kind.
 func review(tokens int) Request {
 	return Request{Engine: slowFigures(), Prompt: tokens, Answer: 700, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
-// expecting returns a snapshot in which so many prompts of a length are expected a second.
+// withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
 func expecting(s Snapshot, rate float64, tokens int) Snapshot {
 	s.Demand = Demand{
 		Prompts: []Expected{{Rate: rate, Reading: slowFigures().Reading(tokens, 1)}},
@@ -32,8 +33,8 @@
 	return s
 }
 
-// afterOneLongPrompt returns 60 engines of which 17 have 4.2 s to read, parts of a prompt of
-// 900,000 tokens.
+// afterOneLongPrompt returns 60 engines of which 17 have 4.2 s of prefill backlog, the parts of one
+// prompt of 900,000 tokens.
 func afterOneLongPrompt() Snapshot {
 	s := snapshot(60, Candidate{Slots: 12, Open: 1})
 	for i := range 17 {
@@ -48,8 +49,9 @@
 	require.Equal(t, !want, l.Refused, "worth %.1f, cost %.1f, displaced %.1f, first event after %s", r.Worth(), l.Cost, l.Displaced, l.First)
 }
 
-// Seen on a day of 60 engines: once one prompt of 900,000 tokens was placed, prompts of 200,000 were
-// refused for seconds, though their first events would have come within a quarter of the goal.
+// Guards against one prompt of 900,000 tokens on 17 of 60 engines raising the price on all of them:
+// prompts of 200,000 tokens were refused for seconds, although their first events would have come
+// within a quarter of the goal.
 func TestOneLongPromptDoesNotCloseTheFleet(t *testing.T) {
 	s := expecting(afterOneLongPrompt(), 4.4, 260_000)
 	l := requirePlan(t, New(WithPricing(Displacement)), s, review(200_000))
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// archive is a prompt of which an engine's memory holds one.
+// memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
 func archive() Request {
 	return Request{Engine: many(), Prompt: 300_000, Answer: 1500, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
-// give adds a plan to the snapshot, as if it had been sent.
+// applyPlan adds the load of a plan to the snapshot.
 func give(s Snapshot, r Request, l Plan) {
 	for _, i := range append(l.Helpers, l.Target) {
 		s.Candidates[i].Reading += l.Reading
@@ -27,7 +27,7 @@
 	}
 }
 
-// overfull returns how many engines hold more than their memory.
+// overfull returns how many engines hold more tokens than their memory.
 func overfull(s Snapshot) (n int) {
 	for _, c := range s.Candidates {
 		if c.Tokens > archive().Engine.Capacity {
@@ -37,7 +37,7 @@
 	return n
 }
 
-// writing is a fleet at which short calls are written everywhere but at its first engines.
+// busyFleet returns a fleet in which all engines but the first ones have short calls in decode.
 func writing(engines, free int) Snapshot {
 	r := brief()
 	r.Engine = many()
@@ -50,8 +50,9 @@
 	return s
 }
 
-// A burst of archives on 150 engines, forty of which answer nothing else: those that answer
-// archives already are where the least harm is done, so that whole sets of engines were full.
+// Guards against placing long prompts on sets of engines that are all out of memory: the engines
+// with the least pause loss are those that answer other long prompts already. Here 40 of 150
+// engines have no short calls.
 func TestLongPromptsAreAnsweredWhereThereIsMemory(t *testing.T) {
 	play := func(p *Policy) (s Snapshot) {
 		s = writing(150, 40)
@@ -60,7 +61,7 @@
 			require.False(t, l.Refused)
 			give(s, archive(), l)
 			for i := range s.Candidates {
-				s.Candidates[i].Reading = 0 // what was given has been read by the time the next comes
+				s.Candidates[i].Reading = 0 // the prefill is done before the next call arrives
 			}
 		}
 		return s
@@ -106,9 +107,8 @@
 	})
 }
 
-// Two archives of two gateways were sent to the same engine within 3 ms, and the second
-// waited there until the first had ended: 4.5 s, while parts of it were read at 17 engines at
-// which 100 short calls wrote by then.
+// Guards against two gateways sending long prompts to the same engine within milliseconds: the
+// second waited 4.5 s for memory, and its parts then delayed 100 short calls in decode at 17 engines.
 func TestLongPromptsOfOneMomentDoNotMeet(t *testing.T) {
 	s := writing(150, 60)
 	targets := map[int]int{}
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -8,15 +8,15 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// many are the engines of the fleet on which picks of one moment were found to meet.
+// tenSlotFigures returns figures of engines with ten slots.
 func many() *engine.Figures {
 	f := *figures()
 	f.Slots = 10
 	return &f
 }
 
-// burst is a fleet in a burst of short calls: all engines have as many calls as they
-// are given readily, and a few have one less.
+// burstSnapshot is a fleet in a burst of short calls: all engines have as many calls as are packed
+// on them, and a few have one less.
 func burst(unheard float64) Snapshot {
 	s := snapshot(150, Candidate{Slots: 10, Open: 6, Tokens: 36_000})
 	for i := range 5 {
@@ -26,8 +26,8 @@
 	return s
 }
 
-// requirePicks lets n processes decide on the same snapshot, each with a chance of its
-// own, and checks the most calls that any engine gets.
+// requirePicks lets n gateways decide on the same snapshot, each with its own random number, and
+// checks the largest number of calls that any engine gets.
 func requirePicks(t *testing.T, p *Policy, n int, s Snapshot, r Request, least, most int) {
 	t.Helper()
 	picks := map[int]int{}
@@ -43,9 +43,8 @@
 	require.LessOrEqual(t, busiest, most, picks)
 }
 
-// Seen in bursts of short calls: gateways that decide within the milliseconds in which
-// they have not heard of each other pick the same engines, fill their slots, and make
-// their calls late.
+// Guards against gateways picking the same engines in a burst: decisions within the milliseconds
+// before their peers' reports arrive filled the slots of a few engines and made the calls late.
 func TestCallsOfOneMomentAreSharedOut(t *testing.T) {
 	r := brief()
 	r.Engine = many()
