--- a/sched/place.go
+++ b/sched/place.go
@@ -7,8 +7,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Load is what an entry knows of an upstream. All of it is a hint: it is old,
-// and other entries send work as well.
+// Load is what an entry knows of an upstream. All of it is approximate: reports are delayed, and
+// other entries send work as well.
 type Load struct {
 	Queued       [hollowgrade.Classes]int // tokens of work in the agent's queue
 	Running      int                      // sequences
@@ -18,38 +18,38 @@
 	PrefillRate  float64       // tokens a second
 	Step         time.Duration // between two tokens of an answer
 	Distance     time.Duration // one way between the data halls
-	Sent         int           // tokens of own work sent since the report
+	Sent         int           // tokens of work that this entry has sent since the report
 	SentItems    int
 	Draining     bool
-	Suspect      bool // failed lately, and not yet probed
-	CachedTokens int  // of the prompt at hand, as far as known
+	Suspect      bool // failed recently, and not yet probed
+	CachedTokens int  // known cached tokens of the prompt to be placed
 }
 
-// Work is the part of a request that placement looks at.
+// Work has the properties of a request that placement depends on.
 type Work struct {
 	Class        hollowgrade.Class
 	PromptTokens int
 	MaxTokens    int
 }
 
-// What is assumed of an upstream that has not reported yet.
+// Speed assumed for an upstream that has not reported yet.
 const (
 	assumedPrefillRate = 20_000.0
 	assumedStep        = 30 * time.Millisecond
 )
 
-// Prediction says how long a request would take at an upstream.
+// Prediction is the predicted time of a request at an upstream.
 type Prediction struct {
 	Wait  time.Duration // until it starts
-	First time.Duration // until the first token, with Wait
-	Total time.Duration // until the last token, with Wait
+	First time.Duration // until the first token, including Wait
+	Total time.Duration // until the last token, including Wait
 }
 
-// memoryWait is the wait that is assumed where memory is short: about the time
-// of a prompt of middling length.
+// shortMemoryWait is the wait assumed where memory is short: about the time of a medium-length
+// prompt.
 const memoryWait = 2 * time.Second
 
-// Predict works out a [Prediction] from the load.
+// Predict computes a [Prediction] from the load.
 func Predict(l *Load, w Work) (p Prediction) {
 	rate, step := l.PrefillRate, l.Step
 	if rate <= 0 {
@@ -64,7 +64,7 @@
 	}
 	p.Wait = seconds(float64(ahead) / rate)
 	if short := l.HeldTokens + w.PromptTokens + w.MaxTokens - l.TotalTokens; l.TotalTokens > 0 && short > 0 {
-		// Memory comes free only as running answers end, and nobody knows when.
+		// Memory is released only when running answers end, which can't be predicted.
 		p.Wait += memoryWait
 	}
 	fresh := max(w.PromptTokens-l.CachedTokens, 0)
@@ -83,12 +83,12 @@
 	Pick(w Work, ls []*Load) int
 }
 
-// RoundRobin takes the upstreams in turn. It is the naive baseline.
+// RoundRobin picks the upstreams in turn. It is the naive baseline.
 type RoundRobin struct {
 	next int
 }
 
-// NewRoundRobin returns a placement that begins with the first upstream.
+// NewRoundRobin returns a placement that starts with the first upstream.
 func NewRoundRobin() *RoundRobin {
 	return &RoundRobin{}
 }
@@ -105,11 +105,10 @@
 	return -1
 }
 
-// LeastLoaded takes the upstream with the fewest requests, as a common
-// balancer does.
+// LeastLoaded picks the upstream with the fewest requests, as common load balancers do.
 type LeastLoaded struct{}
 
-// NewLeastLoaded returns the placement.
+// NewLeastLoaded returns a [LeastLoaded].
 func NewLeastLoaded() LeastLoaded {
 	return LeastLoaded{}
 }
@@ -121,11 +120,11 @@
 	})
 }
 
-// Quickest takes the upstream at which the first token is predicted soonest,
-// which weighs the cached prefix against the wait.
+// Quickest picks the upstream with the earliest predicted first token, which weighs the cached
+// prefix against the wait.
 type Quickest struct{}
 
-// NewQuickest returns the placement.
+// NewQuickest returns a [Quickest].
 func NewQuickest() Quickest {
 	return Quickest{}
 }
@@ -138,8 +137,8 @@
 	})
 }
 
-// suspectPenalty keeps an upstream that failed lately behind all others, yet
-// usable when there is no other.
+// suspectPenalty ranks an upstream that failed recently behind all others, but keeps it usable when
+// there is no other.
 const suspectPenalty = float64(time.Hour)
 
 func least(ls []*Load, cost func(*Load) float64) int {
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlock is the unit, in bytes, in which cached prefixes are compared.
+// PrefixBlockBytes is the size of the blocks in which cached prefixes are compared.
 const PrefixBlock = 4096
 
-// maxPrefixBlocks bounds the work and the memory that one prompt costs. A
-// prefix shared beyond this is not told apart.
+// maxPrefixBlocks bounds the work and the memory for one prompt. Prompts that are equal up to this
+// bound count as equal.
 const maxPrefixBlocks = 64
 
-// PrefixHashes returns a hash for each of the leading whole blocks of a
-// prompt; each covers all bytes up to the end of its block.
+// PrefixHashes returns a hash for each of the leading whole blocks of a prompt. Each hash covers all
+// bytes up to the end of its block.
 func PrefixHashes(prompt []byte) (hs []uint64) {
 	var h uint64
 	for i := 0; i < maxPrefixBlocks && len(prompt) >= PrefixBlock; i++ {
@@ -25,14 +25,14 @@
 	return hs
 }
 
-// Prefixes remembers which upstreams have run which prompt prefixes. It is a
-// hint with a bounded size: the oldest half is forgotten when it is full.
+// Prefixes records which upstreams have run which prompt prefixes. Its size is bounded: the older
+// half is dropped when it is full.
 type Prefixes struct {
 	young, old map[uint64][]string
 	limit      int
 }
 
-// holders bounds the upstreams remembered for one prefix.
+// maxUpstreamsPerPrefix bounds the upstreams recorded for one prefix.
 const holders = 4
 
 // NewPrefixes returns an empty index of at most limit prefixes.
@@ -40,7 +40,7 @@
 	return &Prefixes{young: map[uint64][]string{}, old: map[uint64][]string{}, limit: limit}
 }
 
-// Note remembers that an upstream has run a prompt with the given hashes.
+// Add records that an upstream has run a prompt with the given hashes.
 func (p *Prefixes) Note(hs []uint64, upstream string) {
 	for _, h := range hs {
 		p.young[h] = withFirst(p.holders(h), upstream)
@@ -50,8 +50,7 @@
 	}
 }
 
-// Forget drops all that is remembered of an upstream, as when its engine has
-// been restarted.
+// Forget drops all records of an upstream, for example when its engine has been restarted.
 func (p *Prefixes) Forget(upstream string) {
 	for _, m := range []map[uint64][]string{p.young, p.old} {
 		for h, us := range m {
@@ -60,17 +59,18 @@
 	}
 }
 
-// Holder is an upstream that is thought to have the beginning of a prompt.
+// Holder is an upstream that probably has the beginning of a prompt in its cache.
 type Holder struct {
 	Upstream string
 	Bytes    int // of the prompt
 }
 
-// maxHolders bounds the holders that are looked for.
+// maxHoldersFound bounds the holders that one search returns: no shorter prefix is looked up once
+// there are as many.
 const maxHolders = 8
 
-// Holders returns the upstreams that are thought to have the longest beginnings
-// of the prompt, the longest first.
+// Holders returns the upstreams that probably have the longest beginnings of the prompt cached, the
+// longest first.
 func (p *Prefixes) Holders(hs []uint64) (found []Holder) {
 	for i := len(hs); i > 0 && len(found) < maxHolders; i-- {
 		for _, u := range p.holders(hs[i-1]) {
--- a/sched/prepare.go
+++ b/sched/prepare.go
@@ -5,18 +5,16 @@
 	"time"
 )
 
-// Preparation is what one box does for an event: load a model, at a time.
+// Preparation is what one box does for an event: load a model at a given time.
 type Preparation struct {
 	Model string
 	At    time.Time
 }
 
-// Prepare works out, without a leader, what a box does for an event that starts
-// at the given time. All boxes that see the same list agree: they are ordered
-// by rendezvous rank for the event, take its models in turn, and begin one after
-// another from start less lead on, spaced so that the last one begins when half
-// of the lead has passed. The other half is for retries. It returns false for a
-// box that is not among the members or an event without models.
+// Prepare returns what a box does for an event that starts at the given time. No leader is needed:
+// boxes with the same member list agree. Ordered by rendezvous rank for the event, they take its
+// models in turn and start one after another within the first half of the lead time; the other half
+// is for retries. It returns false for a box that isn't a member or an event without models.
 func Prepare(event string, start time.Time, lead time.Duration, models, members []string, box string) (p Preparation, ok bool) {
 	if len(models) == 0 {
 		return p, false
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank returns the rendezvous weight of a member for a subject. All who know
-// the same members agree on who has the highest weight, and a member that goes
-// moves only what was its own.
+// Rank returns the rendezvous hash weight of a member for a subject. Processes with the same member
+// list agree on the member with the highest weight, and a member that leaves moves only its own
+// subjects.
 func Rank(subject, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -14,7 +14,7 @@
 	return d.Sum64()
 }
 
-// First returns the member with the highest rank for the subject, or "".
+// HighestRanked returns the member with the highest rank for the subject, or "" without members.
 func First(subject string, members []string) (best string) {
 	var top uint64
 	for _, m := range members {
