--- a/sched/queue.go
+++ b/sched/queue.go
@@ -1,7 +1,6 @@
-// Package sched holds the scheduling decisions: which request an agent gives
-// to its upstream next, and which upstream an entry sends a request to. All of
-// it is plain computation on values and a time; nothing here does I/O, starts
-// goroutines or reads a clock, and nothing is safe for concurrent use.
+// Package sched makes the scheduling decisions: which request an agent sends to its upstream next,
+// and which upstream an entry sends a request to. Nothing in it does I/O, starts goroutines or reads
+// a clock, and nothing is safe for concurrent use.
 package sched
 
 import (
@@ -17,32 +16,31 @@
 	Organisation string
 	Class        hollowgrade.Class
 	Priority     int       // higher goes first within an organisation
-	Cost         int       // tokens of work that the next step gives to the upstream
-	Charge       int       // tokens charged to the organisation's share, Cost if 0
-	Resumes      bool      // goes on with what has begun: it holds its memory, and was charged for then
-	LatestStart  time.Time // the deadline less the predicted time of the run
-	Due          time.Time // from here on the item may not be passed over
+	Cost         int       // tokens of work in the next step
+	Charge       int       // tokens charged to the organisation's share; Cost if 0
+	Resumes      bool      // continues a request that has started: its memory is reserved, and it was charged then
+	LatestStart  time.Time // the deadline minus the predicted run time
+	Due          time.Time // when the item becomes overdue
 
 	lane  *lane
 	order uint64
 	gone  bool
 }
 
-// Queue decides in which order an agent gives requests to its upstream.
+// Queue decides in which order an agent sends requests to its upstream.
 type Queue interface {
 	// Push adds an item.
 	Push(i *Item)
 	// Pop removes and returns the item to start next among those for which
 	// fits returns true, or nil.
 	Pop(now time.Time, fits func(*Item) bool) *Item
-	// Remove takes an item out, and reports whether it was still there.
+	// Remove removes an item, and reports whether it was still in the queue.
 	Remove(i *Item) bool
 	// Len returns the number of items.
 	Len() int
 }
 
-// FIFO is the naive queue: first in, first out, whatever the request. It is
-// the baseline that [Fair] is measured against.
+// FIFO is the naive queue: first in, first out, whatever the request. It is the baseline for [Fair].
 type FIFO struct {
 	items []*Item
 }
@@ -89,45 +87,41 @@
 	return len(f.items)
 }
 
-// maxPassedOver bounds how many organisations Pop looks at when the request
-// at the head of each does not fit.
+// maxSkippedOrganisations bounds how many organisations Pop skips because their first request
+// doesn't fit.
 const maxPassedOver = 8
 
-// Fair orders by class; within a class it gives organisations equal shares of
-// the work (start-time fair queueing, counted in tokens); within an
-// organisation it takes the highest priority and then the least slack.
+// Fair orders by class, then by equal shares of work for organisations (start-time fair queueing,
+// counted in tokens), then by priority and least slack.
 //
-// An item that has passed its Due time is overdue. Every second Pop serves the
-// oldest overdue item, so an item with n overdue items before it starts within
-// 2(n+1) starts. When the oldest overdue item does not fit, only the Instant
-// class and what holds memory already go on until it does: otherwise small
-// requests would take each piece of memory that comes free, and a large one
-// would wait for ever; and were the holders of memory kept from their next
-// pieces, it would never come free.
+// An item past its Due time is overdue. Every second Pop serves the oldest overdue item, so an item
+// with n overdue items before it starts within 2(n+1) starts. While the oldest one doesn't fit, only
+// the Instant class and requests that hold memory are served: other small requests would take each
+// piece of memory that is released, and without the requests that hold it none would be released.
 type Fair struct {
 	classes [hollowgrade.Classes]class
 	due     itemHeap
 	length  int
 	count   uint64
-	turn    bool // whether the next Pop owes a start to an overdue item
+	turn    bool // whether this Pop serves an overdue item first; alternates
 }
 
 type class struct {
-	// resumed holds the further pieces of prompts that have begun. They go
-	// before what has not begun: sharing the engine between two long prompts
-	// only makes the first one as late as the second.
+	// resumed holds the further pieces of prompts that have started. They precede items that have not:
+	// alternating between two long prompts would only make the first as late as the second.
 	resumed itemHeap
 	lanes   laneHeap
 	byName  map[string]*lane
-	now     float64 // virtual time: start tag of the last item served
+	now     float64 // start tag of the last item served
 }
 
+// flow has the items of one organisation in a class.
 type lane struct {
 	name  string
 	items itemHeap
-	tag   float64 // virtual time at which the lane's next item starts
+	tag   float64 // virtual time at which the flow's next item starts
 	order uint64
-	index int // in class.lanes, or -1
+	index int // in class.flows, or -1
 }
 
 // NewFair returns an empty queue.
@@ -195,8 +189,8 @@
 	return i
 }
 
-// next returns the item that the class would serve, without removing it. Unless
-// fresh, only what has begun may go on.
+// next returns the item that the class would serve, without removing it. Unless allowNew, it returns
+// only items that resume a request.
 func (c *class) next(fits func(*Item) bool, fresh bool) (i *Item) {
 	if r := c.resumed.first(); r != nil && fits(r) {
 		return r
@@ -225,8 +219,8 @@
 	return i
 }
 
-// forget drops an empty lane once its tag no longer matters. A lane that is
-// ahead of its share is kept, lest an organisation gain by coming and going.
+// forget drops an empty flow once its tag no longer matters. A flow ahead of its share is kept, so
+// that an organisation can't gain by emptying its queue and returning.
 func (c *class) forget(l *lane) {
 	if l.tag <= c.now {
 		delete(c.byName, l.name)
@@ -252,8 +246,8 @@
 	return i
 }
 
-// prune forgets idle lanes whose share has been used up by the passing of
-// virtual time, so that state is bounded by the organisations that are active.
+// prune drops idle flows whose tags virtual time has reached, so that the state is bounded by the
+// number of active organisations.
 func (c *class) prune() {
 	const keep = 64
 	if len(c.byName) <= keep+len(c.lanes) {
@@ -285,7 +279,7 @@
 	return f.length
 }
 
-// itemHeap is a heap whose removed items stay until they come to the top.
+// itemHeap is a heap in which removed items stay until they reach the top.
 type itemHeap struct {
 	items []*Item
 	less  func(a, b *Item) bool
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -78,8 +78,8 @@
 	})
 }
 
-// naiveFair finds the next item by looking at all of them: lowest class, then
-// the organisation with the lowest tag, then priority and slack.
+// naiveFair finds the next item by a linear search: lowest class, then the organisation with the
+// lowest start tag, then priority and slack.
 type naiveFair struct {
 	items []*Item
 	tags  [hollowgrade.Classes]map[string]float64
@@ -226,8 +226,8 @@
 	}
 }
 
-// A prompt that holds memory waits for its next piece, and an overdue request
-// waits for that memory: the former must go on, or neither ever does.
+// Guards against a deadlock: a prompt that holds memory waits for its next piece, while an overdue
+// request waits for that memory.
 func TestNoDeadlockBetweenHolderAndOverdue(t *testing.T) {
 	for _, q := range []Queue{NewFair(), NewFIFO()} {
 		big := item("a", hollowgrade.Background, 1, 0)
