--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,7 +1,6 @@
-// Package retry bounds how often work is tried again: a budget keeps retries a
-// small part of the traffic, so that a sick fleet is not finished off by its
-// own callers, and a breaker keeps away from what failed until a probe
-// succeeds.
+// Package retry limits retries: a budget bounds them to a small part of the traffic, so that they
+// don't overload a fleet that is failing, and a circuit breaker avoids an upstream that failed until
+// a probe succeeds.
 package retry
 
 import (
@@ -18,21 +17,20 @@
 	saved float64
 }
 
-// NewBudget returns a budget that allows ratio retries for each first attempt
-// in the long run, and saves up at most limit of them. It begins full, so that
-// a box with little traffic can retry at all.
+// NewBudget returns a budget that allows ratio retries for each first attempt in the long run, and
+// accumulates at most limit of them. It starts full, so that a box with little traffic can retry.
 func NewBudget(ratio, limit float64) *Budget {
 	return &Budget{ratio: ratio, limit: limit, saved: limit}
 }
 
-// Deposit notes a first attempt.
+// Deposit records a first attempt.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(b.saved+b.ratio, b.limit)
 }
 
-// Spend takes one retry out of the budget, and reports whether there was one.
+// Spend takes one retry from the budget, and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,15 +41,15 @@
 	return true
 }
 
-// Refund gives one retry back, as when it was not made after all.
+// Refund returns one retry that was spent but not made.
 func (b *Budget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(b.saved+1, b.limit)
 }
 
-// Breaker keeps away from an upstream after failures in a row, until a single
-// probe has succeeded. It is safe for concurrent use.
+// Breaker is a circuit breaker for one upstream: it opens after consecutive failures and closes when
+// a single probe succeeds. It is safe for concurrent use.
 type Breaker struct {
 	mu        sync.Mutex
 	threshold int
@@ -61,22 +59,22 @@
 	probing   bool
 }
 
-// NewBreaker returns a closed breaker that opens after threshold failures in a
-// row and lets a probe through each time cooldown has passed.
+// NewBreaker returns a closed breaker that opens after threshold consecutive failures and allows one
+// probe per cooldown.
 func NewBreaker(threshold int, cooldown time.Duration) *Breaker {
 	return &Breaker{threshold: threshold, cooldown: cooldown}
 }
 
-// Open reports whether the upstream is to be avoided at now. Once the cooldown
-// has passed it is not, until the probe has been taken with Allow.
+// Open reports whether the upstream must be avoided at now. After the cooldown it returns false
+// until the probe has been claimed with Allow.
 func (b *Breaker) Open(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.failures >= b.threshold && (b.probing || now.Before(b.until))
 }
 
-// Allow reports whether a request may be sent at now. While the breaker is
-// open that is one request for each cooldown.
+// Allow reports whether a request may be sent at now. While the breaker is open, it allows one
+// request per cooldown.
 func (b *Breaker) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,14 +89,14 @@
 	return true
 }
 
-// Succeed notes a success and closes the breaker.
+// Succeed records a success and closes the breaker.
 func (b *Breaker) Succeed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures, b.probing = 0, false
 }
 
-// Fail notes a failure.
+// Fail records a failure.
 func (b *Breaker) Fail(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Date(2026, 12, 5, 19, 0, 0, 0, time.UTC)
 
-// However requests and retries come, retries never exceed what was saved at
-// first plus the ratio of the requests.
+// Guards against a budget that allows more retries than its initial balance plus the ratio of the
+// requests, for any order of requests and retries.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(0.1, 10)
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// windowParts is how finely a [Window] slides. One part more is kept than the
-// window has, so that what is counted spans at least its length.
+// windowParts is the resolution of a [Window]. One more part is stored than the window has, so that
+// the counts cover at least its length.
 const (
 	windowParts = 20
 	keptParts   = windowParts + 1
 )
 
-// startShare is the part of the slack that a process may use in its first
-// window: an earlier life of it may have spent the rest.
+// startSlackShare is the part of the slack that a process may use in its first window: the process
+// may have restarted, and its previous instance may have used the rest.
 const startShare = 0.2
 
-// Window allows repeats in proportion to the first sends of the last while. It
-// is safe for concurrent use. Unlike [Budget] it saves nothing up for longer
-// than its window, so that a bound over each window of that length is kept.
+// Window allows retries in proportion to the first attempts within a sliding window. Unlike [Budget]
+// it accumulates nothing for longer than the window, so that the bound holds over each span of that
+// length. It is safe for concurrent use.
 type Window struct {
 	mu     sync.Mutex
 	part   time.Duration
@@ -27,18 +27,17 @@
 	slack  float64
 	firsts [keptParts]int
 	again  [keptParts]int
-	at     int64 // number of the newest part, counted from start
+	at     int64 // index of the newest part, counted from start
 	start  time.Time
 }
 
-// NewWindow returns a window of length d for a process that starts at now. It
-// allows ratio repeats for each first send in it, and slack more, but of the
-// slack only a part in the first d.
+// NewWindow returns a window of length d for a process that starts at now. It allows ratio retries
+// for each first attempt in it and slack more; in the first d only a part of the slack.
 func NewWindow(d time.Duration, ratio, slack float64, now time.Time) *Window {
 	return &Window{part: d / windowParts, length: d, ratio: ratio, slack: slack, start: now}
 }
 
-// slide moves the window on to now. The lock is held.
+// slide advances the window to now and returns the position of its newest part. The lock is held.
 func (w *Window) slide(now time.Time) int {
 	n := int64(now.Sub(w.start) / w.part)
 	for ; w.at < n; w.at++ {
@@ -51,22 +50,22 @@
 	return int(w.at % keptParts)
 }
 
-// First notes the first send of a request.
+// RecordFirst records the first attempt of a request.
 func (w *Window) First(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.firsts[w.slide(now)]++
 }
 
-// SetSlack replaces the number of repeats that are allowed beside the ratio, as
-// when the processes that share it become more or fewer.
+// SetSlack sets the number of retries that are allowed in addition to the ratio, for example when
+// the number of processes that share it changes.
 func (w *Window) SetSlack(n float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slack = n
 }
 
-// allows does the sum. The lock is held.
+// allows reports whether one more retry is within the bound. The lock is held.
 func (w *Window) allows(now time.Time) bool {
 	f, a := 0, 0
 	for j := range keptParts {
@@ -80,7 +79,7 @@
 	return float64(a+1) <= w.ratio*float64(f)+slack
 }
 
-// Spend takes one repeat, and reports whether there was one.
+// Spend takes one retry, and reports whether there was one.
 func (w *Window) Spend(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -9,7 +9,7 @@
 
 func TestWindow(t *testing.T) {
 	begin := time.Now()
-	start := begin.Add(-time.Minute) // a process that has run for a while
+	start := begin.Add(-time.Minute) // a process that started longer than a window ago
 	at := begin.Add
 	t.Run("a process that has just started does not know what was spent before", func(t *testing.T) {
 		w := NewWindow(10*time.Second, 0.5, 5, begin)
