--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,9 @@
-// Package policy compiles and runs the short programs by which operators say
-// who goes first, what may wait and what may be repeated.
+// Package policy compiles and runs the short programs in which operators configure the priority of
+// requests, and whether they may wait or be repeated.
 //
-// A program is one expression of expr-lang. It ends, on each of its branches,
-// in an answer: a map with exactly the keys class, priority, allowed, may_wait,
-// repeatable and share. All of it is checked when the program is compiled, so a
-// published policy cannot fail for want of a field or by a wrong type.
+// A program is one expression of expr-lang. Each of its branches ends in an answer: a map with
+// exactly the keys class, priority, allowed, may_wait, repeatable and share. Keys and types are
+// checked at compile time, so a published policy can't fail for a missing key or a wrong type.
 package policy
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// Input is what a program can see of a request.
+// Input has the properties of a request that a program can use.
 type Input struct {
 	Organisation string `expr:"organisation"`
 	Event        string `expr:"event"`
@@ -34,8 +33,7 @@
 	MaxTokens    int    `expr:"max_tokens"`
 }
 
-// Phase says where the request's event stands. It is a plain string to
-// programs.
+// Phase is the state of the request's event. Programs see it as a plain string.
 type Phase = string
 
 // The phases of an event.
@@ -46,12 +44,11 @@
 	After   Phase = "after"
 )
 
-// maxNodes bounds the size of a program, and with it the time it can take:
-// without loops no part runs twice.
+// maxNodes bounds the size of a program and with it its run time: without loops no node runs twice.
 const maxNodes = 500
 
-// allowedBuiltins are the functions that a program may call. None of them
-// loops over more than its argument.
+// allowedBuiltins are the functions that a program may call. None of them iterates over more than
+// its argument.
 var allowedBuiltins = []string{"duration", "min", "max", "lower", "hasPrefix", "hasSuffix"}
 
 // Program is a compiled policy. It is immutable and safe for concurrent use.
@@ -61,8 +58,8 @@
 	code *vm.Program
 }
 
-// Compile checks and compiles a program. The error names the line and the
-// column of the mistake and has the code [fault.BadPolicy].
+// Compile checks and compiles a program. Errors have the line and the column and the code
+// [fault.BadPolicy].
 func Compile(name, text string) (p *Program, err error) {
 	c := &checker{}
 	os := []expr.Option{
@@ -95,7 +92,7 @@
 	return fault.New(fault.BadPolicy, "%s:%d:%d: %s", name, b.Line, b.Column+1, b.Message)
 }
 
-// Name returns the name under which the policy was compiled.
+// Name returns the policy's name.
 func (p *Program) Name() string {
 	return p.name
 }
@@ -105,11 +102,11 @@
 	return p.text
 }
 
-// maxAllowed bounds the time that a policy can give to a request.
+// maxAllowedTime bounds the time that a policy can allow for a request.
 const maxAllowed = 24 * time.Hour
 
-// Decide runs the program. The error has the code [fault.BadPolicy]; it can
-// only come from values out of range, as a share above 1.
+// Decide runs the program. It fails only for values out of range, for example a share above 1, with
+// the code [fault.BadPolicy].
 func (p *Program) Decide(in Input) (d hollowgrade.Decision, err error) {
 	out, err := expr.Run(p.code, in)
 	if err != nil {
@@ -158,14 +155,14 @@
 	}
 }
 
-// Sample is a request that each policy must answer before it is published.
+// Sample is a request that every policy must answer before it is published.
 type Sample struct {
 	Title string
 	Input Input
 }
 
-// Samples are the requests that each policy is tried on: one of each kind that
-// the users send, in each phase of an event.
+// Samples returns the requests that every policy is tested with: one of each kind that users send,
+// in each phase of an event.
 func Samples() (ss []Sample) {
 	kinds := []Input{
 		{Kind: "draft", Model: "m", PromptTokens: 1_000, MaxTokens: 64},
@@ -195,7 +192,7 @@
 	return nil
 }
 
-// checker walks a compiled program for what the compiler does not check.
+// checker makes the checks of a compiled program that the compiler doesn't.
 type checker struct {
 	err error
 }
@@ -206,7 +203,7 @@
 	}
 }
 
-// result checks that n ends in answers on each branch.
+// checkResult checks that each branch of n ends in an answer.
 func (c *checker) result(n ast.Node) {
 	switch v := n.(type) {
 	case *ast.ConditionalNode:
@@ -233,7 +230,7 @@
 	keyShare      = "share"
 )
 
-// answerTypes gives the type that each key of an answer must have.
+// answerTypes has the types allowed for each key of an answer.
 var answerTypes = map[string][]string{
 	keyClass:      {"string"},
 	keyPriority:   {"int"},
@@ -280,8 +277,7 @@
 	c.fail(v, "%s must be a %s, it is a %v", k.Value, ts[0], t)
 }
 
-// loops refuses ranges, the only thing left by which a small program could
-// take long.
+// checkRanges rejects range expressions, the only remaining way for a small program to run long.
 func (c *checker) loops(n ast.Node) {
 	ast.Walk(&n, c)
 }
