--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -119,7 +119,7 @@
 	fresh := requirePlan(t, New(), s, r)
 	r.Waited = 4 * time.Second
 	late := requirePlan(t, New(), s, r)
-	require.Greater(t, late.Cost, fresh.Cost, "it is late whatever is done, so it is worth less")
+	require.Greater(t, late.Cost, fresh.Cost, "time since the first attempt must raise the cost of lateness")
 }
 
 // Guards against refusing callers a second time on an idle fleet: counted from the first attempt
