--- a/core/place.go
+++ b/core/place.go
@@ -46,14 +46,14 @@
 		waited += r.Timeout - c.Patience
 	}
 	return placement.Request{
-		Engine: s.Engine,
-		Prompt: c.PromptTokens,
-		Answer: c.MaxTokens,
-		Goal:   r.Goal,
-		Pause:  r.PauseGoal,
-		Left:   left,
-		Waited: waited,
-		Again:  again,
+		Engine:       s.Engine,
+		PromptTokens: c.PromptTokens,
+		Answer:       c.MaxTokens,
+		Goal:         r.Goal,
+		Pause:        r.PauseGoal,
+		Left:         left,
+		Waited:       waited,
+		Again:        again,
 	}
 }
 
@@ -79,13 +79,13 @@
 		return p
 	}
 	if r.Engine != nil {
-		f.demandOf(service).note(now, r.Engine.Reading(r.Prompt, 1))
+		f.demandOf(service).note(now, r.Engine.Reading(r.PromptTokens, 1))
 	}
 	p.at = map[*member]hollowgrade.Upstream{p.member: p.member.Upstream}
 	for _, m := range p.helpers {
 		p.at[m] = m.Upstream
 	}
-	p.share = Share{Open: 1, Tokens: r.Prompt + r.Answer - l.Kept*len(p.keepers), Stakes: r.Stakes()}
+	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.Answer - l.Kept*len(p.keepers), Stakes: r.Stakes()}
 	for _, m := range p.keepers {
 		f.add(m, Share{Tokens: l.Kept})
 	}
--- a/placement/long.go
+++ b/placement/long.go
@@ -152,8 +152,8 @@
 
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
 func secondWorth(e *engine.Figures) float64 {
-	r := Request{Engine: e, Prompt: referencePrompt}
-	return r.Worth() / e.Reading(r.Prompt, 1).Seconds()
+	r := Request{Engine: e, PromptTokens: referencePrompt}
+	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // worthwhile reports whether a long prompt is worth at least what it costs other calls.
@@ -194,7 +194,7 @@
 	least := 0.0
 	is := p.leastBurdened(cs, r)
 	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
-		t := e.Reading(r.Prompt, n)
+		t := e.Reading(r.PromptTokens, n)
 		bySoonest(cs, is, t)
 		hs := p.harms(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
@@ -225,7 +225,7 @@
 		is[i] = i
 	}
 	if len(is) > setSample {
-		hs := p.harms(cs, is, r, r.Engine.Reading(r.Prompt, 1+maxHelpers))
+		hs := p.harms(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
 		for i, h := range hs[:setSample] {
 			is[i] = h.engine
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -11,26 +11,26 @@
 
 // Request has the properties of a call that a decision depends on.
 type Request struct {
-	Engine *engine.Figures // published figures of the engines; nil for a plain service
-	Prompt int             // tokens
-	Answer int             // largest number of tokens of the answer
-	Goal   time.Duration   // goal for the time until the first event; 0 if there is none
-	Pause  time.Duration   // goal for the longest pause between two events; 0 if there is none
-	Left   time.Duration   // until the deadline
-	Waited time.Duration   // estimated time since the caller's first attempt
-	Again  bool            // the call was probably refused before
-	Begun  bool            // the caller has received a part of the answer
+	Engine       *engine.Figures // published figures of the engines; nil for a plain service
+	PromptTokens int             // tokens
+	Answer       int             // largest number of tokens of the answer
+	Goal         time.Duration   // goal for the time until the first event; 0 if there is none
+	Pause        time.Duration   // goal for the longest pause between two events; 0 if there is none
+	Left         time.Duration   // until the deadline
+	Waited       time.Duration   // estimated time since the caller's first attempt
+	Again        bool            // the call was probably refused before
+	Begun        bool            // the caller has received a part of the answer
 }
 
 // Long reports whether several engines may share the prefill of the prompt.
 func (r Request) Long() bool {
-	return r.Engine != nil && r.Prompt >= splitFrom
+	return r.Engine != nil && r.PromptTokens >= splitFrom
 }
 
 // Worth estimates the worth of a call relative to others from the length of its prompt, since no
 // worth is configured.
 func (r Request) Worth() float64 {
-	return 1 + float64(r.Prompt)/worthTokens
+	return 1 + float64(r.PromptTokens)/worthTokens
 }
 
 // worthTokens is the number of prompt tokens that add 1 to a call's base worth of 1.
@@ -53,7 +53,7 @@
 
 // state returns the state of the engine with the call added.
 func (c *Candidate) state(r Request) engine.State {
-	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.Prompt, Reading: c.Reading, Pace: c.Pace}
+	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.PromptTokens, Reading: c.Reading, Pace: c.Pace}
 }
 
 // extraTime returns the time beyond the published one that the candidate takes for a prefill.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -17,11 +17,11 @@
 }
 
 func brief() Request {
-	return Request{Engine: figures(), Prompt: 5_000, Answer: 1500, Goal: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Left: 10 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 5_000, Answer: 1500, Goal: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Left: 10 * time.Second}
 }
 
 func season() Request {
-	return Request{Engine: figures(), Prompt: 210_000, Answer: 800, Goal: 3 * time.Second, Pause: time.Second, Left: 15 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 210_000, Answer: 800, Goal: 3 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
 // snapshot returns a snapshot of n engines with the same load.
@@ -98,7 +98,7 @@
 func TestTheLongestPromptsAreServedWhileEnginesHaveTime(t *testing.T) {
 	for _, tokens := range []int{400_000, 500_000} {
 		r := archive()
-		r.Prompt = tokens
+		r.PromptTokens = tokens
 		s := snapshot(150, Candidate{Slots: 10, Open: 2, Tokens: 12_000, Reading: 230 * time.Millisecond})
 		l := requirePlan(t, New(), s, r)
 		require.Less(t, l.First, r.Goal/2)
@@ -107,7 +107,7 @@
 	t.Run("and refused once each engine has seconds to read", func(t *testing.T) {
 		requireRefused(t, snapshot(150, Candidate{Slots: 10, Reading: 2 * time.Second}), func() Request {
 			r := archive()
-			r.Prompt = 500_000
+			r.PromptTokens = 500_000
 			return r
 		}(), true)
 	})
@@ -127,7 +127,7 @@
 func TestCallsThatAreLateAlreadyAreServedWhereNobodyIsHarmed(t *testing.T) {
 	for _, tokens := range []int{16_000, 44_000, 250_000} {
 		r := season()
-		r.Prompt, r.Waited, r.Again = tokens, 12*time.Second, true
+		r.PromptTokens, r.Waited, r.Again = tokens, 12*time.Second, true
 		l := requirePlan(t, New(), snapshot(18, Candidate{}), r)
 		require.Less(t, l.Cost, r.Worth(), tokens)
 		require.False(t, l.Refused, tokens)
@@ -148,7 +148,7 @@
 		s := snapshot(17, Candidate{})
 		s.Candidates[16].Open, s.Candidates[16].Stakes = 1, season().Stakes()
 		r := season()
-		r.Prompt = 45_000
+		r.PromptTokens = 45_000
 		require.Equal(t, 16, requirePlan(t, New(), s, r).Target)
 		require.Equal(t, 0, requirePlan(t, New(Without(Restricting)), s, r).Target)
 	})
@@ -156,7 +156,7 @@
 
 func TestPausesAreToldApartByAFifth(t *testing.T) {
 	for _, pause := range []time.Duration{200, 250, 500, 600, 800, 1000} {
-		r := Request{Pause: pause * time.Millisecond, Prompt: 9_000}
+		r := Request{Pause: pause * time.Millisecond, PromptTokens: 9_000}
 		s := r.Stakes()
 		require.Zero(t, s.Lost(0, r.Pause*4/7), pause)
 		require.InDelta(t, r.Worth(), s.Lost(0, r.Pause*11/10), 0.01, pause)
@@ -166,7 +166,7 @@
 		require.InDelta(t, r.Worth(), half+s.Lost(r.Pause*9/10, 2*r.Pause), 0.01, pause)
 	}
 	t.Run("none is at stake without a pause goal", func(t *testing.T) {
-		require.Equal(t, Stakes{}, Request{Prompt: 1}.Stakes())
+		require.Equal(t, Stakes{}, Request{PromptTokens: 1}.Stakes())
 	})
 }
 
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -54,7 +54,7 @@
 
 // priceByMeanBacklog implements [MeanBacklog].
 func priceByMean(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
-	return price(cs, r.Engine) * r.Engine.Reading(r.Prompt, 1).Seconds()
+	return price(cs, r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // priceByBusyEngines implements [BusyEngines]. The mean backlog is misleading where a few engines
@@ -65,7 +65,7 @@
 		busy += min(float64(cs[i].Reading)/float64(saturatedFrom), 1)
 	}
 	busy /= float64(max(len(cs), 1))
-	return min(max(slotNeed(cs, r.Engine), busy, leastBusy), 1) * secondWorth(r.Engine) * r.Engine.Reading(r.Prompt, 1).Seconds()
+	return min(max(slotNeed(cs, r.Engine), busy, leastBusy), 1) * secondWorth(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // priceByDisplacement implements [Displacement], for loads whose mix and sizes change: engine time
@@ -79,7 +79,7 @@
 	ds := densest(s.Demand, r.Engine, horizon)
 	lost := earned(ds, before.Seconds()) - earned(ds, after.Seconds())
 	unknown := (1 - s.Demand.Known) * priceByMean(p, s, cs, set, r, l)
-	return max(s.Demand.Known*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.Prompt, 1).Seconds())
+	return max(s.Demand.Known*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
 
 // slotPricePerSecond is the worth of a second of an engine where slots are short.
@@ -139,7 +139,7 @@
 		}
 		one := x.Reading.Seconds()
 		n := x.Rate * h
-		ds = append(ds, expectedDemand{Request{Prompt: e.Prompt(x.Reading)}.Worth() / one, n * one, n * one * one * spread})
+		ds = append(ds, expectedDemand{Request{PromptTokens: e.Prompt(x.Reading)}.Worth() / one, n * one, n * one * one * spread})
 	}
 	slices.SortFunc(ds, func(a, b expectedDemand) int { return cmp.Compare(b.density, a.density) })
 	return ds
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -20,7 +20,7 @@
 
 // longestCall is a call of the longest kind.
 func review(tokens int) Request {
-	return Request{Engine: slowFigures(), Prompt: tokens, Answer: 700, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
+	return Request{Engine: slowFigures(), PromptTokens: tokens, Answer: 700, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
@@ -98,7 +98,7 @@
 	})
 	t.Run("rises with the seconds and never above all that is expected", func(t *testing.T) {
 		require.Less(t, earned(ds, 1), earned(ds, 5))
-		require.InDelta(t, (Request{Prompt: 45_000}).Worth()+(Request{Prompt: 260_000}).Worth(), earned(ds, 1000), 0.1)
+		require.InDelta(t, (Request{PromptTokens: 45_000}).Worth()+(Request{PromptTokens: 260_000}).Worth(), earned(ds, 1000), 0.1)
 	})
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{Reading: 2 * time.Second})
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -10,7 +10,7 @@
 
 // memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
 func archive() Request {
-	return Request{Engine: many(), Prompt: 300_000, Answer: 1500, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
+	return Request{Engine: many(), PromptTokens: 300_000, Answer: 1500, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
 }
 
 // applyPlan adds the load of a plan to the snapshot.
@@ -74,7 +74,7 @@
 			s.Candidates[i].Tokens = 220_000
 		}
 		r := archive()
-		r.Prompt = 500_000 // three parts of 167,000
+		r.PromptTokens = 500_000 // three parts of 167,000
 		l := requirePlan(t, New(), s, r)
 		require.Len(t, l.Keepers, 2)
 		require.False(t, l.Full)
