--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -162,7 +162,7 @@
 	f := newFleet("e", 20)
 	var ps []*pick
 	for i := range 30 {
-		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, Answer: 100, Goal: time.Second, Pause: time.Second, Left: time.Hour}, map[hollowgrade.Life]bool{})
+		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, Pause: time.Second, Left: time.Hour}, map[hollowgrade.Life]bool{})
 		if !p.Refused {
 			ps = append(ps, p)
 		}
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -45,11 +45,11 @@
 		d.Engine = nil
 		d.Goal = 300 * time.Millisecond
 	case 1, 2:
-		d.PromptTokens, d.Answer, d.Goal, d.Pause = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
 	case 3, 4:
-		d.PromptTokens, d.Answer, d.Goal, d.Pause = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
 	default:
-		d.PromptTokens, d.Answer, d.Goal, d.Pause = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
+		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
 	}
 	d.Again = r.IntN(3) == 0
 	d.Begun = r.IntN(20) == 0
--- a/core/place.go
+++ b/core/place.go
@@ -48,7 +48,7 @@
 	return placement.Request{
 		Engine:       s.Engine,
 		PromptTokens: c.PromptTokens,
-		Answer:       c.MaxTokens,
+		MaxTokens:    c.MaxTokens,
 		Goal:         r.Goal,
 		Pause:        r.PauseGoal,
 		Left:         left,
@@ -85,7 +85,7 @@
 	for _, m := range p.helpers {
 		p.at[m] = m.Upstream
 	}
-	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.Answer - l.Kept*len(p.keepers), Stakes: r.Stakes()}
+	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.MaxTokens - l.Kept*len(p.keepers), Stakes: r.Stakes()}
 	for _, m := range p.keepers {
 		f.add(m, Share{Tokens: l.Kept})
 	}
--- a/placement/long.go
+++ b/placement/long.go
@@ -28,7 +28,7 @@
 		return l, true
 	}
 	alone := p.harm(&s.Candidates[a.Target], r, a.Reading)*lateShare + r.Worth()*lateShare*r.lateness(a.First)
-	split := l.Cost + price(s.Candidates, e)*e.Hops(r.Answer).Seconds()
+	split := l.Cost + price(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -13,7 +13,7 @@
 type Request struct {
 	Engine       *engine.Figures // published figures of the engines; nil for a plain service
 	PromptTokens int             // tokens
-	Answer       int             // largest number of tokens of the answer
+	MaxTokens    int             // largest number of tokens of the answer
 	Goal         time.Duration   // goal for the time until the first event; 0 if there is none
 	Pause        time.Duration   // goal for the longest pause between two events; 0 if there is none
 	Left         time.Duration   // until the deadline
--- a/placement/short.go
+++ b/placement/short.go
@@ -40,7 +40,7 @@
 // addCall adds a call whose whole prompt the candidate prefills.
 func (c *Candidate) give(r Request, reading time.Duration) {
 	c.Open++
-	c.Tokens += r.PromptTokens + r.Answer
+	c.Tokens += r.PromptTokens + r.MaxTokens
 	c.Stakes = c.Stakes.Plus(r.Stakes())
 	c.Reading += reading + c.slower(reading)
 }
@@ -171,7 +171,7 @@
 // targetTokens returns the memory that a call takes at the engine that answers it.
 func ownTokens(r Request) int {
 	n := keepers(r, r.Engine)
-	return r.PromptTokens - (n-1)*keptTokens(r, n) + r.Answer
+	return r.PromptTokens - (n-1)*keptTokens(r, n) + r.MaxTokens
 }
 
 // keptTokens returns how many tokens each keeper stores of a prompt that is stored at n engines.
@@ -185,9 +185,9 @@
 
 // keeperCount returns the number of engines, the target included, that have to store a prompt.
 func keepers(r Request, e *engine.Figures) int {
-	if float64(r.PromptTokens+r.Answer) <= memoryShare*float64(e.Capacity) {
+	if float64(r.PromptTokens+r.MaxTokens) <= memoryShare*float64(e.Capacity) {
 		return 1
 	}
 	part := partShare * float64(e.Capacity)
-	return int(float64(r.PromptTokens+r.Answer)/part) + 1
+	return int(float64(r.PromptTokens+r.MaxTokens)/part) + 1
 }
