--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -45,11 +45,11 @@
 		d.Engine = nil
 		d.Goal = 300 * time.Millisecond
 	case 1, 2:
-		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
 	case 3, 4:
-		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
 	default:
-		d.PromptTokens, d.MaxTokens, d.Goal, d.Pause = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
 	}
 	d.Again = r.IntN(3) == 0
 	d.Begun = r.IntN(20) == 0
@@ -71,7 +71,7 @@
 		n := int(busy * float64(r.IntN(20)))
 		s := Share{Open: n, Tokens: n * (2000 + r.IntN(20_000))}
 		for range n {
-			c := placement.Request{Pause: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, PromptTokens: int(30_000 * r.Float64())}
+			c := placement.Request{PauseGoal: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, PromptTokens: int(30_000 * r.Float64())}
 			s.Stakes = s.Stakes.Plus(c.Stakes())
 		}
 		f.setView(f.views["b"], m.Life(), s)
--- a/core/place.go
+++ b/core/place.go
@@ -50,7 +50,7 @@
 		PromptTokens: c.PromptTokens,
 		MaxTokens:    c.MaxTokens,
 		Goal:         r.Goal,
-		Pause:        r.PauseGoal,
+		PauseGoal:    r.PauseGoal,
 		Left:         left,
 		Waited:       waited,
 		Again:        again,
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -15,7 +15,7 @@
 	PromptTokens int             // tokens
 	MaxTokens    int             // largest number of tokens of the answer
 	Goal         time.Duration   // goal for the time until the first event; 0 if there is none
-	Pause        time.Duration   // goal for the longest pause between two events; 0 if there is none
+	PauseGoal    time.Duration   // goal for the longest pause between two events; 0 if there is none
 	Left         time.Duration   // until the deadline
 	Waited       time.Duration   // estimated time since the caller's first attempt
 	Again        bool            // the call was probably refused before
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -17,11 +17,11 @@
 }
 
 func brief() Request {
-	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Left: 10 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, PauseGoal: 250 * time.Millisecond, Left: 10 * time.Second}
 }
 
 func season() Request {
-	return Request{Engine: figures(), PromptTokens: 210_000, MaxTokens: 800, Goal: 3 * time.Second, Pause: time.Second, Left: 15 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 210_000, MaxTokens: 800, Goal: 3 * time.Second, PauseGoal: time.Second, Left: 15 * time.Second}
 }
 
 // snapshot returns a snapshot of n engines with the same load.
@@ -156,14 +156,14 @@
 
 func TestPausesAreToldApartByAFifth(t *testing.T) {
 	for _, pause := range []time.Duration{200, 250, 500, 600, 800, 1000} {
-		r := Request{Pause: pause * time.Millisecond, PromptTokens: 9_000}
+		r := Request{PauseGoal: pause * time.Millisecond, PromptTokens: 9_000}
 		s := r.Stakes()
-		require.Zero(t, s.Lost(0, r.Pause*4/7), pause)
-		require.InDelta(t, r.Worth(), s.Lost(0, r.Pause*11/10), 0.01, pause)
-		half := s.Lost(0, r.Pause*9/10)
+		require.Zero(t, s.Lost(0, r.PauseGoal*4/7), pause)
+		require.InDelta(t, r.Worth(), s.Lost(0, r.PauseGoal*11/10), 0.01, pause)
+		half := s.Lost(0, r.PauseGoal*9/10)
 		require.Greater(t, half, r.Worth()/3, pause)
 		require.Less(t, half, r.Worth(), pause)
-		require.InDelta(t, r.Worth(), half+s.Lost(r.Pause*9/10, 2*r.Pause), 0.01, pause)
+		require.InDelta(t, r.Worth(), half+s.Lost(r.PauseGoal*9/10, 2*r.PauseGoal), 0.01, pause)
 	}
 	t.Run("none is at stake without a pause goal", func(t *testing.T) {
 		require.Equal(t, Stakes{}, Request{PromptTokens: 1}.Stakes())
--- a/placement/short.go
+++ b/placement/short.go
@@ -61,8 +61,8 @@
 	return func(i int, c *Candidate) float64 {
 		t := c.state(r)
 		x := r.lateness(e.First(t, reading))
-		if r.Pause > 0 {
-			x += tooLong(e.Pause(t, reading), r.Pause) // its answer would start within a pass that is too long for it
+		if r.PauseGoal > 0 {
+			x += tooLong(e.Pause(t, reading), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -47,12 +47,12 @@
 
 // Stakes returns the worth of one call in its pause class.
 func (r Request) Stakes() (s Stakes) {
-	if r.Pause <= 0 {
+	if r.PauseGoal <= 0 {
 		return s
 	}
 	at := 0
 	for i, c := range pauseClasses {
-		if c <= r.Pause {
+		if c <= r.PauseGoal {
 			at = i
 		}
 	}
