--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -162,7 +162,7 @@
 	f := newFleet("e", 20)
 	var ps []*pick
 	for i := range 30 {
-		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, PauseGoal: time.Second, Left: time.Hour}, map[hollowgrade.Life]bool{})
+		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, PauseGoal: time.Second, TimeLeft: time.Hour}, map[hollowgrade.Life]bool{})
 		if !p.Refused {
 			ps = append(ps, p)
 		}
@@ -195,11 +195,11 @@
 }
 
 func long(prompt int) placement.Request {
-	return placement.Request{Engine: figures(), PromptTokens: prompt, Goal: 3 * time.Second, PauseGoal: 800 * time.Millisecond, Left: 15 * time.Second}
+	return placement.Request{Engine: figures(), PromptTokens: prompt, Goal: 3 * time.Second, PauseGoal: 800 * time.Millisecond, TimeLeft: 15 * time.Second}
 }
 
 func short() placement.Request {
-	return placement.Request{Engine: figures(), PromptTokens: 5_000, Goal: 300 * time.Millisecond, PauseGoal: 200 * time.Millisecond, Left: 10 * time.Second}
+	return placement.Request{Engine: figures(), PromptTokens: 5_000, Goal: 300 * time.Millisecond, PauseGoal: 200 * time.Millisecond, TimeLeft: 10 * time.Second}
 }
 
 func TestLongPromptsAreSplit(t *testing.T) {
@@ -465,7 +465,7 @@
 	})
 	t.Run("are refused when they cannot begin in time", func(t *testing.T) {
 		d := long(210_000)
-		d.Left = time.Second
+		d.TimeLeft = time.Second
 		require.True(t, refused(d, 5*time.Second))
 	})
 	t.Run("short ones never are", func(t *testing.T) {
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -39,7 +39,7 @@
 
 // drawnRequest is a call of one of three kinds, or one for a plain service.
 func drawnRequest(r *rand.Rand) placement.Request {
-	d := placement.Request{Engine: drawnFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
+	d := placement.Request{Engine: drawnFigures(r), TimeLeft: time.Duration(r.IntN(15_000)) * time.Millisecond}
 	switch r.IntN(7) {
 	case 0:
 		d.Engine = nil
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -116,7 +116,7 @@
 			}
 			calls++
 			f := ps[i].fleet
-			k := f.pick("s", placement.Request{Left: time.Second}, nil)
+			k := f.pick("s", placement.Request{TimeLeft: time.Second}, nil)
 			if k == nil {
 				refused++
 			} else {
@@ -238,7 +238,7 @@
 				p.tell(ps, i, o.fleet.Shares(), true, r)
 			}
 			f := ps[r.IntN(len(ps))].fleet
-			k := f.pick("s", placement.Request{Left: time.Second}, nil)
+			k := f.pick("s", placement.Request{TimeLeft: time.Second}, nil)
 			if k == nil {
 				continue
 			}
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -28,7 +28,7 @@
 	f = NewFleet(hollowgrade.SystemClock(), quiet())
 	f.Put(lifeAt(0))
 	l := lifeAt(0).Life()
-	p = f.pick("s", placement.Request{PromptTokens: 100, MaxTokens: 10, Left: time.Second}, nil)
+	p = f.pick("s", placement.Request{PromptTokens: 100, MaxTokens: 10, TimeLeft: time.Second}, nil)
 	require.NotNil(t, p)
 	f.TakeView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
 	f.TakeReadings("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
--- a/core/place.go
+++ b/core/place.go
@@ -51,7 +51,7 @@
 		MaxTokens:    c.MaxTokens,
 		Goal:         r.Goal,
 		PauseGoal:    r.PauseGoal,
-		Left:         left,
+		TimeLeft:     left,
 		Waited:       waited,
 		Again:        again,
 	}
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -22,7 +22,7 @@
 
 // give picks an upstream for a call, nil if there is none.
 func give(f *Fleet) *pick {
-	return f.pick("s", placement.Request{Left: 10 * time.Second}, nil)
+	return f.pick("s", placement.Request{TimeLeft: 10 * time.Second}, nil)
 }
 
 // hear takes an answer of an upstream to a call that was sent at some moment.
--- a/placement/long.go
+++ b/placement/long.go
@@ -161,7 +161,7 @@
 	if r.Begun {
 		return true
 	}
-	if l.First > r.Left {
+	if l.First > r.TimeLeft {
 		return false
 	}
 	gain := r.Worth() - l.Cost
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -16,7 +16,7 @@
 	MaxTokens    int             // largest number of tokens of the answer
 	Goal         time.Duration   // goal for the time until the first event; 0 if there is none
 	PauseGoal    time.Duration   // goal for the longest pause between two events; 0 if there is none
-	Left         time.Duration   // until the deadline
+	TimeLeft     time.Duration   // until the deadline
 	Waited       time.Duration   // estimated time since the caller's first attempt
 	Again        bool            // the call was probably refused before
 	Begun        bool            // the caller has received a part of the answer
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -17,11 +17,11 @@
 }
 
 func brief() Request {
-	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, PauseGoal: 250 * time.Millisecond, Left: 10 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, PauseGoal: 250 * time.Millisecond, TimeLeft: 10 * time.Second}
 }
 
 func season() Request {
-	return Request{Engine: figures(), PromptTokens: 210_000, MaxTokens: 800, Goal: 3 * time.Second, PauseGoal: time.Second, Left: 15 * time.Second}
+	return Request{Engine: figures(), PromptTokens: 210_000, MaxTokens: 800, Goal: 3 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
 // snapshot returns a snapshot of n engines with the same load.
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -20,7 +20,7 @@
 
 // longestCall is a call of the longest kind.
 func review(tokens int) Request {
-	return Request{Engine: slowFigures(), PromptTokens: tokens, MaxTokens: 700, Goal: 4 * time.Second, PauseGoal: time.Second, Left: 15 * time.Second}
+	return Request{Engine: slowFigures(), PromptTokens: tokens, MaxTokens: 700, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -47,7 +47,7 @@
 // afterRefusal returns the request as it is when its caller retries after d.
 func (r Request) after(d time.Duration) Request {
 	r.Waited += d
-	r.Left -= d
+	r.TimeLeft -= d
 	r.Again = true
 	return r
 }
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -10,7 +10,7 @@
 
 // memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
 func archive() Request {
-	return Request{Engine: many(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, Left: 15 * time.Second}
+	return Request{Engine: many(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
 // applyPlan adds the load of a plan to the snapshot.
