--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -51,7 +51,7 @@
 	default:
 		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
 	}
-	d.Again = r.IntN(3) == 0
+	d.RefusedBefore = r.IntN(3) == 0
 	d.Begun = r.IntN(20) == 0
 	return d
 }
--- a/core/place.go
+++ b/core/place.go
@@ -46,14 +46,14 @@
 		waited += r.Timeout - c.Patience
 	}
 	return placement.Request{
-		Engine:       s.Engine,
-		PromptTokens: c.PromptTokens,
-		MaxTokens:    c.MaxTokens,
-		Goal:         r.Goal,
-		PauseGoal:    r.PauseGoal,
-		TimeLeft:     left,
-		Waited:       waited,
-		Again:        again,
+		Engine:        s.Engine,
+		PromptTokens:  c.PromptTokens,
+		MaxTokens:     c.MaxTokens,
+		Goal:          r.Goal,
+		PauseGoal:     r.PauseGoal,
+		TimeLeft:      left,
+		Waited:        waited,
+		RefusedBefore: again,
 	}
 }
 
--- a/placement/long.go
+++ b/placement/long.go
@@ -165,7 +165,7 @@
 		return false
 	}
 	gain := r.Worth() - l.Cost
-	if r.Again && p.has(Returning) {
+	if r.RefusedBefore && p.has(Returning) {
 		gain += refusedAgain * r.Worth()
 	}
 	return gain >= l.Displaced
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -11,15 +11,15 @@
 
 // Request has the properties of a call that a decision depends on.
 type Request struct {
-	Engine       *engine.Figures // published figures of the engines; nil for a plain service
-	PromptTokens int             // tokens
-	MaxTokens    int             // largest number of tokens of the answer
-	Goal         time.Duration   // goal for the time until the first event; 0 if there is none
-	PauseGoal    time.Duration   // goal for the longest pause between two events; 0 if there is none
-	TimeLeft     time.Duration   // until the deadline
-	Waited       time.Duration   // estimated time since the caller's first attempt
-	Again        bool            // the call was probably refused before
-	Begun        bool            // the caller has received a part of the answer
+	Engine        *engine.Figures // published figures of the engines; nil for a plain service
+	PromptTokens  int             // tokens
+	MaxTokens     int             // largest number of tokens of the answer
+	Goal          time.Duration   // goal for the time until the first event; 0 if there is none
+	PauseGoal     time.Duration   // goal for the longest pause between two events; 0 if there is none
+	TimeLeft      time.Duration   // until the deadline
+	Waited        time.Duration   // estimated time since the caller's first attempt
+	RefusedBefore bool            // the call was probably refused before
+	Begun         bool            // the caller has received a part of the answer
 }
 
 // Long reports whether several engines may share the prefill of the prompt.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -127,7 +127,7 @@
 func TestCallsThatAreLateAlreadyAreServedWhereNobodyIsHarmed(t *testing.T) {
 	for _, tokens := range []int{16_000, 44_000, 250_000} {
 		r := season()
-		r.PromptTokens, r.Waited, r.Again = tokens, 12*time.Second, true
+		r.PromptTokens, r.Waited, r.RefusedBefore = tokens, 12*time.Second, true
 		l := requirePlan(t, New(), snapshot(18, Candidate{}), r)
 		require.Less(t, l.Cost, r.Worth(), tokens)
 		require.False(t, l.Refused, tokens)
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -48,7 +48,7 @@
 func (r Request) after(d time.Duration) Request {
 	r.Waited += d
 	r.TimeLeft -= d
-	r.Again = true
+	r.RefusedBefore = true
 	return r
 }
 
