--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -460,7 +460,7 @@
 		require.True(t, f.pick("e", huge, nil).Refused)
 	})
 	t.Run("are taken when their stream has begun", func(t *testing.T) {
-		huge.Begun = true
+		huge.StreamStarted = true
 		require.False(t, refused(huge, 2*time.Second))
 	})
 	t.Run("are refused when they cannot begin in time", func(t *testing.T) {
--- a/core/flow.go
+++ b/core/flow.go
@@ -122,7 +122,7 @@
 func (f *flow) send(ctx context.Context, n, left int) Try {
 	now := f.core.clock.Now()
 	r := newRequest(f.service, f.route, f.call, f.deadline.Sub(now), now.Sub(f.call.Arrived))
-	r.Begun = f.began
+	r.StreamStarted = f.began
 	p := f.core.fleet.pick(f.service.Name, r, f.tried)
 	if p == nil {
 		return Try{Err: f.refuseAny()}
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -52,7 +52,7 @@
 		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
 	}
 	d.RefusedBefore = r.IntN(3) == 0
-	d.Begun = r.IntN(20) == 0
+	d.StreamStarted = r.IntN(20) == 0
 	return d
 }
 
--- a/core/limit.go
+++ b/core/limit.go
@@ -199,7 +199,7 @@
 		if !m.limit.named || slices.Contains(p.metered, m) {
 			continue
 		}
-		if !f.admits(m, now, p.request.Begun) {
+		if !f.admits(m, now, p.request.StreamStarted) {
 			return false
 		}
 		f.meter(p, m)
--- a/placement/long.go
+++ b/placement/long.go
@@ -89,7 +89,7 @@
 	}
 	l.keep(cs, r)
 	l.Displaced = p.pricing(p, s, cs, set, r, l)
-	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.Full && !r.Begun
+	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.Full && !r.StreamStarted
 	if l.Refused {
 		l.ComeBack = p.comeBackLong(s, cs, set, r, l)
 	}
@@ -158,7 +158,7 @@
 
 // worthwhile reports whether a long prompt is worth at least what it costs other calls.
 func (p *Policy) worthwhile(r Request, l Plan) bool {
-	if r.Begun {
+	if r.StreamStarted {
 		return true
 	}
 	if l.First > r.TimeLeft {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,7 +19,7 @@
 	TimeLeft      time.Duration   // until the deadline
 	Waited        time.Duration   // estimated time since the caller's first attempt
 	RefusedBefore bool            // the call was probably refused before
-	Begun         bool            // the caller has received a part of the answer
+	StreamStarted bool            // the caller has received a part of the answer
 }
 
 // Long reports whether several engines may share the prefill of the prompt.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -67,7 +67,7 @@
 	})
 	t.Run("are served once their stream has begun", func(t *testing.T) {
 		r := brief()
-		r.Begun = true
+		r.StreamStarted = true
 		requireRefused(t, snapshot(9, full), r, false)
 	})
 	t.Run("are served where the route has no goal", func(t *testing.T) {
@@ -173,7 +173,7 @@
 func TestPartsAreHeldBackBehindEarlierOnes(t *testing.T) {
 	s := snapshot(18, Candidate{Reading: time.Second})
 	r := season()
-	r.Begun = true
+	r.StreamStarted = true
 	require.Equal(t, 700*time.Millisecond, requirePlan(t, New(), s, r).Hold)
 	require.Zero(t, requirePlan(t, New(Without(Holding)), s, r).Hold)
 }
--- a/placement/short.go
+++ b/placement/short.go
@@ -32,7 +32,7 @@
 	c := &cs[target]
 	l.Target = target
 	l.First = e.First(c.state(r), l.Reading) + slotWait(c, r)
-	l.Refused = p.has(Shedding) && !r.Begun && r.lateFor(l.First) && slotsTaken(cs, e)
+	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.First) && slotsTaken(cs, e)
 	l.ComeBack = comeBack(l.First)
 	return l, true
 }
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -95,7 +95,7 @@
 	})
 	t.Run("go on once their stream has begun", func(t *testing.T) {
 		r := archive()
-		r.Begun = true
+		r.StreamStarted = true
 		require.False(t, requirePlan(t, New(), full(), r).Refused)
 	})
 	t.Run("are sent when one has it", func(t *testing.T) {
