--- a/core/place.go
+++ b/core/place.go
@@ -135,16 +135,16 @@
 func (m *member) candidate(tried bool, now time.Time) placement.Candidate {
 	t := m.total()
 	c := placement.Candidate{
-		Slots:   m.Slots,
-		Open:    t.Open,
-		Tokens:  t.Tokens,
-		Stakes:  t.Stakes,
-		Reading: m.reading(now),
-		Pace:    m.pace(now),
-		Helps:   m.helps(now),
-		Avoided: now.Before(m.avoid),
-		Tried:   tried,
-		Limited: m.limit.named,
+		Slots:          m.Slots,
+		Open:           t.Open,
+		Tokens:         t.Tokens,
+		Stakes:         t.Stakes,
+		PrefillBacklog: m.reading(now),
+		Pace:           m.pace(now),
+		Helps:          m.helps(now),
+		Avoided:        now.Before(m.avoid),
+		Tried:          tried,
+		Limited:        m.limit.named,
 	}
 	if now.Sub(m.loadAt) < loadAge {
 		c.Told = m.load.Running + m.load.Waiting
--- a/placement/long.go
+++ b/placement/long.go
@@ -55,7 +55,7 @@
 // meanPrefillBacklog returns the mean of the engines' pending prefill.
 func meanReading(cs []Candidate) (d time.Duration) {
 	for i := range cs {
-		d += cs[i].Reading
+		d += cs[i].PrefillBacklog
 	}
 	return d / time.Duration(max(len(cs), 1))
 }
@@ -81,7 +81,7 @@
 	target := p.cheapestOf(s, cs, set, r)
 	l.Full = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
-		l.Wait = max(l.Wait, cs[i].Reading)
+		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
 		l.First = max(l.First, e.First(cs[i].state(r), l.Reading))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
@@ -237,7 +237,7 @@
 // sortByPrefillEnd sorts engines by when they would finish a part of a prompt, the earliest first.
 // A part at a slow engine delays the whole prompt.
 func bySoonest(cs []Candidate, is []int, part time.Duration) {
-	end := func(i int) time.Duration { return cs[i].Reading + cs[i].slower(part) }
+	end := func(i int) time.Duration { return cs[i].PrefillBacklog + cs[i].slower(part) }
 	slices.SortStableFunc(is, func(a, b int) int { return cmp.Compare(end(a), end(b)) })
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -38,22 +38,22 @@
 
 // Candidate is an upstream that may get the call, with its known load from all gateways.
 type Candidate struct {
-	Slots   int           // calls that it processes concurrently
-	Open    int           // calls that have not ended
-	Tokens  int           // memory reserved by its calls, in tokens
-	Stakes  Stakes        // worth of its calls by pause goal
-	Reading time.Duration // pending prefill, at the upstream's actual speed
-	Pace    float64       // actual time divided by published time; 0 counts as 1
-	Helps   int           // parts of prompts that it holds for other engines
-	Told    int           // calls that it reports itself; 0 if the report is stale
-	Avoided bool          // it failed recently
-	Limited bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
-	Tried   bool          // by the same call
+	Slots          int           // calls that it processes concurrently
+	Open           int           // calls that have not ended
+	Tokens         int           // memory reserved by its calls, in tokens
+	Stakes         Stakes        // worth of its calls by pause goal
+	PrefillBacklog time.Duration // pending prefill, at the upstream's actual speed
+	Pace           float64       // actual time divided by published time; 0 counts as 1
+	Helps          int           // parts of prompts that it holds for other engines
+	Told           int           // calls that it reports itself; 0 if the report is stale
+	Avoided        bool          // it failed recently
+	Limited        bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
+	Tried          bool          // by the same call
 }
 
 // state returns the state of the engine with the call added.
 func (c *Candidate) state(r Request) engine.State {
-	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.PromptTokens, Reading: c.Reading, Pace: c.Pace}
+	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.PromptTokens, Reading: c.PrefillBacklog, Pace: c.Pace}
 }
 
 // extraTime returns the time beyond the published one that the candidate takes for a prefill.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -63,7 +63,7 @@
 	t.Run("are served, late as they are, while slots are free", func(t *testing.T) {
 		r := brief()
 		r.Waited = 2 * time.Second
-		requireRefused(t, snapshot(9, Candidate{Open: 4, Reading: time.Second}), r, false)
+		requireRefused(t, snapshot(9, Candidate{Open: 4, PrefillBacklog: time.Second}), r, false)
 	})
 	t.Run("are served once their stream has begun", func(t *testing.T) {
 		r := brief()
@@ -89,7 +89,7 @@
 		require.InDelta(t, leastBusy*secondWorth(figures()), price(snapshot(9, Candidate{}).Candidates, figures()), 1e-9)
 	})
 	t.Run("and whole once reading waits everywhere", func(t *testing.T) {
-		require.InDelta(t, secondWorth(figures()), price(snapshot(9, Candidate{Reading: time.Second}).Candidates, figures()), 1e-9)
+		require.InDelta(t, secondWorth(figures()), price(snapshot(9, Candidate{PrefillBacklog: time.Second}).Candidates, figures()), 1e-9)
 	})
 }
 
@@ -99,13 +99,13 @@
 	for _, tokens := range []int{400_000, 500_000} {
 		r := archive()
 		r.PromptTokens = tokens
-		s := snapshot(150, Candidate{Slots: 10, Open: 2, Tokens: 12_000, Reading: 230 * time.Millisecond})
+		s := snapshot(150, Candidate{Slots: 10, Open: 2, Tokens: 12_000, PrefillBacklog: 230 * time.Millisecond})
 		l := requirePlan(t, New(), s, r)
 		require.Less(t, l.First, r.Goal/2)
 		require.False(t, l.Refused, "%d tokens, displaced %.2f", tokens, l.Displaced)
 	}
 	t.Run("and refused once each engine has seconds to read", func(t *testing.T) {
-		requireRefused(t, snapshot(150, Candidate{Slots: 10, Reading: 2 * time.Second}), func() Request {
+		requireRefused(t, snapshot(150, Candidate{Slots: 10, PrefillBacklog: 2 * time.Second}), func() Request {
 			r := archive()
 			r.PromptTokens = 500_000
 			return r
@@ -115,7 +115,7 @@
 
 func TestTimeSinceTheFirstTryCounts(t *testing.T) {
 	r := season()
-	s := snapshot(18, Candidate{Reading: 500 * time.Millisecond})
+	s := snapshot(18, Candidate{PrefillBacklog: 500 * time.Millisecond})
 	fresh := requirePlan(t, New(), s, r)
 	r.Waited = 4 * time.Second
 	late := requirePlan(t, New(), s, r)
@@ -171,7 +171,7 @@
 }
 
 func TestPartsAreHeldBackBehindEarlierOnes(t *testing.T) {
-	s := snapshot(18, Candidate{Reading: time.Second})
+	s := snapshot(18, Candidate{PrefillBacklog: time.Second})
 	r := season()
 	r.StreamStarted = true
 	require.Equal(t, 700*time.Millisecond, requirePlan(t, New(), s, r).Hold)
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -62,7 +62,7 @@
 func priceByBusy(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	busy := 0.0
 	for i := range cs {
-		busy += min(float64(cs[i].Reading)/float64(saturatedFrom), 1)
+		busy += min(float64(cs[i].PrefillBacklog)/float64(saturatedFrom), 1)
 	}
 	busy /= float64(max(len(cs), 1))
 	return min(max(slotNeed(cs, r.Engine), busy, leastBusy), 1) * secondWorth(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
@@ -93,8 +93,8 @@
 func (p *Policy) room(cs []Candidate, set []int, r Request, l Plan, until time.Duration) (before, after time.Duration) {
 	for i := range cs {
 		c := cs[i]
-		free := max(until-c.Reading, 0)
-		c.Reading = 0
+		free := max(until-c.PrefillBacklog, 0)
+		c.PrefillBacklog = 0
 		if p.harm(&c, r, l.Reading) > harmless {
 			continue
 		}
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -38,7 +38,7 @@
 func afterOneLongPrompt() Snapshot {
 	s := snapshot(60, Candidate{Slots: 12, Open: 1})
 	for i := range 17 {
-		s.Candidates[i].Reading = 4200 * time.Millisecond
+		s.Candidates[i].PrefillBacklog = 4200 * time.Millisecond
 	}
 	return s
 }
@@ -101,7 +101,7 @@
 		require.InDelta(t, (Request{PromptTokens: 45_000}).Worth()+(Request{PromptTokens: 260_000}).Worth(), earned(ds, 1000), 0.1)
 	})
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
-		s := snapshot(9, Candidate{Reading: 2 * time.Second})
+		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
 		s.Demand.Known = 1
 		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{Reading: time.Second, First: 3 * time.Second}))
 	})
@@ -114,7 +114,7 @@
 	p, r := New(), review(200_000)
 	plan := Plan{Reading: 500 * time.Millisecond}
 	t.Run("is what engines have not to read yet", func(t *testing.T) {
-		before, after := p.room([]Candidate{{Reading: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
+		before, after := p.room([]Candidate{{PrefillBacklog: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
 		require.Equal(t, 5*time.Second, before)
 		require.Equal(t, 4500*time.Millisecond, after)
 	})
@@ -139,7 +139,7 @@
 }
 
 func TestDemandThatIsNotKnownYet(t *testing.T) {
-	s := snapshot(60, Candidate{Slots: 12, Open: 1, Reading: 2 * time.Second})
+	s := snapshot(60, Candidate{Slots: 12, Open: 1, PrefillBacklog: 2 * time.Second})
 	t.Run("is told by what engines have to read", func(t *testing.T) {
 		l := requirePlan(t, New(WithPricing(Displacement)), s, review(300_000))
 		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, review(300_000)).Displaced, l.Displaced, 1e-9)
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -56,7 +56,7 @@
 func runOff(cs []Candidate, d time.Duration) []Candidate {
 	then := slices.Clone(cs)
 	for i := range then {
-		then[i].Reading = max(then[i].Reading-d, 0)
+		then[i].PrefillBacklog = max(then[i].PrefillBacklog-d, 0)
 	}
 	return then
 }
@@ -64,7 +64,7 @@
 // maxBacklog returns the largest prefill backlog of some candidates.
 func waitOf(cs []Candidate, set []int) (d time.Duration) {
 	for _, i := range set {
-		d = max(d, cs[i].Reading)
+		d = max(d, cs[i].PrefillBacklog)
 	}
 	return d
 }
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -16,7 +16,7 @@
 // applyPlan adds the load of a plan to the snapshot.
 func give(s Snapshot, r Request, l Plan) {
 	for _, i := range append(l.Helpers, l.Target) {
-		s.Candidates[i].Reading += l.Reading
+		s.Candidates[i].PrefillBacklog += l.Reading
 	}
 	c := &s.Candidates[l.Target]
 	c.Open++
@@ -61,7 +61,7 @@
 			require.False(t, l.Refused)
 			give(s, archive(), l)
 			for i := range s.Candidates {
-				s.Candidates[i].Reading = 0 // the prefill is done before the next call arrives
+				s.Candidates[i].PrefillBacklog = 0 // the prefill is done before the next call arrives
 			}
 		}
 		return s
