--- a/core/place.go
+++ b/core/place.go
@@ -141,7 +141,7 @@
 		Stakes:         t.Stakes,
 		PrefillBacklog: m.reading(now),
 		Pace:           m.pace(now),
-		Helps:          m.helps(now),
+		HelperParts:    m.helps(now),
 		Avoided:        now.Before(m.avoid),
 		Tried:          tried,
 		Limited:        m.limit.named,
--- a/placement/long.go
+++ b/placement/long.go
@@ -111,7 +111,7 @@
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
 	ordered := keepers(r, r.Engine) > 1 // some get orders to reserve memory
-	free := func(c *Candidate) bool { return c.Helps < max(r.Engine.Slots-helpMargin, 1) }
+	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helpMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
 		func(c *Candidate) bool { return !c.Avoided },
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -44,7 +44,7 @@
 	Stakes         Stakes        // worth of its calls by pause goal
 	PrefillBacklog time.Duration // pending prefill, at the upstream's actual speed
 	Pace           float64       // actual time divided by published time; 0 counts as 1
-	Helps          int           // parts of prompts that it holds for other engines
+	HelperParts    int           // parts of prompts that it holds for other engines
 	Told           int           // calls that it reports itself; 0 if the report is stale
 	Avoided        bool          // it failed recently
 	Limited        bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
