--- a/core/place.go
+++ b/core/place.go
@@ -147,7 +147,7 @@
 		Limited:        m.limit.named,
 	}
 	if now.Sub(m.loadAt) < loadAge {
-		c.Told = m.load.Running + m.load.Waiting
+		c.ReportedCalls = m.load.Running + m.load.Waiting
 	}
 	return c
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -45,7 +45,7 @@
 	PrefillBacklog time.Duration // pending prefill, at the upstream's actual speed
 	Pace           float64       // actual time divided by published time; 0 counts as 1
 	HelperParts    int           // parts of prompts that it holds for other engines
-	Told           int           // calls that it reports itself; 0 if the report is stale
+	ReportedCalls  int           // calls that it reports itself; 0 if the report is stale
 	Avoided        bool          // it failed recently
 	Limited        bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
 	Tried          bool          // by the same call
@@ -193,10 +193,10 @@
 // gateways have placed on it, whichever is more.
 func (p *Policy) plain(s Snapshot) (l Plan, ok bool) {
 	cost := func(_ int, c *Candidate) float64 {
-		return float64(max(c.Open, c.Told))/float64(max(c.Slots, 1)) + s.Chance()*tieShare
+		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Chance()*tieShare
 	}
 	l.Turn = p.turn(s)
-	_, l.Target = cheapestInTurn(s.Candidates, l.Turn, cost, func(c *Candidate) { c.Open = max(c.Open, c.Told) + 1 })
+	_, l.Target = cheapestInTurn(s.Candidates, l.Turn, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
 	return l, l.Target >= 0
 }
 
