--- a/core/place.go
+++ b/core/place.go
@@ -144,7 +144,7 @@
 		HelperParts:    m.helps(now),
 		Avoided:        now.Before(m.avoid),
 		Tried:          tried,
-		Limited:        m.limit.named,
+		RateLimited:    m.limit.named,
 	}
 	if now.Sub(m.loadAt) < loadAge {
 		c.ReportedCalls = m.load.Running + m.load.Waiting
--- a/placement/long.go
+++ b/placement/long.go
@@ -118,7 +118,7 @@
 		func(*Candidate) bool { return true },
 	} {
 		for i := range all {
-			if all[i].Tried || ordered && all[i].Limited || !fits(&all[i]) {
+			if all[i].Tried || ordered && all[i].RateLimited || !fits(&all[i]) {
 				continue
 			}
 			cs = append(cs, all[i])
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -47,7 +47,7 @@
 	HelperParts    int           // parts of prompts that it holds for other engines
 	ReportedCalls  int           // calls that it reports itself; 0 if the report is stale
 	Avoided        bool          // it failed recently
-	Limited        bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
+	RateLimited    bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
 	Tried          bool          // by the same call
 }
 
