--- a/placement/short.go
+++ b/placement/short.go
@@ -109,7 +109,7 @@
 // equalCostEngines returns how many engines at the start of the common order have equal cost.
 func laneWidth(s Snapshot, pack int) (n int) {
 	cs := s.Candidates
-	need := max(leastRoom, s.Others, int(roomShare*float64(openCalls(cs))))
+	need := max(leastRoom, s.Peers, int(roomShare*float64(openCalls(cs))))
 	for i := range cs {
 		if need <= 0 {
 			break
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -22,7 +22,7 @@
 	for i := range 5 {
 		s.Candidates[i*30].Open = 5
 	}
-	s.Others, s.Unheard = 102, unheard
+	s.Peers, s.Unheard = 102, unheard
 	return s
 }
 
