--- a/placement/placement.go
+++ b/placement/placement.go
@@ -63,12 +63,12 @@
 
 // Snapshot is the input of a decision besides the request.
 type Snapshot struct {
-	Candidates []Candidate    // of one service, in an order that all gateways share
-	Peers      int            // other gateways that send calls to the same upstreams
-	Heard      float64        // part of all gateways, including this one, whose load is known
-	Unheard    float64        // estimate of the calls that known peers have placed but not yet reported
-	Demand     Demand         // for long prompts
-	Chance     func() float64 // random numbers in [0, 1) for tie-breaking
+	Candidates     []Candidate    // of one service, in an order that all gateways share
+	Peers          int            // other gateways that send calls to the same upstreams
+	KnownPeerShare float64        // part of all gateways, including this one, whose load is known
+	Unheard        float64        // estimate of the calls that known peers have placed but not yet reported
+	Demand         Demand         // for long prompts
+	Chance         func() float64 // random numbers in [0, 1) for tie-breaking
 }
 
 // Plan is a decision.
--- a/placement/short.go
+++ b/placement/short.go
@@ -48,7 +48,7 @@
 // shortCost returns the cost function for placing a short call on a candidate.
 func (p *Policy) shortCost(s Snapshot, r Request, reading time.Duration) func(i int, c *Candidate) float64 {
 	e := r.Engine
-	pack := max(int(packShare*s.Heard*float64(e.Slots)), 1)
+	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
 	lane := laneWidth(s, pack)
 	spread, order := spreadShare, orderCost
 	if !p.has(Spreading) {
