--- a/core/place.go
+++ b/core/place.go
@@ -66,7 +66,7 @@
 	f.expireViews(now)
 	ms := f.within(f.usableOf(service, now), tried, now, r.StreamStarted)
 	s := f.snapshot(ms, tried, now)
-	s.Unheard = f.unheard(service, now)
+	s.UncountedCalls = f.unheard(service, now)
 	if r.Long() {
 		s.Demand = f.expected(service, now)
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -66,7 +66,7 @@
 	Candidates     []Candidate    // of one service, in an order that all gateways share
 	Peers          int            // other gateways that send calls to the same upstreams
 	KnownPeerShare float64        // part of all gateways, including this one, whose load is known
-	Unheard        float64        // estimate of the calls that known peers have placed but not yet reported
+	UncountedCalls float64        // estimate of the calls that known peers have placed but not yet reported
 	Demand         Demand         // for long prompts
 	Chance         func() float64 // random numbers in [0, 1) for tie-breaking
 }
--- a/placement/turn.go
+++ b/placement/turn.go
@@ -11,10 +11,10 @@
 
 // drawCallsAhead draws how many unreported calls of peers are placed before this one.
 func (s Snapshot) turn() int {
-	if s.Unheard <= 0 {
+	if s.UncountedCalls <= 0 {
 		return 0
 	}
-	return int(s.Chance() * (s.Unheard + 1))
+	return int(s.Chance() * (s.UncountedCalls + 1))
 }
 
 // cheapestAfter returns the index of the cheapest candidate once a number of similar calls have each
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -22,7 +22,7 @@
 	for i := range 5 {
 		s.Candidates[i*30].Open = 5
 	}
-	s.Peers, s.Unheard = 102, unheard
+	s.Peers, s.UncountedCalls = 102, unheard
 	return s
 }
 
@@ -61,7 +61,7 @@
 		s := snapshot(6, Candidate{Slots: 6, Open: 2})
 		s.Candidates[3].Open = 1
 		requirePicks(t, New(Without(Turns)), 4, s, Request{}, 4, 4)
-		s.Unheard = 3
+		s.UncountedCalls = 3
 		requirePicks(t, New(), 4, s, Request{}, 1, 2)
 	})
 }
@@ -78,7 +78,7 @@
 func TestTurnsPassOverWhatWasTried(t *testing.T) {
 	s := snapshot(3, Candidate{Slots: 10})
 	s.Candidates[0].Tried, s.Candidates[1].Avoided = true, true
-	s.Unheard, s.Chance = 9, func() float64 { return 0.99 }
+	s.UncountedCalls, s.Chance = 9, func() float64 { return 0.99 }
 	require.Equal(t, 2, requirePlan(t, New(), s, brief()).Target)
 }
 
