--- a/core/place.go
+++ b/core/place.go
@@ -128,7 +128,7 @@
 	for _, m := range ms {
 		f.candidates = append(f.candidates, m.candidate(tried[m.life], now))
 	}
-	return placement.Snapshot{Candidates: f.candidates, Peers: max(len(f.views), f.peers()), KnownPeerShare: f.heardShare(), Chance: f.chance}
+	return placement.Snapshot{Candidates: f.candidates, Peers: max(len(f.views), f.peers()), KnownPeerShare: f.heardShare(), Random: f.chance}
 }
 
 // candidate returns what is known of the upstream.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -68,7 +68,7 @@
 	KnownPeerShare float64        // part of all gateways, including this one, whose load is known
 	UncountedCalls float64        // estimate of the calls that known peers have placed but not yet reported
 	Demand         Demand         // for long prompts
-	Chance         func() float64 // random numbers in [0, 1) for tie-breaking
+	Random         func() float64 // random numbers in [0, 1) for tie-breaking
 }
 
 // Plan is a decision.
@@ -193,7 +193,7 @@
 // gateways have placed on it, whichever is more.
 func (p *Policy) plain(s Snapshot) (l Plan, ok bool) {
 	cost := func(_ int, c *Candidate) float64 {
-		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Chance()*tieShare
+		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieShare
 	}
 	l.Turn = p.turn(s)
 	_, l.Target = cheapestInTurn(s.Candidates, l.Turn, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -26,7 +26,7 @@
 
 // snapshot returns a snapshot of n engines with the same load.
 func snapshot(n int, c Candidate) Snapshot {
-	s := Snapshot{KnownPeerShare: 1, Chance: func() float64 { return 0 }}
+	s := Snapshot{KnownPeerShare: 1, Random: func() float64 { return 0 }}
 	for range n {
 		s.Candidates = append(s.Candidates, c)
 	}
--- a/placement/short.go
+++ b/placement/short.go
@@ -70,7 +70,7 @@
 			x += spread // more than the random cost below
 		}
 		x += order * float64(max(i-lane+1, 0))
-		return x + spread*s.Chance()
+		return x + spread*s.Random()
 	}
 }
 
--- a/placement/target.go
+++ b/placement/target.go
@@ -34,7 +34,7 @@
 		if p.has(Restricting) && !c.Stakes.bearsNoMoreThan(r.PauseGoal) {
 			x += restrictCost
 		}
-		x += spread * s.Chance()
+		x += spread * s.Random()
 		if n == 0 || x < least {
 			best, least = i, x
 		}
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -46,7 +46,7 @@
 		s.Candidates[i] = Candidate{Slots: 10}
 	}
 	n := rand.New(rand.NewPCG(1, 2))
-	s.Chance = n.Float64
+	s.Random = n.Float64
 	return s
 }
 
@@ -121,7 +121,7 @@
 	}
 	require.Less(t, met, 40*39/4, "of %d pairs", 40*39)
 	t.Run("and met without chance", func(t *testing.T) {
-		s.Chance = func() float64 { return 0 }
+		s.Random = func() float64 { return 0 }
 		first := requirePlan(t, New(Without(Spreading)), s, archive()).Target
 		for range 5 {
 			require.Equal(t, first, requirePlan(t, New(Without(Spreading)), s, archive()).Target)
--- a/placement/turn.go
+++ b/placement/turn.go
@@ -14,7 +14,7 @@
 	if s.UncountedCalls <= 0 {
 		return 0
 	}
-	return int(s.Chance() * (s.UncountedCalls + 1))
+	return int(s.Random() * (s.UncountedCalls + 1))
 }
 
 // cheapestAfter returns the index of the cheapest candidate once a number of similar calls have each
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	picks := map[int]int{}
 	for i := range n {
-		s.Chance = func() float64 { return (float64(i) + 0.5) / float64(n) }
+		s.Random = func() float64 { return (float64(i) + 0.5) / float64(n) }
 		picks[requirePlan(t, p, s, r).Target]++
 	}
 	busiest := 0
@@ -68,7 +68,7 @@
 
 func TestTurnsLeaveTheSnapshotAsItIs(t *testing.T) {
 	s := burst(50)
-	s.Chance = func() float64 { return 0.99 }
+	s.Random = func() float64 { return 0.99 }
 	r := brief()
 	r.Engine = many()
 	requirePlan(t, New(), s, r)
@@ -78,7 +78,7 @@
 func TestTurnsPassOverWhatWasTried(t *testing.T) {
 	s := snapshot(3, Candidate{Slots: 10})
 	s.Candidates[0].Tried, s.Candidates[1].Avoided = true, true
-	s.UncountedCalls, s.Chance = 9, func() float64 { return 0.99 }
+	s.UncountedCalls, s.Random = 9, func() float64 { return 0.99 }
 	require.Equal(t, 2, requirePlan(t, New(), s, brief()).Target)
 }
 
@@ -86,7 +86,7 @@
 	s := burst(13)
 	r := brief()
 	r.Engine = many()
-	s.Chance = func() float64 { return 0.5 }
+	s.Random = func() float64 { return 0.5 }
 	for b.Loop() {
 		New().Place(s, r)
 	}
