--- a/core/place.go
+++ b/core/place.go
@@ -85,9 +85,9 @@
 	for _, m := range p.helpers {
 		p.at[m] = m.Upstream
 	}
-	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.MaxTokens - l.Kept*len(p.keepers), Stakes: r.Stakes()}
+	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.MaxTokens - l.KeptTokens*len(p.keepers), Stakes: r.Stakes()}
 	for _, m := range p.keepers {
-		f.add(m, Share{Tokens: l.Kept})
+		f.add(m, Share{Tokens: l.KeptTokens})
 	}
 	f.add(p.member, p.share)
 	f.meter(p, p.member)
@@ -173,6 +173,6 @@
 	}
 	f.add(p.member, Share{}.Minus(p.share))
 	for _, m := range p.keepers {
-		f.add(m, Share{Tokens: -p.Kept})
+		f.add(m, Share{Tokens: -p.KeptTokens})
 	}
 }
--- a/core/plan.go
+++ b/core/plan.go
@@ -39,7 +39,7 @@
 	for _, k := range x.keepers {
 		p.Keepers = append(p.Keepers, k.ID)
 	}
-	p.Kept = x.Kept
+	p.Kept = x.KeptTokens
 	return p, true
 }
 
--- a/core/ticket.go
+++ b/core/ticket.go
@@ -40,7 +40,7 @@
 	if len(p.keepers) == 0 {
 		return nil, nil
 	}
-	t = &tickets{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.Kept}
+	t = &tickets{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.KeptTokens}
 	es := t.each(func(m *member) error {
 		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, ticketHold)
 	})
--- a/placement/long.go
+++ b/placement/long.go
@@ -181,7 +181,7 @@
 	l.Keepers = slices.Clone(l.Helpers)
 	slices.SortStableFunc(l.Keepers, func(a, b int) int { return cmp.Compare(cs[a].Tokens, cs[b].Tokens) })
 	l.Keepers = l.Keepers[:min(n-1, len(l.Keepers))]
-	l.Kept = keptTokens(r, n)
+	l.KeptTokens = keptTokens(r, n)
 }
 
 // cheapestSet returns the set of engines that prefill a prompt in equal parts at the least cost, the
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -23,7 +23,7 @@
 	c.Stakes = c.Stakes.Plus(r.Stakes())
 	c.Tokens += ownTokens(r)
 	for _, i := range l.Keepers {
-		s.Candidates[i].Tokens += l.Kept
+		s.Candidates[i].Tokens += l.KeptTokens
 	}
 }
 
