--- a/core/place.go
+++ b/core/place.go
@@ -92,7 +92,7 @@
 	f.add(p.member, p.share)
 	f.meter(p, p.member)
 	f.noteProof(p.member, now)
-	f.give(p, now, l.Reading)
+	f.give(p, now, l.PrefillTime)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
 		m.helping(now, l.First)
@@ -169,7 +169,7 @@
 	defer f.mu.Unlock()
 	if !began {
 		now := f.clock.Now()
-		f.give(p, now, -max(p.Reading-now.Sub(p.since), 0))
+		f.give(p, now, -max(p.PrefillTime-now.Sub(p.since), 0))
 	}
 	f.add(p.member, Share{}.Minus(p.share))
 	for _, m := range p.keepers {
--- a/placement/long.go
+++ b/placement/long.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return l, true
 	}
-	alone := p.harm(&s.Candidates[a.Target], r, a.Reading)*lateShare + r.Worth()*lateShare*r.lateness(a.First)
+	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateShare + r.Worth()*lateShare*r.lateness(a.First)
 	split := l.Cost + price(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
@@ -77,12 +77,12 @@
 	}
 	set, reading, cost := p.cheapestSet(cs, r)
 	set, more := p.withRoom(cs, set, r, reading)
-	l.Reading, l.Cost = reading, cost+more
+	l.PrefillTime, l.Cost = reading, cost+more
 	target := p.cheapestOf(s, cs, set, r)
 	l.Full = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
-		l.First = max(l.First, e.First(cs[i].state(r), l.Reading))
+		l.First = max(l.First, e.First(cs[i].state(r), l.PrefillTime))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -73,15 +73,15 @@
 
 // Plan is a decision.
 type Plan struct {
-	Target     int           // index of the upstream that answers
-	Helpers    []int         // indices of those that prefill other parts of the prompt
-	Keepers    []int         // those of the helpers that store a part of the prompt
-	KeptTokens int           // prompt tokens stored at each keeper
-	Reading    time.Duration // prefill time at the target and at each helper
-	First      time.Duration // predicted time until the first event
-	Wait       time.Duration // until the target and the helpers have finished their present backlog
-	Hold       time.Duration // delay before the call is sent
-	Cost       float64       // worth lost by longer pauses of other calls and by the call's own lateness
+	Target      int           // index of the upstream that answers
+	Helpers     []int         // indices of those that prefill other parts of the prompt
+	Keepers     []int         // those of the helpers that store a part of the prompt
+	KeptTokens  int           // prompt tokens stored at each keeper
+	PrefillTime time.Duration // prefill time at the target and at each helper
+	First       time.Duration // predicted time until the first event
+	Wait        time.Duration // until the target and the helpers have finished their present backlog
+	Hold        time.Duration // delay before the call is sent
+	Cost        float64       // worth lost by longer pauses of other calls and by the call's own lateness
 	// Displaced is the worth that other calls lose to the prefill of a long prompt, besides Cost.
 	Displaced float64
 	Turn      int           // unreported calls of peers that were assumed to be placed first
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -95,12 +95,12 @@
 		c := cs[i]
 		free := max(until-c.PrefillBacklog, 0)
 		c.PrefillBacklog = 0
-		if p.harm(&c, r, l.Reading) > harmless {
+		if p.harm(&c, r, l.PrefillTime) > harmless {
 			continue
 		}
 		rest := free
 		if slices.Contains(set, i) {
-			rest = max(free-l.Reading-c.slower(l.Reading), 0)
+			rest = max(free-l.PrefillTime-c.slower(l.PrefillTime), 0)
 		}
 		before += c.published(free)
 		after += c.published(rest)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -103,7 +103,7 @@
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
 		s.Demand.Known = 1
-		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{Reading: time.Second, First: 3 * time.Second}))
+		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, First: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
 		require.Empty(t, densest(Demand{Prompts: []Expected{{Rate: 100, Reading: e.Reading(5_000, 1)}}, Memory: time.Second}, e, time.Second))
@@ -112,7 +112,7 @@
 
 func TestRoom(t *testing.T) {
 	p, r := New(), review(200_000)
-	plan := Plan{Reading: 500 * time.Millisecond}
+	plan := Plan{PrefillTime: 500 * time.Millisecond}
 	t.Run("is what engines have not to read yet", func(t *testing.T) {
 		before, after := p.room([]Candidate{{PrefillBacklog: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
 		require.Equal(t, 5*time.Second, before)
--- a/placement/short.go
+++ b/placement/short.go
@@ -23,15 +23,15 @@
 // prompts.
 func (p *Policy) short(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
-	l.Reading = e.Reading(r.PromptTokens, 1)
+	l.PrefillTime = e.Reading(r.PromptTokens, 1)
 	l.Turn = p.turn(s)
-	cs, target := cheapestInTurn(s.Candidates, l.Turn, p.shortCost(s, r, l.Reading), func(c *Candidate) { c.give(r, l.Reading) })
+	cs, target := cheapestInTurn(s.Candidates, l.Turn, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.give(r, l.PrefillTime) })
 	if target < 0 {
 		return l, false
 	}
 	c := &cs[target]
 	l.Target = target
-	l.First = e.First(c.state(r), l.Reading) + slotWait(c, r)
+	l.First = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
 	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.First) && slotsTaken(cs, e)
 	l.ComeBack = comeBack(l.First)
 	return l, true
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -16,7 +16,7 @@
 // applyPlan adds the load of a plan to the snapshot.
 func give(s Snapshot, r Request, l Plan) {
 	for _, i := range append(l.Helpers, l.Target) {
-		s.Candidates[i].PrefillBacklog += l.Reading
+		s.Candidates[i].PrefillBacklog += l.PrefillTime
 	}
 	c := &s.Candidates[l.Target]
 	c.Open++
