--- a/core/exchange.go
+++ b/core/exchange.go
@@ -75,7 +75,7 @@
 	if f.service.Engine == nil {
 		return func() bool { return false }
 	}
-	return f.core.clock.AfterFunc(Overdue(a.pick.First), func() { f.core.askPaces(f.core.fleet.suspects(a.pick), f.call.ID) }).Stop
+	return f.core.clock.AfterFunc(Overdue(a.pick.FirstEvent), func() { f.core.askPaces(f.core.fleet.suspects(a.pick), f.call.ID) }).Stop
 }
 
 // cause replaces an error that only tells that the exchange was ended by why it
--- a/core/flow.go
+++ b/core/flow.go
@@ -134,7 +134,7 @@
 	f.tried[u.Life()] = true
 	f.upstreams = append(f.upstreams, u.ID)
 	if n == 1 {
-		f.predicted = p.First
+		f.predicted = p.FirstEvent
 	}
 	a := &attempt{flow: f, pick: p, number: n, last: left == 1}
 	err := f.prepare(ctx, a)
@@ -173,7 +173,7 @@
 func (f *flow) logSent(a *attempt, left time.Duration) {
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
-		"helpers", ids(p.helpers), "reading_ms", p.PrefillTime.Milliseconds(), "predicted_ms", p.First.Milliseconds(),
+		"helpers", ids(p.helpers), "reading_ms", p.PrefillTime.Milliseconds(), "predicted_ms", p.FirstEvent.Milliseconds(),
 		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.held.Milliseconds(), "after", f.after, "left_ms", left.Milliseconds(),
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
@@ -189,7 +189,7 @@
 // refuse says that a long prompt is not worth what it would take from others
 // now, or that no engine has memory for it.
 func (f *flow) refuse(p *pick) error {
-	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.First.Milliseconds(),
+	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.FirstEvent.Milliseconds(),
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
 		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.Asked), "asked_known", round(p.Known),
 		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.Backlog.Milliseconds(),
@@ -197,7 +197,7 @@
 	if p.Full {
 		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.ComeBack)
 	}
-	return fault.New(fault.CannotMakeIt, "the first event would come after %s, and the engines are needed for others", p.First.Round(time.Millisecond)).
+	return fault.New(fault.CannotMakeIt, "the first event would come after %s, and the engines are needed for others", p.FirstEvent.Round(time.Millisecond)).
 		WithRetryAfter(p.ComeBack)
 }
 
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -94,7 +94,7 @@
 		return "none"
 	}
 	return fmt.Sprintf("%s helpers %s holders %s of %d reading %s first %s wait %s cost %.4f refused %v", p.member.ID,
-		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.KeptTokens, p.PrefillTime, p.First, p.Wait, p.Cost, p.Refused)
+		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.KeptTokens, p.PrefillTime, p.FirstEvent, p.Wait, p.Cost, p.Refused)
 }
 
 // The decisions for drawn situations are those of the file. A change of policy
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -258,9 +258,9 @@
 	t.Run("are used when there are no others, and predicted as they are", func(t *testing.T) {
 		f := newFleet("e", 1)
 		r := short()
-		idle := f.pick("e", r, nil).First
+		idle := f.pick("e", r, nil).FirstEvent
 		g := newFleet("e", 1)
 		g.TakePace("u00", 2, 0, "b", "")
-		require.Equal(t, 2*idle, g.pick("e", r, nil).First)
+		require.Equal(t, 2*idle, g.pick("e", r, nil).FirstEvent)
 	})
 }
--- a/core/place.go
+++ b/core/place.go
@@ -95,7 +95,7 @@
 	f.give(p, now, l.PrefillTime)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
-		m.helping(now, l.First)
+		m.helping(now, l.FirstEvent)
 		f.meter(p, m)
 		p.slowest = max(p.slowest, m.pace(now))
 	}
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -36,7 +36,7 @@
 	if a.wrote {
 		return d
 	}
-	return max(d, predictedMore*a.pick.First)
+	return max(d, predictedMore*a.pick.FirstEvent)
 }
 
 // leave reports whether a silent upstream may be left for another: there has to
--- a/placement/long.go
+++ b/placement/long.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return l, true
 	}
-	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateShare + r.Worth()*lateShare*r.lateness(a.First)
+	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateShare + r.Worth()*lateShare*r.lateness(a.FirstEvent)
 	split := l.Cost + price(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
@@ -82,7 +82,7 @@
 	l.Full = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
-		l.First = max(l.First, e.First(cs[i].state(r), l.PrefillTime))
+		l.FirstEvent = max(l.FirstEvent, e.First(cs[i].state(r), l.PrefillTime))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
 		}
@@ -161,7 +161,7 @@
 	if r.StreamStarted {
 		return true
 	}
-	if l.First > r.TimeLeft {
+	if l.FirstEvent > r.TimeLeft {
 		return false
 	}
 	gain := r.Worth() - l.Cost
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -78,7 +78,7 @@
 	Keepers     []int         // those of the helpers that store a part of the prompt
 	KeptTokens  int           // prompt tokens stored at each keeper
 	PrefillTime time.Duration // prefill time at the target and at each helper
-	First       time.Duration // predicted time until the first event
+	FirstEvent  time.Duration // predicted time until the first event
 	Wait        time.Duration // until the target and the helpers have finished their present backlog
 	Hold        time.Duration // delay before the call is sent
 	Cost        float64       // worth lost by longer pauses of other calls and by the call's own lateness
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -43,7 +43,7 @@
 func requireRefused(t *testing.T, s Snapshot, r Request, want bool) {
 	t.Helper()
 	l := requirePlan(t, New(), s, r)
-	require.Equal(t, want, l.Refused, "first event after %s", l.First)
+	require.Equal(t, want, l.Refused, "first event after %s", l.FirstEvent)
 	if want {
 		require.GreaterOrEqual(t, l.ComeBack, shortReturn)
 		require.LessOrEqual(t, l.ComeBack, longReturn)
@@ -101,7 +101,7 @@
 		r.PromptTokens = tokens
 		s := snapshot(150, Candidate{Slots: 10, Open: 2, Tokens: 12_000, PrefillBacklog: 230 * time.Millisecond})
 		l := requirePlan(t, New(), s, r)
-		require.Less(t, l.First, r.Goal/2)
+		require.Less(t, l.FirstEvent, r.Goal/2)
 		require.False(t, l.Refused, "%d tokens, displaced %.2f", tokens, l.Displaced)
 	}
 	t.Run("and refused once each engine has seconds to read", func(t *testing.T) {
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -73,7 +73,7 @@
 // prompts that arrive during its prefill. While the demand is not fully known, as after a start, the
 // mean backlog replaces it. Short slots are priced in any case.
 func displaced(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
-	horizon := max(r.Goal, l.First)
+	horizon := max(r.Goal, l.FirstEvent)
 	until := horizon + time.Duration(expectedWait*float64(r.Goal))
 	before, after := p.room(cs, set, r, l, until)
 	ds := densest(s.Demand, r.Engine, horizon)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -46,7 +46,7 @@
 func requireTaken(t *testing.T, p *Policy, s Snapshot, r Request, want bool) {
 	t.Helper()
 	l := requirePlan(t, p, s, r)
-	require.Equal(t, !want, l.Refused, "worth %.1f, cost %.1f, displaced %.1f, first event after %s", r.Worth(), l.Cost, l.Displaced, l.First)
+	require.Equal(t, !want, l.Refused, "worth %.1f, cost %.1f, displaced %.1f, first event after %s", r.Worth(), l.Cost, l.Displaced, l.FirstEvent)
 }
 
 // Guards against one prompt of 900,000 tokens on 17 of 60 engines raising the price on all of them:
@@ -55,7 +55,7 @@
 func TestOneLongPromptDoesNotCloseTheFleet(t *testing.T) {
 	s := expecting(afterOneLongPrompt(), 4.4, 260_000)
 	l := requirePlan(t, New(WithPricing(Displacement)), s, review(200_000))
-	require.Less(t, l.First, review(0).Goal/4)
+	require.Less(t, l.FirstEvent, review(0).Goal/4)
 	requireTaken(t, New(WithPricing(Displacement)), s, review(200_000), true)
 	t.Run("nor where a second is priced by the engines that are busy", func(t *testing.T) {
 		requireTaken(t, New(), s, review(200_000), true)
@@ -103,7 +103,7 @@
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
 		s.Demand.Known = 1
-		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, First: 3 * time.Second}))
+		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
 		require.Empty(t, densest(Demand{Prompts: []Expected{{Rate: 100, Reading: e.Reading(5_000, 1)}}, Memory: time.Second}, e, time.Second))
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -25,23 +25,23 @@
 // of a burst retry together before there is room and are refused again.
 func (p *Policy) comeBackLong(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
 	if !p.has(Forecasting) || l.Full {
-		return comeBack(l.First)
+		return comeBack(l.FirstEvent)
 	}
 	idle := 1 - s.Demand.load(len(cs))
 	if idle <= 0 {
-		return comeBack(l.First)
+		return comeBack(l.FirstEvent)
 	}
 	for d := shortReturn; d <= longReturn; d += returnStep {
 		later, plan := r.after(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
-		plan.First = l.First - l.Wait + waitOf(then, set)
-		plan.Cost += r.Worth() * lateShare * (min(later.lateness(plan.First), 1) - min(r.lateness(l.First), 1))
+		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
+		plan.Cost += r.Worth() * lateShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
 		plan.Displaced = p.pricing(p, s, then, set, later, plan)
 		if p.worthwhile(later, plan) {
 			return d
 		}
 	}
-	return comeBack(l.First)
+	return comeBack(l.FirstEvent)
 }
 
 // afterRefusal returns the request as it is when its caller retries after d.
--- a/placement/short.go
+++ b/placement/short.go
@@ -31,9 +31,9 @@
 	}
 	c := &cs[target]
 	l.Target = target
-	l.First = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
-	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.First) && slotsTaken(cs, e)
-	l.ComeBack = comeBack(l.First)
+	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
+	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.FirstEvent) && slotsTaken(cs, e)
+	l.ComeBack = comeBack(l.FirstEvent)
 	return l, true
 }
 
