--- a/core/flow.go
+++ b/core/flow.go
@@ -24,11 +24,11 @@
 // hold waits until what was given to the picked engines before is nearly read,
 // and returns how long that was.
 func (f *flow) hold(ctx context.Context, p *pick) time.Duration {
-	if p.Hold <= 0 {
+	if p.SendDelay <= 0 {
 		return 0
 	}
 	begin := f.core.clock.Now()
-	hollowgrade.Sleep(ctx, f.core.clock, p.Hold)
+	hollowgrade.Sleep(ctx, f.core.clock, p.SendDelay)
 	return f.core.clock.Since(begin)
 }
 
--- a/core/plan.go
+++ b/core/plan.go
@@ -32,7 +32,7 @@
 	if x.Refused {
 		return Plan{Refused: true, Predict: x.FirstEvent, ComeBack: x.ComeBack}, true
 	}
-	p = Plan{Upstream: x.member.ID, Hold: x.Hold, Predict: x.FirstEvent, pick: x}
+	p = Plan{Upstream: x.member.ID, Hold: x.SendDelay, Predict: x.FirstEvent, pick: x}
 	for _, h := range x.helpers {
 		p.Helpers = append(p.Helpers, h.ID)
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -80,7 +80,7 @@
 	PrefillTime time.Duration // prefill time at the target and at each helper
 	FirstEvent  time.Duration // predicted time until the first event
 	Wait        time.Duration // until the target and the helpers have finished their present backlog
-	Hold        time.Duration // delay before the call is sent
+	SendDelay   time.Duration // delay before the call is sent
 	Cost        float64       // worth lost by longer pauses of other calls and by the call's own lateness
 	// Displaced is the worth that other calls lose to the prefill of a long prompt, besides Cost.
 	Displaced float64
@@ -162,7 +162,7 @@
 		l, ok = p.short(s, r)
 	}
 	if p.has(Holding) {
-		l.Hold = time.Duration(holdShare * float64(l.Wait))
+		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
 	}
 	if r.Engine != nil {
 		l.Backlog, l.Taken = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -174,8 +174,8 @@
 	s := snapshot(18, Candidate{PrefillBacklog: time.Second})
 	r := season()
 	r.StreamStarted = true
-	require.Equal(t, 700*time.Millisecond, requirePlan(t, New(), s, r).Hold)
-	require.Zero(t, requirePlan(t, New(Without(Holding)), s, r).Hold)
+	require.Equal(t, 700*time.Millisecond, requirePlan(t, New(), s, r).SendDelay)
+	require.Zero(t, requirePlan(t, New(Without(Holding)), s, r).SendDelay)
 }
 
 func TestEnginesThatFailedLately(t *testing.T) {
