--- a/core/flow.go
+++ b/core/flow.go
@@ -174,7 +174,7 @@
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
 		"helpers", ids(p.helpers), "reading_ms", p.PrefillTime.Milliseconds(), "predicted_ms", p.FirstEvent.Milliseconds(),
-		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.held.Milliseconds(), "after", f.after, "left_ms", left.Milliseconds(),
+		"times_slower", round(p.slowest), "turn", p.CallsAhead, "held_ms", a.held.Milliseconds(), "after", f.after, "left_ms", left.Milliseconds(),
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -83,14 +83,14 @@
 	SendDelay   time.Duration // delay before the call is sent
 	Cost        float64       // worth lost by longer pauses of other calls and by the call's own lateness
 	// Displaced is the worth that other calls lose to the prefill of a long prompt, besides Cost.
-	Displaced float64
-	Turn      int           // unreported calls of peers that were assumed to be placed first
-	Backlog   time.Duration // mean pending prefill of the engines
-	Taken     float64       // part of the slots that is in use
-	Asked     float64       // part of the engines' time that expected prompts take
-	Known     float64       // part of that demand that is known, from 0 to 1
-	Full      bool          // no engine has memory for the call
-	Refused   bool          // the call costs others more than it is worth, would be late, or finds no memory
+	Displaced  float64
+	CallsAhead int           // unreported calls of peers that were assumed to be placed first
+	Backlog    time.Duration // mean pending prefill of the engines
+	Taken      float64       // part of the slots that is in use
+	Asked      float64       // part of the engines' time that expected prompts take
+	Known      float64       // part of that demand that is known, from 0 to 1
+	Full       bool          // no engine has memory for the call
+	Refused    bool          // the call costs others more than it is worth, would be late, or finds no memory
 	// ComeBack is the retry delay for the caller of a refused call.
 	ComeBack time.Duration
 }
@@ -195,8 +195,8 @@
 	cost := func(_ int, c *Candidate) float64 {
 		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieShare
 	}
-	l.Turn = p.turn(s)
-	_, l.Target = cheapestInTurn(s.Candidates, l.Turn, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
+	l.CallsAhead = p.turn(s)
+	_, l.Target = cheapestInTurn(s.Candidates, l.CallsAhead, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
 	return l, l.Target >= 0
 }
 
--- a/placement/short.go
+++ b/placement/short.go
@@ -24,8 +24,8 @@
 func (p *Policy) short(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	l.PrefillTime = e.Reading(r.PromptTokens, 1)
-	l.Turn = p.turn(s)
-	cs, target := cheapestInTurn(s.Candidates, l.Turn, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.give(r, l.PrefillTime) })
+	l.CallsAhead = p.turn(s)
+	cs, target := cheapestInTurn(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.give(r, l.PrefillTime) })
 	if target < 0 {
 		return l, false
 	}
