--- a/placement/placement.go
+++ b/placement/placement.go
@@ -83,14 +83,14 @@
 	SendDelay   time.Duration // delay before the call is sent
 	Cost        float64       // worth lost by longer pauses of other calls and by the call's own lateness
 	// Displaced is the worth that other calls lose to the prefill of a long prompt, besides Cost.
-	Displaced  float64
-	CallsAhead int           // unreported calls of peers that were assumed to be placed first
-	Backlog    time.Duration // mean pending prefill of the engines
-	Taken      float64       // part of the slots that is in use
-	Asked      float64       // part of the engines' time that expected prompts take
-	Known      float64       // part of that demand that is known, from 0 to 1
-	Full       bool          // no engine has memory for the call
-	Refused    bool          // the call costs others more than it is worth, would be late, or finds no memory
+	Displaced   float64
+	CallsAhead  int           // unreported calls of peers that were assumed to be placed first
+	MeanBacklog time.Duration // mean pending prefill of the engines
+	Taken       float64       // part of the slots that is in use
+	Asked       float64       // part of the engines' time that expected prompts take
+	Known       float64       // part of that demand that is known, from 0 to 1
+	Full        bool          // no engine has memory for the call
+	Refused     bool          // the call costs others more than it is worth, would be late, or finds no memory
 	// ComeBack is the retry delay for the caller of a refused call.
 	ComeBack time.Duration
 }
@@ -165,7 +165,7 @@
 		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
 	}
 	if r.Engine != nil {
-		l.Backlog, l.Taken = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
+		l.MeanBacklog, l.Taken = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
 		l.Asked, l.Known = s.Demand.load(len(s.Candidates)), s.Demand.Known
 	}
 	return l, ok
