--- a/placement/placement.go
+++ b/placement/placement.go
@@ -86,7 +86,7 @@
 	Displaced   float64
 	CallsAhead  int           // unreported calls of peers that were assumed to be placed first
 	MeanBacklog time.Duration // mean pending prefill of the engines
-	Taken       float64       // part of the slots that is in use
+	SlotShare   float64       // part of the slots that is in use
 	Asked       float64       // part of the engines' time that expected prompts take
 	Known       float64       // part of that demand that is known, from 0 to 1
 	Full        bool          // no engine has memory for the call
@@ -165,7 +165,7 @@
 		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
 	}
 	if r.Engine != nil {
-		l.MeanBacklog, l.Taken = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
+		l.MeanBacklog, l.SlotShare = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
 		l.Asked, l.Known = s.Demand.load(len(s.Candidates)), s.Demand.Known
 	}
 	return l, ok
