--- a/core/flow.go
+++ b/core/flow.go
@@ -191,7 +191,7 @@
 func (f *flow) refuse(p *pick) error {
 	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.FirstEvent.Milliseconds(),
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
-		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.DemandShare), "asked_known", round(p.Known),
+		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.DemandShare), "asked_known", round(p.DemandKnown),
 		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.MeanBacklog.Milliseconds(),
 		"slots_taken", round(p.SlotShare), "full", p.Full, "come_back_ms", p.ComeBack.Milliseconds(), "peers_heard", f.core.fleet.Heard())
 	if p.Full {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -88,7 +88,7 @@
 	MeanBacklog time.Duration // mean pending prefill of the engines
 	SlotShare   float64       // part of the slots that is in use
 	DemandShare float64       // part of the engines' time that expected prompts take
-	Known       float64       // part of that demand that is known, from 0 to 1
+	DemandKnown float64       // part of that demand that is known, from 0 to 1
 	Full        bool          // no engine has memory for the call
 	Refused     bool          // the call costs others more than it is worth, would be late, or finds no memory
 	// ComeBack is the retry delay for the caller of a refused call.
@@ -166,7 +166,7 @@
 	}
 	if r.Engine != nil {
 		l.MeanBacklog, l.SlotShare = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
-		l.DemandShare, l.Known = s.Demand.load(len(s.Candidates)), s.Demand.Known
+		l.DemandShare, l.DemandKnown = s.Demand.load(len(s.Candidates)), s.Demand.Known
 	}
 	return l, ok
 }
