--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -422,7 +422,7 @@
 	f.TakeView("b", full, true)
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
-	require.True(t, p.Full)
+	require.True(t, p.OutOfMemory)
 	require.Equal(t, Share{}, f.members["u00"].own, "nothing is accounted for")
 	f.TakeView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
--- a/placement/long.go
+++ b/placement/long.go
@@ -79,7 +79,7 @@
 	set, more := p.withRoom(cs, set, r, reading)
 	l.PrefillTime, l.Cost = reading, cost+more
 	target := p.cheapestOf(s, cs, set, r)
-	l.Full = memoryCost(&cs[target], r) > 0
+	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
 		l.FirstEvent = max(l.FirstEvent, e.First(cs[i].state(r), l.PrefillTime))
@@ -89,7 +89,7 @@
 	}
 	l.keep(cs, r)
 	l.Displaced = p.pricing(p, s, cs, set, r, l)
-	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.Full && !r.StreamStarted
+	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.OutOfMemory && !r.StreamStarted
 	if l.Refused {
 		l.ComeBack = p.comeBackLong(s, cs, set, r, l)
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -89,7 +89,7 @@
 	SlotShare   float64       // part of the slots that is in use
 	DemandShare float64       // part of the engines' time that expected prompts take
 	DemandKnown float64       // part of that demand that is known, from 0 to 1
-	Full        bool          // no engine has memory for the call
+	OutOfMemory bool          // no engine has memory for the call
 	Refused     bool          // the call costs others more than it is worth, would be late, or finds no memory
 	// ComeBack is the retry delay for the caller of a refused call.
 	ComeBack time.Duration
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -24,7 +24,7 @@
 // the part of the engines' time that expected demand leaves for the backlog. Without it, the callers
 // of a burst retry together before there is room and are refused again.
 func (p *Policy) comeBackLong(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
-	if !p.has(Forecasting) || l.Full {
+	if !p.has(Forecasting) || l.OutOfMemory {
 		return comeBack(l.FirstEvent)
 	}
 	idle := 1 - s.Demand.load(len(cs))
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -77,7 +77,7 @@
 		r.PromptTokens = 500_000 // three parts of 167,000
 		l := requirePlan(t, New(), s, r)
 		require.Len(t, l.Keepers, 2)
-		require.False(t, l.Full)
+		require.False(t, l.OutOfMemory)
 		give(s, r, l)
 		require.Zero(t, overfull(s))
 	})
@@ -89,7 +89,7 @@
 	}
 	t.Run("are refused at once, with when to come back", func(t *testing.T) {
 		l := requirePlan(t, New(), full(), archive())
-		require.True(t, l.Full)
+		require.True(t, l.OutOfMemory)
 		require.True(t, l.Refused)
 		require.GreaterOrEqual(t, l.ComeBack, shortReturn)
 	})
