--- a/core/flow.go
+++ b/core/flow.go
@@ -193,12 +193,12 @@
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
 		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.DemandShare), "asked_known", round(p.DemandKnown),
 		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.MeanBacklog.Milliseconds(),
-		"slots_taken", round(p.SlotShare), "full", p.OutOfMemory, "come_back_ms", p.ComeBack.Milliseconds(), "peers_heard", f.core.fleet.Heard())
+		"slots_taken", round(p.SlotShare), "full", p.OutOfMemory, "come_back_ms", p.RetryAfter.Milliseconds(), "peers_heard", f.core.fleet.Heard())
 	if p.OutOfMemory {
-		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.ComeBack)
+		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.RetryAfter)
 	}
 	return fault.New(fault.CannotMakeIt, "the first event would come after %s, and the engines are needed for others", p.FirstEvent.Round(time.Millisecond)).
-		WithRetryAfter(p.ComeBack)
+		WithRetryAfter(p.RetryAfter)
 }
 
 // refuseAny says that there is no upstream for a call: none is listed or was left untried, or those that are take
--- a/core/plan.go
+++ b/core/plan.go
@@ -30,7 +30,7 @@
 		return p, false
 	}
 	if x.Refused {
-		return Plan{Refused: true, Predict: x.FirstEvent, ComeBack: x.ComeBack}, true
+		return Plan{Refused: true, Predict: x.FirstEvent, ComeBack: x.RetryAfter}, true
 	}
 	p = Plan{Upstream: x.member.ID, Hold: x.SendDelay, Predict: x.FirstEvent, pick: x}
 	for _, h := range x.helpers {
--- a/placement/long.go
+++ b/placement/long.go
@@ -91,7 +91,7 @@
 	l.Displaced = p.pricing(p, s, cs, set, r, l)
 	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.OutOfMemory && !r.StreamStarted
 	if l.Refused {
-		l.ComeBack = p.comeBackLong(s, cs, set, r, l)
+		l.RetryAfter = p.comeBackLong(s, cs, set, r, l)
 	}
 	l.Target = at[target]
 	translate(l.Helpers, at)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -91,8 +91,8 @@
 	DemandKnown float64       // part of that demand that is known, from 0 to 1
 	OutOfMemory bool          // no engine has memory for the call
 	Refused     bool          // the call costs others more than it is worth, would be late, or finds no memory
-	// ComeBack is the retry delay for the caller of a refused call.
-	ComeBack time.Duration
+	// RetryAfter is the retry delay for the caller of a refused call.
+	RetryAfter time.Duration
 }
 
 // Mechanism is a part of a policy that can be disabled to measure its effect.
