--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -42,7 +42,7 @@
 // Demand forecasts the prompts that will arrive from those that arrived recently.
 type Demand struct {
 	Prompts []Expected
-	Memory  time.Duration // mean age of the samples behind the rates
+	MeanAge time.Duration // mean age of the samples behind the rates
 	Known   float64       // part of those samples that is available, from 0 to 1
 }
 
@@ -131,7 +131,7 @@
 // variance includes the uncertainty of the rates, which come from a limited number of prompts.
 func densest(d Demand, e *engine.Figures, horizon time.Duration) (ds []expectedDemand) {
 	h := horizon.Seconds()
-	spread := 1 + h/(2*max(d.Memory.Seconds(), 1e-3))
+	spread := 1 + h/(2*max(d.MeanAge.Seconds(), 1e-3))
 	shortest := e.Reading(splitFrom, 1)
 	for _, x := range d.Prompts {
 		if x.Reading < shortest {
