--- a/core/demand.go
+++ b/core/demand.go
@@ -74,7 +74,7 @@
 // expected returns what is expected to be asked.
 func (d *demand) expected(now time.Time) placement.Demand {
 	d.age(now)
-	e := placement.Demand{MeanAge: demandMemory, Known: 1 - decay(now.Sub(d.since))}
+	e := placement.Demand{MeanAge: demandMemory, KnownShare: 1 - decay(now.Sub(d.since))}
 	for _, k := range d.kinds {
 		if k.prompts > forgotten {
 			e.Prompts = append(e.Prompts, placement.Expected{
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -36,7 +36,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet("e", 18)
 				require.Empty(t, expected(f).Prompts)
-				require.Zero(t, expected(f).Known)
+				require.Zero(t, expected(f).KnownShare)
 				do(t, f)
 			})
 		})
@@ -47,7 +47,7 @@
 		requireExpected(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
 		time.Sleep(20 * time.Second)
 		require.Empty(t, expected(f).Prompts)
-		require.Greater(t, expected(f).Known, 0.99)
+		require.Greater(t, expected(f).KnownShare, 0.99)
 	})
 	play("are those that others placed, whose parts come in several packets", func(t *testing.T, f *Fleet) {
 		f.TakeView("b", nil, true)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -166,7 +166,7 @@
 	}
 	if r.Engine != nil {
 		l.MeanBacklog, l.SlotShare = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
-		l.DemandShare, l.DemandKnown = s.Demand.load(len(s.Candidates)), s.Demand.Known
+		l.DemandShare, l.DemandKnown = s.Demand.load(len(s.Candidates)), s.Demand.KnownShare
 	}
 	return l, ok
 }
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -41,9 +41,9 @@
 
 // Demand forecasts the prompts that will arrive from those that arrived recently.
 type Demand struct {
-	Prompts []Expected
-	MeanAge time.Duration // mean age of the samples behind the rates
-	Known   float64       // part of those samples that is available, from 0 to 1
+	Prompts    []Expected
+	MeanAge    time.Duration // mean age of the samples behind the rates
+	KnownShare float64       // part of those samples that is available, from 0 to 1
 }
 
 // ExpectedPrompts are prompts with about the same prefill time.
@@ -78,8 +78,8 @@
 	before, after := p.room(cs, set, r, l, until)
 	ds := densest(s.Demand, r.Engine, horizon)
 	lost := earned(ds, before.Seconds()) - earned(ds, after.Seconds())
-	unknown := (1 - s.Demand.Known) * priceByMean(p, s, cs, set, r, l)
-	return max(s.Demand.Known*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
+	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
+	return max(s.Demand.KnownShare*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
 
 // slotPricePerSecond is the worth of a second of an engine where slots are short.
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -26,9 +26,9 @@
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
 func expecting(s Snapshot, rate float64, tokens int) Snapshot {
 	s.Demand = Demand{
-		Prompts: []Expected{{Rate: rate, Reading: slowFigures().Reading(tokens, 1)}},
-		MeanAge: 2 * time.Second,
-		Known:   1,
+		Prompts:    []Expected{{Rate: rate, Reading: slowFigures().Reading(tokens, 1)}},
+		MeanAge:    2 * time.Second,
+		KnownShare: 1,
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 	})
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
-		s.Demand.Known = 1
+		s.Demand.KnownShare = 1
 		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
@@ -145,7 +145,7 @@
 		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, review(300_000)).Displaced, l.Displaced, 1e-9)
 	})
 	t.Run("and less so the longer it has been listened", func(t *testing.T) {
-		s.Demand.Known = 0.9
+		s.Demand.KnownShare = 0.9
 		l := requirePlan(t, New(WithPricing(Displacement)), s, review(300_000))
 		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, review(300_000)).Displaced/10, l.Displaced, 1e-9)
 	})
