--- a/core/demand.go
+++ b/core/demand.go
@@ -78,8 +78,8 @@
 	for _, k := range d.kinds {
 		if k.prompts > forgotten {
 			e.Prompts = append(e.Prompts, placement.Expected{
-				Rate:    k.prompts,
-				Reading: time.Duration(k.reading / k.prompts * float64(time.Second)),
+				Rate:        k.prompts,
+				PrefillTime: time.Duration(k.reading / k.prompts * float64(time.Second)),
 			})
 		}
 	}
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
 	require.InDelta(t, perSecond, d.Prompts[0].Rate, 0.1)
-	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
+	require.InDelta(t, reading.Seconds(), d.Prompts[0].PrefillTime.Seconds(), 0.05)
 }
 
 // given returns another process's word that it has given reading to some engines.
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -48,8 +48,8 @@
 
 // ExpectedPrompts are prompts with about the same prefill time.
 type Expected struct {
-	Rate    float64       // prompts a second
-	Reading time.Duration // of one prompt, by published figures
+	Rate        float64       // prompts a second
+	PrefillTime time.Duration // of one prompt, by published figures
 }
 
 // priceByMeanBacklog implements [MeanBacklog].
@@ -134,12 +134,12 @@
 	spread := 1 + h/(2*max(d.MeanAge.Seconds(), 1e-3))
 	shortest := e.Reading(splitFrom, 1)
 	for _, x := range d.Prompts {
-		if x.Reading < shortest {
+		if x.PrefillTime < shortest {
 			continue
 		}
-		one := x.Reading.Seconds()
+		one := x.PrefillTime.Seconds()
 		n := x.Rate * h
-		ds = append(ds, expectedDemand{Request{PromptTokens: e.Prompt(x.Reading)}.Worth() / one, n * one, n * one * one * spread})
+		ds = append(ds, expectedDemand{Request{PromptTokens: e.Prompt(x.PrefillTime)}.Worth() / one, n * one, n * one * one * spread})
 	}
 	slices.SortFunc(ds, func(a, b expectedDemand) int { return cmp.Compare(b.density, a.density) })
 	return ds
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -72,7 +72,7 @@
 // load returns the part of the engines' time that the demand takes.
 func (d Demand) load(engines int) (x float64) {
 	for _, p := range d.Prompts {
-		x += p.Rate * p.Reading.Seconds()
+		x += p.Rate * p.PrefillTime.Seconds()
 	}
 	return x / float64(max(engines, 1))
 }
