--- a/core/demand.go
+++ b/core/demand.go
@@ -77,7 +77,7 @@
 	e := placement.Demand{MeanAge: demandMemory, KnownShare: 1 - decay(now.Sub(d.since))}
 	for _, k := range d.kinds {
 		if k.prompts > forgotten {
-			e.Prompts = append(e.Prompts, placement.Expected{
+			e.Prompts = append(e.Prompts, placement.ExpectedPrompts{
 				Rate:        k.prompts,
 				PrefillTime: time.Duration(k.reading / k.prompts * float64(time.Second)),
 			})
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -41,13 +41,13 @@
 
 // Demand forecasts the prompts that will arrive from those that arrived recently.
 type Demand struct {
-	Prompts    []Expected
+	Prompts    []ExpectedPrompts
 	MeanAge    time.Duration // mean age of the samples behind the rates
 	KnownShare float64       // part of those samples that is available, from 0 to 1
 }
 
 // ExpectedPrompts are prompts with about the same prefill time.
-type Expected struct {
+type ExpectedPrompts struct {
 	Rate        float64       // prompts a second
 	PrefillTime time.Duration // of one prompt, by published figures
 }
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -26,7 +26,7 @@
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
 func expecting(s Snapshot, rate float64, tokens int) Snapshot {
 	s.Demand = Demand{
-		Prompts:    []Expected{{Rate: rate, PrefillTime: slowFigures().Reading(tokens, 1)}},
+		Prompts:    []ExpectedPrompts{{Rate: rate, PrefillTime: slowFigures().Reading(tokens, 1)}},
 		MeanAge:    2 * time.Second,
 		KnownShare: 1,
 	}
@@ -89,8 +89,8 @@
 func TestDisplacedWorth(t *testing.T) {
 	p := New()
 	e := slowFigures()
-	short, long := Expected{Rate: 1, PrefillTime: e.Reading(45_000, 1)}, Expected{Rate: 1, PrefillTime: e.Reading(260_000, 1)}
-	ds := densest(Demand{Prompts: []Expected{long, short}, MeanAge: time.Second}, e, time.Second)
+	short, long := ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(45_000, 1)}, ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(260_000, 1)}
+	ds := densest(Demand{Prompts: []ExpectedPrompts{long, short}, MeanAge: time.Second}, e, time.Second)
 	t.Run("counts what earns the most a second first", func(t *testing.T) {
 		require.Len(t, ds, 2)
 		require.Greater(t, ds[0].density, ds[1].density)
@@ -106,7 +106,7 @@
 		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
-		require.Empty(t, densest(Demand{Prompts: []Expected{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
+		require.Empty(t, densest(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
 	})
 }
 
