--- a/entry/link.go
+++ b/entry/link.go
@@ -171,7 +171,7 @@
 			delete(l.sent, id)
 		}
 	}
-	l.load.Queued = [hollowgrade.Classes]int{int(m.InstantQueuedTokens), int(m.NormalQueuedTokens), int(m.BackgroundQueuedTokens)}
+	l.load.QueuedTokens = [hollowgrade.Classes]int{int(m.InstantQueuedTokens), int(m.NormalQueuedTokens), int(m.BackgroundQueuedTokens)}
 	l.load.QueuedItems = int(m.Queued)
 	l.load.Running = int(m.Running)
 	l.load.HeldTokens = int(m.HeldTokens)
--- a/sched/place.go
+++ b/sched/place.go
@@ -10,7 +10,7 @@
 // Load is what an entry knows of an upstream. All of it is approximate: reports are delayed, and
 // other entries send work as well.
 type Load struct {
-	Queued       [hollowgrade.Classes]int // tokens of work in the agent's queue
+	QueuedTokens [hollowgrade.Classes]int // tokens of work in the agent's queue
 	Running      int                      // sequences
 	QueuedItems  int
 	HeldTokens   int
@@ -60,7 +60,7 @@
 	}
 	ahead := l.Sent
 	for c := hollowgrade.Instant; c <= w.Class; c++ {
-		ahead += l.Queued[c]
+		ahead += l.QueuedTokens[c]
 	}
 	p.Wait = seconds(float64(ahead) / rate)
 	if short := l.HeldTokens + w.PromptTokens + w.MaxTokens - l.TotalTokens; l.TotalTokens > 0 && short > 0 {
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -160,7 +160,7 @@
 		var ls []*Load
 		for range rapid.IntRange(0, 20).Draw(t, "upstreams") {
 			ls = append(ls, &Load{
-				Queued:       [hollowgrade.Classes]int{rapid.IntRange(0, 9000).Draw(t, "instant"), rapid.IntRange(0, 9000).Draw(t, "normal")},
+				QueuedTokens: [hollowgrade.Classes]int{rapid.IntRange(0, 9000).Draw(t, "instant"), rapid.IntRange(0, 9000).Draw(t, "normal")},
 				Sent:         rapid.IntRange(0, 9000).Draw(t, "sent"),
 				PrefillRate:  float64(rapid.IntRange(0, 3).Draw(t, "rate")) * 20_000,
 				CachedTokens: rapid.IntRange(0, 4000).Draw(t, "cached"),
