--- a/entry/link.go
+++ b/entry/link.go
@@ -195,9 +195,9 @@
 
 // count sums up the work that no report covers.
 func (l *link) count() {
-	l.load.Sent, l.load.SentItems = 0, len(l.sent)
+	l.load.SentTokens, l.load.SentItems = 0, len(l.sent)
 	for _, w := range l.sent {
-		l.load.Sent += w.tokens
+		l.load.SentTokens += w.tokens
 	}
 }
 
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -24,7 +24,7 @@
 			breaker: newBreaker(),
 			budget:  newBudget(DefaultLimits()),
 		}
-		l.load = sched.Load{TotalTokens: 400_000, PrefillRate: 40_000, Step: 25 * time.Millisecond, Sent: i * 7919 % 5000}
+		l.load = sched.Load{TotalTokens: 400_000, PrefillRate: 40_000, Step: 25 * time.Millisecond, SentTokens: i * 7919 % 5000}
 		e.links[l.box.Peer] = l
 		e.order = append(e.order, l)
 	}
--- a/sched/place.go
+++ b/sched/place.go
@@ -18,7 +18,7 @@
 	PrefillRate  float64       // tokens a second
 	Step         time.Duration // between two tokens of an answer
 	Distance     time.Duration // one way between the data halls
-	Sent         int           // tokens of work that this entry has sent since the report
+	SentTokens   int           // tokens of work that this entry has sent since the report
 	SentItems    int
 	Draining     bool
 	Suspect      bool // failed recently, and not yet probed
@@ -58,7 +58,7 @@
 	if step <= 0 {
 		step = assumedStep
 	}
-	ahead := l.Sent
+	ahead := l.SentTokens
 	for c := hollowgrade.Instant; c <= w.Class; c++ {
 		ahead += l.QueuedTokens[c]
 	}
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -161,7 +161,7 @@
 		for range rapid.IntRange(0, 20).Draw(t, "upstreams") {
 			ls = append(ls, &Load{
 				QueuedTokens: [hollowgrade.Classes]int{rapid.IntRange(0, 9000).Draw(t, "instant"), rapid.IntRange(0, 9000).Draw(t, "normal")},
-				Sent:         rapid.IntRange(0, 9000).Draw(t, "sent"),
+				SentTokens:   rapid.IntRange(0, 9000).Draw(t, "sent"),
 				PrefillRate:  float64(rapid.IntRange(0, 3).Draw(t, "rate")) * 20_000,
 				CachedTokens: rapid.IntRange(0, 4000).Draw(t, "cached"),
 				Draining:     rapid.Bool().Draw(t, "draining"),
@@ -214,7 +214,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			ls := make([]*Load, n)
 			for i := range ls {
-				ls[i] = &Load{Sent: i * 7919 % 5000, PrefillRate: 40_000, Step: 25 * time.Millisecond}
+				ls[i] = &Load{SentTokens: i * 7919 % 5000, PrefillRate: 40_000, Step: 25 * time.Millisecond}
 			}
 			q := NewQuickest()
 			w := Work{PromptTokens: 4000, MaxTokens: 100}
