--- a/entry/link.go
+++ b/entry/link.go
@@ -84,7 +84,7 @@
 		budget:  newBudget(e.limits),
 	}
 	if b.Hall != e.box.Hall {
-		l.load.Distance = hallDistance
+		l.load.OneWayLatency = hallDistance
 	}
 	e.links[b.Peer] = l
 	e.targets = nil
@@ -162,12 +162,12 @@
 	}
 	l.conn, l.status = c, m
 	if m.Hall == e.box.Hall {
-		l.load.Distance = 0
+		l.load.OneWayLatency = 0
 	}
 	now := e.clock.Now()
 	for id, w := range l.sent {
 		// What was sent a round trip before the report is in the report.
-		if now.Sub(w.at) > 2*l.load.Distance+minRoundTrip {
+		if now.Sub(w.at) > 2*l.load.OneWayLatency+minRoundTrip {
 			delete(l.sent, id)
 		}
 	}
--- a/sched/place.go
+++ b/sched/place.go
@@ -10,19 +10,19 @@
 // Load is what an entry knows of an upstream. All of it is approximate: reports are delayed, and
 // other entries send work as well.
 type Load struct {
-	QueuedTokens [hollowgrade.Classes]int // tokens of work in the agent's queue
-	Running      int                      // sequences
-	QueuedItems  int
-	HeldTokens   int
-	TotalTokens  int
-	PrefillRate  float64       // tokens a second
-	Step         time.Duration // between two tokens of an answer
-	Distance     time.Duration // one way between the data halls
-	SentTokens   int           // tokens of work that this entry has sent since the report
-	SentItems    int
-	Draining     bool
-	Suspect      bool // failed recently, and not yet probed
-	CachedTokens int  // known cached tokens of the prompt to be placed
+	QueuedTokens  [hollowgrade.Classes]int // tokens of work in the agent's queue
+	Running       int                      // sequences
+	QueuedItems   int
+	HeldTokens    int
+	TotalTokens   int
+	PrefillRate   float64       // tokens a second
+	Step          time.Duration // between two tokens of an answer
+	OneWayLatency time.Duration // one way between the data halls
+	SentTokens    int           // tokens of work that this entry has sent since the report
+	SentItems     int
+	Draining      bool
+	Suspect       bool // failed recently, and not yet probed
+	CachedTokens  int  // known cached tokens of the prompt to be placed
 }
 
 // Work has the properties of a request that placement depends on.
@@ -68,7 +68,7 @@
 		p.Wait += memoryWait
 	}
 	fresh := max(w.PromptTokens-l.CachedTokens, 0)
-	p.First = p.Wait + 2*l.Distance + seconds(float64(fresh)/rate) + step
+	p.First = p.Wait + 2*l.OneWayLatency + seconds(float64(fresh)/rate) + step
 	p.Total = p.First + time.Duration(w.MaxTokens)*step
 	return p
 }
