--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -7,7 +7,7 @@
 )
 
 // PrefixBlockBytes is the size of the blocks in which cached prefixes are compared.
-const PrefixBlock = 4096
+const PrefixBlockBytes = 4096
 
 // maxPrefixBlocks bounds the work and the memory for one prompt. Prompts that are equal up to this
 // bound count as equal.
@@ -17,10 +17,10 @@
 // bytes up to the end of its block.
 func PrefixHashes(prompt []byte) (hs []uint64) {
 	var h uint64
-	for i := 0; i < maxPrefixBlocks && len(prompt) >= PrefixBlock; i++ {
-		h = h*0x9e3779b97f4a7c15 + xxhash.Sum64(prompt[:PrefixBlock])
+	for i := 0; i < maxPrefixBlocks && len(prompt) >= PrefixBlockBytes; i++ {
+		h = h*0x9e3779b97f4a7c15 + xxhash.Sum64(prompt[:PrefixBlockBytes])
 		hs = append(hs, h)
-		prompt = prompt[PrefixBlock:]
+		prompt = prompt[PrefixBlockBytes:]
 	}
 	return hs
 }
@@ -75,7 +75,7 @@
 	for i := len(hs); i > 0 && len(found) < maxHolders; i-- {
 		for _, u := range p.holders(hs[i-1]) {
 			if !slices.ContainsFunc(found, func(h Holder) bool { return h.Upstream == u }) {
-				found = append(found, Holder{Upstream: u, Bytes: i * PrefixBlock})
+				found = append(found, Holder{Upstream: u, Bytes: i * PrefixBlockBytes})
 			}
 		}
 	}
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -187,15 +187,15 @@
 }
 
 func TestPrefixes(t *testing.T) {
-	prompt := make([]byte, 3*PrefixBlock+100)
+	prompt := make([]byte, 3*PrefixBlockBytes+100)
 	hs := PrefixHashes(prompt)
 	require.Len(t, hs, 3)
 	p := NewPrefixes(100)
 	p.Note(hs[:2], "a")
 	p.Note(hs[:1], "b")
-	require.Equal(t, []Holder{{"a", 2 * PrefixBlock}, {"b", PrefixBlock}}, p.Holders(hs))
+	require.Equal(t, []Holder{{"a", 2 * PrefixBlockBytes}, {"b", PrefixBlockBytes}}, p.Holders(hs))
 	p.Forget("a")
-	require.Equal(t, []Holder{{"b", PrefixBlock}}, p.Holders(hs))
+	require.Equal(t, []Holder{{"b", PrefixBlockBytes}}, p.Holders(hs))
 }
 
 func TestRankMovesOnlyWhatWasTheLeavers(t *testing.T) {
