--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -41,7 +41,7 @@
 }
 
 // Add records that an upstream has run a prompt with the given hashes.
-func (p *Prefixes) Note(hs []uint64, upstream string) {
+func (p *Prefixes) Add(hs []uint64, upstream string) {
 	for _, h := range hs {
 		p.young[h] = withFirst(p.holders(h), upstream)
 	}
