--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -344,7 +344,7 @@
 	case stands && !k.goneFor(cur.Owner):
 		return r, false
 	default:
-		return r, sched.First("key range "+ledger.RangeName(n), live) == k.box
+		return r, sched.HighestRanked("key range "+ledger.RangeName(n), live) == k.box
 	}
 }
 
@@ -383,7 +383,7 @@
 	})
 	names := liveNames(boxes)
 	for n, h := range k.close() {
-		next := sched.First("key range "+ledger.RangeName(n), names)
+		next := sched.HighestRanked("key range "+ledger.RangeName(n), names)
 		i := slices.IndexFunc(boxes, func(b hollowgrade.Box) bool { return b.Name == next })
 		if i < 0 {
 			return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -129,7 +129,7 @@
 	turn := func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
-		return sched.First("snapshot", names(d.All(ctx))) == n.Box.Name
+		return sched.HighestRanked("snapshot", names(d.All(ctx))) == n.Box.Name
 	}
 	n.follower = fold.NewFollower(l,
 		fold.WithLogger(n.log),
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -15,7 +15,7 @@
 }
 
 // HighestRanked returns the member with the highest rank for the subject, or "" without members.
-func First(subject string, members []string) (best string) {
+func HighestRanked(subject string, members []string) (best string) {
 	var top uint64
 	for _, m := range members {
 		if r := Rank(subject, m); best == "" || r > top || r == top && m < best {
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -202,9 +202,9 @@
 	members := []string{"a", "b", "c", "d"}
 	for i := range 100 {
 		s := fmt.Sprint(i)
-		first := First(s, members)
+		first := HighestRanked(s, members)
 		if first != "d" {
-			require.Equal(t, first, First(s, members[:3]))
+			require.Equal(t, first, HighestRanked(s, members[:3]))
 		}
 	}
 }
