--- a/core/core.go
+++ b/core/core.go
@@ -275,7 +275,7 @@
 	ctx, end := c.follow(ctx, f)
 	defer end()
 	f.budget = c.budget(f.service.Name)
-	f.budget.First(c.clock.Now())
+	f.budget.RecordFirst(c.clock.Now())
 	a := Attempts{Clock: c.clock, Max: f.route.MaxAttempts, Deadline: f.deadline}
 	return f.finish(a.Run(ctx, f))
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -51,7 +51,7 @@
 }
 
 // RecordFirst records the first attempt of a request.
-func (w *Window) First(now time.Time) {
+func (w *Window) RecordFirst(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.firsts[w.slide(now)]++
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -15,8 +15,8 @@
 		w := NewWindow(10*time.Second, 0.5, 5, begin)
 		require.True(t, w.Spend(at(9*time.Second)))
 		require.False(t, w.Spend(at(9*time.Second)))
-		w.First(at(9 * time.Second))
-		w.First(at(9 * time.Second))
+		w.RecordFirst(at(9 * time.Second))
+		w.RecordFirst(at(9 * time.Second))
 		require.True(t, w.Spend(at(9*time.Second)), "the ratio holds from the start")
 		require.False(t, w.Spend(at(9*time.Second)))
 		require.True(t, w.Spend(at(10*time.Second)))
@@ -29,7 +29,7 @@
 	t.Run("ratio and slack", func(t *testing.T) {
 		w := NewWindow(10*time.Second, 0.2, 2, start)
 		for range 10 {
-			w.First(at(time.Second))
+			w.RecordFirst(at(time.Second))
 		}
 		n := 0
 		for w.Spend(at(2 * time.Second)) {
@@ -46,9 +46,9 @@
 	})
 	t.Run("a long rest forgets all", func(t *testing.T) {
 		w := NewWindow(10*time.Second, 1, 0, start)
-		w.First(at(0))
+		w.RecordFirst(at(0))
 		require.False(t, w.Spend(at(time.Hour)))
-		w.First(at(time.Hour))
+		w.RecordFirst(at(time.Hour))
 		require.True(t, w.Spend(at(time.Hour)))
 	})
 	t.Run("the slack changes", func(t *testing.T) {
