--- a/placement/long.go
+++ b/placement/long.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	splitFrom  = 9_000 // tokens of the shortest prompt whose prefill may be split
-	maxHelpers = 16    // for one prompt; an engine accepts no more
+	minSplitTokens = 9_000 // tokens of the shortest prompt whose prefill may be split
+	maxHelpers     = 16    // for one prompt; an engine accepts no more
 	// lateLossShare is the part of a call's worth that is lost when it is late.
 	lateShare = 0.75
 )
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,7 +24,7 @@
 
 // Long reports whether several engines may share the prefill of the prompt.
 func (r Request) Long() bool {
-	return r.Engine != nil && r.PromptTokens >= splitFrom
+	return r.Engine != nil && r.PromptTokens >= minSplitTokens
 }
 
 // Worth estimates the worth of a call relative to others from the length of its prompt, since no
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -132,7 +132,7 @@
 func densest(d Demand, e *engine.Figures, horizon time.Duration) (ds []expectedDemand) {
 	h := horizon.Seconds()
 	spread := 1 + h/(2*max(d.MeanAge.Seconds(), 1e-3))
-	shortest := e.Reading(splitFrom, 1)
+	shortest := e.Reading(minSplitTokens, 1)
 	for _, x := range d.Prompts {
 		if x.PrefillTime < shortest {
 			continue
