--- a/placement/long.go
+++ b/placement/long.go
@@ -12,7 +12,7 @@
 	minSplitTokens = 9_000 // tokens of the shortest prompt whose prefill may be split
 	maxHelpers     = 16    // for one prompt; an engine accepts no more
 	// lateLossShare is the part of a call's worth that is lost when it is late.
-	lateShare = 0.75
+	lateLossShare = 0.75
 )
 
 // placeLongOrShort places a call whose prompt may be split, on several engines or on one. A split
@@ -27,7 +27,7 @@
 	if !ok {
 		return l, true
 	}
-	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateShare + r.Worth()*lateShare*r.lateness(a.FirstEvent)
+	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
 	split := l.Cost + price(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
@@ -199,14 +199,14 @@
 		hs := p.harms(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
 			first := e.First(cs[is[within-1]].state(r), t)
-			late := r.Worth() * lateShare * r.lateness(first)
+			late := r.Worth() * lateLossShare * r.lateness(first)
 			if best != nil && late >= least {
 				break // engines with more backlog only make it later
 			}
 			set, lost := leastHarm(hs, n, within)
-			if c := lost*lateShare + late; best == nil || c < least {
+			if c := lost*lateLossShare + late; best == nil || c < least {
 				best, part, least = set, t, c
-				cost = lost*lateShare + r.Worth()*lateShare*min(r.lateness(first), 1)
+				cost = lost*lateLossShare + r.Worth()*lateLossShare*min(r.lateness(first), 1)
 			}
 		}
 	}
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -35,7 +35,7 @@
 		later, plan := r.after(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
-		plan.Cost += r.Worth() * lateShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
+		plan.Cost += r.Worth() * lateLossShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
 		plan.Displaced = p.pricing(p, s, then, set, later, plan)
 		if p.worthwhile(later, plan) {
 			return d
--- a/placement/target.go
+++ b/placement/target.go
@@ -55,8 +55,8 @@
 		if !room(i) {
 			continue
 		}
-		late := r.Worth() * lateShare * r.lateness(r.Engine.First(cs[i].state(r), part))
-		if x := p.harm(&cs[i], r, part)*lateShare + late; best < 0 || x < least {
+		late := r.Worth() * lateLossShare * r.lateness(r.Engine.First(cs[i].state(r), part))
+		if x := p.harm(&cs[i], r, part)*lateLossShare + late; best < 0 || x < least {
 			best, least = i, x
 		}
 	}
@@ -64,7 +64,7 @@
 		return set, 0
 	}
 	out := len(set) - 1
-	more = (p.harm(&cs[best], r, part) - p.harm(&cs[set[out]], r, part)) * lateShare
+	more = (p.harm(&cs[best], r, part) - p.harm(&cs[set[out]], r, part)) * lateLossShare
 	roomy = slices.Clone(set)
 	roomy[out] = best
 	return roomy, max(more, 0)
