--- a/placement/long.go
+++ b/placement/long.go
@@ -17,7 +17,7 @@
 
 // placeLongOrShort places a call whose prompt may be split, on several engines or on one. A split
 // prompt makes each decode step of the target longer, so splitting costs more on busy engines.
-func (p *Policy) longOrShort(s Snapshot, r Request) (Plan, bool) {
+func (p *Policy) placeLongOrShort(s Snapshot, r Request) (Plan, bool) {
 	l, ok := p.long(s, r)
 	e := r.Engine
 	if !ok || keepers(r, e) > 1 {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -157,7 +157,7 @@
 	case r.Engine == nil:
 		l, ok = p.plain(s)
 	case r.Long() && p.has(Splitting):
-		l, ok = p.longOrShort(s, r)
+		l, ok = p.placeLongOrShort(s, r)
 	default:
 		l, ok = p.short(s, r)
 	}
