--- a/placement/long.go
+++ b/placement/long.go
@@ -18,7 +18,7 @@
 // placeLongOrShort places a call whose prompt may be split, on several engines or on one. A split
 // prompt makes each decode step of the target longer, so splitting costs more on busy engines.
 func (p *Policy) placeLongOrShort(s Snapshot, r Request) (Plan, bool) {
-	l, ok := p.long(s, r)
+	l, ok := p.placeLong(s, r)
 	e := r.Engine
 	if !ok || keepers(r, e) > 1 {
 		return l, ok
@@ -69,7 +69,7 @@
 
 // placeLong places a call whose prompt several engines prefill in equal parts. It weighs the time
 // until the first event against the worth of calls whose pauses would miss their goals.
-func (p *Policy) long(s Snapshot, r Request) (l Plan, ok bool) {
+func (p *Policy) placeLong(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	cs, at := usable(s.Candidates, r)
 	if len(cs) == 0 || len(cs) < keepers(r, e) {
