--- a/placement/long.go
+++ b/placement/long.go
@@ -23,7 +23,7 @@
 	if !ok || keepers(r, e) > 1 {
 		return l, ok
 	}
-	a, ok := p.short(s, r)
+	a, ok := p.placeShort(s, r)
 	if !ok {
 		return l, true
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -159,7 +159,7 @@
 	case r.Long() && p.has(Splitting):
 		l, ok = p.placeLongOrShort(s, r)
 	default:
-		l, ok = p.short(s, r)
+		l, ok = p.placeShort(s, r)
 	}
 	if p.has(Holding) {
 		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
--- a/placement/short.go
+++ b/placement/short.go
@@ -18,10 +18,10 @@
 	memoryShare = 0.95
 )
 
-// placeShort places a call whose prompt is prefilled by one engine. Calls with short pause goals are
+// placeShort places a call whose prompt is prefilled by one engine. Calls with placeShort pause goals are
 // packed on the first engines of the common order that have room, away from the prefill of long
 // prompts.
-func (p *Policy) short(s Snapshot, r Request) (l Plan, ok bool) {
+func (p *Policy) placeShort(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	l.PrefillTime = e.Reading(r.PromptTokens, 1)
 	l.CallsAhead = p.turn(s)
