--- a/placement/placement.go
+++ b/placement/placement.go
@@ -155,7 +155,7 @@
 func (p *Policy) Place(s Snapshot, r Request) (l Plan, ok bool) {
 	switch {
 	case r.Engine == nil:
-		l, ok = p.plain(s)
+		l, ok = p.placePlain(s)
 	case r.Long() && p.has(Splitting):
 		l, ok = p.placeLongOrShort(s, r)
 	default:
@@ -191,7 +191,7 @@
 
 // placePlain picks the upstream with the fewest calls per slot, by its own report or by what the
 // gateways have placed on it, whichever is more.
-func (p *Policy) plain(s Snapshot) (l Plan, ok bool) {
+func (p *Policy) placePlain(s Snapshot) (l Plan, ok bool) {
 	cost := func(_ int, c *Candidate) float64 {
 		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieShare
 	}
