--- a/placement/placement.go
+++ b/placement/placement.go
@@ -195,13 +195,13 @@
 	cost := func(_ int, c *Candidate) float64 {
 		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieShare
 	}
-	l.CallsAhead = p.turn(s)
+	l.CallsAhead = p.callsAhead(s)
 	_, l.Target = cheapestInTurn(s.Candidates, l.CallsAhead, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
 	return l, l.Target >= 0
 }
 
 // callsAhead draws how many unreported calls of peers are placed before this one.
-func (p *Policy) turn(s Snapshot) int {
+func (p *Policy) callsAhead(s Snapshot) int {
 	if !p.has(Turns) {
 		return 0
 	}
