--- a/placement/placement.go
+++ b/placement/placement.go
@@ -205,5 +205,5 @@
 	if !p.has(Turns) {
 		return 0
 	}
-	return s.turn()
+	return s.drawCallsAhead()
 }
--- a/placement/turn.go
+++ b/placement/turn.go
@@ -10,7 +10,7 @@
 // that its peers are estimated to have placed meanwhile, one after another, and then its own.
 
 // drawCallsAhead draws how many unreported calls of peers are placed before this one.
-func (s Snapshot) turn() int {
+func (s Snapshot) drawCallsAhead() int {
 	if s.UncountedCalls <= 0 {
 		return 0
 	}
