--- a/placement/long.go
+++ b/placement/long.go
@@ -28,7 +28,7 @@
 		return l, true
 	}
 	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
-	split := l.Cost + price(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
+	split := l.Cost + pricePerSecond(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
 	}
@@ -36,7 +36,7 @@
 }
 
 // pricePerSecond is the worth of a second of an engine to other calls.
-func price(cs []Candidate, e *engine.Figures) float64 {
+func pricePerSecond(cs []Candidate, e *engine.Figures) float64 {
 	return busyShare(cs, e) * secondWorth(e)
 }
 
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -54,7 +54,7 @@
 
 // priceByMeanBacklog implements [MeanBacklog].
 func priceByMean(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
-	return price(cs, r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
+	return pricePerSecond(cs, r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // priceByBusyEngines implements [BusyEngines]. The mean backlog is misleading where a few engines
