--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -79,11 +79,11 @@
 	ds := densest(s.Demand, r.Engine, horizon)
 	lost := earned(ds, before.Seconds()) - earned(ds, after.Seconds())
 	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
-	return max(s.Demand.KnownShare*lost+unknown, slotPrice(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
+	return max(s.Demand.KnownShare*lost+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
 
 // slotPricePerSecond is the worth of a second of an engine where slots are short.
-func slotPrice(cs []Candidate, e *engine.Figures) float64 {
+func slotPricePerSecond(cs []Candidate, e *engine.Figures) float64 {
 	return min(max(slotNeed(cs, e), 0), 1) * secondWorth(e)
 }
 
