--- a/placement/long.go
+++ b/placement/long.go
@@ -37,7 +37,7 @@
 
 // pricePerSecond is the worth of a second of an engine to other calls.
 func pricePerSecond(cs []Candidate, e *engine.Figures) float64 {
-	return busyShare(cs, e) * secondWorth(e)
+	return busyShare(cs, e) * worthPerSecond(e)
 }
 
 // busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
@@ -151,7 +151,7 @@
 )
 
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
-func secondWorth(e *engine.Figures) float64 {
+func worthPerSecond(e *engine.Figures) float64 {
 	r := Request{Engine: e, PromptTokens: referencePrompt}
 	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
 }
