--- a/placement/long.go
+++ b/placement/long.go
@@ -44,11 +44,11 @@
 // or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
 	reading := float64(meanReading(cs)) / float64(saturatedFrom)
-	return min(max(slotNeed(cs, e), reading, leastBusy), 1)
+	return min(max(slotShortage(cs, e), reading, leastBusy), 1)
 }
 
 // slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
-func slotNeed(cs []Candidate, e *engine.Figures) float64 {
+func slotShortage(cs []Candidate, e *engine.Figures) float64 {
 	return slotShare(cs, e)/fullFrom - 1
 }
 
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -65,7 +65,7 @@
 		busy += min(float64(cs[i].PrefillBacklog)/float64(saturatedFrom), 1)
 	}
 	busy /= float64(max(len(cs), 1))
-	return min(max(slotNeed(cs, r.Engine), busy, leastBusy), 1) * worthPerSecond(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
+	return min(max(slotShortage(cs, r.Engine), busy, leastBusy), 1) * worthPerSecond(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // priceByDisplacement implements [Displacement], for loads whose mix and sizes change: engine time
@@ -84,7 +84,7 @@
 
 // slotPricePerSecond is the worth of a second of an engine where slots are short.
 func slotPricePerSecond(cs []Candidate, e *engine.Figures) float64 {
-	return min(max(slotNeed(cs, e), 0), 1) * worthPerSecond(e)
+	return min(max(slotShortage(cs, e), 0), 1) * worthPerSecond(e)
 }
 
 // freePrefillTime returns the engines' total time for parts like those of the plan within `until`,
