--- a/placement/long.go
+++ b/placement/long.go
@@ -49,7 +49,7 @@
 
 // slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
 func slotShortage(cs []Candidate, e *engine.Figures) float64 {
-	return slotShare(cs, e)/fullFrom - 1
+	return slotShare(cs, e)/slotShortageFrom - 1
 }
 
 // meanPrefillBacklog returns the mean of the engines' pending prefill.
@@ -62,7 +62,7 @@
 
 const (
 	// slotShortageFrom is the part of all slots in use above which slots count as short.
-	fullFrom = 0.45
+	slotShortageFrom = 0.45
 	// minBusyShare keeps the price of an idle engine above 0.
 	leastBusy = 0.05
 )
