--- a/placement/long.go
+++ b/placement/long.go
@@ -43,7 +43,7 @@
 // busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
 // or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
-	reading := float64(meanReading(cs)) / float64(saturatedFrom)
+	reading := float64(meanReading(cs)) / float64(fullPriceBacklog)
 	return min(max(slotShortage(cs, e), reading, leastBusy), 1)
 }
 
@@ -143,8 +143,8 @@
 // An engine's second has at most the worth of a second of prefill of a prompt of
 // referencePromptTokens.
 const (
-	referencePrompt = 100_000     // tokens
-	saturatedFrom   = time.Second // prefill backlog from which a second has its full price
+	referencePrompt  = 100_000     // tokens
+	fullPriceBacklog = time.Second // prefill backlog from which a second has its full price
 	// secondRefusalLoss is the part of a call's worth that a second refusal loses besides the call
 	// itself: its caller doesn't retry a third time.
 	refusedAgain = 0.3
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -62,7 +62,7 @@
 func priceByBusy(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	busy := 0.0
 	for i := range cs {
-		busy += min(float64(cs[i].PrefillBacklog)/float64(saturatedFrom), 1)
+		busy += min(float64(cs[i].PrefillBacklog)/float64(fullPriceBacklog), 1)
 	}
 	busy /= float64(max(len(cs), 1))
 	return min(max(slotShortage(cs, r.Engine), busy, leastBusy), 1) * worthPerSecond(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
