--- a/placement/long.go
+++ b/placement/long.go
@@ -44,7 +44,7 @@
 // or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
 	reading := float64(meanReading(cs)) / float64(fullPriceBacklog)
-	return min(max(slotShortage(cs, e), reading, leastBusy), 1)
+	return min(max(slotShortage(cs, e), reading, minBusyShare), 1)
 }
 
 // slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
@@ -64,7 +64,7 @@
 	// slotShortageFrom is the part of all slots in use above which slots count as short.
 	slotShortageFrom = 0.45
 	// minBusyShare keeps the price of an idle engine above 0.
-	leastBusy = 0.05
+	minBusyShare = 0.05
 )
 
 // placeLong places a call whose prompt several engines prefill in equal parts. It weighs the time
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -86,7 +86,7 @@
 	half.PerMillion *= 2
 	require.InDelta(t, worthPerSecond(figures())/2, worthPerSecond(&half), 0.01)
 	t.Run("and is next to nothing while nothing waits", func(t *testing.T) {
-		require.InDelta(t, leastBusy*worthPerSecond(figures()), pricePerSecond(snapshot(9, Candidate{}).Candidates, figures()), 1e-9)
+		require.InDelta(t, minBusyShare*worthPerSecond(figures()), pricePerSecond(snapshot(9, Candidate{}).Candidates, figures()), 1e-9)
 	})
 	t.Run("and whole once reading waits everywhere", func(t *testing.T) {
 		require.InDelta(t, worthPerSecond(figures()), pricePerSecond(snapshot(9, Candidate{PrefillBacklog: time.Second}).Candidates, figures()), 1e-9)
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -65,7 +65,7 @@
 		busy += min(float64(cs[i].PrefillBacklog)/float64(fullPriceBacklog), 1)
 	}
 	busy /= float64(max(len(cs), 1))
-	return min(max(slotShortage(cs, r.Engine), busy, leastBusy), 1) * worthPerSecond(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
+	return min(max(slotShortage(cs, r.Engine), busy, minBusyShare), 1) * worthPerSecond(r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
 // priceByDisplacement implements [Displacement], for loads whose mix and sizes change: engine time
