--- a/placement/long.go
+++ b/placement/long.go
@@ -143,8 +143,8 @@
 // An engine's second has at most the worth of a second of prefill of a prompt of
 // referencePromptTokens.
 const (
-	referencePrompt  = 100_000     // tokens
-	fullPriceBacklog = time.Second // prefill backlog from which a second has its full price
+	referencePromptTokens = 100_000     // tokens
+	fullPriceBacklog      = time.Second // prefill backlog from which a second has its full price
 	// secondRefusalLoss is the part of a call's worth that a second refusal loses besides the call
 	// itself: its caller doesn't retry a third time.
 	refusedAgain = 0.3
@@ -152,7 +152,7 @@
 
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
 func worthPerSecond(e *engine.Figures) float64 {
-	r := Request{Engine: e, PromptTokens: referencePrompt}
+	r := Request{Engine: e, PromptTokens: referencePromptTokens}
 	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
 }
 
