--- a/placement/long.go
+++ b/placement/long.go
@@ -147,7 +147,7 @@
 	fullPriceBacklog      = time.Second // prefill backlog from which a second has its full price
 	// secondRefusalLoss is the part of a call's worth that a second refusal loses besides the call
 	// itself: its caller doesn't retry a third time.
-	refusedAgain = 0.3
+	secondRefusalLoss = 0.3
 )
 
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
@@ -166,7 +166,7 @@
 	}
 	gain := r.Worth() - l.Cost
 	if r.RefusedBefore && p.has(Returning) {
-		gain += refusedAgain * r.Worth()
+		gain += secondRefusalLoss * r.Worth()
 	}
 	return gain >= l.Displaced
 }
