--- a/placement/long.go
+++ b/placement/long.go
@@ -43,7 +43,7 @@
 // busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
 // or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
-	reading := float64(meanReading(cs)) / float64(fullPriceBacklog)
+	reading := float64(meanPrefillBacklog(cs)) / float64(fullPriceBacklog)
 	return min(max(slotShortage(cs, e), reading, minBusyShare), 1)
 }
 
@@ -53,7 +53,7 @@
 }
 
 // meanPrefillBacklog returns the mean of the engines' pending prefill.
-func meanReading(cs []Candidate) (d time.Duration) {
+func meanPrefillBacklog(cs []Candidate) (d time.Duration) {
 	for i := range cs {
 		d += cs[i].PrefillBacklog
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -165,7 +165,7 @@
 		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
 	}
 	if r.Engine != nil {
-		l.MeanBacklog, l.SlotShare = meanReading(s.Candidates), slotShare(s.Candidates, r.Engine)
+		l.MeanBacklog, l.SlotShare = meanPrefillBacklog(s.Candidates), slotShare(s.Candidates, r.Engine)
 		l.DemandShare, l.DemandKnown = s.Demand.load(len(s.Candidates)), s.Demand.KnownShare
 	}
 	return l, ok
