--- a/placement/placement.go
+++ b/placement/placement.go
@@ -162,7 +162,7 @@
 		l, ok = p.placeShort(s, r)
 	}
 	if p.has(Holding) {
-		l.SendDelay = time.Duration(holdShare * float64(l.Wait))
+		l.SendDelay = time.Duration(sendDelayShare * float64(l.Wait))
 	}
 	if r.Engine != nil {
 		l.MeanBacklog, l.SlotShare = meanPrefillBacklog(s.Candidates), slotShare(s.Candidates, r.Engine)
@@ -179,7 +179,7 @@
 // sendDelayShare is the part of the engines' backlog by which sending is delayed. A pass prefills
 // everything that waits, so parts of two long prompts that wait at one engine make both late. A
 // delayed call doesn't lose its place, since the engines' time is already reserved for it.
-const holdShare = 0.7
+const sendDelayShare = 0.7
 
 // avoidCost ranks an upstream that failed recently behind all others, but keeps it usable when
 // there is no other.
