--- a/placement/placement.go
+++ b/placement/placement.go
@@ -187,13 +187,13 @@
 
 // tieBreakCost is the weight of a random cost that breaks ties: too small to reverse the order of
 // costs that differ.
-const tieShare = 1e-3
+const tieBreakCost = 1e-3
 
 // placePlain picks the upstream with the fewest calls per slot, by its own report or by what the
 // gateways have placed on it, whichever is more.
 func (p *Policy) placePlain(s Snapshot) (l Plan, ok bool) {
 	cost := func(_ int, c *Candidate) float64 {
-		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieShare
+		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieBreakCost
 	}
 	l.CallsAhead = p.callsAhead(s)
 	_, l.Target = cheapestInTurn(s.Candidates, l.CallsAhead, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
