--- a/placement/long.go
+++ b/placement/long.go
@@ -237,7 +237,7 @@
 // sortByPrefillEnd sorts engines by when they would finish a part of a prompt, the earliest first.
 // A part at a slow engine delays the whole prompt.
 func bySoonest(cs []Candidate, is []int, part time.Duration) {
-	end := func(i int) time.Duration { return cs[i].PrefillBacklog + cs[i].slower(part) }
+	end := func(i int) time.Duration { return cs[i].PrefillBacklog + cs[i].extraTime(part) }
 	slices.SortStableFunc(is, func(a, b int) int { return cmp.Compare(end(a), end(b)) })
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -57,7 +57,7 @@
 }
 
 // extraTime returns the time beyond the published one that the candidate takes for a prefill.
-func (c *Candidate) slower(reading time.Duration) time.Duration {
+func (c *Candidate) extraTime(reading time.Duration) time.Duration {
 	return time.Duration(max(c.Pace-1, 0) * float64(reading))
 }
 
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -100,7 +100,7 @@
 		}
 		rest := free
 		if slices.Contains(set, i) {
-			rest = max(free-l.PrefillTime-c.slower(l.PrefillTime), 0)
+			rest = max(free-l.PrefillTime-c.extraTime(l.PrefillTime), 0)
 		}
 		before += c.published(free)
 		after += c.published(rest)
--- a/placement/short.go
+++ b/placement/short.go
@@ -42,7 +42,7 @@
 	c.Open++
 	c.Tokens += r.PromptTokens + r.MaxTokens
 	c.Stakes = c.Stakes.Plus(r.Stakes())
-	c.PrefillBacklog += reading + c.slower(reading)
+	c.PrefillBacklog += reading + c.extraTime(reading)
 }
 
 // shortCost returns the cost function for placing a short call on a candidate.
