--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -102,14 +102,14 @@
 		if slices.Contains(set, i) {
 			rest = max(free-l.PrefillTime-c.extraTime(l.PrefillTime), 0)
 		}
-		before += c.published(free)
-		after += c.published(rest)
+		before += c.publishedTime(free)
+		after += c.publishedTime(rest)
 	}
 	return before, after
 }
 
-// publishedTime returns the time by published figures of work that takes the candidate d.
-func (c *Candidate) published(d time.Duration) time.Duration {
+// publishedTime returns the time by publishedTime figures of work that takes the candidate d.
+func (c *Candidate) publishedTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / max(c.Pace, 1))
 }
 
