--- a/placement/short.go
+++ b/placement/short.go
@@ -25,7 +25,7 @@
 	e := r.Engine
 	l.PrefillTime = e.Reading(r.PromptTokens, 1)
 	l.CallsAhead = p.callsAhead(s)
-	cs, target := cheapestInTurn(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.give(r, l.PrefillTime) })
+	cs, target := cheapestInTurn(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.addCall(r, l.PrefillTime) })
 	if target < 0 {
 		return l, false
 	}
@@ -38,7 +38,7 @@
 }
 
 // addCall adds a call whose whole prompt the candidate prefills.
-func (c *Candidate) give(r Request, reading time.Duration) {
+func (c *Candidate) addCall(r Request, reading time.Duration) {
 	c.Open++
 	c.Tokens += r.PromptTokens + r.MaxTokens
 	c.Stakes = c.Stakes.Plus(r.Stakes())
