--- a/placement/long.go
+++ b/placement/long.go
@@ -244,7 +244,7 @@
 // engineLoss is the worth lost when an engine prefills a part of a prompt.
 type harm struct {
 	engine int
-	place  int // of the engine in the order by the end of its prefill
+	rank   int // of the engine in the order by the end of its prefill
 	lost   float64
 }
 
@@ -273,7 +273,7 @@
 func leastHarm(hs []harm, n, within int) (set []int, lost float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
-		if h.place < within && len(set) < n {
+		if h.rank < within && len(set) < n {
 			set = append(set, h.engine)
 			lost += h.lost
 		}
