--- a/placement/long.go
+++ b/placement/long.go
@@ -245,7 +245,7 @@
 type harm struct {
 	engine int
 	rank   int // of the engine in the order by the end of its prefill
-	lost   float64
+	loss   float64
 }
 
 // engineLosses returns the loss at each engine, the least first.
@@ -254,7 +254,7 @@
 	for place, i := range is {
 		hs[place] = harm{i, place, p.harm(&cs[i], r, part)}
 	}
-	slices.SortStableFunc(hs, func(a, b harm) int { return cmp.Compare(a.lost, b.lost) })
+	slices.SortStableFunc(hs, func(a, b harm) int { return cmp.Compare(a.loss, b.loss) })
 	return hs
 }
 
@@ -275,7 +275,7 @@
 	for _, h := range hs {
 		if h.rank < within && len(set) < n {
 			set = append(set, h.engine)
-			lost += h.lost
+			lost += h.loss
 		}
 	}
 	return set, lost
