--- a/placement/long.go
+++ b/placement/long.go
@@ -242,19 +242,19 @@
 }
 
 // engineLoss is the worth lost when an engine prefills a part of a prompt.
-type harm struct {
+type engineLoss struct {
 	engine int
 	rank   int // of the engine in the order by the end of its prefill
 	loss   float64
 }
 
 // engineLosses returns the loss at each engine, the least first.
-func (p *Policy) harms(cs []Candidate, is []int, r Request, part time.Duration) []harm {
-	hs := make([]harm, len(is))
+func (p *Policy) harms(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
+	hs := make([]engineLoss, len(is))
 	for place, i := range is {
-		hs[place] = harm{i, place, p.harm(&cs[i], r, part)}
+		hs[place] = engineLoss{i, place, p.harm(&cs[i], r, part)}
 	}
-	slices.SortStableFunc(hs, func(a, b harm) int { return cmp.Compare(a.loss, b.loss) })
+	slices.SortStableFunc(hs, func(a, b engineLoss) int { return cmp.Compare(a.loss, b.loss) })
 	return hs
 }
 
@@ -270,7 +270,7 @@
 
 // leastLossSet returns the n engines with the least loss among the first `within` by the end of
 // their prefill, and the sum of their losses.
-func leastHarm(hs []harm, n, within int) (set []int, lost float64) {
+func leastHarm(hs []engineLoss, n, within int) (set []int, lost float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
 		if h.rank < within && len(set) < n {
