--- a/placement/long.go
+++ b/placement/long.go
@@ -196,7 +196,7 @@
 	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
 		t := e.Reading(r.PromptTokens, n)
 		bySoonest(cs, is, t)
-		hs := p.harms(cs, is, r, t)
+		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
 			first := e.First(cs[is[within-1]].state(r), t)
 			late := r.Worth() * lateLossShare * r.lateness(first)
@@ -225,7 +225,7 @@
 		is[i] = i
 	}
 	if len(is) > setSample {
-		hs := p.harms(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
+		hs := p.engineLosses(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
 		for i, h := range hs[:setSample] {
 			is[i] = h.engine
 		}
@@ -249,7 +249,7 @@
 }
 
 // engineLosses returns the loss at each engine, the least first.
-func (p *Policy) harms(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
+func (p *Policy) engineLosses(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
 	hs := make([]engineLoss, len(is))
 	for place, i := range is {
 		hs[place] = engineLoss{i, place, p.harm(&cs[i], r, part)}
