--- a/placement/long.go
+++ b/placement/long.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return l, true
 	}
-	alone := p.harm(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
+	alone := p.pauseLoss(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
 	split := l.Cost + pricePerSecond(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
@@ -252,7 +252,7 @@
 func (p *Policy) engineLosses(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
 	hs := make([]engineLoss, len(is))
 	for place, i := range is {
-		hs[place] = engineLoss{i, place, p.harm(&cs[i], r, part)}
+		hs[place] = engineLoss{i, place, p.pauseLoss(&cs[i], r, part)}
 	}
 	slices.SortStableFunc(hs, func(a, b engineLoss) int { return cmp.Compare(a.loss, b.loss) })
 	return hs
@@ -260,7 +260,7 @@
 
 // pauseLoss returns the worth of the engine's calls whose pauses would miss their goals only because
 // of the part.
-func (p *Policy) harm(c *Candidate, r Request, part time.Duration) float64 {
+func (p *Policy) pauseLoss(c *Candidate, r Request, part time.Duration) float64 {
 	if !p.has(Pauses) {
 		return 0
 	}
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -95,7 +95,7 @@
 		c := cs[i]
 		free := max(until-c.PrefillBacklog, 0)
 		c.PrefillBacklog = 0
-		if p.harm(&c, r, l.PrefillTime) > harmless {
+		if p.pauseLoss(&c, r, l.PrefillTime) > harmless {
 			continue
 		}
 		rest := free
--- a/placement/target.go
+++ b/placement/target.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		late := r.Worth() * lateLossShare * r.lateness(r.Engine.First(cs[i].state(r), part))
-		if x := p.harm(&cs[i], r, part)*lateLossShare + late; best < 0 || x < least {
+		if x := p.pauseLoss(&cs[i], r, part)*lateLossShare + late; best < 0 || x < least {
 			best, least = i, x
 		}
 	}
@@ -64,7 +64,7 @@
 		return set, 0
 	}
 	out := len(set) - 1
-	more = (p.harm(&cs[best], r, part) - p.harm(&cs[set[out]], r, part)) * lateLossShare
+	more = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[out]], r, part)) * lateLossShare
 	roomy = slices.Clone(set)
 	roomy[out] = best
 	return roomy, max(more, 0)
