--- a/placement/long.go
+++ b/placement/long.go
@@ -203,7 +203,7 @@
 			if best != nil && late >= least {
 				break // engines with more backlog only make it later
 			}
-			set, lost := leastHarm(hs, n, within)
+			set, lost := leastLossSet(hs, n, within)
 			if c := lost*lateLossShare + late; best == nil || c < least {
 				best, part, least = set, t, c
 				cost = lost*lateLossShare + r.Worth()*lateLossShare*min(r.lateness(first), 1)
@@ -270,7 +270,7 @@
 
 // leastLossSet returns the n engines with the least loss among the first `within` by the end of
 // their prefill, and the sum of their losses.
-func leastHarm(hs []engineLoss, n, within int) (set []int, lost float64) {
+func leastLossSet(hs []engineLoss, n, within int) (set []int, lost float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
 		if h.rank < within && len(set) < n {
