--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -95,7 +95,7 @@
 		c := cs[i]
 		free := max(until-c.PrefillBacklog, 0)
 		c.PrefillBacklog = 0
-		if p.pauseLoss(&c, r, l.PrefillTime) > harmless {
+		if p.pauseLoss(&c, r, l.PrefillTime) > maxFreeLoss {
 			continue
 		}
 		rest := free
@@ -118,7 +118,7 @@
 
 // maxFreeLoss is the largest loss at which an engine still counts as free for prefill: the worth of
 // one short call.
-const harmless = 1
+const maxFreeLoss = 1
 
 // expectedDemand is the prefill that one kind of expected prompts needs until a horizon.
 type expectedDemand struct {
