--- a/placement/long.go
+++ b/placement/long.go
@@ -87,7 +87,7 @@
 			l.Helpers = append(l.Helpers, i)
 		}
 	}
-	l.keep(cs, r)
+	l.pickKeepers(cs, r)
 	l.Displaced = p.pricing(p, s, cs, set, r, l)
 	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.OutOfMemory && !r.StreamStarted
 	if l.Refused {
@@ -173,7 +173,7 @@
 
 // pickKeepers picks the helpers that store parts of a prompt that is too long for the memory of one
 // engine: those with the most free memory.
-func (l *Plan) keep(cs []Candidate, r Request) {
+func (l *Plan) pickKeepers(cs []Candidate, r Request) {
 	n := keepers(r, r.Engine)
 	if n == 1 {
 		return
