--- a/placement/long.go
+++ b/placement/long.go
@@ -192,7 +192,7 @@
 func (p *Policy) cheapestSet(cs []Candidate, r Request) (best []int, part time.Duration, cost float64) {
 	e := r.Engine
 	least := 0.0
-	is := p.leastBurdened(cs, r)
+	is := p.sampleEngines(cs, r)
 	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
 		t := e.Reading(r.PromptTokens, n)
 		bySoonest(cs, is, t)
@@ -219,7 +219,7 @@
 
 // sampleEngines returns the engines that are compared for a prompt: where there are many, those at
 // which a part of it causes the least loss.
-func (p *Policy) leastBurdened(cs []Candidate, r Request) []int {
+func (p *Policy) sampleEngines(cs []Candidate, r Request) []int {
 	is := make([]int, len(cs))
 	for i := range is {
 		is[i] = i
