--- a/placement/long.go
+++ b/placement/long.go
@@ -215,7 +215,7 @@
 
 // maxSampledEngines bounds the engines that are compared for a long prompt: several times as many
 // as can prefill parts of it.
-const setSample = 64
+const maxSampledEngines = 64
 
 // sampleEngines returns the engines that are compared for a prompt: where there are many, those at
 // which a part of it causes the least loss.
@@ -224,12 +224,12 @@
 	for i := range is {
 		is[i] = i
 	}
-	if len(is) > setSample {
+	if len(is) > maxSampledEngines {
 		hs := p.engineLosses(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
-		for i, h := range hs[:setSample] {
+		for i, h := range hs[:maxSampledEngines] {
 			is[i] = h.engine
 		}
-		is = is[:setSample]
+		is = is[:maxSampledEngines]
 	}
 	return is
 }
