--- a/placement/long.go
+++ b/placement/long.go
@@ -195,7 +195,7 @@
 	is := p.sampleEngines(cs, r)
 	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
 		t := e.Reading(r.PromptTokens, n)
-		bySoonest(cs, is, t)
+		sortByPrefillEnd(cs, is, t)
 		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
 			first := e.First(cs[is[within-1]].state(r), t)
@@ -236,7 +236,7 @@
 
 // sortByPrefillEnd sorts engines by when they would finish a part of a prompt, the earliest first.
 // A part at a slow engine delays the whole prompt.
-func bySoonest(cs []Candidate, is []int, part time.Duration) {
+func sortByPrefillEnd(cs []Candidate, is []int, part time.Duration) {
 	end := func(i int) time.Duration { return cs[i].PrefillBacklog + cs[i].extraTime(part) }
 	slices.SortStableFunc(is, func(a, b int) int { return cmp.Compare(end(a), end(b)) })
 }
