--- a/placement/long.go
+++ b/placement/long.go
@@ -94,8 +94,8 @@
 		l.RetryAfter = p.comeBackLong(s, cs, set, r, l)
 	}
 	l.Target = at[target]
-	translate(l.Helpers, at)
-	translate(l.Keepers, at)
+	toCandidateIndices(l.Helpers, at)
+	toCandidateIndices(l.Keepers, at)
 	return l, true
 }
 
@@ -134,7 +134,7 @@
 
 // toCandidateIndices replaces indices of usable candidates by those of the same candidates in the
 // snapshot.
-func translate(is, at []int) {
+func toCandidateIndices(is, at []int) {
 	for i := range is {
 		is[i] = at[is[i]]
 	}
