--- a/placement/long.go
+++ b/placement/long.go
@@ -102,7 +102,7 @@
 // helperSlotMargin is how many parts fewer than its slots an engine gets for other engines. An
 // engine without a free slot refuses a part, and the whole prompt fails with it; parts that peers
 // have just placed are not reported yet.
-const helpMargin = 2
+const helperSlotMargin = 2
 
 // usable returns the candidates that may prefill parts of a prompt, and their indices in all.
 // Candidates with no room for a part, and then those that failed recently, are included only when
@@ -111,7 +111,7 @@
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
 	ordered := keepers(r, r.Engine) > 1 // some get orders to reserve memory
-	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helpMargin, 1) }
+	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helperSlotMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
 		func(c *Candidate) bool { return !c.Avoided },
