--- a/placement/long.go
+++ b/placement/long.go
@@ -76,7 +76,7 @@
 		return l, false
 	}
 	set, reading, cost := p.cheapestSet(cs, r)
-	set, more := p.withRoom(cs, set, r, reading)
+	set, more := p.replaceForMemory(cs, set, r, reading)
 	l.PrefillTime, l.Cost = reading, cost+more
 	target := p.cheapestOf(s, cs, set, r)
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
