--- a/placement/long.go
+++ b/placement/long.go
@@ -78,7 +78,7 @@
 	set, reading, cost := p.cheapestSet(cs, r)
 	set, more := p.replaceForMemory(cs, set, r, reading)
 	l.PrefillTime, l.Cost = reading, cost+more
-	target := p.cheapestOf(s, cs, set, r)
+	target := p.pickTarget(s, cs, set, r)
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
--- a/placement/target.go
+++ b/placement/target.go
@@ -21,7 +21,7 @@
 // pickTarget returns the engine of a set that answers: one with free slots and memory, and the same
 // few for calls with similar pause goals. The choice among engines of about the same cost is random,
 // so that two gateways don't pick the same one for concurrent prompts.
-func (p *Policy) cheapestOf(s Snapshot, cs []Candidate, set []int, r Request) (best int) {
+func (p *Policy) pickTarget(s Snapshot, cs []Candidate, set []int, r Request) (best int) {
 	pack := int(packShare * float64(r.Engine.Slots))
 	spread := answerSpread
 	if !p.has(Spreading) {
