--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -75,7 +75,7 @@
 func displaced(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
 	horizon := max(r.Goal, l.FirstEvent)
 	until := horizon + time.Duration(expectedWait*float64(r.Goal))
-	before, after := p.room(cs, set, r, l, until)
+	before, after := p.freePrefillTime(cs, set, r, l, until)
 	ds := densest(s.Demand, r.Engine, horizon)
 	lost := earned(ds, before.Seconds()) - earned(ds, after.Seconds())
 	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
@@ -90,7 +90,7 @@
 // freePrefillTime returns the engines' total time for parts like those of the plan within `until`,
 // without the plan and with it. An engine at which a part would make pauses of other calls miss
 // their goals has none.
-func (p *Policy) room(cs []Candidate, set []int, r Request, l Plan, until time.Duration) (before, after time.Duration) {
+func (p *Policy) freePrefillTime(cs []Candidate, set []int, r Request, l Plan, until time.Duration) (before, after time.Duration) {
 	for i := range cs {
 		c := cs[i]
 		free := max(until-c.PrefillBacklog, 0)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -114,18 +114,18 @@
 	p, r := New(), review(200_000)
 	plan := Plan{PrefillTime: 500 * time.Millisecond}
 	t.Run("is what engines have not to read yet", func(t *testing.T) {
-		before, after := p.room([]Candidate{{PrefillBacklog: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
+		before, after := p.freePrefillTime([]Candidate{{PrefillBacklog: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
 		require.Equal(t, 5*time.Second, before)
 		require.Equal(t, 4500*time.Millisecond, after)
 	})
 	t.Run("is none where a part makes others pause too long", func(t *testing.T) {
 		c := Candidate{Stakes: brief().Stakes().Plus(brief().Stakes())}
-		before, after := p.room([]Candidate{c}, []int{0}, r, plan, 3*time.Second)
+		before, after := p.freePrefillTime([]Candidate{c}, []int{0}, r, plan, 3*time.Second)
 		require.Zero(t, before)
 		require.Zero(t, after)
 	})
 	t.Run("is less on slow engines", func(t *testing.T) {
-		before, after := p.room([]Candidate{{Pace: 2}}, []int{0}, r, plan, 3*time.Second)
+		before, after := p.freePrefillTime([]Candidate{{Pace: 2}}, []int{0}, r, plan, 3*time.Second)
 		require.Equal(t, 1500*time.Millisecond, before)
 		require.Equal(t, time.Second, after)
 	})
