--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -77,7 +77,7 @@
 	until := horizon + time.Duration(expectedWait*float64(r.Goal))
 	before, after := p.freePrefillTime(cs, set, r, l, until)
 	ds := densest(s.Demand, r.Engine, horizon)
-	lost := earned(ds, before.Seconds()) - earned(ds, after.Seconds())
+	lost := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
 	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
 	return max(s.Demand.KnownShare*lost+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
@@ -147,7 +147,7 @@
 
 // servedWorth returns the expected worth of the demand that is served in an engine time, the
 // densest first. The demand is assumed to be normally distributed.
-func earned(ds []expectedDemand, seconds float64) (worth float64) {
+func servedWorth(ds []expectedDemand, seconds float64) (worth float64) {
 	var mean, variance float64
 	for i, d := range ds {
 		mean += d.seconds
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -97,8 +97,8 @@
 		require.InDelta(t, short.PrefillTime.Seconds(), ds[0].seconds, 1e-9)
 	})
 	t.Run("rises with the seconds and never above all that is expected", func(t *testing.T) {
-		require.Less(t, earned(ds, 1), earned(ds, 5))
-		require.InDelta(t, (Request{PromptTokens: 45_000}).Worth()+(Request{PromptTokens: 260_000}).Worth(), earned(ds, 1000), 0.1)
+		require.Less(t, servedWorth(ds, 1), servedWorth(ds, 5))
+		require.InDelta(t, (Request{PromptTokens: 45_000}).Worth()+(Request{PromptTokens: 260_000}).Worth(), servedWorth(ds, 1000), 0.1)
 	})
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
