--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -76,7 +76,7 @@
 	horizon := max(r.Goal, l.FirstEvent)
 	until := horizon + time.Duration(expectedWait*float64(r.Goal))
 	before, after := p.freePrefillTime(cs, set, r, l, until)
-	ds := densest(s.Demand, r.Engine, horizon)
+	ds := demandByDensity(s.Demand, r.Engine, horizon)
 	lost := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
 	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
 	return max(s.Demand.KnownShare*lost+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
@@ -129,7 +129,7 @@
 
 // demandByDensity returns the expected demand until a horizon, the most worth a second first. The
 // variance includes the uncertainty of the rates, which come from a limited number of prompts.
-func densest(d Demand, e *engine.Figures, horizon time.Duration) (ds []expectedDemand) {
+func demandByDensity(d Demand, e *engine.Figures, horizon time.Duration) (ds []expectedDemand) {
 	h := horizon.Seconds()
 	spread := 1 + h/(2*max(d.MeanAge.Seconds(), 1e-3))
 	shortest := e.Reading(minSplitTokens, 1)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -90,7 +90,7 @@
 	p := New()
 	e := slowFigures()
 	short, long := ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(45_000, 1)}, ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(260_000, 1)}
-	ds := densest(Demand{Prompts: []ExpectedPrompts{long, short}, MeanAge: time.Second}, e, time.Second)
+	ds := demandByDensity(Demand{Prompts: []ExpectedPrompts{long, short}, MeanAge: time.Second}, e, time.Second)
 	t.Run("counts what earns the most a second first", func(t *testing.T) {
 		require.Len(t, ds, 2)
 		require.Greater(t, ds[0].density, ds[1].density)
@@ -106,7 +106,7 @@
 		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
-		require.Empty(t, densest(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
+		require.Empty(t, demandByDensity(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
 	})
 }
 
