--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -74,7 +74,7 @@
 // mean backlog replaces it. Short slots are priced in any case.
 func displaced(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
 	horizon := max(r.Goal, l.FirstEvent)
-	until := horizon + time.Duration(expectedWait*float64(r.Goal))
+	until := horizon + time.Duration(expectedWaitShare*float64(r.Goal))
 	before, after := p.freePrefillTime(cs, set, r, l, until)
 	ds := demandByDensity(s.Demand, r.Engine, horizon)
 	lost := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
@@ -114,7 +114,7 @@
 }
 
 // expectedWaitShare is the part of their goals that expected prompts may wait.
-const expectedWait = 0.25
+const expectedWaitShare = 0.25
 
 // maxFreeLoss is the largest loss at which an engine still counts as free for prefill: the worth of
 // one short call.
