--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -29,7 +29,7 @@
 type pricing func(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) (worth float64)
 
 var pricings = map[Pricing]pricing{
-	MeanBacklog:  priceByMean,
+	MeanBacklog:  priceByMeanBacklog,
 	BusyEngines:  priceByBusy,
 	Displacement: displaced,
 }
@@ -53,7 +53,7 @@
 }
 
 // priceByMeanBacklog implements [MeanBacklog].
-func priceByMean(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
+func priceByMeanBacklog(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	return pricePerSecond(cs, r.Engine) * r.Engine.Reading(r.PromptTokens, 1).Seconds()
 }
 
@@ -78,7 +78,7 @@
 	before, after := p.freePrefillTime(cs, set, r, l, until)
 	ds := demandByDensity(s.Demand, r.Engine, horizon)
 	lost := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
-	unknown := (1 - s.Demand.KnownShare) * priceByMean(p, s, cs, set, r, l)
+	unknown := (1 - s.Demand.KnownShare) * priceByMeanBacklog(p, s, cs, set, r, l)
 	return max(s.Demand.KnownShare*lost+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
 
