--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -30,7 +30,7 @@
 
 var pricings = map[Pricing]pricing{
 	MeanBacklog:  priceByMeanBacklog,
-	BusyEngines:  priceByBusy,
+	BusyEngines:  priceByBusyEngines,
 	Displacement: displaced,
 }
 
@@ -59,7 +59,7 @@
 
 // priceByBusyEngines implements [BusyEngines]. The mean backlog is misleading where a few engines
 // have a large backlog and the others none.
-func priceByBusy(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
+func priceByBusyEngines(_ *Policy, _ Snapshot, cs []Candidate, _ []int, r Request, _ Plan) float64 {
 	busy := 0.0
 	for i := range cs {
 		busy += min(float64(cs[i].PrefillBacklog)/float64(fullPriceBacklog), 1)
