--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -31,7 +31,7 @@
 var pricings = map[Pricing]pricing{
 	MeanBacklog:  priceByMeanBacklog,
 	BusyEngines:  priceByBusyEngines,
-	Displacement: displaced,
+	Displacement: priceByDisplacement,
 }
 
 // WithPricing sets how the prefill of long prompts is priced.
@@ -72,7 +72,7 @@
 // for which no demand is expected is free whatever the backlog, and a long prompt pays for the
 // prompts that arrive during its prefill. While the demand is not fully known, as after a start, the
 // mean backlog replaces it. Short slots are priced in any case.
-func displaced(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
+func priceByDisplacement(p *Policy, s Snapshot, cs []Candidate, set []int, r Request, l Plan) float64 {
 	horizon := max(r.Goal, l.FirstEvent)
 	until := horizon + time.Duration(expectedWaitShare*float64(r.Goal))
 	before, after := p.freePrefillTime(cs, set, r, l, until)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -103,7 +103,7 @@
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
 		s.Demand.KnownShare = 1
-		require.Zero(t, displaced(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
+		require.Zero(t, priceByDisplacement(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
 		require.Empty(t, demandByDensity(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
