--- a/placement/returning.go
+++ b/placement/returning.go
@@ -8,8 +8,8 @@
 // Bounds of the retry delay after a refusal: the load hardly changes sooner, and the backlog of a
 // burst is done by the upper bound.
 const (
-	shortReturn = time.Second
-	longReturn  = 4 * time.Second
+	minRetryAfter = time.Second
+	longReturn    = 4 * time.Second
 	// retryAfterStep is the resolution of the forecast.
 	returnStep = 250 * time.Millisecond
 )
@@ -17,7 +17,7 @@
 // defaultRetryAfter returns the retry delay where there is no forecast, from the predicted time of
 // the first event.
 func comeBack(first time.Duration) time.Duration {
-	return min(max(first/2, shortReturn), longReturn)
+	return min(max(first/2, minRetryAfter), longReturn)
 }
 
 // forecastRetryAfter returns the delay after which a refused long prompt would be admitted, given
@@ -31,7 +31,7 @@
 	if idle <= 0 {
 		return comeBack(l.FirstEvent)
 	}
-	for d := shortReturn; d <= longReturn; d += returnStep {
+	for d := minRetryAfter; d <= longReturn; d += returnStep {
 		later, plan := r.after(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
