--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -46,7 +46,7 @@
 	require.Equal(t, want, l.Refused, "first event after %s", l.FirstEvent)
 	if want {
 		require.GreaterOrEqual(t, l.RetryAfter, minRetryAfter)
-		require.LessOrEqual(t, l.RetryAfter, longReturn)
+		require.LessOrEqual(t, l.RetryAfter, maxRetryAfter)
 	}
 }
 
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -9,7 +9,7 @@
 // burst is done by the upper bound.
 const (
 	minRetryAfter = time.Second
-	longReturn    = 4 * time.Second
+	maxRetryAfter = 4 * time.Second
 	// retryAfterStep is the resolution of the forecast.
 	returnStep = 250 * time.Millisecond
 )
@@ -17,7 +17,7 @@
 // defaultRetryAfter returns the retry delay where there is no forecast, from the predicted time of
 // the first event.
 func comeBack(first time.Duration) time.Duration {
-	return min(max(first/2, minRetryAfter), longReturn)
+	return min(max(first/2, minRetryAfter), maxRetryAfter)
 }
 
 // forecastRetryAfter returns the delay after which a refused long prompt would be admitted, given
@@ -31,7 +31,7 @@
 	if idle <= 0 {
 		return comeBack(l.FirstEvent)
 	}
-	for d := minRetryAfter; d <= longReturn; d += returnStep {
+	for d := minRetryAfter; d <= maxRetryAfter; d += returnStep {
 		later, plan := r.after(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
