--- a/placement/returning.go
+++ b/placement/returning.go
@@ -11,7 +11,7 @@
 	minRetryAfter = time.Second
 	maxRetryAfter = 4 * time.Second
 	// retryAfterStep is the resolution of the forecast.
-	returnStep = 250 * time.Millisecond
+	retryAfterStep = 250 * time.Millisecond
 )
 
 // defaultRetryAfter returns the retry delay where there is no forecast, from the predicted time of
@@ -31,7 +31,7 @@
 	if idle <= 0 {
 		return comeBack(l.FirstEvent)
 	}
-	for d := minRetryAfter; d <= maxRetryAfter; d += returnStep {
+	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
 		later, plan := r.after(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
