--- a/placement/returning.go
+++ b/placement/returning.go
@@ -16,7 +16,7 @@
 
 // defaultRetryAfter returns the retry delay where there is no forecast, from the predicted time of
 // the first event.
-func comeBack(first time.Duration) time.Duration {
+func defaultRetryAfter(first time.Duration) time.Duration {
 	return min(max(first/2, minRetryAfter), maxRetryAfter)
 }
 
@@ -25,11 +25,11 @@
 // of a burst retry together before there is room and are refused again.
 func (p *Policy) comeBackLong(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
 	if !p.has(Forecasting) || l.OutOfMemory {
-		return comeBack(l.FirstEvent)
+		return defaultRetryAfter(l.FirstEvent)
 	}
 	idle := 1 - s.Demand.load(len(cs))
 	if idle <= 0 {
-		return comeBack(l.FirstEvent)
+		return defaultRetryAfter(l.FirstEvent)
 	}
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
 		later, plan := r.after(d), l
@@ -41,7 +41,7 @@
 			return d
 		}
 	}
-	return comeBack(l.FirstEvent)
+	return defaultRetryAfter(l.FirstEvent)
 }
 
 // afterRefusal returns the request as it is when its caller retries after d.
--- a/placement/short.go
+++ b/placement/short.go
@@ -33,7 +33,7 @@
 	l.Target = target
 	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
 	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.FirstEvent) && slotsTaken(cs, e)
-	l.RetryAfter = comeBack(l.FirstEvent)
+	l.RetryAfter = defaultRetryAfter(l.FirstEvent)
 	return l, true
 }
 
