--- a/placement/returning.go
+++ b/placement/returning.go
@@ -23,7 +23,7 @@
 // forecastRetryAfter returns the delay after which a refused long prompt would be admitted, given
 // the part of the engines' time that expected demand leaves for the backlog. Without it, the callers
 // of a burst retry together before there is room and are refused again.
-func (p *Policy) comeBackLong(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
+func (p *Policy) forecastRetryAfter(s Snapshot, cs []Candidate, set []int, r Request, l Plan) time.Duration {
 	if !p.has(Forecasting) || l.OutOfMemory {
 		return defaultRetryAfter(l.FirstEvent)
 	}
