--- a/placement/returning.go
+++ b/placement/returning.go
@@ -32,7 +32,7 @@
 		return defaultRetryAfter(l.FirstEvent)
 	}
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
-		later, plan := r.after(d), l
+		later, plan := r.afterRefusal(d), l
 		then := runOff(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
 		plan.Cost += r.Worth() * lateLossShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
@@ -44,8 +44,8 @@
 	return defaultRetryAfter(l.FirstEvent)
 }
 
-// afterRefusal returns the request as it is when its caller retries after d.
-func (r Request) after(d time.Duration) Request {
+// afterRefusal returns the request as it is when its caller retries afterRefusal d.
+func (r Request) afterRefusal(d time.Duration) Request {
 	r.Waited += d
 	r.TimeLeft -= d
 	r.RefusedBefore = true
