--- a/placement/returning.go
+++ b/placement/returning.go
@@ -33,7 +33,7 @@
 	}
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
 		later, plan := r.afterRefusal(d), l
-		then := runOff(cs, time.Duration(idle*float64(d)))
+		then := withLessBacklog(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
 		plan.Cost += r.Worth() * lateLossShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
 		plan.Displaced = p.pricing(p, s, then, set, later, plan)
@@ -53,7 +53,7 @@
 }
 
 // withLessBacklog returns the candidates after d more of prefill.
-func runOff(cs []Candidate, d time.Duration) []Candidate {
+func withLessBacklog(cs []Candidate, d time.Duration) []Candidate {
 	then := slices.Clone(cs)
 	for i := range then {
 		then[i].PrefillBacklog = max(then[i].PrefillBacklog-d, 0)
