--- a/placement/returning.go
+++ b/placement/returning.go
@@ -34,7 +34,7 @@
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
 		later, plan := r.afterRefusal(d), l
 		then := withLessBacklog(cs, time.Duration(idle*float64(d)))
-		plan.FirstEvent = l.FirstEvent - l.Wait + waitOf(then, set)
+		plan.FirstEvent = l.FirstEvent - l.Wait + maxBacklog(then, set)
 		plan.Cost += r.Worth() * lateLossShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
 		plan.Displaced = p.pricing(p, s, then, set, later, plan)
 		if p.worthwhile(later, plan) {
@@ -62,7 +62,7 @@
 }
 
 // maxBacklog returns the largest prefill backlog of some candidates.
-func waitOf(cs []Candidate, set []int) (d time.Duration) {
+func maxBacklog(cs []Candidate, set []int) (d time.Duration) {
 	for _, i := range set {
 		d = max(d, cs[i].PrefillBacklog)
 	}
