--- a/placement/short.go
+++ b/placement/short.go
@@ -12,7 +12,7 @@
 	packShare = 0.625
 	// commonOrderCost is how much more the last engine of the common order costs than the first: more
 	// than a few more calls in decode change a prediction, and less than a pause that misses its goal.
-	orderCost = 0.15
+	commonOrderCost = 0.15
 	// usableMemoryShare is the part of an engine's memory that placement fills; above it the engine
 	// would preempt calls.
 	memoryShare = 0.95
@@ -50,7 +50,7 @@
 	e := r.Engine
 	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
 	lane := laneWidth(s, pack)
-	spread, order := spreadShare, orderCost
+	spread, order := spreadShare, commonOrderCost
 	if !p.has(Spreading) {
 		spread = 0
 	}
