--- a/placement/short.go
+++ b/placement/short.go
@@ -15,7 +15,7 @@
 	commonOrderCost = 0.15
 	// usableMemoryShare is the part of an engine's memory that placement fills; above it the engine
 	// would preempt calls.
-	memoryShare = 0.95
+	usableMemoryShare = 0.95
 )
 
 // placeShort places a call whose prompt is prefilled by one engine. Calls with placeShort pause goals are
@@ -162,7 +162,7 @@
 
 // memoryCost is high where the call doesn't fit into the engine's memory, and 0 elsewhere.
 func memoryCost(c *Candidate, r Request) float64 {
-	if float64(c.Tokens+ownTokens(r)) > memoryShare*float64(r.Engine.Capacity) {
+	if float64(c.Tokens+ownTokens(r)) > usableMemoryShare*float64(r.Engine.Capacity) {
 		return 3
 	}
 	return 0
@@ -185,7 +185,7 @@
 
 // keeperCount returns the number of engines, the target included, that have to store a prompt.
 func keepers(r Request, e *engine.Figures) int {
-	if float64(r.PromptTokens+r.MaxTokens) <= memoryShare*float64(e.Capacity) {
+	if float64(r.PromptTokens+r.MaxTokens) <= usableMemoryShare*float64(e.Capacity) {
 		return 1
 	}
 	part := partShare * float64(e.Capacity)
