--- a/placement/short.go
+++ b/placement/short.go
@@ -32,7 +32,7 @@
 	c := &cs[target]
 	l.Target = target
 	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
-	l.Refused = p.has(Shedding) && !r.StreamStarted && r.lateFor(l.FirstEvent) && slotsTaken(cs, e)
+	l.Refused = p.has(Shedding) && !r.StreamStarted && r.missesGoal(l.FirstEvent) && slotsTaken(cs, e)
 	l.RetryAfter = defaultRetryAfter(l.FirstEvent)
 	return l, true
 }
@@ -75,7 +75,7 @@
 }
 
 // missesGoal reports whether a first event after the given time would miss the goal.
-func (r Request) lateFor(first time.Duration) bool {
+func (r Request) missesGoal(first time.Duration) bool {
 	return r.Goal > 0 && float64(r.Waited+first) > surelyLate*float64(r.Goal)
 }
 
