--- a/placement/short.go
+++ b/placement/short.go
@@ -32,7 +32,7 @@
 	c := &cs[target]
 	l.Target = target
 	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
-	l.Refused = p.has(Shedding) && !r.StreamStarted && r.missesGoal(l.FirstEvent) && slotsTaken(cs, e)
+	l.Refused = p.has(Shedding) && !r.StreamStarted && r.missesGoal(l.FirstEvent) && allSlotsTaken(cs, e)
 	l.RetryAfter = defaultRetryAfter(l.FirstEvent)
 	return l, true
 }
@@ -81,7 +81,7 @@
 
 // allSlotsTaken reports whether all slots of the engines are in use. A call that would be late is
 // refused then, because serving it would make calls late that would be in time.
-func slotsTaken(cs []Candidate, e *engine.Figures) bool {
+func allSlotsTaken(cs []Candidate, e *engine.Figures) bool {
 	return slotShare(cs, e) >= 1
 }
 
