--- a/placement/short.go
+++ b/placement/short.go
@@ -101,15 +101,15 @@
 // that together have room for one call of each peer have equal cost, with a random choice among
 // them. Engines after them cost more than the random part, so that they stay free for prefill.
 const (
-	minSpreadRoom = 4    // calls; more with more peers, each of which may have placed one unreported call
-	roomShare     = 0.05 // of the open calls
-	spreadShare   = 0.1  // of a call's worth; less than the cost of a pause that misses its goal
+	minSpreadRoom   = 4    // calls; more with more peers, each of which may have placed one unreported call
+	spreadRoomShare = 0.05 // of the open calls
+	spreadShare     = 0.1  // of a call's worth; less than the cost of a pause that misses its goal
 )
 
 // equalCostEngines returns how many engines at the start of the common order have equal cost.
 func laneWidth(s Snapshot, pack int) (n int) {
 	cs := s.Candidates
-	need := max(minSpreadRoom, s.Peers, int(roomShare*float64(openCalls(cs))))
+	need := max(minSpreadRoom, s.Peers, int(spreadRoomShare*float64(openCalls(cs))))
 	for i := range cs {
 		if need <= 0 {
 			break
