--- a/placement/short.go
+++ b/placement/short.go
@@ -49,7 +49,7 @@
 func (p *Policy) shortCost(s Snapshot, r Request, reading time.Duration) func(i int, c *Candidate) float64 {
 	e := r.Engine
 	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
-	lane := laneWidth(s, pack)
+	equalCost := laneWidth(s, pack)
 	spread, order := spreadShare, commonOrderCost
 	if !p.has(Spreading) {
 		spread = 0
@@ -66,10 +66,10 @@
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
-		if i >= lane || c.Open >= pack {
+		if i >= equalCost || c.Open >= pack {
 			x += spread // more than the random cost below
 		}
-		x += order * float64(max(i-lane+1, 0))
+		x += order * float64(max(i-equalCost+1, 0))
 		return x + spread*s.Random()
 	}
 }
