--- a/placement/short.go
+++ b/placement/short.go
@@ -49,7 +49,7 @@
 func (p *Policy) shortCost(s Snapshot, r Request, reading time.Duration) func(i int, c *Candidate) float64 {
 	e := r.Engine
 	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
-	equalCost := laneWidth(s, pack)
+	equalCost := equalCostEngines(s, pack)
 	spread, order := spreadShare, commonOrderCost
 	if !p.has(Spreading) {
 		spread = 0
@@ -107,7 +107,7 @@
 )
 
 // equalCostEngines returns how many engines at the start of the common order have equal cost.
-func laneWidth(s Snapshot, pack int) (n int) {
+func equalCostEngines(s Snapshot, pack int) (n int) {
 	cs := s.Candidates
 	need := max(minSpreadRoom, s.Peers, int(spreadRoomShare*float64(openCalls(cs))))
 	for i := range cs {
