--- a/placement/short.go
+++ b/placement/short.go
@@ -131,7 +131,7 @@
 // Predictions are sometimes off by a third, so the chance of a late first event rises linearly
 // between these parts of the goal.
 const (
-	surelyInTime = 0.5
+	goalMetBelow = 0.5
 	surelyLate   = 1.1
 	perGoalMore  = 0.1 // lateness added for each goal's length of time
 )
@@ -143,7 +143,7 @@
 		return 0
 	}
 	x := float64(r.Waited+first) / float64(r.Goal)
-	chance := min(max((x-surelyInTime)/(surelyLate-surelyInTime), 0), 1)
+	chance := min(max((x-goalMetBelow)/(surelyLate-goalMetBelow), 0), 1)
 	return chance + perGoalMore*x
 }
 
