--- a/placement/short.go
+++ b/placement/short.go
@@ -76,7 +76,7 @@
 
 // missesGoal reports whether a first event after the given time would miss the goal.
 func (r Request) missesGoal(first time.Duration) bool {
-	return r.Goal > 0 && float64(r.Waited+first) > surelyLate*float64(r.Goal)
+	return r.Goal > 0 && float64(r.Waited+first) > goalMissedAbove*float64(r.Goal)
 }
 
 // allSlotsTaken reports whether all slots of the engines are in use. A call that would be late is
@@ -131,9 +131,9 @@
 // Predictions are sometimes off by a third, so the chance of a late first event rises linearly
 // between these parts of the goal.
 const (
-	goalMetBelow = 0.5
-	surelyLate   = 1.1
-	perGoalMore  = 0.1 // lateness added for each goal's length of time
+	goalMetBelow    = 0.5
+	goalMissedAbove = 1.1
+	perGoalMore     = 0.1 // lateness added for each goal's length of time
 )
 
 // lateness estimates the chance that a call misses its goal, counted from its caller's first
@@ -143,7 +143,7 @@
 		return 0
 	}
 	x := float64(r.Waited+first) / float64(r.Goal)
-	chance := min(max((x-goalMetBelow)/(surelyLate-goalMetBelow), 0), 1)
+	chance := min(max((x-goalMetBelow)/(goalMissedAbove-goalMetBelow), 0), 1)
 	return chance + perGoalMore*x
 }
 
