--- a/placement/short.go
+++ b/placement/short.go
@@ -133,7 +133,7 @@
 const (
 	goalMetBelow    = 0.5
 	goalMissedAbove = 1.1
-	perGoalMore     = 0.1 // lateness added for each goal's length of time
+	latenessPerGoal = 0.1 // lateness added for each goal's length of time
 )
 
 // lateness estimates the chance that a call misses its goal, counted from its caller's first
@@ -144,7 +144,7 @@
 	}
 	x := float64(r.Waited+first) / float64(r.Goal)
 	chance := min(max((x-goalMetBelow)/(goalMissedAbove-goalMetBelow), 0), 1)
-	return chance + perGoalMore*x
+	return chance + latenessPerGoal*x
 }
 
 // crowding is the cost of an engine's calls beyond the packed ones. It is above 1 once all slots
