--- a/placement/short.go
+++ b/placement/short.go
@@ -162,14 +162,14 @@
 
 // memoryCost is high where the call doesn't fit into the engine's memory, and 0 elsewhere.
 func memoryCost(c *Candidate, r Request) float64 {
-	if float64(c.Tokens+ownTokens(r)) > usableMemoryShare*float64(r.Engine.Capacity) {
+	if float64(c.Tokens+targetTokens(r)) > usableMemoryShare*float64(r.Engine.Capacity) {
 		return 3
 	}
 	return 0
 }
 
 // targetTokens returns the memory that a call takes at the engine that answers it.
-func ownTokens(r Request) int {
+func targetTokens(r Request) int {
 	n := keepers(r, r.Engine)
 	return r.PromptTokens - (n-1)*keptTokens(r, n) + r.MaxTokens
 }
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -21,7 +21,7 @@
 	c := &s.Candidates[l.Target]
 	c.Open++
 	c.Stakes = c.Stakes.Plus(r.Stakes())
-	c.Tokens += ownTokens(r)
+	c.Tokens += targetTokens(r)
 	for _, i := range l.Keepers {
 		s.Candidates[i].Tokens += l.KeptTokens
 	}
