--- a/placement/short.go
+++ b/placement/short.go
@@ -181,13 +181,13 @@
 
 // promptMemoryShare is the part of an engine's memory that one prompt may take where it is stored
 // at several engines.
-const partShare = 0.45
+const promptMemoryShare = 0.45
 
 // keeperCount returns the number of engines, the target included, that have to store a prompt.
 func keepers(r Request, e *engine.Figures) int {
 	if float64(r.PromptTokens+r.MaxTokens) <= usableMemoryShare*float64(e.Capacity) {
 		return 1
 	}
-	part := partShare * float64(e.Capacity)
+	part := promptMemoryShare * float64(e.Capacity)
 	return int(float64(r.PromptTokens+r.MaxTokens)/part) + 1
 }
