--- a/placement/long.go
+++ b/placement/long.go
@@ -20,7 +20,7 @@
 func (p *Policy) placeLongOrShort(s Snapshot, r Request) (Plan, bool) {
 	l, ok := p.placeLong(s, r)
 	e := r.Engine
-	if !ok || keepers(r, e) > 1 {
+	if !ok || keeperCount(r, e) > 1 {
 		return l, ok
 	}
 	a, ok := p.placeShort(s, r)
@@ -72,7 +72,7 @@
 func (p *Policy) placeLong(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	cs, at := usable(s.Candidates, r)
-	if len(cs) == 0 || len(cs) < keepers(r, e) {
+	if len(cs) == 0 || len(cs) < keeperCount(r, e) {
 		return l, false
 	}
 	set, reading, cost := p.cheapestSet(cs, r)
@@ -110,7 +110,7 @@
 func usable(all []Candidate, r Request) (cs []Candidate, at []int) {
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
-	ordered := keepers(r, r.Engine) > 1 // some get orders to reserve memory
+	ordered := keeperCount(r, r.Engine) > 1 // some get orders to reserve memory
 	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helperSlotMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
@@ -124,7 +124,7 @@
 			cs = append(cs, all[i])
 			at = append(at, i)
 		}
-		if len(cs) >= keepers(r, r.Engine) && len(cs) > 0 {
+		if len(cs) >= keeperCount(r, r.Engine) && len(cs) > 0 {
 			break
 		}
 		cs, at = cs[:0], at[:0]
@@ -174,7 +174,7 @@
 // pickKeepers picks the helpers that store parts of a prompt that is too long for the memory of one
 // engine: those with the most free memory.
 func (l *Plan) pickKeepers(cs []Candidate, r Request) {
-	n := keepers(r, r.Engine)
+	n := keeperCount(r, r.Engine)
 	if n == 1 {
 		return
 	}
@@ -193,7 +193,7 @@
 	e := r.Engine
 	least := 0.0
 	is := p.sampleEngines(cs, r)
-	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
+	for n := keeperCount(r, e); n <= min(len(is), 1+maxHelpers); n++ {
 		t := e.Reading(r.PromptTokens, n)
 		sortByPrefillEnd(cs, is, t)
 		hs := p.engineLosses(cs, is, r, t)
--- a/placement/short.go
+++ b/placement/short.go
@@ -170,7 +170,7 @@
 
 // targetTokens returns the memory that a call takes at the engine that answers it.
 func targetTokens(r Request) int {
-	n := keepers(r, r.Engine)
+	n := keeperCount(r, r.Engine)
 	return r.PromptTokens - (n-1)*keptTokens(r, n) + r.MaxTokens
 }
 
@@ -184,7 +184,7 @@
 const promptMemoryShare = 0.45
 
 // keeperCount returns the number of engines, the target included, that have to store a prompt.
-func keepers(r Request, e *engine.Figures) int {
+func keeperCount(r Request, e *engine.Figures) int {
 	if float64(r.PromptTokens+r.MaxTokens) <= usableMemoryShare*float64(e.Capacity) {
 		return 1
 	}
