--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -61,7 +61,7 @@
 }
 
 // hasGoalUpTo reports whether any of the calls has a pause class no longer than the given pause.
-func (s *Stakes) bearsNoMoreThan(pause time.Duration) bool {
+func (s *Stakes) hasGoalUpTo(pause time.Duration) bool {
 	for i, c := range pauseClasses {
 		if c > pause {
 			break
--- a/placement/target.go
+++ b/placement/target.go
@@ -31,7 +31,7 @@
 	for n, i := range set {
 		c := &cs[i]
 		x := memoryCost(c, r) + crowding(c.Open, pack, r.Engine.Slots) + answerOrderCost*float64(i)/float64(len(cs))
-		if p.has(Restricting) && !c.Stakes.bearsNoMoreThan(r.PauseGoal) {
+		if p.has(Restricting) && !c.Stakes.hasGoalUpTo(r.PauseGoal) {
 			x += restrictCost
 		}
 		x += spread * s.Random()
