--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -76,9 +76,9 @@
 // Calls with short pause goals are retried elsewhere, or cancelled by their callers, when a pause
 // is much longer than the goal: more of their worth is lost, and their prompt is prefilled again.
 const (
-	abandonedPause = time.Second
-	resentClass    = 400 * time.Millisecond // calls with longer pause goals wait longer
-	resentShare    = 0.5
+	abandonedPause   = time.Second
+	abandonedMaxGoal = 400 * time.Millisecond // calls with longer pause goals wait longer
+	resentShare      = 0.5
 )
 
 // A pause is predicted from the known backlog, and more prefill may arrive meanwhile, so the loss
@@ -101,7 +101,7 @@
 			continue
 		}
 		worth += (tooLong(after, c) - tooLong(before, c)) * float64(s[i]) / stakeUnit
-		if c <= resentClass && before <= abandonedPause && after > abandonedPause {
+		if c <= abandonedMaxGoal && before <= abandonedPause && after > abandonedPause {
 			worth += resentShare * float64(s[i]) / stakeUnit
 		}
 	}
