--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -76,9 +76,9 @@
 // Calls with short pause goals are retried elsewhere, or cancelled by their callers, when a pause
 // is much longer than the goal: more of their worth is lost, and their prompt is prefilled again.
 const (
-	abandonedPause   = time.Second
-	abandonedMaxGoal = 400 * time.Millisecond // calls with longer pause goals wait longer
-	resentShare      = 0.5
+	abandonedPause     = time.Second
+	abandonedMaxGoal   = 400 * time.Millisecond // calls with longer pause goals wait longer
+	abandonedLossShare = 0.5
 )
 
 // A pause is predicted from the known backlog, and more prefill may arrive meanwhile, so the loss
@@ -102,7 +102,7 @@
 		}
 		worth += (tooLong(after, c) - tooLong(before, c)) * float64(s[i]) / stakeUnit
 		if c <= abandonedMaxGoal && before <= abandonedPause && after > abandonedPause {
-			worth += resentShare * float64(s[i]) / stakeUnit
+			worth += abandonedLossShare * float64(s[i]) / stakeUnit
 		}
 	}
 	return worth
