--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -84,14 +84,14 @@
 // A pause is predicted from the known backlog, and more prefill may arrive meanwhile, so the loss
 // rises linearly between these parts of the pause goal.
 const (
-	pauseMetBelow = 0.7
-	surelyTooFar  = 1.1
+	pauseMetBelow    = 0.7
+	pauseMissedAbove = 1.1
 )
 
 // pauseMissChance estimates the chance that a pause misses a goal.
 func tooLong(pause, goal time.Duration) float64 {
 	x := float64(pause) / float64(goal)
-	return min(max((x-pauseMetBelow)/(surelyTooFar-pauseMetBelow), 0), 1)
+	return min(max((x-pauseMetBelow)/(pauseMissedAbove-pauseMetBelow), 0), 1)
 }
 
 // Lost returns the worth that the calls lose when their longest pause grows from before to after.
