--- a/placement/short.go
+++ b/placement/short.go
@@ -62,7 +62,7 @@
 		t := c.state(r)
 		x := r.lateness(e.First(t, reading))
 		if r.PauseGoal > 0 {
-			x += tooLong(e.Pause(t, reading), r.PauseGoal) // its answer would start within a pass that is too long for it
+			x += pauseMissChance(e.Pause(t, reading), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -89,7 +89,7 @@
 )
 
 // pauseMissChance estimates the chance that a pause misses a goal.
-func tooLong(pause, goal time.Duration) float64 {
+func pauseMissChance(pause, goal time.Duration) float64 {
 	x := float64(pause) / float64(goal)
 	return min(max((x-pauseMetBelow)/(pauseMissedAbove-pauseMetBelow), 0), 1)
 }
@@ -100,7 +100,7 @@
 		if s[i] == 0 {
 			continue
 		}
-		worth += (tooLong(after, c) - tooLong(before, c)) * float64(s[i]) / stakeUnit
+		worth += (pauseMissChance(after, c) - pauseMissChance(before, c)) * float64(s[i]) / stakeUnit
 		if c <= abandonedMaxGoal && before <= abandonedPause && after > abandonedPause {
 			worth += abandonedLossShare * float64(s[i]) / stakeUnit
 		}
