--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -7,9 +7,9 @@
 
 // Pause goals are grouped into classes, each about a fifth longer than the one before.
 const (
-	shortestPause   = 50 * time.Millisecond
-	classesToDouble = 4
-	pauseClassCount = 6*classesToDouble + 1 // up to 3.2 s
+	shortestPause           = 50 * time.Millisecond
+	pauseClassesPerDoubling = 4
+	pauseClassCount         = 6*pauseClassesPerDoubling + 1 // up to 3.2 s
 )
 
 // pauseClasses are the pauses of the classes. A call belongs to the longest that doesn't exceed its
@@ -18,7 +18,7 @@
 
 func newPauseClasses() (cs [pauseClassCount]time.Duration) {
 	for i := range cs {
-		cs[i] = time.Duration(float64(shortestPause) * math.Pow(2, float64(i)/classesToDouble))
+		cs[i] = time.Duration(float64(shortestPause) * math.Pow(2, float64(i)/pauseClassesPerDoubling))
 	}
 	return cs
 }
