--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -7,7 +7,7 @@
 
 // Pause goals are grouped into classes, each about a fifth longer than the one before.
 const (
-	shortestPause           = 50 * time.Millisecond
+	shortestPauseClass      = 50 * time.Millisecond
 	pauseClassesPerDoubling = 4
 	pauseClassCount         = 6*pauseClassesPerDoubling + 1 // up to 3.2 s
 )
@@ -18,7 +18,7 @@
 
 func newPauseClasses() (cs [pauseClassCount]time.Duration) {
 	for i := range cs {
-		cs[i] = time.Duration(float64(shortestPause) * math.Pow(2, float64(i)/pauseClassesPerDoubling))
+		cs[i] = time.Duration(float64(shortestPauseClass) * math.Pow(2, float64(i)/pauseClassesPerDoubling))
 	}
 	return cs
 }
