--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -43,7 +43,7 @@
 }
 
 // stakesPerWorth is the unit of Stakes: thousandths of worth.
-const stakeUnit = 1000
+const stakesPerWorth = 1000
 
 // Stakes returns the worth of one call in its pause class.
 func (r Request) Stakes() (s Stakes) {
@@ -56,7 +56,7 @@
 			at = i
 		}
 	}
-	s[at] = int(r.Worth() * stakeUnit)
+	s[at] = int(r.Worth() * stakesPerWorth)
 	return s
 }
 
@@ -100,9 +100,9 @@
 		if s[i] == 0 {
 			continue
 		}
-		worth += (pauseMissChance(after, c) - pauseMissChance(before, c)) * float64(s[i]) / stakeUnit
+		worth += (pauseMissChance(after, c) - pauseMissChance(before, c)) * float64(s[i]) / stakesPerWorth
 		if c <= abandonedMaxGoal && before <= abandonedPause && after > abandonedPause {
-			worth += abandonedLossShare * float64(s[i]) / stakeUnit
+			worth += abandonedLossShare * float64(s[i]) / stakesPerWorth
 		}
 	}
 	return worth
