--- a/placement/target.go
+++ b/placement/target.go
@@ -8,7 +8,7 @@
 const (
 	// mixedPauseCost is the cost of answering a call at an engine where all calls have longer pause
 	// goals: from then on prefill that fits those goals would delay this call.
-	restrictCost = 1
+	mixedPauseCost = 1
 	// answerOrderCost is how much more the last engine of the common order costs than the first as
 	// the target of a long prompt. Every engine in decode spends a part of its time on token steps,
 	// however few calls it has, so long answers are kept on few engines.
@@ -32,7 +32,7 @@
 		c := &cs[i]
 		x := memoryCost(c, r) + crowding(c.Open, pack, r.Engine.Slots) + answerOrderCost*float64(i)/float64(len(cs))
 		if p.has(Restricting) && !c.Stakes.hasGoalUpTo(r.PauseGoal) {
-			x += restrictCost
+			x += mixedPauseCost
 		}
 		x += spread * s.Random()
 		if n == 0 || x < least {
