--- a/placement/target.go
+++ b/placement/target.go
@@ -15,7 +15,7 @@
 	answerOrderCost = 0.3
 	// answerSpreadCost is the weight of the random choice among targets: two concurrent long prompts
 	// at the same engine would wait for its memory one after the other.
-	answerSpread = 0.1
+	answerSpreadCost = 0.1
 )
 
 // pickTarget returns the engine of a set that answers: one with free slots and memory, and the same
@@ -23,7 +23,7 @@
 // so that two gateways don't pick the same one for concurrent prompts.
 func (p *Policy) pickTarget(s Snapshot, cs []Candidate, set []int, r Request) (best int) {
 	pack := int(packShare * float64(r.Engine.Slots))
-	spread := answerSpread
+	spread := answerSpreadCost
 	if !p.has(Spreading) {
 		spread = 0
 	}
