--- a/placement/placement.go
+++ b/placement/placement.go
@@ -196,7 +196,7 @@
 		return float64(max(c.Open, c.ReportedCalls))/float64(max(c.Slots, 1)) + s.Random()*tieBreakCost
 	}
 	l.CallsAhead = p.callsAhead(s)
-	_, l.Target = cheapestInTurn(s.Candidates, l.CallsAhead, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
+	_, l.Target = cheapestAfter(s.Candidates, l.CallsAhead, cost, func(c *Candidate) { c.Open = max(c.Open, c.ReportedCalls) + 1 })
 	return l, l.Target >= 0
 }
 
--- a/placement/short.go
+++ b/placement/short.go
@@ -25,7 +25,7 @@
 	e := r.Engine
 	l.PrefillTime = e.Reading(r.PromptTokens, 1)
 	l.CallsAhead = p.callsAhead(s)
-	cs, target := cheapestInTurn(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.addCall(r, l.PrefillTime) })
+	cs, target := cheapestAfter(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.addCall(r, l.PrefillTime) })
 	if target < 0 {
 		return l, false
 	}
