--- a/placement/turn.go
+++ b/placement/turn.go
@@ -23,7 +23,7 @@
 func cheapestAfter(cs []Candidate, callsAhead int, cost func(i int, c *Candidate) float64, give func(c *Candidate)) (after []Candidate, best int) {
 	costs := make([]float64, len(cs))
 	for i := range cs {
-		costs[i] = fullCost(i, &cs[i], cost)
+		costs[i] = candidateCost(i, &cs[i], cost)
 	}
 	best = least(costs)
 	if best < 0 || callsAhead <= 0 {
@@ -32,14 +32,14 @@
 	after = slices.Clone(cs)
 	for range callsAhead {
 		give(&after[best])
-		costs[best] = fullCost(best, &after[best], cost)
+		costs[best] = candidateCost(best, &after[best], cost)
 		best = least(costs)
 	}
 	return after, best
 }
 
 // candidateCost returns the cost of a candidate with the penalties that apply to every kind of call.
-func fullCost(i int, c *Candidate, cost func(i int, c *Candidate) float64) float64 {
+func candidateCost(i int, c *Candidate, cost func(i int, c *Candidate) float64) float64 {
 	switch {
 	case c.Tried:
 		return math.Inf(1)
