--- a/placement/turn.go
+++ b/placement/turn.go
@@ -25,7 +25,7 @@
 	for i := range cs {
 		costs[i] = candidateCost(i, &cs[i], cost)
 	}
-	best = least(costs)
+	best = indexOfLeast(costs)
 	if best < 0 || callsAhead <= 0 {
 		return cs, best
 	}
@@ -33,7 +33,7 @@
 	for range callsAhead {
 		give(&after[best])
 		costs[best] = candidateCost(best, &after[best], cost)
-		best = least(costs)
+		best = indexOfLeast(costs)
 	}
 	return after, best
 }
@@ -51,7 +51,7 @@
 }
 
 // indexOfLeast returns the index of the lowest finite cost, or -1 if there is none.
-func least(costs []float64) (best int) {
+func indexOfLeast(costs []float64) (best int) {
 	best = -1
 	for i, c := range costs {
 		if !math.IsInf(c, 1) && (best < 0 || c < costs[best]) {
