--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func brief() Request {
+func shortCall() Request {
 	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, PauseGoal: 250 * time.Millisecond, TimeLeft: 10 * time.Second}
 }
 
@@ -53,30 +53,30 @@
 func TestShortCallsThatWouldBeLate(t *testing.T) {
 	full := Candidate{Open: 24, Tokens: 160_000}
 	t.Run("are refused once all slots are taken", func(t *testing.T) {
-		requireRefused(t, snapshot(9, full), brief(), true)
+		requireRefused(t, snapshot(9, full), shortCall(), true)
 	})
 	t.Run("are served while any engine has a slot", func(t *testing.T) {
 		s := snapshot(9, full)
 		s.Candidates[4].Open = 0
-		requireRefused(t, s, brief(), false)
+		requireRefused(t, s, shortCall(), false)
 	})
 	t.Run("are served, late as they are, while slots are free", func(t *testing.T) {
-		r := brief()
+		r := shortCall()
 		r.Waited = 2 * time.Second
 		requireRefused(t, snapshot(9, Candidate{Open: 4, PrefillBacklog: time.Second}), r, false)
 	})
 	t.Run("are served once their stream has begun", func(t *testing.T) {
-		r := brief()
+		r := shortCall()
 		r.StreamStarted = true
 		requireRefused(t, snapshot(9, full), r, false)
 	})
 	t.Run("are served where the route has no goal", func(t *testing.T) {
-		r := brief()
+		r := shortCall()
 		r.Goal = 0
 		requireRefused(t, snapshot(9, full), r, false)
 	})
 	t.Run("are queued when the mechanism is left out", func(t *testing.T) {
-		require.False(t, requirePlan(t, New(Without(Shedding)), snapshot(9, full), brief()).Refused)
+		require.False(t, requirePlan(t, New(Without(Shedding)), snapshot(9, full), shortCall()).Refused)
 	})
 }
 
@@ -192,7 +192,7 @@
 }
 
 func TestNoUpstream(t *testing.T) {
-	for _, r := range []Request{brief(), season(), {}} {
+	for _, r := range []Request{shortCall(), season(), {}} {
 		_, ok := New().Place(snapshot(0, Candidate{}), r)
 		require.False(t, ok)
 		_, ok = New().Place(snapshot(3, Candidate{Tried: true}), r)
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -119,7 +119,7 @@
 		require.Equal(t, 4500*time.Millisecond, after)
 	})
 	t.Run("is none where a part makes others pause too long", func(t *testing.T) {
-		c := Candidate{Stakes: brief().Stakes().Plus(brief().Stakes())}
+		c := Candidate{Stakes: shortCall().Stakes().Plus(shortCall().Stakes())}
 		before, after := p.freePrefillTime([]Candidate{c}, []int{0}, r, plan, 3*time.Second)
 		require.Zero(t, before)
 		require.Zero(t, after)
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -39,7 +39,7 @@
 
 // busyFleet returns a fleet in which all engines but the first ones have short calls in decode.
 func writing(engines, free int) Snapshot {
-	r := brief()
+	r := shortCall()
 	r.Engine = many()
 	s := snapshot(engines, Candidate{Slots: 10, Open: 3, Tokens: 18_000, Stakes: r.Stakes().Plus(r.Stakes()).Plus(r.Stakes())})
 	for i := range free {
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -46,7 +46,7 @@
 // Guards against gateways picking the same engines in a burst: decisions within the milliseconds
 // before their peers' reports arrive filled the slots of a few engines and made the calls late.
 func TestCallsOfOneMomentAreSharedOut(t *testing.T) {
-	r := brief()
+	r := shortCall()
 	r.Engine = many()
 	t.Run("among engines, as by one process", func(t *testing.T) {
 		requirePicks(t, New(), 14, burst(13), r, 1, 2)
@@ -69,7 +69,7 @@
 func TestTurnsLeaveTheSnapshotAsItIs(t *testing.T) {
 	s := burst(50)
 	s.Random = func() float64 { return 0.99 }
-	r := brief()
+	r := shortCall()
 	r.Engine = many()
 	requirePlan(t, New(), s, r)
 	require.Equal(t, burst(0).Candidates, s.Candidates)
@@ -79,12 +79,12 @@
 	s := snapshot(3, Candidate{Slots: 10})
 	s.Candidates[0].Tried, s.Candidates[1].Avoided = true, true
 	s.UncountedCalls, s.Random = 9, func() float64 { return 0.99 }
-	require.Equal(t, 2, requirePlan(t, New(), s, brief()).Target)
+	require.Equal(t, 2, requirePlan(t, New(), s, shortCall()).Target)
 }
 
 func BenchmarkTurns(b *testing.B) {
 	s := burst(13)
-	r := brief()
+	r := shortCall()
 	r.Engine = many()
 	s.Random = func() float64 { return 0.5 }
 	for b.Loop() {
