--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -20,7 +20,7 @@
 	return Request{Engine: figures(), PromptTokens: 5_000, MaxTokens: 1500, Goal: 300 * time.Millisecond, PauseGoal: 250 * time.Millisecond, TimeLeft: 10 * time.Second}
 }
 
-func season() Request {
+func longCall() Request {
 	return Request{Engine: figures(), PromptTokens: 210_000, MaxTokens: 800, Goal: 3 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
@@ -114,7 +114,7 @@
 }
 
 func TestTimeSinceTheFirstTryCounts(t *testing.T) {
-	r := season()
+	r := longCall()
 	s := snapshot(18, Candidate{PrefillBacklog: 500 * time.Millisecond})
 	fresh := requirePlan(t, New(), s, r)
 	r.Waited = 4 * time.Second
@@ -126,7 +126,7 @@
 // they were late already, and the cost of lateness exceeded the worth of the call.
 func TestCallsThatAreLateAlreadyAreServedWhereNobodyIsHarmed(t *testing.T) {
 	for _, tokens := range []int{16_000, 44_000, 250_000} {
-		r := season()
+		r := longCall()
 		r.PromptTokens, r.Waited, r.RefusedBefore = tokens, 12*time.Second, true
 		l := requirePlan(t, New(), snapshot(18, Candidate{}), r)
 		require.Less(t, l.Cost, r.Worth(), tokens)
@@ -138,16 +138,16 @@
 	s := snapshot(18, Candidate{})
 	targets := map[int]bool{}
 	for range 6 {
-		l := requirePlan(t, New(), s, season())
+		l := requirePlan(t, New(), s, longCall())
 		targets[l.Target] = true
 		s.Candidates[l.Target].Open++
-		s.Candidates[l.Target].Stakes = s.Candidates[l.Target].Stakes.Plus(season().Stakes())
+		s.Candidates[l.Target].Stakes = s.Candidates[l.Target].Stakes.Plus(longCall().Stakes())
 	}
 	require.Len(t, targets, 1)
 	t.Run("from one where others bear no longer pauses", func(t *testing.T) {
 		s := snapshot(17, Candidate{})
-		s.Candidates[16].Open, s.Candidates[16].Stakes = 1, season().Stakes()
-		r := season()
+		s.Candidates[16].Open, s.Candidates[16].Stakes = 1, longCall().Stakes()
+		r := longCall()
 		r.PromptTokens = 45_000
 		require.Equal(t, 16, requirePlan(t, New(), s, r).Target)
 		require.Equal(t, 0, requirePlan(t, New(Without(Restricting)), s, r).Target)
@@ -172,7 +172,7 @@
 
 func TestPartsAreHeldBackBehindEarlierOnes(t *testing.T) {
 	s := snapshot(18, Candidate{PrefillBacklog: time.Second})
-	r := season()
+	r := longCall()
 	r.StreamStarted = true
 	require.Equal(t, 700*time.Millisecond, requirePlan(t, New(), s, r).SendDelay)
 	require.Zero(t, requirePlan(t, New(Without(Holding)), s, r).SendDelay)
@@ -181,18 +181,18 @@
 func TestEnginesThatFailedLately(t *testing.T) {
 	s := snapshot(18, Candidate{Avoided: true})
 	t.Run("are used when there are no others", func(t *testing.T) {
-		l := requirePlan(t, New(), s, season())
+		l := requirePlan(t, New(), s, longCall())
 		require.NotEmpty(t, l.Helpers)
 	})
 	t.Run("are left alone when there are", func(t *testing.T) {
 		s.Candidates[3].Avoided, s.Candidates[7].Avoided = false, false
-		l := requirePlan(t, New(), s, season())
+		l := requirePlan(t, New(), s, longCall())
 		require.Subset(t, []int{3, 7}, append(l.Helpers, l.Target))
 	})
 }
 
 func TestNoUpstream(t *testing.T) {
-	for _, r := range []Request{shortCall(), season(), {}} {
+	for _, r := range []Request{shortCall(), longCall(), {}} {
 		_, ok := New().Place(snapshot(0, Candidate{}), r)
 		require.False(t, ok)
 		_, ok = New().Place(snapshot(3, Candidate{Tried: true}), r)
