--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -97,7 +97,7 @@
 // 0.3 s of prefill backlog and a sixth of the slots in use their price exceeded their worth.
 func TestTheLongestPromptsAreServedWhileEnginesHaveTime(t *testing.T) {
 	for _, tokens := range []int{400_000, 500_000} {
-		r := archive()
+		r := memoryFillingCall()
 		r.PromptTokens = tokens
 		s := snapshot(150, Candidate{Slots: 10, Open: 2, Tokens: 12_000, PrefillBacklog: 230 * time.Millisecond})
 		l := requirePlan(t, New(), s, r)
@@ -106,7 +106,7 @@
 	}
 	t.Run("and refused once each engine has seconds to read", func(t *testing.T) {
 		requireRefused(t, snapshot(150, Candidate{Slots: 10, PrefillBacklog: 2 * time.Second}), func() Request {
-			r := archive()
+			r := memoryFillingCall()
 			r.PromptTokens = 500_000
 			return r
 		}(), true)
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -9,7 +9,7 @@
 )
 
 // memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
-func archive() Request {
+func memoryFillingCall() Request {
 	return Request{Engine: many(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
@@ -30,7 +30,7 @@
 // overfull returns how many engines hold more tokens than their memory.
 func overfull(s Snapshot) (n int) {
 	for _, c := range s.Candidates {
-		if c.Tokens > archive().Engine.Capacity {
+		if c.Tokens > memoryFillingCall().Engine.Capacity {
 			n++
 		}
 	}
@@ -57,9 +57,9 @@
 	play := func(p *Policy) (s Snapshot) {
 		s = writing(150, 40)
 		for range 60 {
-			l := requirePlan(t, p, s, archive())
+			l := requirePlan(t, p, s, memoryFillingCall())
 			require.False(t, l.Refused)
-			give(s, archive(), l)
+			give(s, memoryFillingCall(), l)
 			for i := range s.Candidates {
 				s.Candidates[i].PrefillBacklog = 0 // the prefill is done before the next call arrives
 			}
@@ -73,7 +73,7 @@
 		for i := range 40 {
 			s.Candidates[i].Tokens = 220_000
 		}
-		r := archive()
+		r := memoryFillingCall()
 		r.PromptTokens = 500_000 // three parts of 167,000
 		l := requirePlan(t, New(), s, r)
 		require.Len(t, l.Keepers, 2)
@@ -85,23 +85,23 @@
 
 func TestLongPromptsForWhichNoEngineHasMemory(t *testing.T) {
 	full := func() Snapshot {
-		return snapshot(30, Candidate{Slots: 10, Open: 1, Tokens: 300_000, Stakes: archive().Stakes()})
+		return snapshot(30, Candidate{Slots: 10, Open: 1, Tokens: 300_000, Stakes: memoryFillingCall().Stakes()})
 	}
 	t.Run("are refused at once, with when to come back", func(t *testing.T) {
-		l := requirePlan(t, New(), full(), archive())
+		l := requirePlan(t, New(), full(), memoryFillingCall())
 		require.True(t, l.OutOfMemory)
 		require.True(t, l.Refused)
 		require.GreaterOrEqual(t, l.RetryAfter, minRetryAfter)
 	})
 	t.Run("go on once their stream has begun", func(t *testing.T) {
-		r := archive()
+		r := memoryFillingCall()
 		r.StreamStarted = true
 		require.False(t, requirePlan(t, New(), full(), r).Refused)
 	})
 	t.Run("are sent when one has it", func(t *testing.T) {
 		s := full()
 		s.Candidates[17].Tokens = 0
-		l := requirePlan(t, New(), s, archive())
+		l := requirePlan(t, New(), s, memoryFillingCall())
 		require.False(t, l.Refused)
 		require.Equal(t, 17, l.Target)
 	})
@@ -113,7 +113,7 @@
 	s := writing(150, 60)
 	targets := map[int]int{}
 	for range 40 {
-		targets[requirePlan(t, New(), s, archive()).Target]++
+		targets[requirePlan(t, New(), s, memoryFillingCall()).Target]++
 	}
 	met := 0
 	for _, n := range targets {
@@ -122,9 +122,9 @@
 	require.Less(t, met, 40*39/4, "of %d pairs", 40*39)
 	t.Run("and met without chance", func(t *testing.T) {
 		s.Random = func() float64 { return 0 }
-		first := requirePlan(t, New(Without(Spreading)), s, archive()).Target
+		first := requirePlan(t, New(Without(Spreading)), s, memoryFillingCall()).Target
 		for range 5 {
-			require.Equal(t, first, requirePlan(t, New(Without(Spreading)), s, archive()).Target)
+			require.Equal(t, first, requirePlan(t, New(Without(Spreading)), s, memoryFillingCall()).Target)
 		}
 	})
 }
