--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -19,7 +19,7 @@
 }
 
 // longestCall is a call of the longest kind.
-func review(tokens int) Request {
+func longestCall(tokens int) Request {
 	return Request{Engine: slowFigures(), PromptTokens: tokens, MaxTokens: 700, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
@@ -54,20 +54,20 @@
 // within a quarter of the goal.
 func TestOneLongPromptDoesNotCloseTheFleet(t *testing.T) {
 	s := expecting(afterOneLongPrompt(), 4.4, 260_000)
-	l := requirePlan(t, New(WithPricing(Displacement)), s, review(200_000))
-	require.Less(t, l.FirstEvent, review(0).Goal/4)
-	requireTaken(t, New(WithPricing(Displacement)), s, review(200_000), true)
+	l := requirePlan(t, New(WithPricing(Displacement)), s, longestCall(200_000))
+	require.Less(t, l.FirstEvent, longestCall(0).Goal/4)
+	requireTaken(t, New(WithPricing(Displacement)), s, longestCall(200_000), true)
 	t.Run("nor where a second is priced by the engines that are busy", func(t *testing.T) {
-		requireTaken(t, New(), s, review(200_000), true)
+		requireTaken(t, New(), s, longestCall(200_000), true)
 	})
 	t.Run("which the mean backlog did", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(MeanBacklog)), s, review(200_000), false)
+		requireTaken(t, New(WithPricing(MeanBacklog)), s, longestCall(200_000), false)
 	})
 }
 
 func TestAPromptPaysForThoseWhoComeWhileItIsRead(t *testing.T) {
 	idle := snapshot(60, Candidate{Slots: 12, Open: 1})
-	longest := review(800_000)
+	longest := longestCall(800_000)
 	t.Run("it is taken while nobody is expected", func(t *testing.T) {
 		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 0, 260_000), longest, true)
 	})
@@ -75,7 +75,7 @@
 		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 14, 260_000), longest, false)
 	})
 	t.Run("those are taken themselves", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 14, 260_000), review(200_000), true)
+		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 14, 260_000), longestCall(200_000), true)
 	})
 	t.Run("it was taken at the price of the moment", func(t *testing.T) {
 		requireTaken(t, New(WithPricing(MeanBacklog)), expecting(idle, 14, 260_000), longest, true)
@@ -103,7 +103,7 @@
 	t.Run("is nothing where nothing is expected", func(t *testing.T) {
 		s := snapshot(9, Candidate{PrefillBacklog: 2 * time.Second})
 		s.Demand.KnownShare = 1
-		require.Zero(t, priceByDisplacement(p, s, s.Candidates, []int{0, 1}, review(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
+		require.Zero(t, priceByDisplacement(p, s, s.Candidates, []int{0, 1}, longestCall(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
 		require.Empty(t, demandByDensity(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
@@ -111,7 +111,7 @@
 }
 
 func TestRoom(t *testing.T) {
-	p, r := New(), review(200_000)
+	p, r := New(), longestCall(200_000)
 	plan := Plan{PrefillTime: 500 * time.Millisecond}
 	t.Run("is what engines have not to read yet", func(t *testing.T) {
 		before, after := p.freePrefillTime([]Candidate{{PrefillBacklog: time.Second}, {}}, []int{1}, r, plan, 3*time.Second)
@@ -141,12 +141,12 @@
 func TestDemandThatIsNotKnownYet(t *testing.T) {
 	s := snapshot(60, Candidate{Slots: 12, Open: 1, PrefillBacklog: 2 * time.Second})
 	t.Run("is told by what engines have to read", func(t *testing.T) {
-		l := requirePlan(t, New(WithPricing(Displacement)), s, review(300_000))
-		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, review(300_000)).Displaced, l.Displaced, 1e-9)
+		l := requirePlan(t, New(WithPricing(Displacement)), s, longestCall(300_000))
+		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, longestCall(300_000)).Displaced, l.Displaced, 1e-9)
 	})
 	t.Run("and less so the longer it has been listened", func(t *testing.T) {
 		s.Demand.KnownShare = 0.9
-		l := requirePlan(t, New(WithPricing(Displacement)), s, review(300_000))
-		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, review(300_000)).Displaced/10, l.Displaced, 1e-9)
+		l := requirePlan(t, New(WithPricing(Displacement)), s, longestCall(300_000))
+		require.InDelta(t, requirePlan(t, New(WithPricing(MeanBacklog)), s, longestCall(300_000)).Displaced/10, l.Displaced, 1e-9)
 	})
 }
