--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -10,7 +10,7 @@
 
 // memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
 func memoryFillingCall() Request {
-	return Request{Engine: many(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
+	return Request{Engine: tenSlotFigures(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
 // applyPlan adds the load of a plan to the snapshot.
@@ -40,7 +40,7 @@
 // busyFleet returns a fleet in which all engines but the first ones have short calls in decode.
 func writing(engines, free int) Snapshot {
 	r := shortCall()
-	r.Engine = many()
+	r.Engine = tenSlotFigures()
 	s := snapshot(engines, Candidate{Slots: 10, Open: 3, Tokens: 18_000, Stakes: r.Stakes().Plus(r.Stakes()).Plus(r.Stakes())})
 	for i := range free {
 		s.Candidates[i] = Candidate{Slots: 10}
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -9,7 +9,7 @@
 )
 
 // tenSlotFigures returns figures of engines with ten slots.
-func many() *engine.Figures {
+func tenSlotFigures() *engine.Figures {
 	f := *figures()
 	f.Slots = 10
 	return &f
@@ -47,7 +47,7 @@
 // before their peers' reports arrive filled the slots of a few engines and made the calls late.
 func TestCallsOfOneMomentAreSharedOut(t *testing.T) {
 	r := shortCall()
-	r.Engine = many()
+	r.Engine = tenSlotFigures()
 	t.Run("among engines, as by one process", func(t *testing.T) {
 		requirePicks(t, New(), 14, burst(13), r, 1, 2)
 	})
@@ -70,7 +70,7 @@
 	s := burst(50)
 	s.Random = func() float64 { return 0.99 }
 	r := shortCall()
-	r.Engine = many()
+	r.Engine = tenSlotFigures()
 	requirePlan(t, New(), s, r)
 	require.Equal(t, burst(0).Candidates, s.Candidates)
 }
@@ -85,7 +85,7 @@
 func BenchmarkTurns(b *testing.B) {
 	s := burst(13)
 	r := shortCall()
-	r.Engine = many()
+	r.Engine = tenSlotFigures()
 	s.Random = func() float64 { return 0.5 }
 	for b.Loop() {
 		New().Place(s, r)
