--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -38,7 +38,7 @@
 }
 
 // busyFleet returns a fleet in which all engines but the first ones have short calls in decode.
-func writing(engines, free int) Snapshot {
+func busyFleet(engines, free int) Snapshot {
 	r := shortCall()
 	r.Engine = tenSlotFigures()
 	s := snapshot(engines, Candidate{Slots: 10, Open: 3, Tokens: 18_000, Stakes: r.Stakes().Plus(r.Stakes()).Plus(r.Stakes())})
@@ -55,7 +55,7 @@
 // engines have no short calls.
 func TestLongPromptsAreAnsweredWhereThereIsMemory(t *testing.T) {
 	play := func(p *Policy) (s Snapshot) {
-		s = writing(150, 40)
+		s = busyFleet(150, 40)
 		for range 60 {
 			l := requirePlan(t, p, s, memoryFillingCall())
 			require.False(t, l.Refused)
@@ -69,7 +69,7 @@
 	require.Zero(t, overfull(play(New())))
 	require.Positive(t, overfull(play(New(Without(Rooming)))))
 	t.Run("also those that several engines keep", func(t *testing.T) {
-		s := writing(150, 40)
+		s := busyFleet(150, 40)
 		for i := range 40 {
 			s.Candidates[i].Tokens = 220_000
 		}
@@ -110,7 +110,7 @@
 // Guards against two gateways sending long prompts to the same engine within milliseconds: the
 // second waited 4.5 s for memory, and its parts then delayed 100 short calls in decode at 17 engines.
 func TestLongPromptsOfOneMomentDoNotMeet(t *testing.T) {
-	s := writing(150, 60)
+	s := busyFleet(150, 60)
 	targets := map[int]int{}
 	for range 40 {
 		targets[requirePlan(t, New(), s, memoryFillingCall()).Target]++
