--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -14,7 +14,7 @@
 }
 
 // applyPlan adds the load of a plan to the snapshot.
-func give(s Snapshot, r Request, l Plan) {
+func applyPlan(s Snapshot, r Request, l Plan) {
 	for _, i := range append(l.Helpers, l.Target) {
 		s.Candidates[i].PrefillBacklog += l.PrefillTime
 	}
@@ -59,7 +59,7 @@
 		for range 60 {
 			l := requirePlan(t, p, s, memoryFillingCall())
 			require.False(t, l.Refused)
-			give(s, memoryFillingCall(), l)
+			applyPlan(s, memoryFillingCall(), l)
 			for i := range s.Candidates {
 				s.Candidates[i].PrefillBacklog = 0 // the prefill is done before the next call arrives
 			}
@@ -78,7 +78,7 @@
 		l := requirePlan(t, New(), s, r)
 		require.Len(t, l.Keepers, 2)
 		require.False(t, l.OutOfMemory)
-		give(s, r, l)
+		applyPlan(s, r, l)
 		require.Zero(t, overfull(s))
 	})
 }
