--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -15,9 +15,9 @@
 	return &f
 }
 
-// burstSnapshot is a fleet in a burst of short calls: all engines have as many calls as are packed
+// burstSnapshot is a fleet in a burstSnapshot of short calls: all engines have as many calls as are packed
 // on them, and a few have one less.
-func burst(unheard float64) Snapshot {
+func burstSnapshot(unheard float64) Snapshot {
 	s := snapshot(150, Candidate{Slots: 10, Open: 6, Tokens: 36_000})
 	for i := range 5 {
 		s.Candidates[i*30].Open = 5
@@ -49,13 +49,13 @@
 	r := shortCall()
 	r.Engine = tenSlotFigures()
 	t.Run("among engines, as by one process", func(t *testing.T) {
-		requirePicks(t, New(), 14, burst(13), r, 1, 2)
+		requirePicks(t, New(), 14, burstSnapshot(13), r, 1, 2)
 	})
 	t.Run("and met at one engine without turns", func(t *testing.T) {
-		requirePicks(t, New(Without(Turns)), 14, burst(13), r, 3, 14)
+		requirePicks(t, New(Without(Turns)), 14, burstSnapshot(13), r, 3, 14)
 	})
 	t.Run("and go to the cheapest engine when others place none", func(t *testing.T) {
-		requirePicks(t, New(Without(Spreading)), 14, burst(0), r, 14, 14)
+		requirePicks(t, New(Without(Spreading)), 14, burstSnapshot(0), r, 14, 14)
 	})
 	t.Run("those of plain services too", func(t *testing.T) {
 		s := snapshot(6, Candidate{Slots: 6, Open: 2})
@@ -67,12 +67,12 @@
 }
 
 func TestTurnsLeaveTheSnapshotAsItIs(t *testing.T) {
-	s := burst(50)
+	s := burstSnapshot(50)
 	s.Random = func() float64 { return 0.99 }
 	r := shortCall()
 	r.Engine = tenSlotFigures()
 	requirePlan(t, New(), s, r)
-	require.Equal(t, burst(0).Candidates, s.Candidates)
+	require.Equal(t, burstSnapshot(0).Candidates, s.Candidates)
 }
 
 func TestTurnsPassOverWhatWasTried(t *testing.T) {
@@ -83,7 +83,7 @@
 }
 
 func BenchmarkTurns(b *testing.B) {
-	s := burst(13)
+	s := burstSnapshot(13)
 	r := shortCall()
 	r.Engine = tenSlotFigures()
 	s.Random = func() float64 { return 0.5 }
