--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -24,7 +24,7 @@
 }
 
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
-func expecting(s Snapshot, rate float64, tokens int) Snapshot {
+func withDemand(s Snapshot, rate float64, tokens int) Snapshot {
 	s.Demand = Demand{
 		Prompts:    []ExpectedPrompts{{Rate: rate, PrefillTime: slowFigures().Reading(tokens, 1)}},
 		MeanAge:    2 * time.Second,
@@ -53,7 +53,7 @@
 // prompts of 200,000 tokens were refused for seconds, although their first events would have come
 // within a quarter of the goal.
 func TestOneLongPromptDoesNotCloseTheFleet(t *testing.T) {
-	s := expecting(afterOneLongPrompt(), 4.4, 260_000)
+	s := withDemand(afterOneLongPrompt(), 4.4, 260_000)
 	l := requirePlan(t, New(WithPricing(Displacement)), s, longestCall(200_000))
 	require.Less(t, l.FirstEvent, longestCall(0).Goal/4)
 	requireTaken(t, New(WithPricing(Displacement)), s, longestCall(200_000), true)
@@ -69,20 +69,20 @@
 	idle := snapshot(60, Candidate{Slots: 12, Open: 1})
 	longest := longestCall(800_000)
 	t.Run("it is taken while nobody is expected", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 0, 260_000), longest, true)
+		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 0, 260_000), longest, true)
 	})
 	t.Run("it is refused while prompts are expected that earn more a second", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 14, 260_000), longest, false)
+		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longest, false)
 	})
 	t.Run("those are taken themselves", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), expecting(idle, 14, 260_000), longestCall(200_000), true)
+		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longestCall(200_000), true)
 	})
 	t.Run("it was taken at the price of the moment", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(MeanBacklog)), expecting(idle, 14, 260_000), longest, true)
+		requireTaken(t, New(WithPricing(MeanBacklog)), withDemand(idle, 14, 260_000), longest, true)
 	})
 	t.Run("it is taken where four times as many engines have room", func(t *testing.T) {
 		many := snapshot(240, Candidate{Slots: 12, Open: 1})
-		requireTaken(t, New(WithPricing(Displacement)), expecting(many, 14, 260_000), longest, true)
+		requireTaken(t, New(WithPricing(Displacement)), withDemand(many, 14, 260_000), longest, true)
 	})
 }
 
