--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -43,7 +43,7 @@
 	return s
 }
 
-func requireTaken(t *testing.T, p *Policy, s Snapshot, r Request, want bool) {
+func requireAdmitted(t *testing.T, p *Policy, s Snapshot, r Request, want bool) {
 	t.Helper()
 	l := requirePlan(t, p, s, r)
 	require.Equal(t, !want, l.Refused, "worth %.1f, cost %.1f, displaced %.1f, first event after %s", r.Worth(), l.Cost, l.Displaced, l.FirstEvent)
@@ -56,12 +56,12 @@
 	s := withDemand(afterOneLongPrompt(), 4.4, 260_000)
 	l := requirePlan(t, New(WithPricing(Displacement)), s, longestCall(200_000))
 	require.Less(t, l.FirstEvent, longestCall(0).Goal/4)
-	requireTaken(t, New(WithPricing(Displacement)), s, longestCall(200_000), true)
+	requireAdmitted(t, New(WithPricing(Displacement)), s, longestCall(200_000), true)
 	t.Run("nor where a second is priced by the engines that are busy", func(t *testing.T) {
-		requireTaken(t, New(), s, longestCall(200_000), true)
+		requireAdmitted(t, New(), s, longestCall(200_000), true)
 	})
 	t.Run("which the mean backlog did", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(MeanBacklog)), s, longestCall(200_000), false)
+		requireAdmitted(t, New(WithPricing(MeanBacklog)), s, longestCall(200_000), false)
 	})
 }
 
@@ -69,20 +69,20 @@
 	idle := snapshot(60, Candidate{Slots: 12, Open: 1})
 	longest := longestCall(800_000)
 	t.Run("it is taken while nobody is expected", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 0, 260_000), longest, true)
+		requireAdmitted(t, New(WithPricing(Displacement)), withDemand(idle, 0, 260_000), longest, true)
 	})
 	t.Run("it is refused while prompts are expected that earn more a second", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longest, false)
+		requireAdmitted(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longest, false)
 	})
 	t.Run("those are taken themselves", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longestCall(200_000), true)
+		requireAdmitted(t, New(WithPricing(Displacement)), withDemand(idle, 14, 260_000), longestCall(200_000), true)
 	})
 	t.Run("it was taken at the price of the moment", func(t *testing.T) {
-		requireTaken(t, New(WithPricing(MeanBacklog)), withDemand(idle, 14, 260_000), longest, true)
+		requireAdmitted(t, New(WithPricing(MeanBacklog)), withDemand(idle, 14, 260_000), longest, true)
 	})
 	t.Run("it is taken where four times as many engines have room", func(t *testing.T) {
 		many := snapshot(240, Candidate{Slots: 12, Open: 1})
-		requireTaken(t, New(WithPricing(Displacement)), withDemand(many, 14, 260_000), longest, true)
+		requireAdmitted(t, New(WithPricing(Displacement)), withDemand(many, 14, 260_000), longest, true)
 	})
 }
 
