--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -115,11 +115,11 @@
 	for range 40 {
 		targets[requirePlan(t, New(), s, memoryFillingCall()).Target]++
 	}
-	met := 0
+	pairs := 0
 	for _, n := range targets {
-		met += n * (n - 1)
+		pairs += n * (n - 1)
 	}
-	require.Less(t, met, 40*39/4, "of %d pairs", 40*39)
+	require.Less(t, pairs, 40*39/4, "of %d pairs", 40*39)
 	t.Run("and met without chance", func(t *testing.T) {
 		s.Random = func() float64 { return 0 }
 		first := requirePlan(t, New(Without(Spreading)), s, memoryFillingCall()).Target
