--- a/sched/queue.go
+++ b/sched/queue.go
@@ -117,11 +117,11 @@
 
 // flow has the items of one organisation in a class.
 type lane struct {
-	name  string
-	items itemHeap
-	tag   float64 // virtual time at which the flow's next item starts
-	order uint64
-	index int // in class.flows, or -1
+	name     string
+	items    itemHeap
+	startTag float64 // virtual time at which the flow's next item starts
+	order    uint64
+	index    int // in class.flows, or -1
 }
 
 // NewFair returns an empty queue.
@@ -153,7 +153,7 @@
 	i.lane = l
 	heap.Push(&l.items, i)
 	if l.index < 0 {
-		l.tag = max(l.tag, c.now)
+		l.startTag = max(l.startTag, c.now)
 		l.order = f.count
 		heap.Push(&c.lanes, l)
 	}
@@ -222,7 +222,7 @@
 // forget drops an empty flow once its tag no longer matters. A flow ahead of its share is kept, so
 // that an organisation can't gain by emptying its queue and returning.
 func (c *class) forget(l *lane) {
-	if l.tag <= c.now {
+	if l.startTag <= c.now {
 		delete(c.byName, l.name)
 	}
 }
@@ -234,8 +234,8 @@
 	if l == nil {
 		return i
 	}
-	c.now = max(c.now, l.tag)
-	l.tag += float64(max(i.Charge, i.Cost, 1))
+	c.now = max(c.now, l.startTag)
+	l.startTag += float64(max(i.Charge, i.Cost, 1))
 	if l.index >= 0 {
 		heap.Fix(&c.lanes, l.index)
 	}
@@ -336,8 +336,8 @@
 func (h laneHeap) Len() int { return len(h) }
 
 func (h laneHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].order < h[j].order
 }
