--- a/sched/queue.go
+++ b/sched/queue.go
@@ -22,7 +22,7 @@
 	LatestStart  time.Time // the deadline minus the predicted run time
 	Due          time.Time // when the item becomes overdue
 
-	lane  *lane
+	flow  *lane
 	order uint64
 	gone  bool
 }
@@ -150,7 +150,7 @@
 		l = &lane{name: i.Organisation, items: itemHeap{less: lessSlack}, index: -1}
 		c.byName[i.Organisation] = l
 	}
-	i.lane = l
+	i.flow = l
 	heap.Push(&l.items, i)
 	if l.index < 0 {
 		l.startTag = max(l.startTag, c.now)
@@ -229,7 +229,7 @@
 
 func (f *Fair) take(i *Item) *Item {
 	c := &f.classes[i.Class]
-	l := i.lane
+	l := i.flow
 	f.drop(i)
 	if l == nil {
 		return i
