--- a/sched/queue.go
+++ b/sched/queue.go
@@ -110,7 +110,7 @@
 	// resumed holds the further pieces of prompts that have started. They precede items that have not:
 	// alternating between two long prompts would only make the first as late as the second.
 	resumed itemHeap
-	lanes   laneHeap
+	flows   laneHeap
 	byName  map[string]*lane
 	now     float64 // start tag of the last item served
 }
@@ -155,7 +155,7 @@
 	if l.index < 0 {
 		l.startTag = max(l.startTag, c.now)
 		l.order = f.count
-		heap.Push(&c.lanes, l)
+		heap.Push(&c.flows, l)
 	}
 }
 
@@ -199,22 +199,22 @@
 		return nil
 	}
 	var passed []*lane
-	for len(c.lanes) > 0 && len(passed) < maxPassedOver && i == nil {
-		l := c.lanes[0]
+	for len(c.flows) > 0 && len(passed) < maxPassedOver && i == nil {
+		l := c.flows[0]
 		h := l.items.first()
 		switch {
 		case h == nil:
-			heap.Pop(&c.lanes)
+			heap.Pop(&c.flows)
 			c.forget(l)
 		case fits(h):
 			i = h
 		default:
-			heap.Pop(&c.lanes)
+			heap.Pop(&c.flows)
 			passed = append(passed, l)
 		}
 	}
 	for _, l := range passed {
-		heap.Push(&c.lanes, l)
+		heap.Push(&c.flows, l)
 	}
 	return i
 }
@@ -237,10 +237,10 @@
 	c.now = max(c.now, l.startTag)
 	l.startTag += float64(max(i.Charge, i.Cost, 1))
 	if l.index >= 0 {
-		heap.Fix(&c.lanes, l.index)
+		heap.Fix(&c.flows, l.index)
 	}
 	if l.items.first() == nil && l.index >= 0 {
-		heap.Remove(&c.lanes, l.index)
+		heap.Remove(&c.flows, l.index)
 		c.prune()
 	}
 	return i
@@ -250,7 +250,7 @@
 // number of active organisations.
 func (c *class) prune() {
 	const keep = 64
-	if len(c.byName) <= keep+len(c.lanes) {
+	if len(c.byName) <= keep+len(c.flows) {
 		return
 	}
 	for _, l := range c.byName {
