--- a/sched/queue.go
+++ b/sched/queue.go
@@ -22,7 +22,7 @@
 	LatestStart  time.Time // the deadline minus the predicted run time
 	Due          time.Time // when the item becomes overdue
 
-	flow  *lane
+	flow  *flow
 	order uint64
 	gone  bool
 }
@@ -111,12 +111,12 @@
 	// alternating between two long prompts would only make the first as late as the second.
 	resumed itemHeap
 	flows   laneHeap
-	byName  map[string]*lane
+	byName  map[string]*flow
 	now     float64 // start tag of the last item served
 }
 
 // flow has the items of one organisation in a class.
-type lane struct {
+type flow struct {
 	name     string
 	items    itemHeap
 	startTag float64 // virtual time at which the flow's next item starts
@@ -128,7 +128,7 @@
 func NewFair() *Fair {
 	f := &Fair{due: itemHeap{less: earlierDue}}
 	for c := range f.classes {
-		f.classes[c].byName = map[string]*lane{}
+		f.classes[c].byName = map[string]*flow{}
 		f.classes[c].resumed.less = arrivedFirst
 	}
 	return f
@@ -147,7 +147,7 @@
 	}
 	l, ok := c.byName[i.Organisation]
 	if !ok {
-		l = &lane{name: i.Organisation, items: itemHeap{less: lessSlack}, index: -1}
+		l = &flow{name: i.Organisation, items: itemHeap{less: lessSlack}, index: -1}
 		c.byName[i.Organisation] = l
 	}
 	i.flow = l
@@ -198,7 +198,7 @@
 	if !fresh {
 		return nil
 	}
-	var passed []*lane
+	var passed []*flow
 	for len(c.flows) > 0 && len(passed) < maxPassedOver && i == nil {
 		l := c.flows[0]
 		h := l.items.first()
@@ -221,7 +221,7 @@
 
 // forget drops an empty flow once its tag no longer matters. A flow ahead of its share is kept, so
 // that an organisation can't gain by emptying its queue and returning.
-func (c *class) forget(l *lane) {
+func (c *class) forget(l *flow) {
 	if l.startTag <= c.now {
 		delete(c.byName, l.name)
 	}
@@ -331,7 +331,7 @@
 	return i
 }
 
-type laneHeap []*lane
+type laneHeap []*flow
 
 func (h laneHeap) Len() int { return len(h) }
 
@@ -348,7 +348,7 @@
 }
 
 func (h *laneHeap) Push(x any) {
-	l := x.(*lane)
+	l := x.(*flow)
 	l.index = len(*h)
 	*h = append(*h, l)
 }
