--- a/sched/queue.go
+++ b/sched/queue.go
@@ -110,7 +110,7 @@
 	// resumed holds the further pieces of prompts that have started. They precede items that have not:
 	// alternating between two long prompts would only make the first as late as the second.
 	resumed itemHeap
-	flows   laneHeap
+	flows   flowHeap
 	byName  map[string]*flow
 	now     float64 // start tag of the last item served
 }
@@ -331,29 +331,29 @@
 	return i
 }
 
-type laneHeap []*flow
+type flowHeap []*flow
 
-func (h laneHeap) Len() int { return len(h) }
+func (h flowHeap) Len() int { return len(h) }
 
-func (h laneHeap) Less(i, j int) bool {
+func (h flowHeap) Less(i, j int) bool {
 	if h[i].startTag != h[j].startTag {
 		return h[i].startTag < h[j].startTag
 	}
 	return h[i].order < h[j].order
 }
 
-func (h laneHeap) Swap(i, j int) {
+func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *laneHeap) Push(x any) {
+func (h *flowHeap) Push(x any) {
 	l := x.(*flow)
 	l.index = len(*h)
 	*h = append(*h, l)
 }
 
-func (h *laneHeap) Pop() any {
+func (h *flowHeap) Pop() any {
 	n := len(*h) - 1
 	l := (*h)[n]
 	(*h)[n] = nil
