--- a/sched/queue.go
+++ b/sched/queue.go
@@ -109,10 +109,10 @@
 type class struct {
 	// resumed holds the further pieces of prompts that have started. They precede items that have not:
 	// alternating between two long prompts would only make the first as late as the second.
-	resumed itemHeap
-	flows   flowHeap
-	byName  map[string]*flow
-	now     float64 // start tag of the last item served
+	resumed     itemHeap
+	flows       flowHeap
+	byName      map[string]*flow
+	virtualTime float64 // start tag of the last item served
 }
 
 // flow has the items of one organisation in a class.
@@ -153,7 +153,7 @@
 	i.flow = l
 	heap.Push(&l.items, i)
 	if l.index < 0 {
-		l.startTag = max(l.startTag, c.now)
+		l.startTag = max(l.startTag, c.virtualTime)
 		l.order = f.count
 		heap.Push(&c.flows, l)
 	}
@@ -222,7 +222,7 @@
 // forget drops an empty flow once its tag no longer matters. A flow ahead of its share is kept, so
 // that an organisation can't gain by emptying its queue and returning.
 func (c *class) forget(l *flow) {
-	if l.startTag <= c.now {
+	if l.startTag <= c.virtualTime {
 		delete(c.byName, l.name)
 	}
 }
@@ -234,7 +234,7 @@
 	if l == nil {
 		return i
 	}
-	c.now = max(c.now, l.startTag)
+	c.virtualTime = max(c.virtualTime, l.startTag)
 	l.startTag += float64(max(i.Charge, i.Cost, 1))
 	if l.index >= 0 {
 		heap.Fix(&c.flows, l.index)
