--- a/sched/queue.go
+++ b/sched/queue.go
@@ -191,11 +191,11 @@
 
 // next returns the item that the class would serve, without removing it. Unless allowNew, it returns
 // only items that resume a request.
-func (c *class) next(fits func(*Item) bool, fresh bool) (i *Item) {
+func (c *class) next(fits func(*Item) bool, allowNew bool) (i *Item) {
 	if r := c.resumed.first(); r != nil && fits(r) {
 		return r
 	}
-	if !fresh {
+	if !allowNew {
 		return nil
 	}
 	var passed []*flow
