--- a/sched/queue.go
+++ b/sched/queue.go
@@ -198,8 +198,8 @@
 	if !allowNew {
 		return nil
 	}
-	var passed []*flow
-	for len(c.flows) > 0 && len(passed) < maxPassedOver && i == nil {
+	var skipped []*flow
+	for len(c.flows) > 0 && len(skipped) < maxPassedOver && i == nil {
 		l := c.flows[0]
 		h := l.items.first()
 		switch {
@@ -210,10 +210,10 @@
 			i = h
 		default:
 			heap.Pop(&c.flows)
-			passed = append(passed, l)
+			skipped = append(skipped, l)
 		}
 	}
-	for _, l := range passed {
+	for _, l := range skipped {
 		heap.Push(&c.flows, l)
 	}
 	return i
