--- a/sched/queue.go
+++ b/sched/queue.go
@@ -22,9 +22,9 @@
 	LatestStart  time.Time // the deadline minus the predicted run time
 	Due          time.Time // when the item becomes overdue
 
-	flow  *flow
-	order uint64
-	gone  bool
+	flow    *flow
+	order   uint64
+	removed bool
 }
 
 // Queue decides in which order an agent sends requests to its upstream.
@@ -138,7 +138,7 @@
 func (f *Fair) Push(i *Item) {
 	c := &f.classes[i.Class]
 	f.count++
-	i.order, i.gone = f.count, false
+	i.order, i.removed = f.count, false
 	heap.Push(&f.due, i)
 	f.length++
 	if i.Resumes {
@@ -261,13 +261,13 @@
 }
 
 func (f *Fair) drop(i *Item) {
-	i.gone = true
+	i.removed = true
 	f.length--
 }
 
 // Remove implements [Queue].
 func (f *Fair) Remove(i *Item) bool {
-	if i.gone || i.order == 0 {
+	if i.removed || i.order == 0 {
 		return false
 	}
 	f.drop(i)
@@ -307,7 +307,7 @@
 }
 
 func (h *itemHeap) first() *Item {
-	for len(h.items) > 0 && h.items[0].gone {
+	for len(h.items) > 0 && h.items[0].removed {
 		heap.Pop(h)
 	}
 	if len(h.items) == 0 {
