--- a/sched/queue.go
+++ b/sched/queue.go
@@ -230,7 +230,7 @@
 func (f *Fair) take(i *Item) *Item {
 	c := &f.classes[i.Class]
 	l := i.flow
-	f.drop(i)
+	f.markRemoved(i)
 	if l == nil {
 		return i
 	}
@@ -260,7 +260,7 @@
 	}
 }
 
-func (f *Fair) drop(i *Item) {
+func (f *Fair) markRemoved(i *Item) {
 	i.removed = true
 	f.length--
 }
@@ -270,7 +270,7 @@
 	if i.removed || i.order == 0 {
 		return false
 	}
-	f.drop(i)
+	f.markRemoved(i)
 	return true
 }
 
