--- a/sched/queue.go
+++ b/sched/queue.go
@@ -164,7 +164,7 @@
 	o := f.overdue(now)
 	f.turn = !f.turn
 	if o != nil && f.turn && fits(o) {
-		return f.take(o)
+		return f.serve(o)
 	}
 	last := hollowgrade.Classes - 1
 	if o != nil && !fits(o) {
@@ -172,11 +172,11 @@
 	}
 	for c := hollowgrade.Instant; c < hollowgrade.Classes; c++ {
 		if i := f.classes[c].next(fits, c <= last); i != nil {
-			return f.take(i)
+			return f.serve(i)
 		}
 	}
 	if o != nil && fits(o) {
-		return f.take(o)
+		return f.serve(o)
 	}
 	return nil
 }
@@ -227,7 +227,7 @@
 	}
 }
 
-func (f *Fair) take(i *Item) *Item {
+func (f *Fair) serve(i *Item) *Item {
 	c := &f.classes[i.Class]
 	l := i.flow
 	f.markRemoved(i)
