--- a/sched/queue.go
+++ b/sched/queue.go
@@ -99,11 +99,11 @@
 // the Instant class and requests that hold memory are served: other small requests would take each
 // piece of memory that is released, and without the requests that hold it none would be released.
 type Fair struct {
-	classes [hollowgrade.Classes]class
-	due     itemHeap
-	length  int
-	count   uint64
-	turn    bool // whether this Pop serves an overdue item first; alternates
+	classes      [hollowgrade.Classes]class
+	due          itemHeap
+	length       int
+	count        uint64
+	serveOverdue bool // whether this Pop serves an overdue item first; alternates
 }
 
 type class struct {
@@ -162,8 +162,8 @@
 // Pop implements [Queue].
 func (f *Fair) Pop(now time.Time, fits func(*Item) bool) *Item {
 	o := f.overdue(now)
-	f.turn = !f.turn
-	if o != nil && f.turn && fits(o) {
+	f.serveOverdue = !f.serveOverdue
+	if o != nil && f.serveOverdue && fits(o) {
 		return f.serve(o)
 	}
 	last := hollowgrade.Classes - 1
