--- a/sched/queue.go
+++ b/sched/queue.go
@@ -89,7 +89,7 @@
 
 // maxSkippedOrganisations bounds how many organisations Pop skips because their first request
 // doesn't fit.
-const maxPassedOver = 8
+const maxSkippedOrganisations = 8
 
 // Fair orders by class, then by equal shares of work for organisations (start-time fair queueing,
 // counted in tokens), then by priority and least slack.
@@ -199,7 +199,7 @@
 		return nil
 	}
 	var skipped []*flow
-	for len(c.flows) > 0 && len(skipped) < maxPassedOver && i == nil {
+	for len(c.flows) > 0 && len(skipped) < maxSkippedOrganisations && i == nil {
 		l := c.flows[0]
 		h := l.items.first()
 		switch {
