--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -33,7 +33,7 @@
 }
 
 // maxUpstreamsPerPrefix bounds the upstreams recorded for one prefix.
-const holders = 4
+const maxUpstreamsPerPrefix = 4
 
 // NewPrefixes returns an empty index of at most limit prefixes.
 func NewPrefixes(limit int) *Prefixes {
@@ -90,9 +90,9 @@
 }
 
 func withFirst(us []string, u string) []string {
-	r := append(make([]string, 0, holders), u)
+	r := append(make([]string, 0, maxUpstreamsPerPrefix), u)
 	for _, v := range us {
-		if v != u && len(r) < holders {
+		if v != u && len(r) < maxUpstreamsPerPrefix {
 			r = append(r, v)
 		}
 	}
