--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -67,12 +67,12 @@
 
 // maxHoldersFound bounds the holders that one search returns: no shorter prefix is looked up once
 // there are as many.
-const maxHolders = 8
+const maxHoldersFound = 8
 
 // Holders returns the upstreams that probably have the longest beginnings of the prompt cached, the
 // longest first.
 func (p *Prefixes) Holders(hs []uint64) (found []Holder) {
-	for i := len(hs); i > 0 && len(found) < maxHolders; i-- {
+	for i := len(hs); i > 0 && len(found) < maxHoldersFound; i-- {
 		for _, u := range p.holders(hs[i-1]) {
 			if !slices.ContainsFunc(found, func(h Holder) bool { return h.Upstream == u }) {
 				found = append(found, Holder{Upstream: u, Bytes: i * PrefixBlockBytes})
