--- a/sched/place.go
+++ b/sched/place.go
@@ -47,7 +47,7 @@
 
 // shortMemoryWait is the wait assumed where memory is short: about the time of a medium-length
 // prompt.
-const memoryWait = 2 * time.Second
+const shortMemoryWait = 2 * time.Second
 
 // Predict computes a [Prediction] from the load.
 func Predict(l *Load, w Work) (p Prediction) {
@@ -65,7 +65,7 @@
 	p.Wait = seconds(float64(ahead) / rate)
 	if short := l.HeldTokens + w.PromptTokens + w.MaxTokens - l.TotalTokens; l.TotalTokens > 0 && short > 0 {
 		// Memory is released only when running answers end, which can't be predicted.
-		p.Wait += memoryWait
+		p.Wait += shortMemoryWait
 	}
 	fresh := max(w.PromptTokens-l.CachedTokens, 0)
 	p.First = p.Wait + 2*l.OneWayLatency + seconds(float64(fresh)/rate) + step
