--- a/retry/budget.go
+++ b/retry/budget.go
@@ -11,33 +11,33 @@
 // Budget allows retries in proportion to first attempts. It is safe for
 // concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	ratio float64
-	limit float64
-	saved float64
+	mu      sync.Mutex
+	ratio   float64
+	limit   float64
+	balance float64
 }
 
 // NewBudget returns a budget that allows ratio retries for each first attempt in the long run, and
 // accumulates at most limit of them. It starts full, so that a box with little traffic can retry.
 func NewBudget(ratio, limit float64) *Budget {
-	return &Budget{ratio: ratio, limit: limit, saved: limit}
+	return &Budget{ratio: ratio, limit: limit, balance: limit}
 }
 
 // Deposit records a first attempt.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+b.ratio, b.limit)
+	b.balance = min(b.balance+b.ratio, b.limit)
 }
 
 // Spend takes one retry from the budget, and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
@@ -45,7 +45,7 @@
 func (b *Budget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+1, b.limit)
+	b.balance = min(b.balance+1, b.limit)
 }
 
 // Breaker is a circuit breaker for one upstream: it opens after consecutive failures and closes when
