--- a/retry/window.go
+++ b/retry/window.go
@@ -20,15 +20,15 @@
 // it accumulates nothing for longer than the window, so that the bound holds over each span of that
 // length. It is safe for concurrent use.
 type Window struct {
-	mu     sync.Mutex
-	part   time.Duration
-	length time.Duration
-	ratio  float64
-	slack  float64
-	firsts [keptParts]int
-	again  [keptParts]int
-	at     int64 // index of the newest part, counted from start
-	start  time.Time
+	mu      sync.Mutex
+	part    time.Duration
+	length  time.Duration
+	ratio   float64
+	slack   float64
+	firsts  [keptParts]int
+	retries [keptParts]int
+	at      int64 // index of the newest part, counted from start
+	start   time.Time
 }
 
 // NewWindow returns a window of length d for a process that starts at now. It allows ratio retries
@@ -45,7 +45,7 @@
 			w.at = n - keptParts
 		}
 		i := (w.at + 1) % keptParts
-		w.firsts[i], w.again[i] = 0, 0
+		w.firsts[i], w.retries[i] = 0, 0
 	}
 	return int(w.at % keptParts)
 }
@@ -70,7 +70,7 @@
 	f, a := 0, 0
 	for j := range keptParts {
 		f += w.firsts[j]
-		a += w.again[j]
+		a += w.retries[j]
 	}
 	slack := w.slack
 	if now.Sub(w.start) < w.length {
@@ -87,6 +87,6 @@
 	if !w.allows(now) {
 		return false
 	}
-	w.again[i]++
+	w.retries[i]++
 	return true
 }
