--- a/retry/window.go
+++ b/retry/window.go
@@ -27,7 +27,7 @@
 	slack   float64
 	firsts  [keptParts]int
 	retries [keptParts]int
-	at      int64 // index of the newest part, counted from start
+	newest  int64 // index of the newest part, counted from start
 	start   time.Time
 }
 
@@ -40,14 +40,14 @@
 // slide advances the window to now and returns the position of its newest part. The lock is held.
 func (w *Window) slide(now time.Time) int {
 	n := int64(now.Sub(w.start) / w.part)
-	for ; w.at < n; w.at++ {
-		if n-w.at > keptParts {
-			w.at = n - keptParts
+	for ; w.newest < n; w.newest++ {
+		if n-w.newest > keptParts {
+			w.newest = n - keptParts
 		}
-		i := (w.at + 1) % keptParts
+		i := (w.newest + 1) % keptParts
 		w.firsts[i], w.retries[i] = 0, 0
 	}
-	return int(w.at % keptParts)
+	return int(w.newest % keptParts)
 }
 
 // RecordFirst records the first attempt of a request.
