--- a/retry/window.go
+++ b/retry/window.go
@@ -14,7 +14,7 @@
 
 // startSlackShare is the part of the slack that a process may use in its first window: the process
 // may have restarted, and its previous instance may have used the rest.
-const startShare = 0.2
+const startSlackShare = 0.2
 
 // Window allows retries in proportion to the first attempts within a sliding window. Unlike [Budget]
 // it accumulates nothing for longer than the window, so that the bound holds over each span of that
@@ -74,7 +74,7 @@
 	}
 	slack := w.slack
 	if now.Sub(w.start) < w.length {
-		slack *= startShare
+		slack *= startSlackShare
 	}
 	return float64(a+1) <= w.ratio*float64(f)+slack
 }
