--- a/policy/policy.go
+++ b/policy/policy.go
@@ -103,7 +103,7 @@
 }
 
 // maxAllowedTime bounds the time that a policy can allow for a request.
-const maxAllowed = 24 * time.Hour
+const maxAllowedTime = 24 * time.Hour
 
 // Decide runs the program. It fails only for values out of range, for example a share above 1, with
 // the code [fault.BadPolicy].
@@ -132,8 +132,8 @@
 	d.Repeatable, _ = m[keyRepeatable].(bool)
 	d.Share = number(m[keyShare])
 	switch {
-	case d.Allowed <= 0 || d.Allowed > maxAllowed:
-		return d, fault.New(fault.BadPolicy, "%s: allowed is %s, it must be above 0 and at most %s", p.name, d.Allowed, maxAllowed)
+	case d.Allowed <= 0 || d.Allowed > maxAllowedTime:
+		return d, fault.New(fault.BadPolicy, "%s: allowed is %s, it must be above 0 and at most %s", p.name, d.Allowed, maxAllowedTime)
 	case d.Share <= 0 || d.Share > 1:
 		return d, fault.New(fault.BadPolicy, "%s: share is %v, it must be above 0 and at most 1", p.name, d.Share)
 	case d.Priority < 0 || d.Priority >= maxPriority:
