--- a/policy/policy.go
+++ b/policy/policy.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, asFault(name, text, err)
 	}
-	c.result(code.Node())
+	c.checkResult(code.Node())
 	c.loops(code.Node())
 	if c.err != nil {
 		return nil, asFault(name, text, c.err)
@@ -204,15 +204,15 @@
 }
 
 // checkResult checks that each branch of n ends in an answer.
-func (c *checker) result(n ast.Node) {
+func (c *checker) checkResult(n ast.Node) {
 	switch v := n.(type) {
 	case *ast.ConditionalNode:
-		c.result(v.Exp1)
-		c.result(v.Exp2)
+		c.checkResult(v.Exp1)
+		c.checkResult(v.Exp2)
 	case *ast.VariableDeclaratorNode:
-		c.result(v.Expr)
+		c.checkResult(v.Expr)
 	case *ast.SequenceNode:
-		c.result(v.Nodes[len(v.Nodes)-1])
+		c.checkResult(v.Nodes[len(v.Nodes)-1])
 	case *ast.MapNode:
 		c.answer(v)
 	default:
