--- a/policy/policy.go
+++ b/policy/policy.go
@@ -214,7 +214,7 @@
 	case *ast.SequenceNode:
 		c.checkResult(v.Nodes[len(v.Nodes)-1])
 	case *ast.MapNode:
-		c.answer(v)
+		c.checkAnswer(v)
 	default:
 		c.fail(n, "the program must end in an answer, as {class: \"normal\", priority: 0, allowed: duration(\"30s\"), may_wait: true, repeatable: true, share: 1.0}")
 	}
@@ -240,7 +240,7 @@
 	keyShare:      {"float64", "int"},
 }
 
-func (c *checker) answer(m *ast.MapNode) {
+func (c *checker) checkAnswer(m *ast.MapNode) {
 	seen := map[string]bool{}
 	for _, n := range m.Pairs {
 		p, ok := n.(*ast.PairNode)
