--- a/policy/policy.go
+++ b/policy/policy.go
@@ -252,7 +252,7 @@
 			c.fail(p.Key, "a key of the answer must be a plain word")
 			return
 		}
-		c.value(k, p.Value)
+		c.checkValue(k, p.Value)
 		seen[k.Value] = true
 	}
 	for k := range answerTypes {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (c *checker) value(k *ast.StringNode, v ast.Node) {
+func (c *checker) checkValue(k *ast.StringNode, v ast.Node) {
 	ts, ok := answerTypes[k.Value]
 	if !ok {
 		c.fail(k, "the answer has no part %q", k.Value)
