--- a/policy/policy.go
+++ b/policy/policy.go
@@ -75,7 +75,7 @@
 		return nil, asFault(name, text, err)
 	}
 	c.checkResult(code.Node())
-	c.loops(code.Node())
+	c.checkRanges(code.Node())
 	if c.err != nil {
 		return nil, asFault(name, text, c.err)
 	}
@@ -278,7 +278,7 @@
 }
 
 // checkRanges rejects range expressions, the only remaining way for a small program to run long.
-func (c *checker) loops(n ast.Node) {
+func (c *checker) checkRanges(n ast.Node) {
 	ast.Walk(&n, c)
 }
 
