--- a/policy/policy.go
+++ b/policy/policy.go
@@ -130,7 +130,7 @@
 	d.Allowed, _ = m[keyAllowed].(time.Duration)
 	d.MayWait, _ = m[keyMayWait].(bool)
 	d.Repeatable, _ = m[keyRepeatable].(bool)
-	d.Share = number(m[keyShare])
+	d.Share = toFloat(m[keyShare])
 	switch {
 	case d.Allowed <= 0 || d.Allowed > maxAllowedTime:
 		return d, fault.New(fault.BadPolicy, "%s: allowed is %s, it must be above 0 and at most %s", p.name, d.Allowed, maxAllowedTime)
@@ -144,7 +144,7 @@
 
 const maxPriority = 1000
 
-func number(v any) float64 {
+func toFloat(v any) float64 {
 	switch n := v.(type) {
 	case float64:
 		return n
