--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,7 +11,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-const whole = `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`
+const completeAnswer = `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`
 
 func requireMistake(t *testing.T, text, where string) {
 	t.Helper()
@@ -28,7 +28,7 @@
 		}
 	})
 	t.Run("an unknown field is refused with its place", func(t *testing.T) {
-		requireMistake(t, "kinds == \"x\" ? "+whole+" : "+whole, "p:1:1: unknown name kinds")
+		requireMistake(t, "kinds == \"x\" ? "+completeAnswer+" : "+completeAnswer, "p:1:1: unknown name kinds")
 	})
 	t.Run("a wrong type is refused with its place", func(t *testing.T) {
 		requireMistake(t, `{class: 7, priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`, "p:1:9: class must be a string")
@@ -40,10 +40,10 @@
 		requireMistake(t, `{klass: "normal"}`, `the answer has no part "klass"`)
 	})
 	t.Run("a branch without an answer is refused", func(t *testing.T) {
-		requireMistake(t, `kind == "x" ? `+whole+` : 3`, "must end in an answer")
+		requireMistake(t, `kind == "x" ? `+completeAnswer+` : 3`, "must end in an answer")
 	})
 	t.Run("a loop is refused", func(t *testing.T) {
-		requireMistake(t, `max(1..1000000) > 3 ? `+whole+` : `+whole, "ranges are not allowed")
+		requireMistake(t, `max(1..1000000) > 3 ? `+completeAnswer+` : `+completeAnswer, "ranges are not allowed")
 	})
 	t.Run("a value out of range is refused by the samples", func(t *testing.T) {
 		requireMistake(t, `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 2.0}`, "share is 2")
@@ -59,7 +59,7 @@
 }
 
 func FuzzCompile(f *testing.F) {
-	f.Add(whole)
+	f.Add(completeAnswer)
 	f.Add(examples.Policy("korrigan"))
 	f.Add(`kind matches "(a+)+" ? 1 : 2`)
 	f.Fuzz(func(t *testing.T, text string) {
