--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 
 const completeAnswer = `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`
 
-func requireMistake(t *testing.T, text, where string) {
+func requireCompileError(t *testing.T, text, where string) {
 	t.Helper()
 	_, err := Compile("p", text)
 	require.ErrorContains(t, err, where)
@@ -28,25 +28,25 @@
 		}
 	})
 	t.Run("an unknown field is refused with its place", func(t *testing.T) {
-		requireMistake(t, "kinds == \"x\" ? "+completeAnswer+" : "+completeAnswer, "p:1:1: unknown name kinds")
+		requireCompileError(t, "kinds == \"x\" ? "+completeAnswer+" : "+completeAnswer, "p:1:1: unknown name kinds")
 	})
 	t.Run("a wrong type is refused with its place", func(t *testing.T) {
-		requireMistake(t, `{class: 7, priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`, "p:1:9: class must be a string")
+		requireCompileError(t, `{class: 7, priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 1.0}`, "p:1:9: class must be a string")
 	})
 	t.Run("a missing part is refused", func(t *testing.T) {
-		requireMistake(t, `{class: "normal"}`, `the answer lacks`)
+		requireCompileError(t, `{class: "normal"}`, `the answer lacks`)
 	})
 	t.Run("an unknown part is refused", func(t *testing.T) {
-		requireMistake(t, `{klass: "normal"}`, `the answer has no part "klass"`)
+		requireCompileError(t, `{klass: "normal"}`, `the answer has no part "klass"`)
 	})
 	t.Run("a branch without an answer is refused", func(t *testing.T) {
-		requireMistake(t, `kind == "x" ? `+completeAnswer+` : 3`, "must end in an answer")
+		requireCompileError(t, `kind == "x" ? `+completeAnswer+` : 3`, "must end in an answer")
 	})
 	t.Run("a loop is refused", func(t *testing.T) {
-		requireMistake(t, `max(1..1000000) > 3 ? `+completeAnswer+` : `+completeAnswer, "ranges are not allowed")
+		requireCompileError(t, `max(1..1000000) > 3 ? `+completeAnswer+` : `+completeAnswer, "ranges are not allowed")
 	})
 	t.Run("a value out of range is refused by the samples", func(t *testing.T) {
-		requireMistake(t, `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 2.0}`, "share is 2")
+		requireCompileError(t, `{class: "normal", priority: 0, allowed: duration("30s"), may_wait: true, repeatable: true, share: 2.0}`, "share is 2")
 	})
 }
 
