--- a/placement/placement.go
+++ b/placement/placement.go
@@ -12,7 +12,7 @@
 // Request has the properties of a call that a decision depends on.
 type Request struct {
 	Engine        *engine.Figures // published figures of the engines; nil for a plain service
-	PromptTokens  int             // tokens
+	PromptTokens  int
 	MaxTokens     int             // largest number of tokens of the answer
 	Goal          time.Duration   // goal for the time until the first event; 0 if there is none
 	PauseGoal     time.Duration   // goal for the longest pause between two events; 0 if there is none
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -108,7 +108,7 @@
 	return before, after
 }
 
-// publishedTime returns the time by publishedTime figures of work that takes the candidate d.
+// publishedTime returns the time by published figures of work that takes the candidate d.
 func (c *Candidate) publishedTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / max(c.Pace, 1))
 }
--- a/placement/returning.go
+++ b/placement/returning.go
@@ -44,7 +44,7 @@
 	return defaultRetryAfter(l.FirstEvent)
 }
 
-// afterRefusal returns the request as it is when its caller retries afterRefusal d.
+// afterRefusal returns the request as it is when its caller retries after d.
 func (r Request) afterRefusal(d time.Duration) Request {
 	r.Waited += d
 	r.TimeLeft -= d
--- a/placement/short.go
+++ b/placement/short.go
@@ -18,7 +18,7 @@
 	usableMemoryShare = 0.95
 )
 
-// placeShort places a call whose prompt is prefilled by one engine. Calls with placeShort pause goals are
+// placeShort places a call whose prompt is prefilled by one engine. Calls with short pause goals are
 // packed on the first engines of the common order that have room, away from the prefill of long
 // prompts.
 func (p *Policy) placeShort(s Snapshot, r Request) (l Plan, ok bool) {
