--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -300,7 +300,7 @@
 			spaced(f, 20)
 			p := f.pick("e", long(210_000), nil)
 			for _, m := range append(p.helpers, p.member) {
-				require.Zero(t, m.own.Stakes.Lost(0, 300*time.Millisecond), m.ID)
+				require.Zero(t, m.own.Stakes.Loss(0, 300*time.Millisecond), m.ID)
 			}
 			require.GreaterOrEqual(t, len(p.helpers), 4)
 		})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -158,12 +158,12 @@
 	for _, pause := range []time.Duration{200, 250, 500, 600, 800, 1000} {
 		r := Request{PauseGoal: pause * time.Millisecond, PromptTokens: 9_000}
 		s := r.Stakes()
-		require.Zero(t, s.Lost(0, r.PauseGoal*4/7), pause)
-		require.InDelta(t, r.Worth(), s.Lost(0, r.PauseGoal*11/10), 0.01, pause)
-		half := s.Lost(0, r.PauseGoal*9/10)
+		require.Zero(t, s.Loss(0, r.PauseGoal*4/7), pause)
+		require.InDelta(t, r.Worth(), s.Loss(0, r.PauseGoal*11/10), 0.01, pause)
+		half := s.Loss(0, r.PauseGoal*9/10)
 		require.Greater(t, half, r.Worth()/3, pause)
 		require.Less(t, half, r.Worth(), pause)
-		require.InDelta(t, r.Worth(), half+s.Lost(r.PauseGoal*9/10, 2*r.PauseGoal), 0.01, pause)
+		require.InDelta(t, r.Worth(), half+s.Loss(r.PauseGoal*9/10, 2*r.PauseGoal), 0.01, pause)
 	}
 	t.Run("none is at stake without a pause goal", func(t *testing.T) {
 		require.Equal(t, Stakes{}, Request{PromptTokens: 1}.Stakes())
--- a/placement/stakes.go
+++ b/placement/stakes.go
@@ -94,8 +94,8 @@
 	return min(max((x-pauseMetBelow)/(pauseMissedAbove-pauseMetBelow), 0), 1)
 }
 
-// Lost returns the worth that the calls lose when their longest pause grows from before to after.
-func (s *Stakes) Lost(before, after time.Duration) (worth float64) {
+// Loss returns the worth that the calls lose when their longest pause grows from before to after.
+func (s *Stakes) Loss(before, after time.Duration) (worth float64) {
 	for i, c := range pauseClasses {
 		if s[i] == 0 {
 			continue
