--- a/placement/short.go
+++ b/placement/short.go
@@ -50,7 +50,7 @@
 	e := r.Engine
 	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
 	equalCost := equalCostEngines(s, pack)
-	spread, order := spreadShare, commonOrderCost
+	spread, order := spreadCost, commonOrderCost
 	if !p.has(Spreading) {
 		spread = 0
 	}
@@ -103,7 +103,7 @@
 const (
 	minSpreadRoom   = 4    // calls; more with more peers, each of which may have placed one unreported call
 	spreadRoomShare = 0.05 // of the open calls
-	spreadShare     = 0.1  // of a call's worth; less than the cost of a pause that misses its goal
+	spreadCost      = 0.1  // of a call's worth; less than the cost of a pause that misses its goal
 )
 
 // equalCostEngines returns how many engines at the start of the common order have equal cost.
