--- a/placement/placement.go
+++ b/placement/placement.go
@@ -13,13 +13,13 @@
 type Request struct {
 	Engine        *engine.Figures // published figures of the engines; nil for a plain service
 	PromptTokens  int
-	MaxTokens     int             // largest number of tokens of the answer
-	Goal          time.Duration   // goal for the time until the first event; 0 if there is none
-	PauseGoal     time.Duration   // goal for the longest pause between two events; 0 if there is none
-	TimeLeft      time.Duration   // until the deadline
-	Waited        time.Duration   // estimated time since the caller's first attempt
-	RefusedBefore bool            // the call was probably refused before
-	StreamStarted bool            // the caller has received a part of the answer
+	MaxTokens     int           // largest number of tokens of the answer
+	Goal          time.Duration // goal for the time until the first event; 0 if there is none
+	PauseGoal     time.Duration // goal for the longest pause between two events; 0 if there is none
+	TimeLeft      time.Duration // until the deadline
+	Waited        time.Duration // estimated time since the caller's first attempt
+	RefusedBefore bool          // the call was probably refused before
+	StreamStarted bool          // the caller has received a part of the answer
 }
 
 // Long reports whether several engines may share the prefill of the prompt.
@@ -57,8 +57,8 @@
 }
 
 // extraTime returns the time beyond the published one that the candidate takes for a prefill.
-func (c *Candidate) extraTime(reading time.Duration) time.Duration {
-	return time.Duration(max(c.Pace-1, 0) * float64(reading))
+func (c *Candidate) extraTime(prefill time.Duration) time.Duration {
+	return time.Duration(max(c.Pace-1, 0) * float64(prefill))
 }
 
 // Snapshot is the input of a decision besides the request.
