--- a/placement/short.go
+++ b/placement/short.go
@@ -38,11 +38,11 @@
 }
 
 // addCall adds a call whose whole prompt the candidate prefills.
-func (c *Candidate) addCall(r Request, reading time.Duration) {
+func (c *Candidate) addCall(r Request, prefill time.Duration) {
 	c.Open++
 	c.Tokens += r.PromptTokens + r.MaxTokens
 	c.Stakes = c.Stakes.Plus(r.Stakes())
-	c.PrefillBacklog += reading + c.extraTime(reading)
+	c.PrefillBacklog += prefill + c.extraTime(prefill)
 }
 
 // shortCost returns the cost function for placing a short call on a candidate.
