--- a/placement/short.go
+++ b/placement/short.go
@@ -46,7 +46,7 @@
 }
 
 // shortCost returns the cost function for placing a short call on a candidate.
-func (p *Policy) shortCost(s Snapshot, r Request, reading time.Duration) func(i int, c *Candidate) float64 {
+func (p *Policy) shortCost(s Snapshot, r Request, prefill time.Duration) func(i int, c *Candidate) float64 {
 	e := r.Engine
 	pack := max(int(packShare*s.KnownPeerShare*float64(e.Slots)), 1)
 	equalCost := equalCostEngines(s, pack)
@@ -60,9 +60,9 @@
 	order /= float64(max(len(s.Candidates), 1))
 	return func(i int, c *Candidate) float64 {
 		t := c.state(r)
-		x := r.lateness(e.First(t, reading))
+		x := r.lateness(e.First(t, prefill))
 		if r.PauseGoal > 0 {
-			x += pauseMissChance(e.Pause(t, reading), r.PauseGoal) // its answer would start within a pass that is too long for it
+			x += pauseMissChance(e.Pause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
