--- a/placement/long.go
+++ b/placement/long.go
@@ -75,9 +75,9 @@
 	if len(cs) == 0 || len(cs) < keeperCount(r, e) {
 		return l, false
 	}
-	set, reading, cost := p.cheapestSet(cs, r)
-	set, more := p.replaceForMemory(cs, set, r, reading)
-	l.PrefillTime, l.Cost = reading, cost+more
+	set, part, cost := p.cheapestSet(cs, r)
+	set, more := p.replaceForMemory(cs, set, r, part)
+	l.PrefillTime, l.Cost = part, cost+more
 	target := p.pickTarget(s, cs, set, r)
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
