--- a/placement/long.go
+++ b/placement/long.go
@@ -76,8 +76,8 @@
 		return l, false
 	}
 	set, part, cost := p.cheapestSet(cs, r)
-	set, more := p.replaceForMemory(cs, set, r, part)
-	l.PrefillTime, l.Cost = part, cost+more
+	set, extraLoss := p.replaceForMemory(cs, set, r, part)
+	l.PrefillTime, l.Cost = part, cost+extraLoss
 	target := p.pickTarget(s, cs, set, r)
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
