--- a/placement/long.go
+++ b/placement/long.go
@@ -43,8 +43,8 @@
 // busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
 // or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
-	reading := float64(meanPrefillBacklog(cs)) / float64(fullPriceBacklog)
-	return min(max(slotShortage(cs, e), reading, minBusyShare), 1)
+	backlog := float64(meanPrefillBacklog(cs)) / float64(fullPriceBacklog)
+	return min(max(slotShortage(cs, e), backlog, minBusyShare), 1)
 }
 
 // slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
