--- a/placement/long.go
+++ b/placement/long.go
@@ -251,8 +251,8 @@
 // engineLosses returns the loss at each engine, the least first.
 func (p *Policy) engineLosses(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
 	hs := make([]engineLoss, len(is))
-	for place, i := range is {
-		hs[place] = engineLoss{i, place, p.pauseLoss(&cs[i], r, part)}
+	for rank, i := range is {
+		hs[rank] = engineLoss{i, rank, p.pauseLoss(&cs[i], r, part)}
 	}
 	slices.SortStableFunc(hs, func(a, b engineLoss) int { return cmp.Compare(a.loss, b.loss) })
 	return hs
