--- a/placement/long.go
+++ b/placement/long.go
@@ -270,13 +270,13 @@
 
 // leastLossSet returns the n engines with the least loss among the first `within` by the end of
 // their prefill, and the sum of their losses.
-func leastLossSet(hs []engineLoss, n, within int) (set []int, lost float64) {
+func leastLossSet(hs []engineLoss, n, within int) (set []int, loss float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
 		if h.rank < within && len(set) < n {
 			set = append(set, h.engine)
-			lost += h.loss
+			loss += h.loss
 		}
 	}
-	return set, lost
+	return set, loss
 }
