--- a/placement/long.go
+++ b/placement/long.go
@@ -203,10 +203,10 @@
 			if best != nil && late >= least {
 				break // engines with more backlog only make it later
 			}
-			set, lost := leastLossSet(hs, n, within)
-			if c := lost*lateLossShare + late; best == nil || c < least {
+			set, loss := leastLossSet(hs, n, within)
+			if c := loss*lateLossShare + late; best == nil || c < least {
 				best, part, least = set, t, c
-				cost = lost*lateLossShare + r.Worth()*lateLossShare*min(r.lateness(first), 1)
+				cost = loss*lateLossShare + r.Worth()*lateLossShare*min(r.lateness(first), 1)
 			}
 		}
 	}
