--- a/placement/target.go
+++ b/placement/target.go
@@ -45,7 +45,7 @@
 // replaceForMemory returns a set of which at least one engine has memory for the prompt, and the
 // additional loss. The engines with the least loss are often those that answer other long prompts,
 // so that all engines of a set may be full. The one with the largest loss is replaced.
-func (p *Policy) replaceForMemory(cs []Candidate, set []int, r Request, part time.Duration) (roomy []int, more float64) {
+func (p *Policy) replaceForMemory(cs []Candidate, set []int, r Request, part time.Duration) (changed []int, more float64) {
 	room := func(i int) bool { return memoryCost(&cs[i], r) == 0 }
 	if !p.has(Rooming) || slices.ContainsFunc(set, room) {
 		return set, 0
@@ -65,7 +65,7 @@
 	}
 	out := len(set) - 1
 	more = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[out]], r, part)) * lateLossShare
-	roomy = slices.Clone(set)
-	roomy[out] = best
-	return roomy, max(more, 0)
+	changed = slices.Clone(set)
+	changed[out] = best
+	return changed, max(more, 0)
 }
