--- a/placement/target.go
+++ b/placement/target.go
@@ -46,13 +46,13 @@
 // additional loss. The engines with the least loss are often those that answer other long prompts,
 // so that all engines of a set may be full. The one with the largest loss is replaced.
 func (p *Policy) replaceForMemory(cs []Candidate, set []int, r Request, part time.Duration) (changed []int, more float64) {
-	room := func(i int) bool { return memoryCost(&cs[i], r) == 0 }
-	if !p.has(Rooming) || slices.ContainsFunc(set, room) {
+	hasMemory := func(i int) bool { return memoryCost(&cs[i], r) == 0 }
+	if !p.has(Rooming) || slices.ContainsFunc(set, hasMemory) {
 		return set, 0
 	}
 	best, least := -1, 0.0
 	for i := range cs {
-		if !room(i) {
+		if !hasMemory(i) {
 			continue
 		}
 		late := r.Worth() * lateLossShare * r.lateness(r.Engine.First(cs[i].state(r), part))
