--- a/placement/target.go
+++ b/placement/target.go
@@ -45,7 +45,7 @@
 // replaceForMemory returns a set of which at least one engine has memory for the prompt, and the
 // additional loss. The engines with the least loss are often those that answer other long prompts,
 // so that all engines of a set may be full. The one with the largest loss is replaced.
-func (p *Policy) replaceForMemory(cs []Candidate, set []int, r Request, part time.Duration) (changed []int, more float64) {
+func (p *Policy) replaceForMemory(cs []Candidate, set []int, r Request, part time.Duration) (changed []int, extraLoss float64) {
 	hasMemory := func(i int) bool { return memoryCost(&cs[i], r) == 0 }
 	if !p.has(Rooming) || slices.ContainsFunc(set, hasMemory) {
 		return set, 0
@@ -64,8 +64,8 @@
 		return set, 0
 	}
 	out := len(set) - 1
-	more = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[out]], r, part)) * lateLossShare
+	extraLoss = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[out]], r, part)) * lateLossShare
 	changed = slices.Clone(set)
 	changed[out] = best
-	return changed, max(more, 0)
+	return changed, max(extraLoss, 0)
 }
