--- a/placement/target.go
+++ b/placement/target.go
@@ -63,9 +63,9 @@
 	if best < 0 {
 		return set, 0
 	}
-	out := len(set) - 1
-	extraLoss = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[out]], r, part)) * lateLossShare
+	replaced := len(set) - 1
+	extraLoss = (p.pauseLoss(&cs[best], r, part) - p.pauseLoss(&cs[set[replaced]], r, part)) * lateLossShare
 	changed = slices.Clone(set)
-	changed[out] = best
+	changed[replaced] = best
 	return changed, max(extraLoss, 0)
 }
