--- a/placement/turn.go
+++ b/placement/turn.go
@@ -20,7 +20,7 @@
 // cheapestAfter returns the index of the cheapest candidate once a number of similar calls have each
 // been added to the cheapest one, and the candidates with those calls. The index is -1 if all were
 // tried.
-func cheapestAfter(cs []Candidate, callsAhead int, cost func(i int, c *Candidate) float64, give func(c *Candidate)) (after []Candidate, best int) {
+func cheapestAfter(cs []Candidate, callsAhead int, cost func(i int, c *Candidate) float64, add func(c *Candidate)) (after []Candidate, best int) {
 	costs := make([]float64, len(cs))
 	for i := range cs {
 		costs[i] = candidateCost(i, &cs[i], cost)
@@ -31,7 +31,7 @@
 	}
 	after = slices.Clone(cs)
 	for range callsAhead {
-		give(&after[best])
+		add(&after[best])
 		costs[best] = candidateCost(best, &after[best], cost)
 		best = indexOfLeast(costs)
 	}
