--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -77,9 +77,9 @@
 	until := horizon + time.Duration(expectedWaitShare*float64(r.Goal))
 	before, after := p.freePrefillTime(cs, set, r, l, until)
 	ds := demandByDensity(s.Demand, r.Engine, horizon)
-	lost := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
+	displaced := servedWorth(ds, before.Seconds()) - servedWorth(ds, after.Seconds())
 	unknown := (1 - s.Demand.KnownShare) * priceByMeanBacklog(p, s, cs, set, r, l)
-	return max(s.Demand.KnownShare*lost+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
+	return max(s.Demand.KnownShare*displaced+unknown, slotPricePerSecond(cs, r.Engine)*r.Engine.Reading(r.PromptTokens, 1).Seconds())
 }
 
 // slotPricePerSecond is the worth of a second of an engine where slots are short.
