--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -98,12 +98,12 @@
 		if p.pauseLoss(&c, r, l.PrefillTime) > maxFreeLoss {
 			continue
 		}
-		rest := free
+		remaining := free
 		if slices.Contains(set, i) {
-			rest = max(free-l.PrefillTime-c.extraTime(l.PrefillTime), 0)
+			remaining = max(free-l.PrefillTime-c.extraTime(l.PrefillTime), 0)
 		}
 		before += c.publishedTime(free)
-		after += c.publishedTime(rest)
+		after += c.publishedTime(remaining)
 	}
 	return before, after
 }
