--- a/placement/returning.go
+++ b/placement/returning.go
@@ -32,12 +32,12 @@
 		return defaultRetryAfter(l.FirstEvent)
 	}
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
-		later, plan := r.afterRefusal(d), l
+		retried, plan := r.afterRefusal(d), l
 		then := withLessBacklog(cs, time.Duration(idle*float64(d)))
 		plan.FirstEvent = l.FirstEvent - l.Wait + maxBacklog(then, set)
-		plan.Cost += r.Worth() * lateLossShare * (min(later.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
-		plan.Displaced = p.pricing(p, s, then, set, later, plan)
-		if p.worthwhile(later, plan) {
+		plan.Cost += r.Worth() * lateLossShare * (min(retried.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
+		plan.Displaced = p.pricing(p, s, then, set, retried, plan)
+		if p.worthwhile(retried, plan) {
 			return d
 		}
 	}
