--- a/placement/returning.go
+++ b/placement/returning.go
@@ -33,10 +33,10 @@
 	}
 	for d := minRetryAfter; d <= maxRetryAfter; d += retryAfterStep {
 		retried, plan := r.afterRefusal(d), l
-		then := withLessBacklog(cs, time.Duration(idle*float64(d)))
-		plan.FirstEvent = l.FirstEvent - l.Wait + maxBacklog(then, set)
+		drained := withLessBacklog(cs, time.Duration(idle*float64(d)))
+		plan.FirstEvent = l.FirstEvent - l.Wait + maxBacklog(drained, set)
 		plan.Cost += r.Worth() * lateLossShare * (min(retried.lateness(plan.FirstEvent), 1) - min(r.lateness(l.FirstEvent), 1))
-		plan.Displaced = p.pricing(p, s, then, set, retried, plan)
+		plan.Displaced = p.pricing(p, s, drained, set, retried, plan)
 		if p.worthwhile(retried, plan) {
 			return d
 		}
