--- a/placement/returning.go
+++ b/placement/returning.go
@@ -54,11 +54,11 @@
 
 // withLessBacklog returns the candidates after d more of prefill.
 func withLessBacklog(cs []Candidate, d time.Duration) []Candidate {
-	then := slices.Clone(cs)
-	for i := range then {
-		then[i].PrefillBacklog = max(then[i].PrefillBacklog-d, 0)
+	drained := slices.Clone(cs)
+	for i := range drained {
+		drained[i].PrefillBacklog = max(drained[i].PrefillBacklog-d, 0)
 	}
-	return then
+	return drained
 }
 
 // maxBacklog returns the largest prefill backlog of some candidates.
