--- a/placement/long.go
+++ b/placement/long.go
@@ -110,7 +110,7 @@
 func usable(all []Candidate, r Request) (cs []Candidate, at []int) {
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
-	ordered := keeperCount(r, r.Engine) > 1 // some get orders to reserve memory
+	reserves := keeperCount(r, r.Engine) > 1 // some get orders to reserve memory
 	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helperSlotMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
@@ -118,7 +118,7 @@
 		func(*Candidate) bool { return true },
 	} {
 		for i := range all {
-			if all[i].Tried || ordered && all[i].RateLimited || !fits(&all[i]) {
+			if all[i].Tried || reserves && all[i].RateLimited || !fits(&all[i]) {
 				continue
 			}
 			cs = append(cs, all[i])
