--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -54,7 +54,7 @@
 // with the least pause loss are those that answer other long prompts already. Here 40 of 150
 // engines have no short calls.
 func TestLongPromptsAreAnsweredWhereThereIsMemory(t *testing.T) {
-	play := func(p *Policy) (s Snapshot) {
+	placeBurst := func(p *Policy) (s Snapshot) {
 		s = busyFleet(150, 40)
 		for range 60 {
 			l := requirePlan(t, p, s, memoryFillingCall())
@@ -66,8 +66,8 @@
 		}
 		return s
 	}
-	require.Zero(t, overfull(play(New())))
-	require.Positive(t, overfull(play(New(Without(Rooming)))))
+	require.Zero(t, overfull(placeBurst(New())))
+	require.Positive(t, overfull(placeBurst(New(Without(Rooming)))))
 	t.Run("also those that several engines keep", func(t *testing.T) {
 		s := busyFleet(150, 40)
 		for i := range 40 {
