--- a/placement/placement.go
+++ b/placement/placement.go
@@ -44,7 +44,7 @@
 	Stakes         Stakes        // worth of its calls by pause goal
 	PrefillBacklog time.Duration // pending prefill, at the upstream's actual speed
 	Pace           float64       // actual time divided by published time; 0 counts as 1
-	HelperParts    int           // parts of prompts that it holds for other engines
+	HelperParts    int           // estimate of the parts of prompts that it holds for other engines
 	ReportedCalls  int           // calls that it reports itself; 0 if the report is stale
 	Avoided        bool          // it failed recently
 	RateLimited    bool          // it limits its request rate, so that it gets no orders to keep parts of prompts
@@ -68,7 +68,7 @@
 	KnownPeerShare float64        // part of all gateways, including this one, whose load is known
 	UncountedCalls float64        // estimate of the calls that known peers have placed but not yet reported
 	Demand         Demand         // for long prompts
-	Random         func() float64 // random numbers in [0, 1) for tie-breaking
+	Random         func() float64 // random numbers from 0 to 1 for tie-breaking
 }
 
 // Plan is a decision.
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -15,7 +15,7 @@
 	return &f
 }
 
-// burstSnapshot is a fleet in a burstSnapshot of short calls: all engines have as many calls as are packed
+// burstSnapshot is a fleet in a burst of short calls: all engines have as many calls as are packed
 // on them, and a few have one less.
 func burstSnapshot(unheard float64) Snapshot {
 	s := snapshot(150, Candidate{Slots: 10, Open: 6, Tokens: 36_000})
