--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
 	require.InDelta(t, perSecond, d.Prompts[0].Rate, 0.1)
-	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
+	require.InDelta(t, reading.Seconds(), d.Prompts[0].PrefillTime.Seconds(), 0.05)
 }
 
 // given returns another process's word that it has given reading to some engines.
@@ -36,7 +36,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet("e", 18)
 				require.Empty(t, expected(f).Prompts)
-				require.Zero(t, expected(f).Known)
+				require.Zero(t, expected(f).KnownShare)
 				do(t, f)
 			})
 		})
@@ -47,7 +47,7 @@
 		requireExpected(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
 		time.Sleep(20 * time.Second)
 		require.Empty(t, expected(f).Prompts)
-		require.Greater(t, expected(f).Known, 0.99)
+		require.Greater(t, expected(f).KnownShare, 0.99)
 	})
 	play("are those that others placed, whose parts come in several packets", func(t *testing.T, f *Fleet) {
 		f.TakeView("b", nil, true)
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -162,7 +162,7 @@
 	f := newFleet("e", 20)
 	var ps []*pick
 	for i := range 30 {
-		p := f.pick("e", placement.Request{Engine: figures(), Prompt: i * 20_000, Answer: 100, Goal: time.Second, Pause: time.Second, Left: time.Hour}, map[hollowgrade.Life]bool{})
+		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, PauseGoal: time.Second, TimeLeft: time.Hour}, map[hollowgrade.Life]bool{})
 		if !p.Refused {
 			ps = append(ps, p)
 		}
@@ -195,11 +195,11 @@
 }
 
 func long(prompt int) placement.Request {
-	return placement.Request{Engine: figures(), Prompt: prompt, Goal: 3 * time.Second, Pause: 800 * time.Millisecond, Left: 15 * time.Second}
+	return placement.Request{Engine: figures(), PromptTokens: prompt, Goal: 3 * time.Second, PauseGoal: 800 * time.Millisecond, TimeLeft: 15 * time.Second}
 }
 
 func short() placement.Request {
-	return placement.Request{Engine: figures(), Prompt: 5_000, Goal: 300 * time.Millisecond, Pause: 200 * time.Millisecond, Left: 10 * time.Second}
+	return placement.Request{Engine: figures(), PromptTokens: 5_000, Goal: 300 * time.Millisecond, PauseGoal: 200 * time.Millisecond, TimeLeft: 10 * time.Second}
 }
 
 func TestLongPromptsAreSplit(t *testing.T) {
@@ -300,7 +300,7 @@
 			spaced(f, 20)
 			p := f.pick("e", long(210_000), nil)
 			for _, m := range append(p.helpers, p.member) {
-				require.Zero(t, m.own.Stakes.Lost(0, 300*time.Millisecond), m.ID)
+				require.Zero(t, m.own.Stakes.Loss(0, 300*time.Millisecond), m.ID)
 			}
 			require.GreaterOrEqual(t, len(p.helpers), 4)
 		})
@@ -422,7 +422,7 @@
 	f.TakeView("b", full, true)
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
-	require.True(t, p.Full)
+	require.True(t, p.OutOfMemory)
 	require.Equal(t, Share{}, f.members["u00"].own, "nothing is accounted for")
 	f.TakeView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
@@ -460,12 +460,12 @@
 		require.True(t, f.pick("e", huge, nil).Refused)
 	})
 	t.Run("are taken when their stream has begun", func(t *testing.T) {
-		huge.Begun = true
+		huge.StreamStarted = true
 		require.False(t, refused(huge, 2*time.Second))
 	})
 	t.Run("are refused when they cannot begin in time", func(t *testing.T) {
 		d := long(210_000)
-		d.Left = time.Second
+		d.TimeLeft = time.Second
 		require.True(t, refused(d, 5*time.Second))
 	})
 	t.Run("short ones never are", func(t *testing.T) {
--- a/core/flow.go
+++ b/core/flow.go
@@ -24,11 +24,11 @@
 // hold waits until what was given to the picked engines before is nearly read,
 // and returns how long that was.
 func (f *flow) hold(ctx context.Context, p *pick) time.Duration {
-	if p.Hold <= 0 {
+	if p.SendDelay <= 0 {
 		return 0
 	}
 	begin := f.core.clock.Now()
-	hollowgrade.Sleep(ctx, f.core.clock, p.Hold)
+	hollowgrade.Sleep(ctx, f.core.clock, p.SendDelay)
 	return f.core.clock.Since(begin)
 }
 
@@ -122,7 +122,7 @@
 func (f *flow) send(ctx context.Context, n, left int) Try {
 	now := f.core.clock.Now()
 	r := newRequest(f.service, f.route, f.call, f.deadline.Sub(now), now.Sub(f.call.Arrived))
-	r.Begun = f.began
+	r.StreamStarted = f.began
 	p := f.core.fleet.pick(f.service.Name, r, f.tried)
 	if p == nil {
 		return Try{Err: f.refuseAny()}
@@ -134,7 +134,7 @@
 	f.tried[u.Life()] = true
 	f.upstreams = append(f.upstreams, u.ID)
 	if n == 1 {
-		f.predicted = p.First
+		f.predicted = p.FirstEvent
 	}
 	a := &attempt{flow: f, pick: p, number: n, last: left == 1}
 	err := f.prepare(ctx, a)
@@ -173,8 +173,8 @@
 func (f *flow) logSent(a *attempt, left time.Duration) {
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
-		"helpers", ids(p.helpers), "reading_ms", p.Reading.Milliseconds(), "predicted_ms", p.First.Milliseconds(),
-		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.held.Milliseconds(), "after", f.after, "left_ms", left.Milliseconds(),
+		"helpers", ids(p.helpers), "reading_ms", p.PrefillTime.Milliseconds(), "predicted_ms", p.FirstEvent.Milliseconds(),
+		"times_slower", round(p.slowest), "turn", p.CallsAhead, "held_ms", a.held.Milliseconds(), "after", f.after, "left_ms", left.Milliseconds(),
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
 
@@ -189,16 +189,16 @@
 // refuse says that a long prompt is not worth what it would take from others
 // now, or that no engine has memory for it.
 func (f *flow) refuse(p *pick) error {
-	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.First.Milliseconds(),
+	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.FirstEvent.Milliseconds(),
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
-		"again", p.request.Again, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.Asked), "asked_known", round(p.Known),
-		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.Backlog.Milliseconds(),
-		"slots_taken", round(p.Taken), "full", p.Full, "come_back_ms", p.ComeBack.Milliseconds(), "peers_heard", f.core.fleet.Heard())
-	if p.Full {
-		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.ComeBack)
+		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.DemandShare), "asked_known", round(p.DemandKnown),
+		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.MeanBacklog.Milliseconds(),
+		"slots_taken", round(p.SlotShare), "full", p.OutOfMemory, "come_back_ms", p.RetryAfter.Milliseconds(), "peers_heard", f.core.fleet.Heard())
+	if p.OutOfMemory {
+		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.RetryAfter)
 	}
-	return fault.New(fault.CannotMakeIt, "the first event would come after %s, and the engines are needed for others", p.First.Round(time.Millisecond)).
-		WithRetryAfter(p.ComeBack)
+	return fault.New(fault.CannotMakeIt, "the first event would come after %s, and the engines are needed for others", p.FirstEvent.Round(time.Millisecond)).
+		WithRetryAfter(p.RetryAfter)
 }
 
 // refuseAny says that there is no upstream for a call: none is listed or was left untried, or those that are take
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -39,20 +39,20 @@
 
 // drawnRequest is a call of one of three kinds, or one for a plain service.
 func drawnRequest(r *rand.Rand) placement.Request {
-	d := placement.Request{Engine: drawnFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
+	d := placement.Request{Engine: drawnFigures(r), TimeLeft: time.Duration(r.IntN(15_000)) * time.Millisecond}
 	switch r.IntN(7) {
 	case 0:
 		d.Engine = nil
 		d.Goal = 300 * time.Millisecond
 	case 1, 2:
-		d.Prompt, d.Answer, d.Goal, d.Pause = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 500+r.IntN(20_000), 1500, 300*time.Millisecond, 250*time.Millisecond
 	case 3, 4:
-		d.Prompt, d.Answer, d.Goal, d.Pause = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 10_000+r.IntN(90_000), 900, 1500*time.Millisecond, 600*time.Millisecond
 	default:
-		d.Prompt, d.Answer, d.Goal, d.Pause = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
+		d.PromptTokens, d.MaxTokens, d.Goal, d.PauseGoal = 60_000+r.IntN(840_000), 700, 3*time.Second, time.Second
 	}
-	d.Again = r.IntN(3) == 0
-	d.Begun = r.IntN(20) == 0
+	d.RefusedBefore = r.IntN(3) == 0
+	d.StreamStarted = r.IntN(20) == 0
 	return d
 }
 
@@ -71,7 +71,7 @@
 		n := int(busy * float64(r.IntN(20)))
 		s := Share{Open: n, Tokens: n * (2000 + r.IntN(20_000))}
 		for range n {
-			c := placement.Request{Pause: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, Prompt: int(30_000 * r.Float64())}
+			c := placement.Request{PauseGoal: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, PromptTokens: int(30_000 * r.Float64())}
 			s.Stakes = s.Stakes.Plus(c.Stakes())
 		}
 		f.setView(f.views["b"], m.Life(), s)
@@ -94,7 +94,7 @@
 		return "none"
 	}
 	return fmt.Sprintf("%s helpers %s holders %s of %d reading %s first %s wait %s cost %.4f refused %v", p.member.ID,
-		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.Kept, p.Reading, p.First, p.Wait, p.Cost, p.Refused)
+		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.KeptTokens, p.PrefillTime, p.FirstEvent, p.Wait, p.Cost, p.Refused)
 }
 
 // The decisions for drawn situations are those of the file. A change of policy
--- a/core/place.go
+++ b/core/place.go
@@ -46,14 +46,14 @@
 		waited += r.Timeout - c.Patience
 	}
 	return placement.Request{
-		Engine: s.Engine,
-		Prompt: c.PromptTokens,
-		Answer: c.MaxTokens,
-		Goal:   r.Goal,
-		Pause:  r.PauseGoal,
-		Left:   left,
-		Waited: waited,
-		Again:  again,
+		Engine:        s.Engine,
+		PromptTokens:  c.PromptTokens,
+		MaxTokens:     c.MaxTokens,
+		Goal:          r.Goal,
+		PauseGoal:     r.PauseGoal,
+		TimeLeft:      left,
+		Waited:        waited,
+		RefusedBefore: again,
 	}
 }
 
@@ -64,9 +64,9 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	f.expireViews(now)
-	ms := f.within(f.usableOf(service, now), tried, now, r.Begun)
+	ms := f.within(f.usableOf(service, now), tried, now, r.StreamStarted)
 	s := f.snapshot(ms, tried, now)
-	s.Unheard = f.unheard(service, now)
+	s.UncountedCalls = f.unheard(service, now)
 	if r.Long() {
 		s.Demand = f.expected(service, now)
 	}
@@ -79,23 +79,23 @@
 		return p
 	}
 	if r.Engine != nil {
-		f.demandOf(service).note(now, r.Engine.Reading(r.Prompt, 1))
+		f.demandOf(service).note(now, r.Engine.Reading(r.PromptTokens, 1))
 	}
 	p.at = map[*member]hollowgrade.Upstream{p.member: p.member.Upstream}
 	for _, m := range p.helpers {
 		p.at[m] = m.Upstream
 	}
-	p.share = Share{Open: 1, Tokens: r.Prompt + r.Answer - l.Kept*len(p.keepers), Stakes: r.Stakes()}
+	p.share = Share{Open: 1, Tokens: r.PromptTokens + r.MaxTokens - l.KeptTokens*len(p.keepers), Stakes: r.Stakes()}
 	for _, m := range p.keepers {
-		f.add(m, Share{Tokens: l.Kept})
+		f.add(m, Share{Tokens: l.KeptTokens})
 	}
 	f.add(p.member, p.share)
 	f.meter(p, p.member)
 	f.noteProof(p.member, now)
-	f.give(p, now, l.Reading)
+	f.give(p, now, l.PrefillTime)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
-		m.helping(now, l.First)
+		m.helping(now, l.FirstEvent)
 		f.meter(p, m)
 		p.slowest = max(p.slowest, m.pace(now))
 	}
@@ -128,26 +128,26 @@
 	for _, m := range ms {
 		f.candidates = append(f.candidates, m.candidate(tried[m.life], now))
 	}
-	return placement.Snapshot{Candidates: f.candidates, Others: max(len(f.views), f.peers()), Heard: f.heardShare(), Chance: f.chance}
+	return placement.Snapshot{Candidates: f.candidates, Peers: max(len(f.views), f.peers()), KnownPeerShare: f.heardShare(), Random: f.chance}
 }
 
 // candidate returns what is known of the upstream.
 func (m *member) candidate(tried bool, now time.Time) placement.Candidate {
 	t := m.total()
 	c := placement.Candidate{
-		Slots:   m.Slots,
-		Open:    t.Open,
-		Tokens:  t.Tokens,
-		Stakes:  t.Stakes,
-		Reading: m.reading(now),
-		Pace:    m.pace(now),
-		Helps:   m.helps(now),
-		Avoided: now.Before(m.avoid),
-		Tried:   tried,
-		Limited: m.limit.named,
+		Slots:          m.Slots,
+		Open:           t.Open,
+		Tokens:         t.Tokens,
+		Stakes:         t.Stakes,
+		PrefillBacklog: m.reading(now),
+		Pace:           m.pace(now),
+		HelperParts:    m.helps(now),
+		Avoided:        now.Before(m.avoid),
+		Tried:          tried,
+		RateLimited:    m.limit.named,
 	}
 	if now.Sub(m.loadAt) < loadAge {
-		c.Told = m.load.Running + m.load.Waiting
+		c.ReportedCalls = m.load.Running + m.load.Waiting
 	}
 	return c
 }
@@ -169,10 +169,10 @@
 	defer f.mu.Unlock()
 	if !began {
 		now := f.clock.Now()
-		f.give(p, now, -max(p.Reading-now.Sub(p.since), 0))
+		f.give(p, now, -max(p.PrefillTime-now.Sub(p.since), 0))
 	}
 	f.add(p.member, Share{}.Minus(p.share))
 	for _, m := range p.keepers {
-		f.add(m, Share{Tokens: -p.Kept})
+		f.add(m, Share{Tokens: -p.KeptTokens})
 	}
 }
--- a/core/plan.go
+++ b/core/plan.go
@@ -30,16 +30,16 @@
 		return p, false
 	}
 	if x.Refused {
-		return Plan{Refused: true, Predict: x.First, ComeBack: x.ComeBack}, true
+		return Plan{Refused: true, Predict: x.FirstEvent, ComeBack: x.RetryAfter}, true
 	}
-	p = Plan{Upstream: x.member.ID, Hold: x.Hold, Predict: x.First, pick: x}
+	p = Plan{Upstream: x.member.ID, Hold: x.SendDelay, Predict: x.FirstEvent, pick: x}
 	for _, h := range x.helpers {
 		p.Helpers = append(p.Helpers, h.ID)
 	}
 	for _, k := range x.keepers {
 		p.Keepers = append(p.Keepers, k.ID)
 	}
-	p.Kept = x.Kept
+	p.Kept = x.KeptTokens
 	return p, true
 }
 
--- a/entry/link.go
+++ b/entry/link.go
@@ -84,7 +84,7 @@
 		budget:  newBudget(e.limits),
 	}
 	if b.Hall != e.box.Hall {
-		l.load.Distance = hallDistance
+		l.load.OneWayLatency = hallDistance
 	}
 	e.links[b.Peer] = l
 	e.targets = nil
@@ -162,16 +162,16 @@
 	}
 	l.conn, l.status = c, m
 	if m.Hall == e.box.Hall {
-		l.load.Distance = 0
+		l.load.OneWayLatency = 0
 	}
 	now := e.clock.Now()
 	for id, w := range l.sent {
 		// What was sent a round trip before the report is in the report.
-		if now.Sub(w.at) > 2*l.load.Distance+minRoundTrip {
+		if now.Sub(w.at) > 2*l.load.OneWayLatency+minRoundTrip {
 			delete(l.sent, id)
 		}
 	}
-	l.load.Queued = [hollowgrade.Classes]int{int(m.InstantQueuedTokens), int(m.NormalQueuedTokens), int(m.BackgroundQueuedTokens)}
+	l.load.QueuedTokens = [hollowgrade.Classes]int{int(m.InstantQueuedTokens), int(m.NormalQueuedTokens), int(m.BackgroundQueuedTokens)}
 	l.load.QueuedItems = int(m.Queued)
 	l.load.Running = int(m.Running)
 	l.load.HeldTokens = int(m.HeldTokens)
@@ -195,9 +195,9 @@
 
 // count sums up the work that no report covers.
 func (l *link) count() {
-	l.load.Sent, l.load.SentItems = 0, len(l.sent)
+	l.load.SentTokens, l.load.SentItems = 0, len(l.sent)
 	for _, w := range l.sent {
-		l.load.Sent += w.tokens
+		l.load.SentTokens += w.tokens
 	}
 }
 
--- a/placement/long.go
+++ b/placement/long.go
@@ -9,125 +9,122 @@
 )
 
 const (
-	splitFrom  = 9_000 // tokens, from which on engines share the reading of a prompt
-	maxHelpers = 16    // that an engine takes for one prompt
-	// lateShare is the part of a call's worth that is lost when it is late.
-	lateShare = 0.75
+	minSplitTokens = 9_000 // tokens of the shortest prompt whose prefill may be split
+	maxHelpers     = 16    // for one prompt; an engine accepts no more
+	// lateLossShare is the part of a call's worth that is lost when it is late.
+	lateLossShare = 0.75
 )
 
-// longOrShort places a call whose prompt several engines may read. An answer
-// whose prompt was split makes each step of its engine longer, so that splitting
-// costs more the busier the engines are.
-func (p *Policy) longOrShort(s Snapshot, r Request) (Plan, bool) {
-	l, ok := p.long(s, r)
+// placeLongOrShort places a call whose prompt may be split, on several engines or on one. A split
+// prompt makes each decode step of the target longer, so splitting costs more on busy engines.
+func (p *Policy) placeLongOrShort(s Snapshot, r Request) (Plan, bool) {
+	l, ok := p.placeLong(s, r)
 	e := r.Engine
-	if !ok || keepers(r, e) > 1 {
+	if !ok || keeperCount(r, e) > 1 {
 		return l, ok
 	}
-	a, ok := p.short(s, r)
+	a, ok := p.placeShort(s, r)
 	if !ok {
 		return l, true
 	}
-	alone := p.harm(&s.Candidates[a.Target], r, a.Reading)*lateShare + r.Worth()*lateShare*r.lateness(a.First)
-	split := l.Cost + price(s.Candidates, e)*e.Hops(r.Answer).Seconds()
+	alone := p.pauseLoss(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
+	split := l.Cost + pricePerSecond(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
 	}
 	return l, true
 }
 
-// price is the worth of a second of an engine to others.
-func price(cs []Candidate, e *engine.Figures) float64 {
-	return busyShare(cs, e) * secondWorth(e)
+// pricePerSecond is the worth of a second of an engine to other calls.
+func pricePerSecond(cs []Candidate, e *engine.Figures) float64 {
+	return busyShare(cs, e) * worthPerSecond(e)
 }
 
-// busyShare is how much a second of an engine is needed by others, from 0 to 1:
-// by what waits to be read, or by the slots that are taken.
+// busyShare is the demand of other calls for an engine's time, from 0 to 1: by the prefill backlog
+// or by the slots in use, whichever is more.
 func busyShare(cs []Candidate, e *engine.Figures) float64 {
-	reading := float64(meanReading(cs)) / float64(saturatedFrom)
-	return min(max(slotNeed(cs, e), reading, leastBusy), 1)
+	backlog := float64(meanPrefillBacklog(cs)) / float64(fullPriceBacklog)
+	return min(max(slotShortage(cs, e), backlog, minBusyShare), 1)
 }
 
-// slotNeed is how much slots are needed by others: 0 or less while enough are free, 1 once it is
-// twice as many as that.
-func slotNeed(cs []Candidate, e *engine.Figures) float64 {
-	return slotShare(cs, e)/fullFrom - 1
+// slotShortage is how short slots are: 0 or less up to slotShortageFrom, 1 at twice that share.
+func slotShortage(cs []Candidate, e *engine.Figures) float64 {
+	return slotShare(cs, e)/slotShortageFrom - 1
 }
 
-// meanReading returns how much engines have still to read on average.
-func meanReading(cs []Candidate) (d time.Duration) {
+// meanPrefillBacklog returns the mean of the engines' pending prefill.
+func meanPrefillBacklog(cs []Candidate) (d time.Duration) {
 	for i := range cs {
-		d += cs[i].Reading
+		d += cs[i].PrefillBacklog
 	}
 	return d / time.Duration(max(len(cs), 1))
 }
 
 const (
-	// fullFrom is the part of all slots from which on slots are counted as
-	// needed; at twice as much they are needed wholly.
-	fullFrom = 0.45
-	// leastBusy is the least of what a second of an engine is counted as.
-	leastBusy = 0.05
+	// slotShortageFrom is the part of all slots in use above which slots count as short.
+	slotShortageFrom = 0.45
+	// minBusyShare keeps the price of an idle engine above 0.
+	minBusyShare = 0.05
 )
 
-// long places a call whose prompt several engines read in even parts. It weighs
-// how soon the first event would come against how many calls would see a pause
-// that is too long for them.
-func (p *Policy) long(s Snapshot, r Request) (l Plan, ok bool) {
+// placeLong places a call whose prompt several engines prefill in equal parts. It weighs the time
+// until the first event against the worth of calls whose pauses would miss their goals.
+func (p *Policy) placeLong(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
 	cs, at := usable(s.Candidates, r)
-	if len(cs) == 0 || len(cs) < keepers(r, e) {
+	if len(cs) == 0 || len(cs) < keeperCount(r, e) {
 		return l, false
 	}
-	set, reading, cost := p.cheapestSet(cs, r)
-	set, more := p.withRoom(cs, set, r, reading)
-	l.Reading, l.Cost = reading, cost+more
-	target := p.cheapestOf(s, cs, set, r)
-	l.Full = memoryCost(&cs[target], r) > 0
+	set, part, cost := p.cheapestSet(cs, r)
+	set, extraLoss := p.replaceForMemory(cs, set, r, part)
+	l.PrefillTime, l.Cost = part, cost+extraLoss
+	target := p.pickTarget(s, cs, set, r)
+	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
-		l.Wait = max(l.Wait, cs[i].Reading)
-		l.First = max(l.First, e.First(cs[i].state(r), l.Reading))
+		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
+		l.FirstEvent = max(l.FirstEvent, e.First(cs[i].state(r), l.PrefillTime))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
 		}
 	}
-	l.keep(cs, r)
+	l.pickKeepers(cs, r)
 	l.Displaced = p.pricing(p, s, cs, set, r, l)
-	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.Full && !r.Begun
+	l.Refused = p.has(Refusing) && !p.worthwhile(r, l) || p.has(Rooming) && l.OutOfMemory && !r.StreamStarted
 	if l.Refused {
-		l.ComeBack = p.comeBackLong(s, cs, set, r, l)
+		l.RetryAfter = p.forecastRetryAfter(s, cs, set, r, l)
 	}
 	l.Target = at[target]
-	translate(l.Helpers, at)
-	translate(l.Keepers, at)
+	toCandidateIndices(l.Helpers, at)
+	toCandidateIndices(l.Keepers, at)
 	return l, true
 }
 
-// helpMargin is how many parts fewer than its slots an engine is given for others: it
-// refuses a part beyond, with the whole prompt, and parts of the moment are not heard yet.
-const helpMargin = 2
+// helperSlotMargin is how many parts fewer than its slots an engine gets for other engines. An
+// engine without a free slot refuses a part, and the whole prompt fails with it; parts that peers
+// have just placed are not reported yet.
+const helperSlotMargin = 2
 
-// usable returns the candidates that may read parts of a prompt, and where each of
-// them stands among all. Those that hold all the parts that they take, and those that failed lately,
-// are used when there are no others.
+// usable returns the candidates that may prefill parts of a prompt, and their indices in all.
+// Candidates with no room for a part, and then those that failed recently, are included only when
+// there are not enough others.
 func usable(all []Candidate, r Request) (cs []Candidate, at []int) {
 	cs = make([]Candidate, 0, len(all))
 	at = make([]int, 0, len(all))
-	ordered := keepers(r, r.Engine) > 1 // some get orders to set memory aside
-	free := func(c *Candidate) bool { return c.Helps < max(r.Engine.Slots-helpMargin, 1) }
+	reserves := keeperCount(r, r.Engine) > 1 // some get orders to reserve memory
+	free := func(c *Candidate) bool { return c.HelperParts < max(r.Engine.Slots-helperSlotMargin, 1) }
 	for _, fits := range []func(c *Candidate) bool{
 		func(c *Candidate) bool { return !c.Avoided && free(c) },
 		func(c *Candidate) bool { return !c.Avoided },
 		func(*Candidate) bool { return true },
 	} {
 		for i := range all {
-			if all[i].Tried || ordered && all[i].Limited || !fits(&all[i]) {
+			if all[i].Tried || reserves && all[i].RateLimited || !fits(&all[i]) {
 				continue
 			}
 			cs = append(cs, all[i])
 			at = append(at, i)
 		}
-		if len(cs) >= keepers(r, r.Engine) && len(cs) > 0 {
+		if len(cs) >= keeperCount(r, r.Engine) && len(cs) > 0 {
 			break
 		}
 		cs, at = cs[:0], at[:0]
@@ -135,152 +132,151 @@
 	return cs, at
 }
 
-// translate replaces indices by those of the same candidates among all.
-func translate(is, at []int) {
+// toCandidateIndices replaces indices of usable candidates by those of the same candidates in the
+// snapshot.
+func toCandidateIndices(is, at []int) {
 	for i := range is {
 		is[i] = at[is[i]]
 	}
 }
 
-// What a second of an engine is worth to others at the most: that of a second of a prompt of
-// referencePrompt tokens.
+// An engine's second has at most the worth of a second of prefill of a prompt of
+// referencePromptTokens.
 const (
-	referencePrompt = 100_000     // tokens
-	saturatedFrom   = time.Second // backlog from which on a second has its whole price
-	// refusedAgain is the part of its worth that is lost beside it when a call
-	// that came back after a refusal is refused again: its caller does not come
-	// back a third time.
-	refusedAgain = 0.3
+	referencePromptTokens = 100_000     // tokens
+	fullPriceBacklog      = time.Second // prefill backlog from which a second has its full price
+	// secondRefusalLoss is the part of a call's worth that a second refusal loses besides the call
+	// itself: its caller doesn't retry a third time.
+	secondRefusalLoss = 0.3
 )
 
-// secondWorth returns the worth of a second of reading once some waits everywhere.
-func secondWorth(e *engine.Figures) float64 {
-	r := Request{Engine: e, Prompt: referencePrompt}
-	return r.Worth() / e.Reading(r.Prompt, 1).Seconds()
+// worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
+func worthPerSecond(e *engine.Figures) float64 {
+	r := Request{Engine: e, PromptTokens: referencePromptTokens}
+	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
 }
 
-// worthwhile reports whether a long prompt is worth what it takes from others.
+// worthwhile reports whether a long prompt is worth at least what it costs other calls.
 func (p *Policy) worthwhile(r Request, l Plan) bool {
-	if r.Begun {
+	if r.StreamStarted {
 		return true
 	}
-	if l.First > r.Left {
+	if l.FirstEvent > r.TimeLeft {
 		return false
 	}
 	gain := r.Worth() - l.Cost
-	if r.Again && p.has(Returning) {
-		gain += refusedAgain * r.Worth()
+	if r.RefusedBefore && p.has(Returning) {
+		gain += secondRefusalLoss * r.Worth()
 	}
 	return gain >= l.Displaced
 }
 
-// keep picks the helpers that keep parts of a prompt that is too long for the
-// memory of one engine: those with the most memory free.
-func (l *Plan) keep(cs []Candidate, r Request) {
-	n := keepers(r, r.Engine)
+// pickKeepers picks the helpers that store parts of a prompt that is too long for the memory of one
+// engine: those with the most free memory.
+func (l *Plan) pickKeepers(cs []Candidate, r Request) {
+	n := keeperCount(r, r.Engine)
 	if n == 1 {
 		return
 	}
 	l.Keepers = slices.Clone(l.Helpers)
 	slices.SortStableFunc(l.Keepers, func(a, b int) int { return cmp.Compare(cs[a].Tokens, cs[b].Tokens) })
 	l.Keepers = l.Keepers[:min(n-1, len(l.Keepers))]
-	l.Kept = keptTokens(r, n)
+	l.KeptTokens = keptTokens(r, n)
 }
 
-// cheapestSet returns the engines that read a prompt in even parts at the least
-// cost, how long a part takes, and the cost. For each number of parts, and each
-// bound on what an engine has yet to read, it looks at those within the bound on
-// which the least is lost by longer pauses. Among sets with which the call is late
-// the sooner is taken, but no more than what a late answer loses is counted as cost: a
-// call that is late already was refused on idle engines else.
+// cheapestSet returns the set of engines that prefill a prompt in equal parts at the least cost, the
+// time of a part, and the cost. For each number of parts and each bound on the backlog it takes the
+// engines within the bound that lose the least by longer pauses. Late sets are compared by how late
+// they are, but the cost returned includes lateness only up to the loss of a late answer: otherwise
+// a call that is late already would be refused even on idle engines.
 func (p *Policy) cheapestSet(cs []Candidate, r Request) (best []int, part time.Duration, cost float64) {
 	e := r.Engine
 	least := 0.0
-	is := p.leastBurdened(cs, r)
-	for n := keepers(r, e); n <= min(len(is), 1+maxHelpers); n++ {
-		t := e.Reading(r.Prompt, n)
-		bySoonest(cs, is, t)
-		hs := p.harms(cs, is, r, t)
+	is := p.sampleEngines(cs, r)
+	for n := keeperCount(r, e); n <= min(len(is), 1+maxHelpers); n++ {
+		t := e.Reading(r.PromptTokens, n)
+		sortByPrefillEnd(cs, is, t)
+		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
 			first := e.First(cs[is[within-1]].state(r), t)
-			late := r.Worth() * lateShare * r.lateness(first)
+			late := r.Worth() * lateLossShare * r.lateness(first)
 			if best != nil && late >= least {
-				break // it only becomes later with what has more to read
+				break // engines with more backlog only make it later
 			}
-			set, lost := leastHarm(hs, n, within)
-			if c := lost*lateShare + late; best == nil || c < least {
+			set, loss := leastLossSet(hs, n, within)
+			if c := loss*lateLossShare + late; best == nil || c < least {
 				best, part, least = set, t, c
-				cost = lost*lateShare + r.Worth()*lateShare*min(r.lateness(first), 1)
+				cost = loss*lateLossShare + r.Worth()*lateLossShare*min(r.lateness(first), 1)
 			}
 		}
 	}
 	return best, part, cost
 }
 
-// setSample bounds the engines that a long prompt is weighed against: several
-// times as many as can read parts of it.
-const setSample = 64
+// maxSampledEngines bounds the engines that are compared for a long prompt: several times as many
+// as can prefill parts of it.
+const maxSampledEngines = 64
 
-// leastBurdened returns the engines that a prompt is weighed against: of many, those at
-// which a part of it does the least harm.
-func (p *Policy) leastBurdened(cs []Candidate, r Request) []int {
+// sampleEngines returns the engines that are compared for a prompt: where there are many, those at
+// which a part of it causes the least loss.
+func (p *Policy) sampleEngines(cs []Candidate, r Request) []int {
 	is := make([]int, len(cs))
 	for i := range is {
 		is[i] = i
 	}
-	if len(is) > setSample {
-		hs := p.harms(cs, is, r, r.Engine.Reading(r.Prompt, 1+maxHelpers))
-		for i, h := range hs[:setSample] {
+	if len(is) > maxSampledEngines {
+		hs := p.engineLosses(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
+		for i, h := range hs[:maxSampledEngines] {
 			is[i] = h.engine
 		}
-		is = is[:setSample]
+		is = is[:maxSampledEngines]
 	}
 	return is
 }
 
-// bySoonest sorts engines by when they would have read a part of a prompt, the soonest first.
-// A part at an engine that is slow holds up the whole prompt.
-func bySoonest(cs []Candidate, is []int, part time.Duration) {
-	end := func(i int) time.Duration { return cs[i].Reading + cs[i].slower(part) }
+// sortByPrefillEnd sorts engines by when they would finish a part of a prompt, the earliest first.
+// A part at a slow engine delays the whole prompt.
+func sortByPrefillEnd(cs []Candidate, is []int, part time.Duration) {
+	end := func(i int) time.Duration { return cs[i].PrefillBacklog + cs[i].extraTime(part) }
 	slices.SortStableFunc(is, func(a, b int) int { return cmp.Compare(end(a), end(b)) })
 }
 
-// harm is what is lost when a part of a prompt is read at an engine.
-type harm struct {
+// engineLoss is the worth lost when an engine prefills a part of a prompt.
+type engineLoss struct {
 	engine int
-	place  int // of the engine in the order by what it has to read
-	lost   float64
+	rank   int // of the engine in the order by the end of its prefill
+	loss   float64
 }
 
-// harms returns what is lost at each engine, the least first.
-func (p *Policy) harms(cs []Candidate, is []int, r Request, part time.Duration) []harm {
-	hs := make([]harm, len(is))
-	for place, i := range is {
-		hs[place] = harm{i, place, p.harm(&cs[i], r, part)}
+// engineLosses returns the loss at each engine, the least first.
+func (p *Policy) engineLosses(cs []Candidate, is []int, r Request, part time.Duration) []engineLoss {
+	hs := make([]engineLoss, len(is))
+	for rank, i := range is {
+		hs[rank] = engineLoss{i, rank, p.pauseLoss(&cs[i], r, part)}
 	}
-	slices.SortStableFunc(hs, func(a, b harm) int { return cmp.Compare(a.lost, b.lost) })
+	slices.SortStableFunc(hs, func(a, b engineLoss) int { return cmp.Compare(a.loss, b.loss) })
 	return hs
 }
 
-// harm returns the worth of the calls at the engine that would see a pause too
-// long for them only because of the part.
-func (p *Policy) harm(c *Candidate, r Request, part time.Duration) float64 {
+// pauseLoss returns the worth of the engine's calls whose pauses would miss their goals only because
+// of the part.
+func (p *Policy) pauseLoss(c *Candidate, r Request, part time.Duration) float64 {
 	if !p.has(Pauses) {
 		return 0
 	}
 	s := c.state(r)
-	return c.Stakes.Lost(r.Engine.Pause(s, 0), r.Engine.Pause(s, part))
+	return c.Stakes.Loss(r.Engine.Pause(s, 0), r.Engine.Pause(s, part))
 }
 
-// leastHarm returns the n engines at which the least is lost among the first in
-// the order by what they have to read, and how much is.
-func leastHarm(hs []harm, n, within int) (set []int, lost float64) {
+// leastLossSet returns the n engines with the least loss among the first `within` by the end of
+// their prefill, and the sum of their losses.
+func leastLossSet(hs []engineLoss, n, within int) (set []int, loss float64) {
 	set = make([]int, 0, n)
 	for _, h := range hs {
-		if h.place < within && len(set) < n {
+		if h.rank < within && len(set) < n {
 			set = append(set, h.engine)
-			lost += h.lost
+			loss += h.loss
 		}
 	}
-	return set, lost
+	return set, loss
 }
--- a/placement/target_test.go
+++ b/placement/target_test.go
@@ -8,123 +8,123 @@
 	"github.com/stretchr/testify/require"
 )
 
-// archive is a prompt of which an engine's memory holds one.
-func archive() Request {
-	return Request{Engine: many(), Prompt: 300_000, Answer: 1500, Goal: 4 * time.Second, Pause: time.Second, Left: 15 * time.Second}
+// memoryFillingCall is a call with a prompt of which an engine's memory holds only one.
+func memoryFillingCall() Request {
+	return Request{Engine: tenSlotFigures(), PromptTokens: 300_000, MaxTokens: 1500, Goal: 4 * time.Second, PauseGoal: time.Second, TimeLeft: 15 * time.Second}
 }
 
-// give adds a plan to the snapshot, as if it had been sent.
-func give(s Snapshot, r Request, l Plan) {
+// applyPlan adds the load of a plan to the snapshot.
+func applyPlan(s Snapshot, r Request, l Plan) {
 	for _, i := range append(l.Helpers, l.Target) {
-		s.Candidates[i].Reading += l.Reading
+		s.Candidates[i].PrefillBacklog += l.PrefillTime
 	}
 	c := &s.Candidates[l.Target]
 	c.Open++
 	c.Stakes = c.Stakes.Plus(r.Stakes())
-	c.Tokens += ownTokens(r)
+	c.Tokens += targetTokens(r)
 	for _, i := range l.Keepers {
-		s.Candidates[i].Tokens += l.Kept
+		s.Candidates[i].Tokens += l.KeptTokens
 	}
 }
 
-// overfull returns how many engines hold more than their memory.
+// overfull returns how many engines hold more tokens than their memory.
 func overfull(s Snapshot) (n int) {
 	for _, c := range s.Candidates {
-		if c.Tokens > archive().Engine.Capacity {
+		if c.Tokens > memoryFillingCall().Engine.Capacity {
 			n++
 		}
 	}
 	return n
 }
 
-// writing is a fleet at which short calls are written everywhere but at its first engines.
-func writing(engines, free int) Snapshot {
-	r := brief()
-	r.Engine = many()
+// busyFleet returns a fleet in which all engines but the first ones have short calls in decode.
+func busyFleet(engines, free int) Snapshot {
+	r := shortCall()
+	r.Engine = tenSlotFigures()
 	s := snapshot(engines, Candidate{Slots: 10, Open: 3, Tokens: 18_000, Stakes: r.Stakes().Plus(r.Stakes()).Plus(r.Stakes())})
 	for i := range free {
 		s.Candidates[i] = Candidate{Slots: 10}
 	}
 	n := rand.New(rand.NewPCG(1, 2))
-	s.Chance = n.Float64
+	s.Random = n.Float64
 	return s
 }
 
-// A burst of archives on 150 engines, forty of which answer nothing else: those that answer
-// archives already are where the least harm is done, so that whole sets of engines were full.
+// Guards against placing long prompts on sets of engines that are all out of memory: the engines
+// with the least pause loss are those that answer other long prompts already. Here 40 of 150
+// engines have no short calls.
 func TestLongPromptsAreAnsweredWhereThereIsMemory(t *testing.T) {
-	play := func(p *Policy) (s Snapshot) {
-		s = writing(150, 40)
+	placeBurst := func(p *Policy) (s Snapshot) {
+		s = busyFleet(150, 40)
 		for range 60 {
-			l := requirePlan(t, p, s, archive())
+			l := requirePlan(t, p, s, memoryFillingCall())
 			require.False(t, l.Refused)
-			give(s, archive(), l)
+			applyPlan(s, memoryFillingCall(), l)
 			for i := range s.Candidates {
-				s.Candidates[i].Reading = 0 // what was given has been read by the time the next comes
+				s.Candidates[i].PrefillBacklog = 0 // the prefill is done before the next call arrives
 			}
 		}
 		return s
 	}
-	require.Zero(t, overfull(play(New())))
-	require.Positive(t, overfull(play(New(Without(Rooming)))))
+	require.Zero(t, overfull(placeBurst(New())))
+	require.Positive(t, overfull(placeBurst(New(Without(Rooming)))))
 	t.Run("also those that several engines keep", func(t *testing.T) {
-		s := writing(150, 40)
+		s := busyFleet(150, 40)
 		for i := range 40 {
 			s.Candidates[i].Tokens = 220_000
 		}
-		r := archive()
-		r.Prompt = 500_000 // three parts of 167,000
+		r := memoryFillingCall()
+		r.PromptTokens = 500_000 // three parts of 167,000
 		l := requirePlan(t, New(), s, r)
 		require.Len(t, l.Keepers, 2)
-		require.False(t, l.Full)
-		give(s, r, l)
+		require.False(t, l.OutOfMemory)
+		applyPlan(s, r, l)
 		require.Zero(t, overfull(s))
 	})
 }
 
 func TestLongPromptsForWhichNoEngineHasMemory(t *testing.T) {
 	full := func() Snapshot {
-		return snapshot(30, Candidate{Slots: 10, Open: 1, Tokens: 300_000, Stakes: archive().Stakes()})
+		return snapshot(30, Candidate{Slots: 10, Open: 1, Tokens: 300_000, Stakes: memoryFillingCall().Stakes()})
 	}
 	t.Run("are refused at once, with when to come back", func(t *testing.T) {
-		l := requirePlan(t, New(), full(), archive())
-		require.True(t, l.Full)
+		l := requirePlan(t, New(), full(), memoryFillingCall())
+		require.True(t, l.OutOfMemory)
 		require.True(t, l.Refused)
-		require.GreaterOrEqual(t, l.ComeBack, shortReturn)
+		require.GreaterOrEqual(t, l.RetryAfter, minRetryAfter)
 	})
 	t.Run("go on once their stream has begun", func(t *testing.T) {
-		r := archive()
-		r.Begun = true
+		r := memoryFillingCall()
+		r.StreamStarted = true
 		require.False(t, requirePlan(t, New(), full(), r).Refused)
 	})
 	t.Run("are sent when one has it", func(t *testing.T) {
 		s := full()
 		s.Candidates[17].Tokens = 0
-		l := requirePlan(t, New(), s, archive())
+		l := requirePlan(t, New(), s, memoryFillingCall())
 		require.False(t, l.Refused)
 		require.Equal(t, 17, l.Target)
 	})
 }
 
-// Two archives of two gateways were sent to the same engine within 3 ms, and the second
-// waited there until the first had ended: 4.5 s, while parts of it were read at 17 engines at
-// which 100 short calls wrote by then.
+// Guards against two gateways sending long prompts to the same engine within milliseconds: the
+// second waited 4.5 s for memory, and its parts then delayed 100 short calls in decode at 17 engines.
 func TestLongPromptsOfOneMomentDoNotMeet(t *testing.T) {
-	s := writing(150, 60)
+	s := busyFleet(150, 60)
 	targets := map[int]int{}
 	for range 40 {
-		targets[requirePlan(t, New(), s, archive()).Target]++
+		targets[requirePlan(t, New(), s, memoryFillingCall()).Target]++
 	}
-	met := 0
+	pairs := 0
 	for _, n := range targets {
-		met += n * (n - 1)
+		pairs += n * (n - 1)
 	}
-	require.Less(t, met, 40*39/4, "of %d pairs", 40*39)
+	require.Less(t, pairs, 40*39/4, "of %d pairs", 40*39)
 	t.Run("and met without chance", func(t *testing.T) {
-		s.Chance = func() float64 { return 0 }
-		first := requirePlan(t, New(Without(Spreading)), s, archive()).Target
+		s.Random = func() float64 { return 0 }
+		first := requirePlan(t, New(Without(Spreading)), s, memoryFillingCall()).Target
 		for range 5 {
-			require.Equal(t, first, requirePlan(t, New(Without(Spreading)), s, archive()).Target)
+			require.Equal(t, first, requirePlan(t, New(Without(Spreading)), s, memoryFillingCall()).Target)
 		}
 	})
 }
--- a/placement/turn.go
+++ b/placement/turn.go
@@ -5,44 +5,41 @@
 	"slices"
 )
 
-// Calls that come to many processes within the time in which these hear of each
-// other's picks are decided on the same snapshot, and would all go to the engine that
-// costs least in it. So each process places the calls that others are thought
-// to have placed meanwhile first, one after another as one process would, and its own
-// at a turn that chance draws among them.
+// Gateways that place calls before their peers' reports arrive decide on the same snapshot, and
+// would all pick the cheapest engine in it. So each gateway first adds a random number of the calls
+// that its peers are estimated to have placed meanwhile, one after another, and then its own.
 
-// turn draws how many of the calls that others have placed unheard go before this
-// one.
-func (s Snapshot) turn() int {
-	if s.Unheard <= 0 {
+// drawCallsAhead draws how many unreported calls of peers are placed before this one.
+func (s Snapshot) drawCallsAhead() int {
+	if s.UncountedCalls <= 0 {
 		return 0
 	}
-	return int(s.Chance() * (s.Unheard + 1))
+	return int(s.Random() * (s.UncountedCalls + 1))
 }
 
-// cheapestInTurn returns the index of the candidate that costs least once a number of
-// like calls have been given to the cheapest one after another, and the candidates as
-// they are then. The index is -1 if there is none that was not tried.
-func cheapestInTurn(cs []Candidate, before int, cost func(i int, c *Candidate) float64, give func(c *Candidate)) (after []Candidate, best int) {
+// cheapestAfter returns the index of the cheapest candidate once a number of similar calls have each
+// been added to the cheapest one, and the candidates with those calls. The index is -1 if all were
+// tried.
+func cheapestAfter(cs []Candidate, callsAhead int, cost func(i int, c *Candidate) float64, add func(c *Candidate)) (after []Candidate, best int) {
 	costs := make([]float64, len(cs))
 	for i := range cs {
-		costs[i] = fullCost(i, &cs[i], cost)
+		costs[i] = candidateCost(i, &cs[i], cost)
 	}
-	best = least(costs)
-	if best < 0 || before <= 0 {
+	best = indexOfLeast(costs)
+	if best < 0 || callsAhead <= 0 {
 		return cs, best
 	}
 	after = slices.Clone(cs)
-	for range before {
-		give(&after[best])
-		costs[best] = fullCost(best, &after[best], cost)
-		best = least(costs)
+	for range callsAhead {
+		add(&after[best])
+		costs[best] = candidateCost(best, &after[best], cost)
+		best = indexOfLeast(costs)
 	}
 	return after, best
 }
 
-// fullCost is the cost of a candidate with what holds for every kind of call.
-func fullCost(i int, c *Candidate, cost func(i int, c *Candidate) float64) float64 {
+// candidateCost returns the cost of a candidate with the penalties that apply to every kind of call.
+func candidateCost(i int, c *Candidate, cost func(i int, c *Candidate) float64) float64 {
 	switch {
 	case c.Tried:
 		return math.Inf(1)
@@ -53,8 +50,8 @@
 	}
 }
 
-// least returns the index of the least cost, or -1 if there is none below infinity.
-func least(costs []float64) (best int) {
+// indexOfLeast returns the index of the lowest finite cost, or -1 if there is none.
+func indexOfLeast(costs []float64) (best int) {
 	best = -1
 	for i, c := range costs {
 		if !math.IsInf(c, 1) && (best < 0 || c < costs[best]) {
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -6,42 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlock is the unit, in bytes, in which cached prefixes are compared.
-const PrefixBlock = 4096
+// PrefixBlockBytes is the size of the blocks in which cached prefixes are compared.
+const PrefixBlockBytes = 4096
 
-// maxPrefixBlocks bounds the work and the memory that one prompt costs. A
-// prefix shared beyond this is not told apart.
+// maxPrefixBlocks bounds the work and the memory for one prompt. Prompts that are equal up to this
+// bound count as equal.
 const maxPrefixBlocks = 64
 
-// PrefixHashes returns a hash for each of the leading whole blocks of a
-// prompt; each covers all bytes up to the end of its block.
+// PrefixHashes returns a hash for each of the leading whole blocks of a prompt. Each hash covers all
+// bytes up to the end of its block.
 func PrefixHashes(prompt []byte) (hs []uint64) {
 	var h uint64
-	for i := 0; i < maxPrefixBlocks && len(prompt) >= PrefixBlock; i++ {
-		h = h*0x9e3779b97f4a7c15 + xxhash.Sum64(prompt[:PrefixBlock])
+	for i := 0; i < maxPrefixBlocks && len(prompt) >= PrefixBlockBytes; i++ {
+		h = h*0x9e3779b97f4a7c15 + xxhash.Sum64(prompt[:PrefixBlockBytes])
 		hs = append(hs, h)
-		prompt = prompt[PrefixBlock:]
+		prompt = prompt[PrefixBlockBytes:]
 	}
 	return hs
 }
 
-// Prefixes remembers which upstreams have run which prompt prefixes. It is a
-// hint with a bounded size: the oldest half is forgotten when it is full.
+// Prefixes records which upstreams have run which prompt prefixes. Its size is bounded: the older
+// half is dropped when it is full.
 type Prefixes struct {
 	young, old map[uint64][]string
 	limit      int
 }
 
-// holders bounds the upstreams remembered for one prefix.
-const holders = 4
+// maxUpstreamsPerPrefix bounds the upstreams recorded for one prefix.
+const maxUpstreamsPerPrefix = 4
 
 // NewPrefixes returns an empty index of at most limit prefixes.
 func NewPrefixes(limit int) *Prefixes {
 	return &Prefixes{young: map[uint64][]string{}, old: map[uint64][]string{}, limit: limit}
 }
 
-// Note remembers that an upstream has run a prompt with the given hashes.
-func (p *Prefixes) Note(hs []uint64, upstream string) {
+// Add records that an upstream has run a prompt with the given hashes.
+func (p *Prefixes) Add(hs []uint64, upstream string) {
 	for _, h := range hs {
 		p.young[h] = withFirst(p.holders(h), upstream)
 	}
@@ -50,8 +50,7 @@
 	}
 }
 
-// Forget drops all that is remembered of an upstream, as when its engine has
-// been restarted.
+// Forget drops all records of an upstream, for example when its engine has been restarted.
 func (p *Prefixes) Forget(upstream string) {
 	for _, m := range []map[uint64][]string{p.young, p.old} {
 		for h, us := range m {
@@ -60,22 +59,23 @@
 	}
 }
 
-// Holder is an upstream that is thought to have the beginning of a prompt.
+// Holder is an upstream that probably has the beginning of a prompt in its cache.
 type Holder struct {
 	Upstream string
 	Bytes    int // of the prompt
 }
 
-// maxHolders bounds the holders that are looked for.
-const maxHolders = 8
+// maxHoldersFound bounds the holders that one search returns: no shorter prefix is looked up once
+// there are as many.
+const maxHoldersFound = 8
 
-// Holders returns the upstreams that are thought to have the longest beginnings
-// of the prompt, the longest first.
+// Holders returns the upstreams that probably have the longest beginnings of the prompt cached, the
+// longest first.
 func (p *Prefixes) Holders(hs []uint64) (found []Holder) {
-	for i := len(hs); i > 0 && len(found) < maxHolders; i-- {
+	for i := len(hs); i > 0 && len(found) < maxHoldersFound; i-- {
 		for _, u := range p.holders(hs[i-1]) {
 			if !slices.ContainsFunc(found, func(h Holder) bool { return h.Upstream == u }) {
-				found = append(found, Holder{Upstream: u, Bytes: i * PrefixBlock})
+				found = append(found, Holder{Upstream: u, Bytes: i * PrefixBlockBytes})
 			}
 		}
 	}
@@ -90,9 +90,9 @@
 }
 
 func withFirst(us []string, u string) []string {
-	r := append(make([]string, 0, holders), u)
+	r := append(make([]string, 0, maxUpstreamsPerPrefix), u)
 	for _, v := range us {
-		if v != u && len(r) < holders {
+		if v != u && len(r) < maxUpstreamsPerPrefix {
 			r = append(r, v)
 		}
 	}
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -1,7 +1,6 @@
-// Package sched holds the scheduling decisions: which request an agent gives
-// to its upstream next, and which upstream an entry sends a request to. All of
-// it is plain computation on values and a time; nothing here does I/O, starts
-// goroutines or reads a clock, and nothing is safe for concurrent use.
+// Package sched makes the scheduling decisions: which request an agent sends to its upstream next,
+// and which upstream an entry sends a request to. Nothing in it does I/O, starts goroutines or reads
+// a clock, and nothing is safe for concurrent use.
 package sched
 
 import (
@@ -17,32 +16,31 @@
 	Organisation string
 	Class        hollowgrade.Class
 	Priority     int       // higher goes first within an organisation
-	Cost         int       // tokens of work that the next step gives to the upstream
-	Charge       int       // tokens charged to the organisation's share, Cost if 0
-	Resumes      bool      // goes on with what has begun: it holds its memory, and was charged for then
-	LatestStart  time.Time // the deadline less the predicted time of the run
-	Due          time.Time // from here on the item may not be passed over
+	Cost         int       // tokens of work in the next step
+	Charge       int       // tokens charged to the organisation's share; Cost if 0
+	Resumes      bool      // continues a request that has started: its memory is reserved, and it was charged then
+	LatestStart  time.Time // the deadline minus the predicted run time
+	Due          time.Time // when the item becomes overdue
 
-	lane  *lane
-	order uint64
-	gone  bool
+	flow    *flow
+	order   uint64
+	removed bool
 }
 
-// Queue decides in which order an agent gives requests to its upstream.
+// Queue decides in which order an agent sends requests to its upstream.
 type Queue interface {
 	// Push adds an item.
 	Push(i *Item)
 	// Pop removes and returns the item to start next among those for which
 	// fits returns true, or nil.
 	Pop(now time.Time, fits func(*Item) bool) *Item
-	// Remove takes an item out, and reports whether it was still there.
+	// Remove removes an item, and reports whether it was still in the queue.
 	Remove(i *Item) bool
 	// Len returns the number of items.
 	Len() int
 }
 
-// FIFO is the naive queue: first in, first out, whatever the request. It is
-// the baseline that [Fair] is measured against.
+// FIFO is the naive queue: first in, first out, whatever the request. It is the baseline for [Fair].
 type FIFO struct {
 	items []*Item
 }
@@ -89,52 +87,48 @@
 	return len(f.items)
 }
 
-// maxPassedOver bounds how many organisations Pop looks at when the request
-// at the head of each does not fit.
-const maxPassedOver = 8
+// maxSkippedOrganisations bounds how many organisations Pop skips because their first request
+// doesn't fit.
+const maxSkippedOrganisations = 8
 
-// Fair orders by class; within a class it gives organisations equal shares of
-// the work (start-time fair queueing, counted in tokens); within an
-// organisation it takes the highest priority and then the least slack.
+// Fair orders by class, then by equal shares of work for organisations (start-time fair queueing,
+// counted in tokens), then by priority and least slack.
 //
-// An item that has passed its Due time is overdue. Every second Pop serves the
-// oldest overdue item, so an item with n overdue items before it starts within
-// 2(n+1) starts. When the oldest overdue item does not fit, only the Instant
-// class and what holds memory already go on until it does: otherwise small
-// requests would take each piece of memory that comes free, and a large one
-// would wait for ever; and were the holders of memory kept from their next
-// pieces, it would never come free.
+// An item past its Due time is overdue. Every second Pop serves the oldest overdue item, so an item
+// with n overdue items before it starts within 2(n+1) starts. While the oldest one doesn't fit, only
+// the Instant class and requests that hold memory are served: other small requests would take each
+// piece of memory that is released, and without the requests that hold it none would be released.
 type Fair struct {
-	classes [hollowgrade.Classes]class
-	due     itemHeap
-	length  int
-	count   uint64
-	turn    bool // whether the next Pop owes a start to an overdue item
+	classes      [hollowgrade.Classes]class
+	due          itemHeap
+	length       int
+	count        uint64
+	serveOverdue bool // whether this Pop serves an overdue item first; alternates
 }
 
 type class struct {
-	// resumed holds the further pieces of prompts that have begun. They go
-	// before what has not begun: sharing the engine between two long prompts
-	// only makes the first one as late as the second.
-	resumed itemHeap
-	lanes   laneHeap
-	byName  map[string]*lane
-	now     float64 // virtual time: start tag of the last item served
+	// resumed holds the further pieces of prompts that have started. They precede items that have not:
+	// alternating between two long prompts would only make the first as late as the second.
+	resumed     itemHeap
+	flows       flowHeap
+	byName      map[string]*flow
+	virtualTime float64 // start tag of the last item served
 }
 
-type lane struct {
-	name  string
-	items itemHeap
-	tag   float64 // virtual time at which the lane's next item starts
-	order uint64
-	index int // in class.lanes, or -1
+// flow has the items of one organisation in a class.
+type flow struct {
+	name     string
+	items    itemHeap
+	startTag float64 // virtual time at which the flow's next item starts
+	order    uint64
+	index    int // in class.flows, or -1
 }
 
 // NewFair returns an empty queue.
 func NewFair() *Fair {
 	f := &Fair{due: itemHeap{less: earlierDue}}
 	for c := range f.classes {
-		f.classes[c].byName = map[string]*lane{}
+		f.classes[c].byName = map[string]*flow{}
 		f.classes[c].resumed.less = arrivedFirst
 	}
 	return f
@@ -144,7 +138,7 @@
 func (f *Fair) Push(i *Item) {
 	c := &f.classes[i.Class]
 	f.count++
-	i.order, i.gone = f.count, false
+	i.order, i.removed = f.count, false
 	heap.Push(&f.due, i)
 	f.length++
 	if i.Resumes {
@@ -153,24 +147,24 @@
 	}
 	l, ok := c.byName[i.Organisation]
 	if !ok {
-		l = &lane{name: i.Organisation, items: itemHeap{less: lessSlack}, index: -1}
+		l = &flow{name: i.Organisation, items: itemHeap{less: lessSlack}, index: -1}
 		c.byName[i.Organisation] = l
 	}
-	i.lane = l
+	i.flow = l
 	heap.Push(&l.items, i)
 	if l.index < 0 {
-		l.tag = max(l.tag, c.now)
+		l.startTag = max(l.startTag, c.virtualTime)
 		l.order = f.count
-		heap.Push(&c.lanes, l)
+		heap.Push(&c.flows, l)
 	}
 }
 
 // Pop implements [Queue].
 func (f *Fair) Pop(now time.Time, fits func(*Item) bool) *Item {
 	o := f.overdue(now)
-	f.turn = !f.turn
-	if o != nil && f.turn && fits(o) {
-		return f.take(o)
+	f.serveOverdue = !f.serveOverdue
+	if o != nil && f.serveOverdue && fits(o) {
+		return f.serve(o)
 	}
 	last := hollowgrade.Classes - 1
 	if o != nil && !fits(o) {
@@ -178,11 +172,11 @@
 	}
 	for c := hollowgrade.Instant; c < hollowgrade.Classes; c++ {
 		if i := f.classes[c].next(fits, c <= last); i != nil {
-			return f.take(i)
+			return f.serve(i)
 		}
 	}
 	if o != nil && fits(o) {
-		return f.take(o)
+		return f.serve(o)
 	}
 	return nil
 }
@@ -195,68 +189,68 @@
 	return i
 }
 
-// next returns the item that the class would serve, without removing it. Unless
-// fresh, only what has begun may go on.
-func (c *class) next(fits func(*Item) bool, fresh bool) (i *Item) {
+// next returns the item that the class would serve, without removing it. Unless allowNew, it returns
+// only items that resume a request.
+func (c *class) next(fits func(*Item) bool, allowNew bool) (i *Item) {
 	if r := c.resumed.first(); r != nil && fits(r) {
 		return r
 	}
-	if !fresh {
+	if !allowNew {
 		return nil
 	}
-	var passed []*lane
-	for len(c.lanes) > 0 && len(passed) < maxPassedOver && i == nil {
-		l := c.lanes[0]
+	var skipped []*flow
+	for len(c.flows) > 0 && len(skipped) < maxSkippedOrganisations && i == nil {
+		l := c.flows[0]
 		h := l.items.first()
 		switch {
 		case h == nil:
-			heap.Pop(&c.lanes)
+			heap.Pop(&c.flows)
 			c.forget(l)
 		case fits(h):
 			i = h
 		default:
-			heap.Pop(&c.lanes)
-			passed = append(passed, l)
+			heap.Pop(&c.flows)
+			skipped = append(skipped, l)
 		}
 	}
-	for _, l := range passed {
-		heap.Push(&c.lanes, l)
+	for _, l := range skipped {
+		heap.Push(&c.flows, l)
 	}
 	return i
 }
 
-// forget drops an empty lane once its tag no longer matters. A lane that is
-// ahead of its share is kept, lest an organisation gain by coming and going.
-func (c *class) forget(l *lane) {
-	if l.tag <= c.now {
+// forget drops an empty flow once its tag no longer matters. A flow ahead of its share is kept, so
+// that an organisation can't gain by emptying its queue and returning.
+func (c *class) forget(l *flow) {
+	if l.startTag <= c.virtualTime {
 		delete(c.byName, l.name)
 	}
 }
 
-func (f *Fair) take(i *Item) *Item {
+func (f *Fair) serve(i *Item) *Item {
 	c := &f.classes[i.Class]
-	l := i.lane
-	f.drop(i)
+	l := i.flow
+	f.markRemoved(i)
 	if l == nil {
 		return i
 	}
-	c.now = max(c.now, l.tag)
-	l.tag += float64(max(i.Charge, i.Cost, 1))
+	c.virtualTime = max(c.virtualTime, l.startTag)
+	l.startTag += float64(max(i.Charge, i.Cost, 1))
 	if l.index >= 0 {
-		heap.Fix(&c.lanes, l.index)
+		heap.Fix(&c.flows, l.index)
 	}
 	if l.items.first() == nil && l.index >= 0 {
-		heap.Remove(&c.lanes, l.index)
+		heap.Remove(&c.flows, l.index)
 		c.prune()
 	}
 	return i
 }
 
-// prune forgets idle lanes whose share has been used up by the passing of
-// virtual time, so that state is bounded by the organisations that are active.
+// prune drops idle flows whose tags virtual time has reached, so that the state is bounded by the
+// number of active organisations.
 func (c *class) prune() {
 	const keep = 64
-	if len(c.byName) <= keep+len(c.lanes) {
+	if len(c.byName) <= keep+len(c.flows) {
 		return
 	}
 	for _, l := range c.byName {
@@ -266,17 +260,17 @@
 	}
 }
 
-func (f *Fair) drop(i *Item) {
-	i.gone = true
+func (f *Fair) markRemoved(i *Item) {
+	i.removed = true
 	f.length--
 }
 
 // Remove implements [Queue].
 func (f *Fair) Remove(i *Item) bool {
-	if i.gone || i.order == 0 {
+	if i.removed || i.order == 0 {
 		return false
 	}
-	f.drop(i)
+	f.markRemoved(i)
 	return true
 }
 
@@ -285,7 +279,7 @@
 	return f.length
 }
 
-// itemHeap is a heap whose removed items stay until they come to the top.
+// itemHeap is a heap in which removed items stay until they reach the top.
 type itemHeap struct {
 	items []*Item
 	less  func(a, b *Item) bool
@@ -313,7 +307,7 @@
 }
 
 func (h *itemHeap) first() *Item {
-	for len(h.items) > 0 && h.items[0].gone {
+	for len(h.items) > 0 && h.items[0].removed {
 		heap.Pop(h)
 	}
 	if len(h.items) == 0 {
@@ -337,29 +331,29 @@
 	return i
 }
 
-type laneHeap []*lane
+type flowHeap []*flow
 
-func (h laneHeap) Len() int { return len(h) }
+func (h flowHeap) Len() int { return len(h) }
 
-func (h laneHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+func (h flowHeap) Less(i, j int) bool {
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].order < h[j].order
 }
 
-func (h laneHeap) Swap(i, j int) {
+func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *laneHeap) Push(x any) {
-	l := x.(*lane)
+func (h *flowHeap) Push(x any) {
+	l := x.(*flow)
 	l.index = len(*h)
 	*h = append(*h, l)
 }
 
-func (h *laneHeap) Pop() any {
+func (h *flowHeap) Pop() any {
 	n := len(*h) - 1
 	l := (*h)[n]
 	(*h)[n] = nil
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -78,8 +78,8 @@
 	})
 }
 
-// naiveFair finds the next item by looking at all of them: lowest class, then
-// the organisation with the lowest tag, then priority and slack.
+// naiveFair finds the next item by a linear search: lowest class, then the organisation with the
+// lowest start tag, then priority and slack.
 type naiveFair struct {
 	items []*Item
 	tags  [hollowgrade.Classes]map[string]float64
@@ -160,8 +160,8 @@
 		var ls []*Load
 		for range rapid.IntRange(0, 20).Draw(t, "upstreams") {
 			ls = append(ls, &Load{
-				Queued:       [hollowgrade.Classes]int{rapid.IntRange(0, 9000).Draw(t, "instant"), rapid.IntRange(0, 9000).Draw(t, "normal")},
-				Sent:         rapid.IntRange(0, 9000).Draw(t, "sent"),
+				QueuedTokens: [hollowgrade.Classes]int{rapid.IntRange(0, 9000).Draw(t, "instant"), rapid.IntRange(0, 9000).Draw(t, "normal")},
+				SentTokens:   rapid.IntRange(0, 9000).Draw(t, "sent"),
 				PrefillRate:  float64(rapid.IntRange(0, 3).Draw(t, "rate")) * 20_000,
 				CachedTokens: rapid.IntRange(0, 4000).Draw(t, "cached"),
 				Draining:     rapid.Bool().Draw(t, "draining"),
@@ -187,24 +187,24 @@
 }
 
 func TestPrefixes(t *testing.T) {
-	prompt := make([]byte, 3*PrefixBlock+100)
+	prompt := make([]byte, 3*PrefixBlockBytes+100)
 	hs := PrefixHashes(prompt)
 	require.Len(t, hs, 3)
 	p := NewPrefixes(100)
-	p.Note(hs[:2], "a")
-	p.Note(hs[:1], "b")
-	require.Equal(t, []Holder{{"a", 2 * PrefixBlock}, {"b", PrefixBlock}}, p.Holders(hs))
+	p.Add(hs[:2], "a")
+	p.Add(hs[:1], "b")
+	require.Equal(t, []Holder{{"a", 2 * PrefixBlockBytes}, {"b", PrefixBlockBytes}}, p.Holders(hs))
 	p.Forget("a")
-	require.Equal(t, []Holder{{"b", PrefixBlock}}, p.Holders(hs))
+	require.Equal(t, []Holder{{"b", PrefixBlockBytes}}, p.Holders(hs))
 }
 
 func TestRankMovesOnlyWhatWasTheLeavers(t *testing.T) {
 	members := []string{"a", "b", "c", "d"}
 	for i := range 100 {
 		s := fmt.Sprint(i)
-		first := First(s, members)
+		first := HighestRanked(s, members)
 		if first != "d" {
-			require.Equal(t, first, First(s, members[:3]))
+			require.Equal(t, first, HighestRanked(s, members[:3]))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			ls := make([]*Load, n)
 			for i := range ls {
-				ls[i] = &Load{Sent: i * 7919 % 5000, PrefillRate: 40_000, Step: 25 * time.Millisecond}
+				ls[i] = &Load{SentTokens: i * 7919 % 5000, PrefillRate: 40_000, Step: 25 * time.Millisecond}
 			}
 			q := NewQuickest()
 			w := Work{PromptTokens: 4000, MaxTokens: 100}
@@ -226,8 +226,8 @@
 	}
 }
 
-// A prompt that holds memory waits for its next piece, and an overdue request
-// waits for that memory: the former must go on, or neither ever does.
+// Guards against a deadlock: a prompt that holds memory waits for its next piece, while an overdue
+// request waits for that memory.
 func TestNoDeadlockBetweenHolderAndOverdue(t *testing.T) {
 	for _, q := range []Queue{NewFair(), NewFIFO()} {
 		big := item("a", hollowgrade.Background, 1, 0)
