--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// pageBytes bounds the records that one answer to a peer holds. Three peers
-	// answer at a time for three topics: 144 KB, 58 ms on a link of 20 Mbit/s.
+	// pageBytes bounds the records in one answer to a peer. With three answers at a time for three
+	// topics that is 144 KB, 58 ms on a link of 20 Mbit/s.
 	pageBytes = 16 << 10
-	// largeBytes is the size from which a value is not put into an answer but asked
-	// for by itself, from one peer. Entries of upstreams and gateways have 0.3 KB.
+	// largeBytes is the size above which a value is not part of an answer but requested by itself
+	// from one peer. Entries of upstreams and gateways have 0.3 KB.
 	largeBytes = 8 << 10
-	// recordBytes is what a record has besides its key and value.
+	// recordBytes is the overhead of a record besides its key and value.
 	recordBytes = 16
 )
 
-// excerpt is a part of a view, as it is told to a peer.
+// excerpt is a part of a view that is sent to a peer.
 type excerpt struct {
 	hollowgrade.KeyedPage
 	large *hollowgrade.KeyedRecord // the record at Next, if its value is too large for an answer
 	age   time.Duration            // of the whole view
 }
 
-// excerptFrom returns the newest records from an offset on, as many as one answer
-// holds. Ok is false when the view has never been complete.
+// excerptFrom returns the newest records from an offset on, as many as fit into one answer. Ok is
+// false if the view has never been complete.
 func (f *Feed) excerptFrom(from int64) (p excerpt, ok bool) {
-	hollowgrade.Notice(f.clock) // peers take the age that is told here for what they know themselves
+	hollowgrade.Notice(f.clock) // peers adopt this age, so it must include the time of a suspension
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fresh.IsZero() {
@@ -52,8 +52,7 @@
 	return p, true
 }
 
-// newestFrom returns the newest records from an offset on, by offset. The lock is
-// held.
+// newestFrom returns the newest records from an offset on, by offset. The caller holds the lock.
 func (f *Feed) newestFrom(from int64) (rs []hollowgrade.KeyedRecord) {
 	for _, r := range f.newest {
 		if r.Offset >= from {
@@ -64,8 +63,8 @@
 	return rs
 }
 
-// expect notes that a peer has told of a record without its value. It returns
-// whether the value has to be asked for.
+// noteAnnounced records that a peer announced a record without its value, and returns whether the
+// value has to be requested.
 func (f *Feed) expect(key string, offset int64, size int, from string) bool {
 	f.mu.Lock()
 	known, ok := f.newest[key]
@@ -74,15 +73,15 @@
 		f.miss(offset)
 	}
 	f.mu.Unlock()
-	if !wanted { // the view has a later value already, or never takes this one
+	if !wanted { // the view has a later value already, or the value is too large
 		f.Merge(hollowgrade.KeyedPage{Next: offset + 1, End: offset + 2, From: from}, time.Time{})
 	}
 	return wanted
 }
 
-// takeValue takes a record that a peer sent for the missing one at an offset. All
-// before that one is known; a later value of the key says nothing of other records in
-// between, and the peer tells in a moment how fresh the view is.
+// mergeValue merges a record that a peer sent for the missing one at an offset. All records before
+// that offset are known. A later value of the key implies nothing about records in between, so the
+// view's freshness does not change until the peer's next answer.
 func (f *Feed) takeValue(r hollowgrade.KeyedRecord, offset int64, from string) {
 	f.Merge(hollowgrade.KeyedPage{
 		Records: []hollowgrade.KeyedRecord{r},
@@ -92,15 +91,14 @@
 	}, time.Time{})
 }
 
-// miss notes a record that is known to be there. The lock is held.
+// addMissing adds a record that is known to exist. The caller holds the lock.
 func (f *Feed) miss(offset int64) {
 	if n := len(f.missing); n == 0 || f.missing[n-1].offset < offset {
 		f.missing = append(f.missing, missing{offset: offset, heard: f.clock.Now()})
 	}
 }
 
-// keepBase keeps a value that has just been replaced, if it is large. The lock is
-// held.
+// keepBase keeps a replaced value if it is large. The caller holds the lock.
 func (f *Feed) keepBase(r hollowgrade.KeyedRecord) {
 	if len(r.Value) <= largeBytes {
 		return
@@ -117,7 +115,7 @@
 	return r, ok
 }
 
-// base returns a value that the key had at an offset, if it is still known.
+// base returns the value that the key had at an offset, if it is still kept.
 func (f *Feed) base(key string, offset int64) (value []byte, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed keeps the newest record of each key of a topic of the
-// platform's store, and knows how fresh that view is. A process that the store
-// turns away learns records and freshness from processes that it serves.
+// Package feed keeps the newest record of each key of a topic of the platform's store and tracks
+// how fresh that view is. A process that the store does not serve gets records and their freshness
+// from peers.
 package feed
 
 import (
@@ -19,34 +19,33 @@
 )
 
 const (
-	// lagShare of lagShare + 1 parts of what answers took too long is left with each that does not: a store
-	// that has become slow is allowed for at once, and for some answers more.
+	// lagDecay sets how slowly the smoothed lag falls: each answer in time keeps lagDecay of
+	// lagDecay + 1 parts of it. A slower store raises the lag at once.
 	lagShare = 7
 	// defaultWait is how long one read waits at the store for a record.
 	defaultWait = 1500 * time.Millisecond
-	// answerMargin is how long a read may take beyond its wait until its answer
-	// begins, and how long nothing more of an answer may come: a few round trips,
-	// and the store's own time. The answer as a whole has no bound in time. With one
-	// of 2.2 s, reads of a configuration of 0.8 MB were cut after 655 to 770 KB on a
-	// link of 20 Mbit/s that was in use otherwise, and begun anew for good.
+	// answerMargin bounds how long a read may take beyond its wait until its answer begins, and
+	// each pause within an answer: a few round trips and the store's own time. The whole answer has
+	// no bound, since one of 2.2 s kept cutting reads of a configuration of 0.8 MB on a busy link
+	// of 20 Mbit/s.
 	answerMargin = 700 * time.Millisecond
-	// newestMargin is the same for the reading of all newest records, which the store
-	// begins to answer later while many start. A start that falls into an outage waits
-	// that long for an answer that never comes; peers tell meanwhile.
+	// newestMargin is the same for the read of all newest records, whose answer starts later while
+	// many processes start. A process that starts during an outage waits that long in vain; peers
+	// serve it meanwhile.
 	newestMargin = 3 * time.Second
-	// DefaultMaxValue is the size in bytes of the largest value that is taken.
+	// DefaultMaxValueBytes is the size of the largest accepted value.
 	DefaultMaxValue = 8 << 20
-	// keptBases is how many earlier values of a key are kept where they are large, so
-	// that a peer that is a few changes behind is sent what differs.
+	// maxBases is how many earlier values of a key are kept if they are large, so that a peer that
+	// is a few changes behind receives only the difference.
 	keptBases = 3
-	// readPause is the least time from a read that gave records to the next one.
-	// Records come in bursts, each read has its price, and what changed has to be
-	// in force within two seconds.
+	// minReadInterval is the least time between a read that returned records and the next one.
+	// Records come in bursts and each read has a cost, but a change must be in force within two
+	// seconds.
 	readPause = 250 * time.Millisecond
-	// followPause is how often a process that does not read the store looks
-	// whether it has to.
+	// followCheckInterval is how often a process that does not read the store checks whether it has
+	// to.
 	followPause = 100 * time.Millisecond
-	// The pauses between reads that fail.
+	// Bounds of the exponential delay between failed reads.
 	firstPause = 100 * time.Millisecond
 	lastPause  = time.Second
 )
@@ -54,15 +53,15 @@
 // Change is a record that has become the newest of its key.
 type Change struct {
 	hollowgrade.KeyedRecord
-	// From is the process that told it; empty for the store itself.
+	// From is the peer that sent it; empty for the store itself.
 	From string
-	// MayReturn is until when a dropped key may come back by itself: a read had
-	// failed not long before the record came, or the view was stale, so that it
-	// may tell of what the store did while it was away. It is zero otherwise.
+	// UncertainUntil is until when a dropped key may come back by itself: the change may be an
+	// effect of an outage of the store, since a read failed shortly before or the view was stale.
+	// It is zero otherwise.
 	MayReturn time.Time
 }
 
-// Source names in logs where the record came from.
+// Source returns the origin of the record for logs.
 func (c Change) Source() string {
 	return source(c.From)
 }
@@ -71,7 +70,7 @@
 type Feed struct {
 	name   string
 	topic  hollowgrade.Topic
-	reads  func() bool // whether this process reads the store itself just now
+	reads  func() bool // whether this process reads the store itself now
 	store  *Access
 	clock  hollowgrade.Clock
 	log    *log.Logger
@@ -79,35 +78,35 @@
 	timing Timing
 	most   int // bytes of the largest value that is taken
 
-	// order is held while a page is taken, so that watchers are told of one after
-	// another. A watcher may take long over a large value, and mu is not held
-	// meanwhile: each call that comes asks for the view's age.
+	// mergeMu serializes merges, so that watchers are called with one page after another. It is
+	// separate from mu because a watcher may take long over a large value while calls read the
+	// view's age.
 	order    sync.Mutex
 	watchers []func([]Change)
 
 	mu       sync.Mutex
 	newest   map[string]hollowgrade.KeyedRecord
 	earlier  map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
-	next     int64                                // offset up to which all is known
-	missing  []missing                            // records that are known to be there and are not taken yet, by offset
-	fresh    time.Time                            // when the read was sent that reached the topic's end
-	synced   bool                                 // whether reading on from next is possible
+	next     int64                                // all records below this offset are known
+	missing  []missing                            // records that are known to exist but not received yet, by offset
+	fresh    time.Time                            // when the view was last known to be complete
+	synced   bool                                 // whether the next read can continue at next
 	away     bool                                 // whether the last read failed
-	failed   time.Time                            // when a read failed last
-	follows  bool                                 // whether this process makes no reads now
-	answered bool                                 // whether the store has answered one since it makes them
-	due      time.Time                            // when the answer to the read under way is overdue, or to the next one
-	lag      time.Duration                        // that answers take lately beyond the wait
+	failed   time.Time                            // when a read last failed
+	follows  bool                                 // whether this process makes no reads and relies on peers
+	answered bool                                 // whether the store has answered since this process began to read
+	due      time.Time                            // when the answer to the current or next read is overdue
+	lag      time.Duration                        // smoothed time that answers take beyond the wait
 	forms    forms
 }
 
-// missing is a record that a peer has told of, without its value.
+// missingRecord is a record that a peer has announced without its value.
 type missing struct {
 	offset int64
-	heard  time.Time // when this process first heard of it
+	heard  time.Time // when a peer first announced it
 }
 
-// Option changes a feed as it is made.
+// Option configures a feed.
 type Option func(*Feed)
 
 // WithClock sets the clock.
@@ -120,8 +119,8 @@
 	return func(f *Feed) { f.log = l }
 }
 
-// WithWait sets how long one read waits at the store for a record. A view is
-// at most that much and the time of an answer old while the store serves.
+// WithWait sets how long one read waits at the store for a record. While the store serves, a view
+// is at most that wait plus the time of an answer old.
 func WithWait(d time.Duration) Option {
 	return func(f *Feed) { f.wait = d }
 }
@@ -131,23 +130,23 @@
 	return func(f *Feed) { f.timing = t }
 }
 
-// WithReader sets whether this process reads the store itself. While it does
-// not, the view lives on what peers tell; it is read once in any case.
+// WithReader sets the function that reports whether this process reads the store itself. Otherwise
+// the view is updated by peers, after one initial read in any case.
 func WithReader(f func() bool) Option {
 	return func(d *Feed) { d.reads = f }
 }
 
-// WithAccess shares with other feeds what is known of the way to the store.
+// WithBreaker sets the breaker for calls to the store, which feeds of a process share.
 func WithAccess(a *Access) Option {
 	return func(f *Feed) { f.store = a }
 }
 
-// WithMaxValue sets the size in bytes of the largest value that is taken.
+// WithMaxValue sets the size in bytes of the largest accepted value.
 func WithMaxValue(n int) Option {
 	return func(f *Feed) { f.most = n }
 }
 
-// New returns a feed of the topic. Name is what logs and peers call it.
+// New returns a feed of the topic. Name identifies it in logs and to peers.
 func New(name string, t hollowgrade.Topic, os ...Option) *Feed {
 	f := &Feed{
 		name:    name,
@@ -175,8 +174,8 @@
 	return f.name
 }
 
-// Watch adds a function that is told of changes, in order, and first of all
-// that stand now. It must not add a watcher or merge a page.
+// Watch adds a function that is called with all changes in order, first with the current records.
+// It must not add a watcher or merge a page.
 func (f *Feed) Watch(w func([]Change)) {
 	f.order.Lock()
 	defer f.order.Unlock()
@@ -186,7 +185,7 @@
 	}
 }
 
-// standing returns the newest records as changes.
+// currentChanges returns the newest records as changes.
 func (f *Feed) standing() (cs []Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,23 +195,22 @@
 	return cs
 }
 
-// Fresh returns the latest moment of which it is known that the view had all
-// that stood in the topic; the zero time if there is none.
+// Fresh returns the latest time at which the view is known to have been complete, or the zero time.
 func (f *Feed) Fresh() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh
 }
 
-// Age returns how long ago that moment was, and false if there is none.
+// Age returns the time since the view was last known to be complete, and false if it never was.
 func (f *Feed) Age() (time.Duration, bool) {
-	hollowgrade.Notice(f.clock) // a key that was revoked while the machine was suspended must not seem good
+	hollowgrade.Notice(f.clock) // a key revoked while the machine was suspended must not pass as valid
 	t := f.Fresh()
 	return f.clock.Since(t), !t.IsZero()
 }
 
-// Run follows the topic until ctx ends. The pauses after failures are those of this
-// topic: the store may serve others meanwhile.
+// Run follows the topic until ctx ends. Retry delays are per topic: the store may serve others
+// meanwhile.
 func (f *Feed) Run(ctx context.Context) {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = firstPause
@@ -249,12 +247,12 @@
 	}
 }
 
-// follow notes whether this process follows others for now, and returns that.
+// setFollowing records whether this process relies on peers for now, and returns that.
 func (f *Feed) follow(follows bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.follows && !follows {
-		f.due = f.clock.Now().Add(readPause + f.timing.Late) // the first read may have to wait for that of another topic
+		f.due = f.clock.Now().Add(readPause + f.timing.Late) // the first read may have to wait for the probe of another topic
 	}
 	f.follows = follows
 	f.answered = f.answered && !follows
@@ -266,8 +264,8 @@
 	return !f.Fresh().IsZero()
 }
 
-// step makes one read, sent at sent, and takes what it gives. It returns how many
-// records that were. One that tries whether the store answers does not wait there.
+// readOnce makes one read, sent at sent, and merges its records. It returns their number. A probe
+// does not wait at the store.
 func (f *Feed) step(ctx context.Context, sent time.Time, try bool) (records int, err error) {
 	next, synced, wait := f.plan(sent, try)
 	if !synced {
@@ -289,26 +287,26 @@
 	return len(p.Records), err
 }
 
-// plan returns where the next read, sent at sent, begins, and how long it waits: the view gets
-// no older than [Timing.due] says until the answer is there.
+// planRead returns the offset at which the read sent at sent begins, and how long it waits, so that
+// the view gets no older than [Timing.answerDue] until the answer arrives.
 func (f *Feed) plan(sent time.Time, try bool) (next int64, synced bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wait = min(max(f.timing.due(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
 	if try || f.away {
-		wait = 0 // how fresh the view is has to be known at once
+		wait = 0 // the freshness of the view has to be known at once
 	}
 	f.due = sent.Add(wait + min(f.timing.Late+2*f.lag, answerMargin))
 	return f.next, f.synced, wait
 }
 
-// seen returns the moment of which a read tells that there were no records beyond those
-// that it gave. The store answers a read that waits as soon as there is one. So one that gave none
-// after all of its wait tells of the end of the wait, and any other of when it was sent.
-// Views were up to two waits old at rest where they are one wait old (3.0 and 1.6 s).
+// completeAsOf returns the time as of which a read shows that there were no records beyond those
+// that it returned. The store answers a waiting read as soon as there is a record, so an empty
+// answer after the whole wait holds for the end of the wait; any other holds only for when the read
+// was sent. Always using the send time would make idle views up to two waits old instead of one.
 func (f *Feed) seen(sent time.Time, wait time.Duration, records int) time.Time {
 	took := f.clock.Since(sent)
-	waited := wait - wait/driftShare // by the clock of this process, if the store's runs faster
+	waited := wait - wait/driftShare // in case the store's clock runs faster than this one
 	if records > 0 || took < waited {
 		return sent
 	}
@@ -318,7 +316,7 @@
 	return sent.Add(waited)
 }
 
-// resync takes all newest records. A key that is not among them was dropped.
+// resync merges all newest records. A key that is not among them was dropped.
 func (f *Feed) resync(p hollowgrade.KeyedPage, sent time.Time) {
 	listed := map[string]bool{}
 	for _, r := range p.Records {
@@ -335,9 +333,8 @@
 	f.take(p, sent)
 }
 
-// take puts records into the view. The read that gave them was sent at sent. The
-// view is as fresh as that once watchers have been told: what they put in force is
-// what its age is asked for.
+// mergePage merges the records of a read sent at sent. It advances the view's freshness only after
+// the watchers have run, since callers use the age to judge what is in force.
 func (f *Feed) take(p hollowgrade.KeyedPage, sent time.Time) {
 	f.order.Lock()
 	defer f.order.Unlock()
@@ -349,7 +346,7 @@
 	f.confirm(p, sent)
 }
 
-// keep puts records into the view and returns what they change, by offset.
+// storeRecords stores records in the view and returns the resulting changes by offset.
 func (f *Feed) keep(p hollowgrade.KeyedPage) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -365,7 +362,7 @@
 	return cs
 }
 
-// confirm notes that watchers know all of a page.
+// markComplete records that the watchers have processed the whole page.
 func (f *Feed) confirm(p hollowgrade.KeyedPage, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -375,7 +372,7 @@
 	}
 }
 
-// fits reports whether a value may be taken, and says so where it may not.
+// withinLimit reports whether a value is within the size limit, and logs an error if not.
 func (f *Feed) fits(key string, offset int64, bytes int, from string) bool {
 	if bytes <= f.most {
 		return true
@@ -384,7 +381,7 @@
 	return false
 }
 
-// source names where a page came from in logs.
+// source returns the origin of a page for logs.
 func source(from string) string {
 	if from == "" {
 		return "store"
@@ -392,14 +389,13 @@
 	return from
 }
 
-// doubtFor is for how long after a read that failed a change may tell of what
-// the store did while it was away: entries that lapsed then are back within two
-// seconds of its return. From three seconds on a box that reaches the store again
-// is held to what the registry says, so doubt has to end before.
+// uncertainPeriod is how long after a failed read a change may be an effect of the outage: entries
+// that expired during it are back within two seconds of the store's return. It has to end before
+// the three seconds from which a box that reaches the store again has to follow the registry.
 const doubtFor = 2800 * time.Millisecond
 
-// doubt returns until when changes that come now may tell of what went on
-// unseen; zero if they do not. The lock is held.
+// uncertainUntil returns until when changes that arrive now may be effects of an outage, or zero.
+// The caller holds the lock.
 func (f *Feed) doubt() time.Time {
 	now := f.clock.Now()
 	if until := f.failed.Add(doubtFor); !f.failed.IsZero() && now.Before(until) {
@@ -411,8 +407,8 @@
 	return time.Time{}
 }
 
-// put makes a record the newest of its key, unless it is older, and reports
-// whether that changes the key's value. The lock is held.
+// put makes a record the newest of its key, unless it is older, and reports whether the key's value
+// changes. The caller holds the lock.
 func (f *Feed) put(r hollowgrade.KeyedRecord) bool {
 	old, ok := f.newest[r.Key]
 	if ok && old.Offset >= r.Offset {
@@ -426,23 +422,22 @@
 	return !bytes.Equal(old.Value, r.Value)
 }
 
-// lostNow reports whether the last read of the store failed, and no peer has
-// told of it since.
+// unconfirmedSinceFailure reports whether the last read of the store failed and no peer has
+// confirmed the view since.
 func (f *Feed) lostNow() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.away && f.fresh.Before(f.failed)
 }
 
-// Next returns the offset up to which all is known.
+// Next returns the offset below which all records are known.
 func (f *Feed) Next() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
 }
 
-// Outdated returns for how long it has been known that the topic holds a record
-// which is not in the view; 0 if none is known.
+// Outdated returns how long a record has been known to exist that is not in the view, or 0.
 func (f *Feed) Outdated() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -452,7 +447,7 @@
 	return f.clock.Since(f.missing[0].heard)
 }
 
-// Merge takes a page that a peer gave, complete as of fresh.
+// Merge merges a page that a peer sent, complete as of fresh.
 func (f *Feed) Merge(p hollowgrade.KeyedPage, fresh time.Time) {
 	if p.Next < f.Next() {
 		return // the peer knows less
@@ -471,9 +466,9 @@
 	f.log.Warn("store lost", "feed", f.name, "next", f.next, "age_ms", f.ageMillis(), "err", err)
 }
 
-// served reports whether the store answers the reads of this process in time, and known is false
-// where it has begun to make them, waits for the first answer, and tells meanwhile what is no older
-// than that of a process that has made them all along.
+// served reports whether the store answers the reads of this process in time. Known is false while
+// a process that has just begun to read waits for its first answer and its view is no older than
+// that of a process that has read all along.
 func (f *Feed) served() (served, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -488,8 +483,8 @@
 	}
 }
 
-// allServed reports whether the store answers the reads of a process on all its feeds: one that
-// follows others with some of them tells what they do.
+// allServed reports whether the store answers the reads of a process on all its feeds. A process
+// that follows peers on some feeds depends on them.
 func allServed(fs []*Feed) bool {
 	some := false
 	for _, f := range fs {
@@ -514,7 +509,7 @@
 	f.log.Info("store regained", "feed", f.name, "next", f.next, "age_ms", f.ageMillis())
 }
 
-// ageMillis returns the age for logs, -1 if there never was a complete view.
+// ageMillis returns the age for logs, -1 if the view was never complete.
 func (f *Feed) ageMillis() int64 {
 	if f.fresh.IsZero() {
 		return -1
