--- a/feed/access.go
+++ b/feed/access.go
@@ -10,25 +10,23 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Access is what a process knows of its way to the store. All that calls the store
-// shares it: while the store does not answer, one call tries at a time, and the others
-// go on once it has an answer. Three feeds of each of 103 gateways that tried by
-// themselves made 403 calls a second while the store was away (BenchmarkCalls of
-// internal/spread). It is safe for concurrent use.
+// Breaker is a circuit breaker for calls to the store, shared by all callers of a process: while
+// the store does not answer, one call at a time probes it, and the others resume once it has
+// answered. Without it the three feeds of each of 103 gateways make 403 calls a second during an
+// outage (BenchmarkCalls of internal/spread). It is safe for concurrent use.
 type Access struct {
 	clock   hollowgrade.Clock
 	spacing func() time.Duration
 
 	mu     sync.Mutex
 	away   bool
-	trying bool      // whether a try is under way
-	next   time.Time // before which no try is made while the store is away
+	trying bool      // whether a probe is under way
+	next   time.Time // earliest time of the next probe
 	pauses *backoff.ExponentialBackOff
 }
 
-// NewAccess returns the access of a process. Spacing is the mean time between its tries
-// while the store is away, where that is more than pauses that grow with each failure; it
-// is asked anew each time.
+// NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
+// than the exponential delay; it is called for each failure.
 func NewAccess(c hollowgrade.Clock, spacing func() time.Duration) *Access {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = firstPause
@@ -36,9 +34,9 @@
 	return &Access{clock: c, spacing: spacing, pauses: p}
 }
 
-// Begin reports whether a call to the store may be made now: wait is 0 then, and else
-// how long to wait before asking again. A call that is a try should be answered at once.
-// [Access.Note] has to be told what came of each call.
+// Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
+// before calling Begin again. A call that is a probe should not wait at the store. The outcome of
+// each call has to be passed to [Breaker.Report].
 func (a *Access) Begin() (try bool, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,9 +53,9 @@
 	}
 }
 
-// Note notes what came of a call: whether it was a try, and whether the store answered.
+// Report records whether a call was a probe and whether the store answered it.
 func (a *Access) Note(try, answered bool) {
-	spacing := a.spacing() // asked for without the lock: it may look at what waits for this one
+	spacing := a.spacing() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if try {
@@ -71,16 +69,16 @@
 	a.next = a.clock.Now().Add(max(a.pauses.NextBackOff(), drawn(spacing)))
 }
 
-// Doubt lets the next call be a try: this process has to call the store because others
-// have lost it.
+// SuspectOutage makes the next call a probe: this process has to call the store because others have
+// lost it.
 func (a *Access) Doubt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.away = true
 }
 
-// drawn draws a time with a mean, so that processes that begin to wait at one moment do
-// not end together.
+// randomDelay returns a random time with a given mean, so that processes that begin to wait
+// together do not end together.
 func drawn(mean time.Duration) time.Duration {
 	return time.Duration(2 * rand.Float64() * float64(mean))
 }
--- a/feed/form.go
+++ b/feed/form.go
@@ -13,35 +13,35 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// errDamaged means that what a peer sent is not the value that it announced.
+// errDamaged means that data from a peer does not match the value that it announced.
 var errDamaged = errors.New("what a peer sent is not the value that it announced")
 
-// dictionaryID names the base in a form that is a difference. Both sides agree on
-// the base before, so that any number does.
+// dictionaryID identifies the base in an encoded difference. Both sides have agreed on the base
+// before, so any number does.
 const dictionaryID = 1
 
-// form is a value as it is sent to peers: compressed, by itself or as what differs
-// from an earlier value. A configuration of 4 MB has 350 KB by itself (15 ms to
-// make on one core) and 1.5 KB where one route differs (43 ms).
+// encodedValue is a compressed value as it is sent to peers, whole or as the difference from an
+// earlier value. A configuration of 4 MB takes 350 KB whole (15 ms to encode on one core) and 1.5
+// KB if one route differs (43 ms).
 type form struct {
 	bytes      []byte
-	sum        uint64 // of the bytes; it names the form
+	sum        uint64 // of the bytes; identifies the encoding
 	difference bool
 }
 
-// forms keeps the forms of one record, so that each is made once for all peers.
+// encodingCache caches the encodings of one record, so that each is made once for all peers.
 type forms struct {
 	mu     sync.Mutex
 	key    string
 	offset int64
-	made   map[int64]form // by the offset of the base, noBase for the one by itself
+	made   map[int64]form // by the offset of the base, noBase for a whole value
 }
 
-// noBase stands for no earlier value.
+// noBase is the offset that stands for no earlier value.
 const noBase = -1
 
-// get returns the form of a record for a peer that has the value at the offset
-// base, or none.
+// get returns the encoding of a record for a peer that has the value at the offset base, or for one
+// that has none if base is noBase.
 func (f *forms) get(r hollowgrade.KeyedRecord, base int64, baseValue []byte) (o form, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,14 +57,14 @@
 	return o, err
 }
 
-// encode compresses a value, as what differs from a base if there is one.
+// encode compresses a value, as the difference from a base if there is one.
 func encode(value, base []byte) (o form, err error) {
 	defer errs.Annotate(&err, "compress %d bytes", len(value))
 	l := zstd.SpeedFastest
 	os := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true)}
 	if len(base) > 0 {
-		// The fastest level finds little of a base of some MB: 297 KB of 4 MB for one
-		// route that differs, where this one needs 1.5 KB.
+		// The fastest level finds few matches in a base of several MB: 297 KB of 4 MB for one
+		// changed route, where this one needs 1.5 KB.
 		l = zstd.SpeedDefault
 		os = append(os, zstd.WithEncoderDictRaw(dictionaryID, base), zstd.WithWindowSize(window(len(value)+len(base))))
 	}
@@ -76,12 +76,12 @@
 	return form{bytes: b, sum: xxhash.Sum64(b), difference: len(base) > 0}, w.Close()
 }
 
-// window returns the least size that a window may have to hold n bytes.
+// window returns the smallest allowed window size that holds n bytes.
 func window(n int) int {
 	return max(zstd.MinWindowSize, min(1<<bits.Len(uint(n)), zstd.MaxWindowSize))
 }
 
-// decode is the reverse of encode. The value has size bytes with the given sum.
+// decode reverses encode. The value must have the given size in bytes and checksum.
 func decode(b, base []byte, size int, sum uint64) (value []byte, err error) {
 	defer errs.Annotate(&err, "decompress %d bytes", len(b))
 	os := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(size) + 1)}
--- a/feed/readers.go
+++ b/feed/readers.go
@@ -8,62 +8,60 @@
 )
 
 const (
-	// fewestReaders read the store, however few processes there are, and one in
-	// perReader beyond, up to enoughReaders. A third of all processes may be cut off from
-	// the store at once, and the others have to learn of a change within two seconds: there
-	// have to be so many readers that hardly ever all of them are among those. Of seven,
-	// all are among them once in 2,000 times. One in five of 103 gateways made 18 calls a
-	// second at rest, seven make 7 (BenchmarkCalls of internal/spread).
+	// At least minReaders processes read the store, and one in processesPerReader up to
+	// targetReaders. A third of all processes may lose the store at once while the others still
+	// have to learn of a change within two seconds, so it must be rare that all readers are among
+	// them: once in 2,000 times with seven readers. More readers cost calls: one in five of 103
+	// gateways makes 18 calls a second at rest, seven make 7 (BenchmarkCalls of internal/spread).
 	fewestReaders = 4
 	perReader     = 5
 	enoughReaders = 7
-	// askersOfReader is how many processes ask one reader at the most: more would make more
-	// than 150 asks a second of it.
+	// maxClientsPerReader is how many processes poll one reader at the most: more would make more
+	// than 150 polls a second.
 	askersOfReader = 20
-	// mostOfLarge readers read a topic with large records, however many processes
-	// there are: each read gives a whole record, and the store's reads share 80 MB a
-	// second. Sixteen copies of 4 MB take it 0.8 s, the 84 of a fifth of 420 would
-	// take it 4.2 s. The other readers ask these.
+	// maxLargeReaders is how many processes read a topic with large records: each read returns a
+	// whole record, and all reads share the store's 80 MB a second. Sixteen copies of 4 MB take 0.8
+	// s, the 84 of one in five of 420 processes would take 4.2 s. The other readers poll these.
 	mostOfLarge = 16
-	// rankedFor is for how long the readers are not worked out anew. Each feed asks for them
-	// ten times a second: 0.05 ms each time where there are 103 processes, 0.24 ms where
-	// there are 420 (BenchmarkReaders; 0.0004 and 0.0012 ms when they are known).
+	// rankingTTL is how long the ranking is cached. Each feed needs it ten times a second, and
+	// computing it takes 0.05 ms for 103 processes and 0.24 ms for 420 (BenchmarkReaders).
 	rankedFor = followPause
-	// readersSubject is what processes are ranked for.
+	// readersSubject is the subject for which processes are ranked.
 	readersSubject = "store"
 )
 
-// Place says where a process is.
+// Place is the location of a process.
 type Place struct {
 	Hall string
-	Link float64 // Mbit/s of its box's link, 0 if not known
+	Link float64 // Mbit/s of its box's link, 0 if unknown
 }
 
-// ranked is a process and what decides about its rank as a reader.
+// candidate is a process with the properties that determine its rank as a reader.
 type ranked struct {
 	address string
 	place   Place
 	rank    uint64
-	turn    int // place among the processes of its hall
+	turn    int // position among the processes of its hall
 }
 
-// readers returns the processes that read the store, first those that read topics
-// with large records, the same for all that know the same members. Halls have
-// readers by turns, so that few have none and have to ask beyond; within a hall
-// wide links go first, since a reader tells the others.
+// readers returns the processes that read the store, those that read topics with large records
+// first. All processes with the same member list get the same result. Halls alternate, so that few
+// halls have no reader and have to poll others; within a hall wide links come first, since a reader
+// serves the others.
 func (r *Relay) readers() []string {
 	order, n := r.order()
 	return slices.Clone(order[:n])
 }
 
-// better returns the processes of a better rank than this one. They must not be changed.
+// higherRanked returns the processes of a higher rank than this one. The caller must not change
+// them.
 func (r *Relay) better() []string {
 	order, _ := r.order()
 	return order[:max(slices.Index(order, r.self), 0)]
 }
 
-// order returns all processes by rank, and how many of them read the store for the others. They
-// must not be changed.
+// rankedProcesses returns all processes by rank, and how many of them read the store for the
+// others. The caller must not change them.
 func (r *Relay) order() (as []string, readers int) {
 	r.rankedMu.Lock()
 	defer r.rankedMu.Unlock()
@@ -73,7 +71,7 @@
 	return r.ranked, readerCount(len(r.ranked))
 }
 
-// rank works out the order.
+// rank computes the ranking.
 func (r *Relay) rank() (as []string) {
 	all := append(r.peers(), r.self)
 	slices.Sort(all)
@@ -109,7 +107,7 @@
 	return cmp.Or(cmp.Compare(b.place.Link, a.place.Link), cmp.Compare(b.rank, a.rank), cmp.Compare(a.address, b.address))
 }
 
-// readersOfLarge returns those of the readers that read topics with large records.
+// largeReaders returns those of the readers that read topics with large records.
 func readersOfLarge(rs []string) []string {
 	return rs[:min(mostOfLarge, len(rs))]
 }
