--- a/feed/asking.go
+++ b/feed/asking.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// askTimeout bounds one ask: a connection and an answer within a region. An
-	// answer has at most pageBytes for each topic, so that this bound holds on any
-	// link; what is larger is brought by itself and has no bound in time.
+	// pollTimeout bounds one poll: a connection and an answer within a region. An answer has at
+	// most pageBytes for each topic, which fits into this time on any link. Larger values are
+	// transferred by themselves without a bound on the total time.
 	askTimeout = 700 * time.Millisecond
-	// askedPeers is how many readers a process asks at a time, and how many peers
-	// beside them while it is stale: some may be dead or cut off themselves. All
-	// readers would be asks that grow with the square of the processes.
+	// pollFanout is how many readers a process polls at a time, and how many peers besides while
+	// its view is stale, since some may be dead or cut off. Polling all readers would make the
+	// number of polls grow with the square of the number of processes.
 	askedPeers = 3
-	// toldBytes is from how many bytes on an answer that was cut has a line in the
-	// log. An ask in vain of a peer that is away has none: there are many of them,
-	// and "store lost" and the view's age say what matters.
+	// minLoggedCutBytes is the size from which an answer that was cut is logged as a warning. Polls
+	// of a peer that is away are not: there are many, and "store lost" and the view's age are
+	// logged anyway.
 	toldBytes = 16 << 10
 )
 
-// beginRound returns those of the peers that are not asked already, and notes that they are.
+// startRound returns those of the peers that are not being polled yet, and marks them as such.
 func (r *Relay) beginRound(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,11 +46,11 @@
 	delete(r.asking, address)
 }
 
-// toAsk returns the peers to ask now: some of those that the store may serve, readers above all,
-// unless this process reads all topics itself and the store answers it; and while no process that
-// the store serves tells it anything, or its view is stale, all such readers, some that may
-// stand in, and some others. A reader that started while the store was silent asked nobody, and
-// had a change 3.3 s late.
+// pollTargets returns the peers to poll now. A process that does not read all topics, or that the
+// store does not answer, polls a sample of the processes that the store may serve. While no served
+// process replies, or a view is stale, it polls all readers that may be served, some of the backups
+// that are due, and some others. That holds for a reader too: one that started during an outage and
+// polled nobody got a change 3.3 s late.
 func (r *Relay) toAsk() (as []string) {
 	rs := r.readers()
 	large := readersOfLarge(rs)
@@ -62,7 +62,7 @@
 		as = r.beside(nil, r.withTellers(large))
 	}
 	if served && !slices.Contains(rs, r.self) {
-		as = r.beside(as, r.better()) // those in whose stead it reads may be served by now
+		as = r.beside(as, r.better()) // those that it replaces as a backup may be served by now
 	}
 	r.mu.Lock()
 	untold := r.untold()
@@ -75,12 +75,12 @@
 	return r.beside(as, r.peers())
 }
 
-// beside adds some more of the peers to those that are asked.
+// addSample adds a sample of more peers to those that are polled.
 func (r *Relay) beside(as, more []string) []string {
 	return append(as, r.some(slices.DeleteFunc(slices.Clone(more), func(a string) bool { return a == r.self || slices.Contains(as, a) }))...)
 }
 
-// lacks reports whether the store does not answer this process on a topic.
+// unservedOnSome reports whether the store does not answer this process on some topic.
 func (r *Relay) lacks() bool {
 	return slices.ContainsFunc(r.feeds, func(f *Feed) bool {
 		served, known := f.served()
@@ -93,8 +93,8 @@
 	return allServed(r.feeds)
 }
 
-// some returns as many of the peers as are asked at a time, others each time. One of
-// the own hall is among them if there is one, so that what is large comes from there.
+// sample returns a random sample of pollFanout peers, with one of the own hall if there is one, so
+// that large values come from there.
 func (r *Relay) some(as []string) []string {
 	as = r.likelyServed(as)
 	shuffle(as)
@@ -104,7 +104,7 @@
 	return as[:min(askedPeers, len(as))]
 }
 
-// behind returns the feeds that are stale.
+// staleFeeds returns the feeds that are stale.
 func (r *Relay) behind() (fs []*Feed) {
 	for _, f := range r.feeds {
 		if age, ok := f.Age(); !ok || age > r.timing.stale(f.wait) {
@@ -114,27 +114,27 @@
 	return fs
 }
 
-// told is what one answer of a peer came to.
+// pollResult is the result of one poll of a peer.
 type told struct {
-	feeds  int  // that it told
-	served bool // its word on itself
+	feeds  int  // that were in the answer
+	served bool // whether the peer reported that the store serves it
 	bytes  int64
-	more   *Feed   // a feed of which the peer can tell the next page at once, or nil
-	large  []found // records whose values have to be asked for
+	more   *Feed   // a feed of which the peer can send the next page at once, or nil
+	large  []found // records whose values have to be requested
 }
 
-// found is a record that a peer has told of without its value.
+// announcedValue is a record that a peer announced without its value.
 type found struct {
 	feed   *Feed
 	record *wire.LargeRecord
 }
 
-// ask asks a peer once, and then for the pages that are missing, one after another.
+// poll polls a peer once, and then for the missing pages one after another.
 func (r *Relay) ask(ctx context.Context, address string) {
 	for f := r.askOnce(ctx, address); f != nil; {
 		before := f.Next()
 		if !r.catch(f) {
-			return // another ask does
+			return // another poll does it
 		}
 		more := r.askOnce(ctx, address)
 		r.caught(f)
@@ -145,7 +145,7 @@
 	}
 }
 
-// catch notes that pages of a feed are read one after another, unless they are.
+// startPaging marks a feed as being read page by page. It returns false if it is already.
 func (r *Relay) catch(f *Feed) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,8 +162,8 @@
 	delete(r.catching, f)
 }
 
-// askOnce asks a peer and lets the large values that it has be brought. It returns a
-// feed of which the peer can tell more, or nil.
+// pollOnce polls a peer and starts the transfers of large values that it has. It returns a feed of
+// which the peer can send more, or nil.
 func (r *Relay) askOnce(ctx context.Context, address string) (more *Feed) {
 	sent := r.clock.Now()
 	d, cancel := context.WithTimeout(ctx, askTimeout)
@@ -181,7 +181,7 @@
 	return t.more
 }
 
-// cut notes that the answer of a peer was cut after so many bytes.
+// noteCut records that the answer of a peer was cut after so many bytes.
 func (r *Relay) cut(address string, bytes int64, took time.Duration, err error) {
 	r.wasted.Add(bytes)
 	if bytes >= toldBytes {
@@ -191,13 +191,13 @@
 	r.log.Debug("peer did not tell what it knows of the store", "peer", address, "err", err)
 }
 
-// Received returns how many bytes peers have sent, and how many of these were of
-// answers and values that were cut.
+// Received returns how many bytes peers have sent, and how many of these belonged to answers and
+// values that were cut.
 func (r *Relay) Received() (all, wasted int64) {
 	return r.received.Load(), r.wasted.Load()
 }
 
-// conn returns the kept connection to a peer, or opens one.
+// conn returns the existing connection to a peer, or opens one.
 func (r *Relay) conn(ctx context.Context, address string) (*peer.Conn, error) {
 	r.mu.Lock()
 	c := r.conns[address]
@@ -218,7 +218,7 @@
 	return c, nil
 }
 
-// drop forgets a connection on which an exchange failed.
+// drop closes and removes a connection on which an exchange failed.
 func (r *Relay) drop(address string, c *peer.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,7 +228,7 @@
 	_ = c.Close()
 }
 
-// exchange asks a peer and takes what it tells.
+// exchange polls a peer and merges what it sends.
 func (r *Relay) exchange(ctx context.Context, address string) (t told, err error) {
 	defer errs.Annotate(&err, "ask peer %s for feeds", address)
 	c, err := r.conn(ctx, address)
@@ -270,7 +270,7 @@
 	}
 }
 
-// named returns the feed with a name, nil if there is none.
+// feedByName returns the feed with a name, nil if there is none.
 func named(fs []*Feed, name string) *Feed {
 	i := slices.IndexFunc(fs, func(f *Feed) bool { return f.Name() == name })
 	if i < 0 {
@@ -279,9 +279,8 @@
 	return fs[i]
 }
 
-// merge takes a peer's reply. What the peer knew as of some time before it
-// answered it knew at the latest that long after the request was sent. What has to
-// be asked for besides goes into t.
+// merge merges a peer's reply and adds what has to be requested separately to t. The reply's age
+// counts from when the request was sent, the earliest time at which the peer can have answered.
 func (r *Relay) merge(address string, m *wire.FeedReply, sent time.Time, t *told) {
 	f := named(r.feeds, m.Feed)
 	if f == nil {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// lostAfter is how long a process goes without word from a process that the store
-	// serves before it doubts that any reader is, whatever they say: those that it asks may
-	// be gone. It is two asks, or one and its timeout. One that reaches nobody reads the
-	// store itself then.
+	// servedReplyTimeout is how long a process goes without a reply from a process that the store
+	// serves before it suspects that the store serves no reader, whatever they report: those that
+	// it polls may be gone. It is two poll intervals, or one and its timeout. A process that
+	// reaches no peer then reads the store itself.
 	lostAfter = 900 * time.Millisecond
-	// standInRate is how many tries a second all processes that are no readers make while
-	// the store is away, once each has had its turn: a few that get an answer are enough for
+	// backupProbesPerSecond is how many probes a second all processes other than readers make
+	// together during an outage, once all backups are due. A few that get an answer are enough for
 	// all.
 	standInRate = 20
-	// urgentFor is for how long a process that is told nothing asks often: a few asks
-	// more than the last turn of those that stand in.
+	// urgentPollPeriod is how long a process polls at the urgent interval while it gets no served
+	// reply: a few polls longer than until the last backups are due.
 	urgentFor = 3 * time.Second
 )
 
-// Relay keeps feeds up to date from peers: a few processes read the store, and
-// the others ask those. It also helps a process that the store turns away.
+// Relay keeps feeds up to date from peers: a few processes read the store, and the others poll
+// those. It also updates a process that the store does not serve.
 type Relay struct {
 	self   string
 	hall   string
@@ -40,9 +40,9 @@
 	clock  hollowgrade.Clock
 	log    *log.Logger
 
-	received, wasted atomic.Int64 // bytes that peers sent; those that were thrown away
+	received, wasted atomic.Int64 // bytes that peers sent; those that were discarded
 	exchanges        sync.WaitGroup
-	notify           chan struct{} // has an element when a round was in vain: others are asked at once
+	notify           chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
 	store *Access
 	begun time.Time // when this process started
@@ -50,26 +50,26 @@
 	timing Timing
 
 	rankedMu sync.Mutex
-	ranked   []string // all processes by rank as they were worked out last, readers first
+	ranked   []string // cached ranking of all processes, readers first
 	rankedAt time.Time
 
 	mu        sync.Mutex
 	conns     map[string]*peer.Conn
-	words     map[string]word     // what peers last said of themselves
-	asking    map[string]bool     // peers that are asked now
-	open      int                 // how many peers of the last round have still to answer, if none that the store serves has
-	vain      bool                // whether none of a round was one that the store serves, and none has answered since
-	told      time.Time           // when a process that the store serves last told all feeds, or this process began
-	reached   time.Time           // when a peer last answered
-	standing  bool                // whether this process stands in for the readers
-	doubted   time.Time           // since when the store seems to serve no reader; zero if it does
-	reads     reading             // what Reads last said
-	large     reading             // what ReadsLarge last said
+	words     map[string]word     // last reported status of each peer
+	asking    map[string]bool     // peers that are being polled
+	open      int                 // pending polls of the last round, if none has reached a served peer
+	vain      bool                // whether no peer of a round was served by the store, and no served one has replied since
+	told      time.Time           // time of the last complete reply of a served peer, or the start time of this process
+	reached   time.Time           // time of the last reply of any peer
+	standing  bool                // whether this process reads as a backup
+	doubted   time.Time           // since when the store has seemed to serve no reader; zero if it does
+	reads     reading             // last result of Reads
+	large     reading             // last result of ReadsLarge
 	transfers map[*Feed]*transfer // under way
-	catching  map[*Feed]bool      // feeds of which pages are read one after another
+	catching  map[*Feed]bool      // feeds that are being read page by page
 }
 
-// RelayOption changes a relay as it is made.
+// RelayOption configures a relay.
 type RelayOption func(*Relay)
 
 // WithRelayClock sets the clock.
@@ -82,24 +82,23 @@
 	return func(r *Relay) { r.log = l }
 }
 
-// WithDialer sets how peers are reached.
+// WithDialer sets the dialer for connections to peers.
 func WithDialer(d peer.Dialer) RelayOption {
 	return func(r *Relay) { r.dial = d }
 }
 
-// WithPlaces sets what is known of where processes are, this one among them.
+// WithPlaces sets the function that returns the location of a process, this one included.
 func WithPlaces(f func(address string) Place) RelayOption {
 	return func(r *Relay) { r.places = f }
 }
 
-// WithRelayTiming sets the times by which peers are asked and stood in for.
+// WithRelayTiming sets the intervals of polls and the delays of backups.
 func WithRelayTiming(t Timing) RelayOption {
 	return func(r *Relay) { r.timing = t }
 }
 
-// NewRelay returns a relay for the process with the address self. Peers returns
-// the addresses of the others; it is asked anew each time. Feeds are added with
-// [Relay.Add].
+// NewRelay returns a relay for the process with the address self. Peers returns the current
+// addresses of the others. Feeds are added with [Relay.Add].
 func NewRelay(self string, peers func() []string, os ...RelayOption) *Relay {
 	r := &Relay{
 		self:      self,
@@ -126,14 +125,14 @@
 	return r
 }
 
-// Access returns what this process knows of its way to the store, for all that calls it.
+// Breaker returns the breaker that all callers of the store in this process share.
 func (r *Relay) Access() *Access {
 	return r.store
 }
 
-// spacing is the mean time between the tries of this process to read a store that is
-// away: readers make theirs as they fail, and so does one that reaches nobody; all others
-// together make [standInRate] a second.
+// probeInterval is the mean time between probes of a store that does not answer. Readers and
+// isolated processes use the exponential delay alone; all others together make
+// [backupProbesPerSecond].
 func (r *Relay) spacing() time.Duration {
 	if slices.Contains(r.readers(), r.self) || r.alone() {
 		return 0
@@ -141,7 +140,7 @@
 	return time.Duration(len(r.peers())) * time.Second / standInRate
 }
 
-// alone reports whether this process has reached no other lately.
+// isolated reports whether no peer has replied lately.
 func (r *Relay) alone() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,14 +152,13 @@
 	r.feeds = append(r.feeds, fs...)
 }
 
-// Reads reports whether this process has to read the store itself: it is one of
-// the readers, or stands in for them.
+// Reads reports whether this process has to read the store itself, as a reader or as a backup.
 func (r *Relay) Reads() bool {
 	return r.readsAs(r.readers(), &r.reads, "all")
 }
 
-// ReadsLarge reports the same for topics with large records. While a peer sends one,
-// this process does not read another copy of it: both would share one link.
+// ReadsLarge reports the same for topics with large records. While a peer sends one, this process
+// does not read another copy from the store, since both would share one link.
 func (r *Relay) ReadsLarge() bool {
 	rs := readersOfLarge(r.readers())
 	if r.transferring() {
@@ -169,11 +167,11 @@
 	return r.readsAs(rs, &r.large, "large")
 }
 
-// reading is whether this process reads some of the topics itself.
+// readDecision is whether this process reads some of the topics itself.
 type reading bool
 
-// readsAs reports whether this process has to read topics that these processes read
-// for all, and logs when that is no longer what was said last.
+// updateReads reports whether this process has to read topics that the given readers read for all,
+// and logs when the decision changes.
 func (r *Relay) readsAs(readers []string, said *reading, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
 	better := r.better()
@@ -184,7 +182,7 @@
 	stoodIn := false
 	defer func() {
 		if stoodIn {
-			r.store.Doubt() // without the lock, since the store's access asks this relay
+			r.store.Doubt() // without the lock, since the breaker calls this relay
 		}
 	}()
 	r.mu.Lock()
@@ -201,8 +199,8 @@
 	return reads
 }
 
-// doubtedMillis returns for how long the store has seemed to serve no reader, for logs; -1 if
-// it does. The lock is held.
+// outageMillis returns how long the store has seemed to serve no reader, for logs; -1 if it does.
+// The caller holds the lock.
 func (r *Relay) doubtedMillis() int64 {
 	if r.doubted.IsZero() {
 		return -1
@@ -210,14 +208,14 @@
 	return r.clock.Since(r.doubted).Milliseconds()
 }
 
-// begins reports whether this process has just started and knows no other yet. It has
-// read all newest records or is about to; whether it is to read on it learns with the list
-// of the others. Gateways that start together made seven calls each, and make four.
+// isStarting reports whether this process has just started and knows no other yet. It reads all
+// newest records in any case; whether it keeps reading is decided with the list of the others.
+// Without this wait, gateways that start together make seven calls each instead of four.
 func (r *Relay) begins(readers int) bool {
 	return readers <= 1 && r.clock.Since(r.begun) <= lostAfter
 }
 
-// Run asks peers until ctx ends.
+// Run polls peers until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	var asked time.Time
 	for r.rest(ctx) {
@@ -240,8 +238,9 @@
 	}
 }
 
-// asksOften reports whether this process asks often, since nobody that the store serves tells it
-// anything: only for as long as it may take to find out who stands in, as in a long outage nobody does.
+// pollsUrgently reports whether this process polls at the urgent interval since no served process
+// replies. It does so only until the backups should be known, since in a long outage there are
+// none.
 func (r *Relay) asksOften() bool {
 	served := r.isServed()
 	r.mu.Lock()
@@ -249,8 +248,7 @@
 	return !served && r.untold() && r.clock.Since(r.told) <= urgentFor
 }
 
-// rest waits for the next moment at which peers may have to be asked. It returns false if ctx
-// ended before.
+// waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
 func (r *Relay) rest(ctx context.Context) bool {
 	t := r.clock.NewTimer(r.timing.Urgent)
 	defer t.Stop()
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// standInGroup is how many processes stand in first where the store serves no
-	// reader: of another data hall each, by their rank. Each turn has standInGrowth times as
-	// many as all before it, and three more, so that the last of 420 have theirs after half a second.
+	// backupGroupSize is the size of the first group of backups, which read where the store serves
+	// no reader, each in another data hall, by rank. Each later group has backupGroupGrowth times
+	// as many as all before it, plus backupGroupSize, so that the last of 420 processes are due
+	// after half a second.
 	standInGroup  = 3
 	standInGrowth = 4
-	// enoughServed is how many processes of a better rank have to be served for one that stands in
-	// to stop. With one of them the next that is turned away would be missed by all at once.
+	// minServedAbove is how many processes of a higher rank have to be served before a backup
+	// stops. With only one, its loss would leave all processes without a served peer at once.
 	enoughServed = 2
-	// keptWords is from how many words on those that are too old to count are forgotten:
-	// more than the readers that a process asks, of 420.
+	// maxPeerStatuses is the number of peer statuses above which expired ones are removed: more
+	// than the readers that one of 420 processes polls.
 	keptWords = 64
 )
 
-// turnOf returns which turn a process has that comes at a place after the readers.
+// backupGroup returns the group of the backup at a position after the readers.
 func turnOf(place int) (turn int) {
 	for end := standInGroup; place >= end; end = standInGroup + end*standInGrowth {
 		turn++
@@ -28,7 +29,7 @@
 	return turn
 }
 
-// placesUntil returns how many of so many processes have had their turn.
+// backupsUpTo returns how many of all processes belong to a group or an earlier one.
 func placesUntil(turn, all int) (n int) {
 	for ; turn >= 0 && n < all; turn-- {
 		n = standInGroup + n*standInGrowth
@@ -36,14 +37,14 @@
 	return min(n, all)
 }
 
-// word is what a peer last said of itself: whether the store serves it, which is to say that
-// it reads all topics and the store answers these reads in time.
+// peerStatus is what a peer last reported: whether the store serves it, that is, it reads all
+// topics and the store answers these reads in time.
 type word struct {
 	served bool
 	at     time.Time
 }
 
-// heard notes that a peer has answered, and whether it is served by the store and has told all feeds.
+// noteReply records that a peer replied, and whether the store serves it and it sent all feeds.
 func (r *Relay) heard(address string, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 	r.open, r.vain, r.told = 0, false, r.reached
 }
 
-// unheard notes that a peer did not answer.
+// noteNoReply records that a peer did not reply.
 func (r *Relay) unheard(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +65,9 @@
 	r.inVain()
 }
 
-// inVain notes that a peer of the last round is not one that the store serves. Others are asked at
-// once if that was the last of them, and later if it was so before. The lock is held.
+// noteUnserved records that the store does not serve a peer of the last round. If it was the last
+// of a round without a served peer, others are polled at once, but not if the round before was one
+// as well. The caller holds the lock.
 func (r *Relay) inVain() {
 	r.open--
 	if r.open != 0 || r.vain {
@@ -74,12 +76,11 @@
 	r.vain = true
 	select {
 	case r.notify <- struct{}{}:
-	default: // it is to ask already
+	default: // a poll is due already
 	}
 }
 
-// noteWord notes what a peer says of itself, and forgets what others said too long ago. The lock
-// is held.
+// setStatus records the status of a peer, and removes expired ones. The caller holds the lock.
 func (r *Relay) noteWord(address string, served bool) {
 	if len(r.words) > keptWords {
 		maps.DeleteFunc(r.words, func(a string, _ word) bool {
@@ -90,14 +91,15 @@
 	r.words[address] = word{served, r.clock.Now()}
 }
 
-// lastWord returns what a peer said of itself lately, and false if it said nothing. The lock is held.
+// status returns the recent status of a peer, and false if there is none. The caller holds the
+// lock.
 func (r *Relay) lastWord(address string) (served, ok bool) {
 	w, ok := r.words[address]
 	return w.served, ok && r.clock.Since(w.at) <= r.timing.wordFor()
 }
 
-// likelyServed leaves out the peers that the store does not serve by their last word, unless
-// none are left.
+// preferServed leaves out the peers that the store does not serve by their status, unless none are
+// left.
 func (r *Relay) likelyServed(as []string) []string {
 	if hs := r.mayBeServed(as); len(hs) > 0 {
 		return hs
@@ -105,7 +107,7 @@
 	return as
 }
 
-// mayBeServed returns the peers that have not said lately that the store does not serve them.
+// withoutUnserved returns the peers whose status does not say that the store does not serve them.
 func (r *Relay) mayBeServed(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,14 +117,14 @@
 	})
 }
 
-// untold reports whether no process that the store serves has told this one anything
-// for longer than it takes to be told, or none of those that it asked last is one. The lock is held.
+// lacksServedReply reports whether no served process has replied within the expected time, or none
+// of the last round was served. The caller holds the lock.
 func (r *Relay) untold() bool {
 	return r.vain || r.clock.Since(r.told) > r.timing.untold()
 }
 
-// doubts reports whether the readers seem to be turned away by the store, all of them. The
-// lock is held.
+// suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
+// lock.
 func (r *Relay) doubts(readers []string, stale bool) bool {
 	if !r.untold() {
 		return false
@@ -133,8 +135,8 @@
 	})
 }
 
-// noteDoubt notes since when the store seems to serve no reader, if it does. Of a process that it
-// serves nothing is in doubt. The lock is held.
+// updateOutage records since when the store has seemed to serve no reader. A process that the store
+// serves suspects no outage. The caller holds the lock.
 func (r *Relay) noteDoubt(readers []string, served, stale bool) {
 	if served {
 		r.told, r.vain = r.clock.Now(), false
@@ -147,9 +149,9 @@
 	}
 }
 
-// standsIn reports whether this process, which has its turn after the readers, reads the store in
-// their stead: from its turn on while they are in doubt, and then until enough of those before it are
-// served. The lock is held.
+// actsAsBackup reports whether this process of a group of backups reads the store in place of the
+// readers: from when its group is due in an outage until enough processes of a higher rank are
+// served. The caller holds the lock.
 func (r *Relay) standsIn(turn int, better []string, served bool) bool {
 	if r.standing && served {
 		return r.servedOf(better) < min(enoughServed, len(better))
@@ -162,8 +164,8 @@
 	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.Turn
 }
 
-// servedOf returns how many of the processes are served by the store, by their own words.
-// The lock is held.
+// countServed returns how many of the processes are served by the store by their status. The caller
+// holds the lock.
 func (r *Relay) servedOf(as []string) (n int) {
 	for _, a := range as {
 		if served, ok := r.lastWord(a); ok && served && a != r.self {
@@ -173,7 +175,7 @@
 	return n
 }
 
-// withTellers returns the peers, and the others that the store serves by their own words.
+// withServedPeers returns the peers and all others that the store serves by their status.
 func (r *Relay) withTellers(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,8 +187,7 @@
 	return as
 }
 
-// standIns returns the processes that have had their turn to stand in by now. They must not
-// be changed.
+// dueBackups returns the backups that are due by now. The caller must not change them.
 func (r *Relay) standIns() []string {
 	order, readers := r.order()
 	r.mu.Lock()
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// viewBound is the age of views that the times below are made for. They let a change be
-	// known everywhere well within the two seconds that are promised.
+	// nominalViewAge is the bound on the age of views for which the nominal times below are made.
+	// With them a change is known everywhere well within the required two seconds.
 	viewBound = 4200 * time.Millisecond
-	// The shares of that bound; [Timing.oldest] adds them up.
+	// The shares of that bound; [Timing.maxAge] adds them up.
 	mostWait   = 1500 * time.Millisecond
 	mostLate   = 200 * time.Millisecond
 	mostAsk    = 400 * time.Millisecond
 	mostUrgent = 100 * time.Millisecond
 	mostTurn   = 125 * time.Millisecond
-	// leastShare of these times is the least that is worth its asks: ten a second.
+	// maxShrink is the factor by which these times may shrink at the most; below, polls would
+	// exceed ten a second.
 	leastShare = 4
-	// LeastBound is the least age of views that can be held.
+	// MinViewAge is the smallest supported bound on the age of views.
 	LeastBound = viewBound / leastShare
-	// driftShare is how much faster the store's steady clock may run than that of a
-	// process, as one part in so many. A read that has waited for all of its wait says
-	// what was there at the end of it, by the store's clock.
+	// clockDriftDivisor bounds how much faster the store's monotonic clock may run than that of a
+	// process, as one part in so many. A read that waited its whole time shows what was there at
+	// the end of the wait by the store's clock.
 	driftShare = 16
 )
 
-// Timing is how the time for which a view may be trusted is divided: all of it
-// follows from one bound, so that what is asked for as a whole is held by the sum.
+// Timing divides the time for which a view may be trusted. All parts derive from one bound, so that
+// their sum keeps it.
 type Timing struct {
-	Wait   time.Duration // for which one read waits at the store for a record
-	Late   time.Duration // beyond that after which a reader is taken as turned away
-	Ask    time.Duration // between the asks of a process that is told
-	Urgent time.Duration // between those of one that is not
-	Turn   time.Duration // between a group of processes that stand in and the next
+	Wait   time.Duration // how long one read waits at the store for a record
+	Late   time.Duration // time beyond the wait after which the store is taken not to serve a reader
+	Ask    time.Duration // between polls while a served process replies
+	Urgent time.Duration // between polls while none does
+	Turn   time.Duration // between two groups of backups
 }
 
-// NewTiming returns the times by which views get no older than the bound, however the store
-// turns processes away as long as it serves some. Below [LeastBound] they do not shrink.
+// NewTiming returns the times that keep views no older than the bound, as long as the store serves
+// some process. Below [MinViewAge] they do not shrink further.
 func NewTiming(bound time.Duration) Timing {
 	whole := float64(max(bound, LeastBound)) / float64(viewBound)
 	part := min(whole, 1)
@@ -47,34 +48,33 @@
 	}
 }
 
-// due is the age of a view, read with so long a wait, when its next answer is due.
+// answerDue is the age of a view, read with the given wait, when its next answer is due.
 func (t Timing) due(wait time.Duration) time.Duration {
 	return wait + wait/driftShare + t.Late
 }
 
-// stale is the age from which a view, read with so long a wait by others, is older than
-// readers that the store serves let it get.
+// staleAge is the age from which a view, read by others with the given wait, is older than readers
+// that the store serves let it get.
 func (t Timing) stale(wait time.Duration) time.Duration {
 	return t.due(wait) + 2*t.Late + t.Ask
 }
 
-// oldest is the age that a view, read with so long a wait, gets at the most while the store turns away
-// all readers and those that stand in before a turn: until a reader's answer is due, and overdue; until
-// the reader is asked and says so, and with it all others; until who has its turn looks, and is asked. At
-// 4.2 s that is 2.59 s for the readers alone (2.58 s measured, 103 gateways in virtual time) and 2.97 s
-// for all but three (2.88 s); it was 3.8 to 5.0 s when each waited for its view to seem stale.
+// maxAge is the largest age of a view, read with the given wait, while the store serves neither the
+// readers nor the backups of the groups before the given one. It is the sum of these times: a
+// reader's answer becomes due and then overdue, the reader is polled and reports that, a due backup
+// looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
+// all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) oldest(wait time.Duration, turn int) time.Duration {
 	return t.due(wait) + t.Late + t.Ask + 2*t.Urgent + time.Duration(turn)*t.Turn
 }
 
-// untold is how long a process that asks goes without word of a reader that the store serves
-// before it asks all readers; one that gets an answer from each asks them at once.
+// maxReplyGap is how long a process goes without a served reply before it polls all readers. It
+// polls them at once if all of a round replied that they are not served.
 func (t Timing) untold() time.Duration {
 	return t.Ask + t.Urgent/2
 }
 
-// wordFor is how long the word of a peer counts for whether the store serves it: each
-// reader is asked about that often.
+// statusTTL is how long a peer's status is valid; each reader is polled about that often.
 func (t Timing) wordFor() time.Duration {
 	return 4 * t.Ask
 }
