--- a/feed/server.go
+++ b/feed/server.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// slotMbit is how much of a link one transfer of a value is given, in Mbit/s, and
-	// fewestSlots and mostSlots how many transfers a process makes at a time. A
-	// narrow link that serves two at a time lets a fleet of n have a value after
-	// log3(n) rounds; all at a time would keep each of them waiting for the last.
+	// mbitPerSlot is the share of a link in Mbit/s for one transfer of a value, and minSlots and
+	// maxSlots bound how many transfers a process makes at a time. On a narrow link two at a time
+	// distribute a value to n processes in log3(n) rounds; with all at once, each would wait for
+	// the last.
 	slotMbit    = 25
 	fewestSlots = 2
 	mostSlots   = 8
-	// keptHolders is how many processes that have taken a value are remembered, and
-	// namedHolders how many of them a busy process names.
+	// maxHolders is how many processes that have received a value are remembered, and
+	// maxHoldersInReply how many of them a busy reply lists.
 	keptHolders  = 32
 	namedHolders = 4
-	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of
-	// 20 Mbit/s, for which other exchanges on the connection wait at the most.
+	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
+	// longest that other exchanges on the connection wait for it.
 	chunkBytes = 16 << 10
-	// stallTimeout is how long a transfer may stand still, a process that was paused
-	// for a moment among the reasons.
+	// stallTimeout is how long a transfer may make no progress, for example while a process is
+	// paused.
 	stallTimeout = time.Second
-	// unknownAge is told where an excerpt does not reach the end of a view.
+	// unknownAge is sent as the age if an excerpt does not reach the end of a view.
 	unknownAge = 24 * time.Hour
 )
 
-// Server answers peers: with excerpts of feeds, and with large values.
+// Server answers peers with excerpts of feeds and with large values.
 type Server struct {
 	feeds []*Feed
 	slots int
 
 	mu      sync.Mutex
 	busy    int
-	holders []holder // that have taken a value from here, latest first
+	holders []holder // that received a value from this process, latest first
 }
 
 // holder is a process that has a value.
@@ -53,14 +53,12 @@
 	offset        int64
 }
 
-// NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if
-// that is not known.
+// NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if unknown.
 func NewServer(link float64, fs ...*Feed) *Server {
 	return &Server{feeds: fs, slots: min(max(int(link/slotMbit), fewestSlots), mostSlots)}
 }
 
-// Serve answers one exchange that a peer has opened. It is a part of a
-// [peer.Handler].
+// Serve answers one exchange that a peer has opened. It is meant to be called by a [peer.Handler].
 func (s *Server) Serve(t *peer.Stream, first *wire.Frame) error {
 	switch b := first.Body.(type) {
 	case *wire.Frame_FeedRequest:
@@ -72,7 +70,7 @@
 	}
 }
 
-// tell answers with an excerpt of each feed that is known here.
+// sendFeeds answers with an excerpt of each feed that is known here.
 func (s *Server) tell(t *peer.Stream, q *wire.FeedRequest) (err error) {
 	defer errs.Annotate(&err, "answer with feeds")
 	unserved := !allServed(s.feeds)
@@ -83,7 +81,7 @@
 		}
 		p, ok := f.excerptFrom(o.Next)
 		if !ok || f.lostNow() && o.Next > 0 {
-			continue // the store's newest is not known here, and the peer knows something
+			continue // the view may be outdated, and the peer has one of its own
 		}
 		if err = t.Send(reply(f.Name(), p, unserved)); err != nil {
 			return err
@@ -106,7 +104,7 @@
 	return &wire.Frame{Body: &wire.Frame_FeedReply{FeedReply: m}}
 }
 
-// give sends the newest value of a key, or says who else has it.
+// sendValue sends the newest value of a key, or a list of other processes that have it.
 func (s *Server) give(t *peer.Stream, q *wire.ValueRequest) (err error) {
 	defer errs.Annotate(&err, "send a value")
 	f := named(s.feeds, q.Feed)
@@ -141,7 +139,7 @@
 	return t.Finish()
 }
 
-// base returns the value that a peer has, if it is known here and the same.
+// base returns the value that a peer has as a base, if it is known here with the same checksum.
 func (s *Server) base(f *Feed, q *wire.ValueRequest) (value []byte, offset int64) {
 	if q.BaseSum == 0 {
 		return nil, noBase
@@ -153,7 +151,7 @@
 	return v, q.BaseOffset
 }
 
-// sendForm sends a form in pieces, each of which has to make way in time.
+// sendEncoded sends an encoded value in chunks, each with its own deadline.
 func sendForm(t *peer.Stream, b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), chunkBytes)
@@ -184,7 +182,7 @@
 	s.busy--
 }
 
-// note remembers who has a value now.
+// addHolder records a process that has a value.
 func (s *Server) note(h holder) {
 	if h.address == "" {
 		return
@@ -195,8 +193,8 @@
 	s.holders = s.holders[:min(len(s.holders), keptHolders)]
 }
 
-// refuse tells a peer that no transfer can begin now, and who has the value, those
-// in its own hall first.
+// sendBusy replies that no transfer can begin now and lists processes that have the value, those in
+// the peer's hall first.
 func (s *Server) refuse(t *peer.Stream, h holder) error {
 	s.mu.Lock()
 	var near, far []string
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -17,35 +17,34 @@
 )
 
 const (
-	// busyPause is how long a process waits at the least before it asks on after a
-	// peer that was busy, twice as long each time up to mostBusyPause.
+	// minBusyDelay is the least delay before the next request after a busy reply. It doubles each
+	// time up to maxBusyDelay.
 	busyPause     = 20 * time.Millisecond
 	mostBusyPause = 320 * time.Millisecond
-	// nearPause is how long a process waits for a peer of its own hall to have a
-	// value that one of another hall has, if its hall has a reader: so the value
-	// crosses a link between halls about once. It is short of the second that is left
-	// of the two in which a change has to be in force.
+	// sameHallDelay is how long a process waits for a peer of its own hall to get a value that a
+	// peer of another hall has, if its hall has a reader. The value then crosses each link between
+	// halls about once. A change has to be in force within two seconds, of which about one is left
+	// at this point.
 	nearPause = 150 * time.Millisecond
 )
 
-// errNotThere means that a peer does not have a value any more.
+// errNoValue means that a peer no longer has a value.
 var errNotThere = errors.New("peer does not have the value")
 
-// transfer is the bringing of one large value from the peers that have it, one at a
-// time. What came of it before a peer was lost is kept, and another goes on from
-// there.
+// transfer fetches one large value from the peers that have it, one at a time. If one peer is lost,
+// the bytes received so far are kept and the next one continues from there.
 type transfer struct {
 	feed    *Feed
 	key     string
 	running bool
-	offset  int64    // of the latest record that is missing
-	holders []string // that are to be asked, the next one first
-	form    uint64   // of which bytes came
+	offset  int64    // of the latest missing record
+	holders []string // peers to request from, the next one first
+	form    uint64   // identifies the encoding of the received bytes
 	bytes   []byte
 }
 
-// bring lets a large value be brought, unless it is; then the peer is one more that
-// has it.
+// fetchValue starts the transfer of a large value, or adds the peer to the holders of a running
+// one.
 func (r *Relay) bring(ctx context.Context, f *Feed, l *wire.LargeRecord, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +54,7 @@
 		r.transfers[f] = t
 	}
 	if t.key != l.Key {
-		return // one after the other
+		return // one value of a feed at a time
 	}
 	t.offset = max(t.offset, l.Offset)
 	t.add(address)
@@ -65,7 +64,7 @@
 	}
 }
 
-// transferring reports whether a value is being brought.
+// transferring reports whether a transfer is running.
 func (r *Relay) transferring() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,20 +76,20 @@
 	return false
 }
 
-// ended reports whether there is nothing left to bring, or nobody to ask; the
-// transfer has stopped then.
+// stopIfDone stops a transfer if nothing is missing or no holder is left, and reports whether it
+// did.
 func (r *Relay) ended(t *transfer) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	missing := t.feed.Next() <= t.offset
 	if !missing {
-		t.holders = nil // they are told anew of what comes next
+		t.holders = nil // later records are announced again
 	}
 	t.running = missing && len(t.holders) > 0
 	return !t.running
 }
 
-// add adds peers that have the value. The relay's lock is held.
+// addHolders adds peers that have the value. The caller holds the relay's lock.
 func (t *transfer) add(as ...string) {
 	for _, a := range as {
 		if !slices.Contains(t.holders, a) {
@@ -99,7 +98,7 @@
 	}
 }
 
-// next takes the peer to ask now, one of the own hall if there is one.
+// nextHolder removes and returns the holder to request from, preferably one of the own hall.
 func (r *Relay) next(t *transfer) (address string, near bool, offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,13 +110,12 @@
 	return address, near, t.offset
 }
 
-// near reports whether a peer is in this process's hall.
+// sameHall reports whether a peer is in this process's hall.
 func (r *Relay) near(address string) bool {
 	return r.hall != "" && r.places(address).Hall == r.hall
 }
 
-// carry brings a value until it is here or nobody is left to ask. The next ask goes
-// on then.
+// runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
 func (r *Relay) carry(ctx context.Context, t *transfer) {
 	r.waitForNear(ctx, t)
 	for pause := busyPause; !r.ended(t); {
@@ -136,7 +134,7 @@
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
 				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
 			t.feed.takeValue(v.record, offset, a)
-			r.addHolders(t, a) // for a later value that has come meanwhile
+			r.addHolders(t, a) // for a later value that was announced meanwhile
 			r.exchanges.Go(func() { r.ask(ctx, a) })
 		}
 	}
@@ -148,7 +146,7 @@
 	t.add(as...)
 }
 
-// waitForNear gives a peer of the own hall the time to have the value first.
+// waitForSameHall gives a peer of the own hall time to get the value first.
 func (r *Relay) waitForNear(ctx context.Context, t *transfer) {
 	r.mu.Lock()
 	near := slices.ContainsFunc(t.holders, r.near)
@@ -158,16 +156,16 @@
 	}
 }
 
-// brought is what a peer answered.
+// valueReply is a peer's reply to a request for a value.
 type brought struct {
 	record    hollowgrade.KeyedRecord
 	formBytes int64
-	part      bool // whether it is what differs from the value before
+	part      bool // whether it was sent as the difference from an earlier value
 	busy      bool
 	holders   []string
 }
 
-// request asks a peer for the value of the record at the offset or a later one.
+// request requests the value of the record at the offset, or of a later one, from a peer.
 func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v brought, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a value", address)
 	d, cancel := context.WithTimeout(ctx, askTimeout)
@@ -198,7 +196,7 @@
 	return v, err
 }
 
-// receive takes a peer's answer.
+// receive receives a peer's reply.
 func (t *transfer) receive(s *peer.Stream, base hollowgrade.KeyedRecord, offset int64) (v brought, err error) {
 	if err = s.Extend(stallTimeout); err != nil {
 		return v, err
@@ -240,7 +238,7 @@
 	return brought{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, part: h.Difference}, nil
 }
 
-// begin prepares for the bytes of a form, of which some may be here.
+// resume prepares for the bytes of an encoding, some of which may be here already.
 func (t *transfer) begin(h *wire.ValueHead) error {
 	if h.Form != t.form || h.From == 0 {
 		t.form, t.bytes = h.Form, nil
@@ -252,7 +250,7 @@
 	return nil
 }
 
-// more takes the next piece of a form of so many bytes.
+// receiveChunk receives the next chunk of an encoding of so many bytes.
 func (t *transfer) more(s *peer.Stream, size int64) error {
 	if err := s.Extend(stallTimeout); err != nil {
 		return err
