--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -17,7 +17,7 @@
 
 func noSpacing() time.Duration { return 0 }
 
-// requireMayCall checks whether a call may be made now, and whether it is a try.
+// requireMayCall checks whether a call may be made now, and whether it is a probe.
 func requireMayCall(t *testing.T, a *Access, may, try bool) {
 	t.Helper()
 	isTry, wait := a.Begin()
@@ -78,8 +78,8 @@
 	})
 }
 
-// A topic whose reads wait long is not what tells that the store is back: its answer
-// would come seconds later, and the other topics would wait for it.
+// A probe must not wait at the store: on a topic whose reads wait long, its answer would come
+// seconds after the store is back, and the other topics would wait for it.
 func TestATryDoesNotWaitAtTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -95,7 +95,7 @@
 			quick.set(func() { quick.down = true })
 			time.Sleep(3 * time.Second)
 			quick.set(func() { quick.down = false })
-			slow.set(func() {}) // its read ends, and it is the next to try
+			slow.set(func() {}) // ends its read, so that it makes the next probe
 			time.Sleep(2 * lastPause)
 			age, _ := eager.Age()
 			require.Less(t, age, 2*lastPause+time.Second)
@@ -111,8 +111,8 @@
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.0.%d:1", i))
 	}
-	// reading returns how many of those that are no readers read the store once readers
-	// have told nothing for so long, whether or not they reach others.
+	// reading returns how many processes other than the readers read the store once no served
+	// process has replied for the given time, with or without replies from other peers.
 	reading := func(silent time.Duration, reach bool) (reads int) {
 		for _, a := range all {
 			r := NewRelay(a, func() []string { return append([]string(nil), all...) }, WithRelayLogger(log.New(io.Discard)))
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -28,10 +28,10 @@
 type fakeTopic struct {
 	mu      sync.Mutex
 	records []hollowgrade.KeyedRecord
-	first   int64 // offset of the first one kept
+	first   int64 // offset of the first retained record
 	down    bool
 	reads   int
-	slow    time.Duration // that reading the newest records takes
+	slow    time.Duration // how long reading the newest records takes
 	changed chan struct{}
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// view notes what a watcher is told.
+// view records the changes that a watcher receives.
 type view struct {
 	mu       sync.Mutex
 	values   map[string]string
@@ -144,7 +144,7 @@
 	return fmt.Sprint(v.values)
 }
 
-// bubble runs a feed of a topic in virtual time.
+// runFeed runs a feed of a topic in virtual time.
 func bubble(t *testing.T, test func(t *testing.T, k *fakeTopic, f *Feed, v *view)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -167,7 +167,7 @@
 	synctest.Wait()
 }
 
-// pause lets a feed read again after it has read records.
+// pause waits until a feed may read again after it has read records.
 func pause() {
 	time.Sleep(readPause)
 	synctest.Wait()
@@ -202,9 +202,8 @@
 			require.LessOrEqual(t, k.reads-before, 6)
 		})
 	})
-	// Found on the sweep of sbn-push-grown: 300 gateways that were killed at once
-	// read 3,000 upstreams anew, which takes the store longer than the 3 s after
-	// which each began again.
+	// Guards against retrying a slow read of the newest records for ever: 300 gateways that restart
+	// together read 3,000 upstreams, which takes the store longer than a timeout of 3 s.
 	t.Run("newest records that take long are read all the same", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -221,12 +220,12 @@
 			g.Wait()
 		})
 	})
-	// A read that waits is answered as soon as there is a record: what it says of the end
-	// of its wait is as certain as what another says of when it was sent. That views are never
-	// younger than they are said to be, TestViewsAreNeverYoungerThanTold checks for any course.
+	// A waiting read is answered as soon as there is a record, so an empty answer is valid for the
+	// end of its wait. TestViewsAreNeverYoungerThanTold checks that views are never reported as
+	// younger than they are.
 	t.Run("freshness is counted from the end of a wait in vain, less what clocks may differ", func(t *testing.T) {
 		bubble(t, func(t *testing.T, _ *fakeTopic, f *Feed, _ *view) {
-			time.Sleep(time.Second + 400*time.Millisecond) // the read that is under way was sent 400 ms ago
+			time.Sleep(time.Second + 400*time.Millisecond) // the current read was sent 400 ms ago
 			age, ok := f.Age()
 			require.True(t, ok)
 			require.Equal(t, 400*time.Millisecond+time.Second/driftShare, age)
@@ -300,9 +299,9 @@
 	return hollowgrade.KeyedPage{Records: rs, Next: next, End: next}
 }
 
-// Found by an incident on sbn-push (inc-f68e): a gateway whose own last read had
-// failed long ago, and which had followed others since, took each upstream that
-// left for one that had lapsed.
+// Guards against an old failed read making changes uncertain: a gateway whose own last read had
+// failed long ago, and which had followed peers since, treated each upstream that was removed as
+// expired.
 func TestAnOldFailureCastsNoDoubtOnChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)), WithWait(time.Second))
@@ -349,7 +348,7 @@
 	})
 }
 
-// served is a feed that a peer serves over loopback.
+// serveFeeds serves feeds to peers over loopback and returns the address.
 func served(t *testing.T, fs ...*Feed) string {
 	t.Helper()
 	v := NewServer(0, fs...)
@@ -401,8 +400,8 @@
 		require.False(t, ok)
 		require.Equal(t, r.begun, r.told)
 	})
-	// Found on korrigan-replay trouble-3: both readers were cut off from the store
-	// right before a change, and went on telling what they knew.
+	// Guards against a peer that lost the store serving outdated records: readers that lose the
+	// store right before a change must not refresh processes that have a view.
 	t.Run("a peer that has lost the store tells only those who know nothing", func(t *testing.T) {
 		lost := New("f", newTopic(), WithLogger(quiet))
 		lost.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now())
@@ -476,7 +475,7 @@
 			}
 			asked := map[string]bool{}
 			for range 200 {
-				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).toAsk() // nobody has had time to tell it anything
+				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).toAsk() // no peer has had time to reply
 				require.Len(t, as, askedPeers)
 				for _, x := range as {
 					asked[x] = true
--- a/feed/readers_test.go
+++ b/feed/readers_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneOf returns the relay of one of n processes.
+// relayAmong returns the relay of one of n processes.
 func oneOf(n int) *Relay {
 	var all []string
 	for i := range n {
@@ -33,7 +33,7 @@
 	require.LessOrEqual(t, asked, 2)
 }
 
-// BenchmarkReaders measures the question who reads the store for the others.
+// BenchmarkReaders measures the lookup of the readers, cached and computed.
 func BenchmarkReaders(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/feed/seen_test.go
+++ b/feed/seen_test.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// farTopic is a topic whose calls take some time to get there and back, and whose store's
-// clock runs at another speed than that of who reads it.
+// farTopic is a topic with delays of requests and answers, whose store has a clock that runs at
+// another speed than the reader's.
 type farTopic struct {
 	*fakeTopic
 	there, back func() time.Duration
@@ -30,17 +30,17 @@
 	return p, err
 }
 
-// answerDue returns when the answer to the read under way is overdue.
+// answerDue returns when the answer to the current read is overdue.
 func (f *Feed) answerDue() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.due
 }
 
-// A key that was revoked must not seem good for longer than is promised, so that a view may
-// be older than it is said to be, and never younger: whatever was written before the moment of
-// which it is said to be complete is in it. Reads and answers take long at times, the store's clock is
-// quicker or slower, and records come at any moment, right at the end of a read's wait among them.
+// A revoked key must not pass as valid for longer than allowed, so a view may be older than
+// reported but never younger: it has all that was written before the time as of which it is
+// reported complete. The test varies delays, the speed of the store's clock and the times of
+// writes, including the end of a read's wait.
 func TestViewsAreNeverYoungerThanTold(t *testing.T) {
 	for _, speed := range []float64{0.95, 1, 1.05} {
 		for seed := range uint64(40) {
@@ -60,7 +60,7 @@
 				for range 300 {
 					time.Sleep(time.Duration(q.ExpFloat64() * float64(time.Second)))
 					if q.IntN(2) == 0 {
-						time.Sleep(time.Until(f.answerDue())) // when the read under way is about to be answered
+						time.Sleep(time.Until(f.answerDue())) // when the current read is about to be answered
 					}
 					require.NoError(t, k.Put(ctx, "a", []byte{byte(len(written))}))
 					written = append(written, time.Now())
--- a/feed/suspend_test.go
+++ b/feed/suspend_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// suspended plays a feed on a machine that is suspended for a while, and calls then at its return, and
-// again once it has run on for a second.
+// runSuspended runs a feed on a machine that is suspended for d, and calls then on resume and again
+// two seconds later.
 func suspended(t *testing.T, d time.Duration, meanwhile func(*fakeTopic), then func(f *Feed, back bool)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -21,7 +21,7 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// large returns a value of so many bytes that says which one it is.
+// large returns a value of at least size bytes that depends on n.
 func large(n, size int) []byte {
 	var b strings.Builder
 	for i := 0; b.Len() < size; i++ {
@@ -30,14 +30,14 @@
 	return []byte(b.String())
 }
 
-// holding returns a feed whose newest record of "k" is the value at the offset.
+// feedWith returns a feed whose newest record of "k" is the value at the offset.
 func holding(offset int64, value []byte, os ...Option) *Feed {
 	f := New("f", newTopic(), append([]Option{WithLogger(log.New(io.Discard))}, os...)...)
 	f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: offset}), time.Now())
 	return f
 }
 
-// logged is a log that can be read while it is written.
+// logBuffer is a buffer that can be read while it is written.
 type logged struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -65,7 +65,7 @@
 	return r, l
 }
 
-// requireBrought asks a peer and waits until the feed has the value.
+// requireFetched polls a peer and waits until the feed has the value.
 func requireBrought(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
 	r.ask(context.Background(), address)
@@ -73,7 +73,7 @@
 	r.exchanges.Wait()
 }
 
-// requireKept asks a peer and requires that the feed keeps its value.
+// requireKept polls a peer and requires that the feed keeps its value.
 func requireKept(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
 	r.ask(context.Background(), address)
@@ -83,8 +83,8 @@
 	require.True(t, bytes.Equal(value, v.Value))
 }
 
-// scripted listens as a peer that answers requests for feeds like the feed, and
-// requests for values by a function.
+// scripted serves a peer that answers requests for feeds like the feed, and requests for values by
+// a function.
 func scripted(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
@@ -142,8 +142,7 @@
 	})
 }
 
-// The value itself counts, not how it came: each of these answers leaves the one
-// before, and one line says what was wrong and who sent it.
+// An invalid answer must leave the earlier value in place and log the reason and the sender.
 func TestValuesThatAreNotTaken(t *testing.T) {
 	old, value := large(1, 300_000), large(2, 400_000)
 	o, err := encode(value, nil)
@@ -207,7 +206,7 @@
 }
 
 func TestTransferThatIsCutGoesOnElsewhere(t *testing.T) {
-	value := make([]byte, 400_000) // that nothing compresses
+	value := make([]byte, 400_000) // incompressible
 	_, _ = rand.NewChaCha8([32]byte{}).Read(value)
 	o, err := encode(value, nil)
 	require.NoError(t, err)
@@ -308,7 +307,7 @@
 	})
 }
 
-// While a watcher compiles a value of some MB, calls go on asking for the view's age.
+// Callers must be able to read the view's age while a watcher processes a large value.
 func TestAgeIsToldWhileAWatcherWorks(t *testing.T) {
 	f := holding(3, large(1, 20_000))
 	working, done := make(chan struct{}), make(chan struct{})
