--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -13,7 +13,7 @@
 )
 
 // memoryOf returns how many bytes of heap and stacks both ends of a connection with one open
-// exchange hold.
+// exchange use.
 func memoryOf(t testing.TB, connections int) (bytes int64) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +49,7 @@
 	return bytes
 }
 
-// held returns the bytes of heap and stacks in use.
+// memoryInUse returns the bytes of heap and stacks in use.
 func held() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -57,9 +57,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// A gateway of 103 has some 300 connections to others, half of them opened by those. Both ends of
-// one held 121 KB, half of it room for 4,096 exchanges that nobody opens, and gateways 110 to
-// 180 MB, of 184 that the narrow boxes have.
+// A gateway of 103 has some 300 connections to others. With buffers for 4,096 exchanges both ends
+// of one used 121 KB, and gateways 110 to 180 MB of the 184 MB that small boxes have.
 func TestMemoryOfAConnection(t *testing.T) {
 	require.Less(t, memoryOf(t, 200), int64(80_000))
 }
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -13,15 +13,14 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// MaxPacket is the largest packet, in bytes: what an Ethernet frame carries
-// without being split.
+// MaxPacket is the largest packet in bytes: what an Ethernet frame carries without fragmentation.
 const MaxPacket = 1400
 
-// readPause is the pause after a packet that could not be read.
+// readErrorDelay is the delay after a packet that could not be read.
 const readPause = 10 * time.Millisecond
 
-// Packets sends and receives single frames that may be lost, come twice or
-// overtake each other. A frame costs a tenth of one on a stream at both ends.
+// Packets sends and receives single frames as datagrams, which may be lost, duplicated or
+// reordered. A frame costs a tenth of one on a stream at both ends.
 type Packets struct {
 	conn *net.UDPConn
 }
@@ -45,8 +44,8 @@
 	return p.conn.LocalAddr().String()
 }
 
-// Send sends a frame to all addresses. The error joins those of the addresses
-// to which it could not be given to the network.
+// Send sends a frame to all addresses. The error joins those of the addresses for which the send
+// failed.
 func (p *Packets) Send(f *wire.Frame, to []netip.AddrPort) (err error) {
 	defer errs.Annotate(&err, "send packet")
 	b, err := proto.Marshal(f)
@@ -65,8 +64,8 @@
 	return errors.Join(es...)
 }
 
-// Serve gives each frame that comes to a function, until the socket is closed.
-// What cannot be decoded is told to broken.
+// Serve passes each received frame to a function until the socket is closed. Frames that cannot be
+// decoded and read errors are reported to broken.
 func (p *Packets) Serve(handle func(*wire.Frame), broken func(peer net.Addr, err error)) {
 	b := make([]byte, MaxPacket+1)
 	for {
@@ -75,7 +74,7 @@
 			return
 		}
 		if err != nil {
-			broken(net.UDPAddrFromAddrPort(from), err) // such as the word that an earlier packet found nobody
+			broken(net.UDPAddrFromAddrPort(from), err) // such as an ICMP error for an earlier packet
 			time.Sleep(readPause)
 			continue
 		}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries the protocol between the system's own processes: yamux
-// streams over TCP, with mutual TLS where it is set, and protobuf frames of
-// bounded size on them. Each exchange has a stream of its own.
+// Package peer implements the transport between the system's own processes: yamux streams over TCP,
+// with mutual TLS if configured, that carry protobuf frames of bounded size. Each exchange has a
+// stream of its own.
 package peer
 
 import (
@@ -24,16 +24,16 @@
 const (
 	// MaxFrame is the largest frame, in bytes, that a peer may send.
 	MaxFrame = 1 << 20
-	// MaxChunk is the largest piece of a body that goes into one frame.
+	// MaxChunk is the largest piece of a body in one frame, in bytes.
 	MaxChunk = 64 << 10
-	// maxStreams bounds the exchanges that one connection may have open, so
-	// that a peer gone wrong cannot take all of a box's memory.
+	// maxStreams bounds the open exchanges of one connection, so that a faulty peer cannot exhaust
+	// the memory of a box.
 	maxStreams = 4096
 
-	// waitingStreams is how many exchanges of a connection may wait to be taken; one
-	// more waits where it is opened. Room for each of them is kept as long as the
-	// connection: with 4,096 both ends of one held 121 KB, with 64 they hold 43 KB
-	// (BenchmarkMemoryOfAConnection), and a gateway has hundreds.
+	// acceptBacklog is how many exchanges of a connection may wait to be accepted; one more waits
+	// where it is opened. Their buffers are allocated per connection, of which a gateway has
+	// hundreds: with 4,096 both ends hold 121 KB, with 64 they hold 43 KB
+	// (BenchmarkMemoryOfAConnection).
 	waitingStreams = 64
 
 	keepAlive    = 5 * time.Second
@@ -63,9 +63,8 @@
 	}
 }
 
-// WithTLS returns a dialer that goes through d and then speaks TLS. The
-// configuration is asked for at each connection, so that renewed certificates
-// come into use.
+// WithTLS returns a dialer that runs TLS over connections of d. The configuration is requested for
+// each connection, so that renewed certificates come into use.
 func WithTLS(d Dialer, c func() *tls.Config) Dialer {
 	return func(ctx context.Context, address string) (n net.Conn, err error) {
 		n, err = d(ctx, address)
@@ -141,7 +140,7 @@
 	return s
 }
 
-// counted counts what is read.
+// countingReader counts the bytes that are read.
 type counted struct {
 	io.Reader
 	n *atomic.Int64
@@ -153,8 +152,8 @@
 	return n, err
 }
 
-// Received returns how many bytes have come on the stream, those of a frame that
-// is not whole yet among them.
+// Received returns how many bytes have arrived on the stream, including those of an incomplete
+// frame.
 func (s *Stream) Received() int64 {
 	return s.received.Load()
 }
@@ -210,19 +209,17 @@
 	return &wire.Frame{Body: &wire.Frame_Chunk{Chunk: &wire.Chunk{Data: b, Last: last}}}
 }
 
-// Extend lets what is sent and received from now on take up to d. A call again
-// gives as long anew.
+// Extend sets the deadline for sending and receiving to d from now.
 func (s *Stream) Extend(d time.Duration) error {
 	return s.raw.SetDeadline(time.Now().Add(d))
 }
 
-// Finish tells the other side that nothing more will be sent. The other
-// direction stays open.
+// Finish closes the sending direction. The other direction stays open.
 func (s *Stream) Finish() error {
 	return s.raw.Close()
 }
 
-// Abort ends the exchange in both directions and wakes a blocked Receive.
+// Abort ends the exchange in both directions and unblocks Receive.
 func (s *Stream) Abort() {
 	_ = s.raw.SetDeadline(time.Unix(1, 0))
 	_ = s.raw.Close()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// serve starts a server on loopback and returns its address and the errors of
-// peers that it cut off.
+// serve starts an echo server on loopback and returns its address and the errors of peers that it
+// disconnected.
 func serve(t *testing.T) (address string, cut chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,12 +73,12 @@
 	})
 }
 
-// nonsense is no frame: its length has no end.
+// nonsense is not a frame: its length does not end.
 var nonsense = []byte{0xff, 0xff, 0xff, 0xff, 0x7f}
 
-// requireCutOff sends what is no frame, and requires that the server cuts the peer off for
-// it. That may come before the write has returned: then it reports the end of the connection,
-// although what it sent has arrived.
+// requireCutOff sends an invalid frame, and requires that the server closes the connection. That
+// may happen before the write returns, which then reports the end of the session although the frame
+// arrived.
 func requireCutOff(t *testing.T, c *Conn, s *Stream, cut <-chan error) {
 	t.Helper()
 	if _, err := s.raw.Write(nonsense); err != nil {
@@ -88,7 +88,8 @@
 	<-c.Closed()
 }
 
-// lateConn is a connection on which the write of nonsense returns once it is closed.
+// lateConn is a connection on which the write of nonsense returns only after the connection is
+// closed.
 type lateConn struct {
 	net.Conn
 	closed chan struct{}
--- a/peer/server.go
+++ b/peer/server.go
@@ -25,7 +25,8 @@
 	group    sync.WaitGroup
 }
 
-// NewServer returns a server. Broken is told of each peer that was cut off.
+// NewServer returns a server. Broken is called for each peer that was disconnected for a broken
+// frame.
 func NewServer(h Handler, broken func(peer net.Addr, err error)) *Server {
 	return &Server{handle: h, broken: broken, sessions: map[*yamux.Session]struct{}{}}
 }
@@ -45,7 +46,7 @@
 	}
 }
 
-// Close ends all connections and waits for what served them.
+// Close ends all connections and waits for their exchanges.
 func (s *Server) Close() {
 	s.mu.Lock()
 	for y := range s.sessions {
@@ -85,8 +86,7 @@
 	}
 }
 
-// firstFrameTimeout bounds how long a peer may keep a stream without saying
-// what it is for.
+// firstFrameTimeout bounds how long a peer may keep a stream open before its first frame.
 const firstFrameTimeout = 10 * time.Second
 
 func (s *Server) serveStream(ctx context.Context, y *yamux.Session, t *Stream) {
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -19,7 +19,7 @@
 	cert, key, ca string
 
 	mu      sync.Mutex
-	changed time.Time // newest change of the files that were read
+	changed time.Time // newest modification time of the loaded files
 	pair    tls.Certificate
 	pool    *x509.CertPool
 }
@@ -33,8 +33,7 @@
 	return c, nil
 }
 
-// load reads the files if one of them has changed. After a failure the former
-// ones stay in use.
+// load reads the files if one of them has changed. After a failure the previous ones stay in use.
 func (c *Certificates) load() (err error) {
 	defer errs.Annotate(&err, "read certificates")
 	c.mu.Lock()
@@ -72,9 +71,8 @@
 	return t, nil
 }
 
-// Client returns the configuration for the next connection to a peer. Peers
-// are known by their authority, not by name: boxes come and go under any
-// address.
+// Client returns the configuration for the next connection to a peer. Peers are verified by their
+// authority, not by name, since boxes may have any address.
 func (c *Certificates) Client() *tls.Config {
 	_ = c.load()
 	c.mu.Lock()
@@ -83,7 +81,7 @@
 	return &tls.Config{
 		Certificates: []tls.Certificate{c.pair},
 		MinVersion:   tls.VersionTLS13,
-		// The name is not checked, the chain is, below.
+		// The host name is not checked; the chain is, below.
 		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks the chain.
 		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, pool) },
 	}
@@ -101,8 +99,7 @@
 	return err
 }
 
-// Listener wraps a listener so that peers must speak TLS and show a
-// certificate.
+// Listener wraps a listener so that peers must use TLS and present a certificate.
 func (c *Certificates) Listener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -120,7 +117,7 @@
 	})
 }
 
-// Loopback reports whether an address can be reached from this machine only.
+// IsLoopback reports whether an address can be reached from this machine only.
 func Loopback(address string) bool {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -58,8 +58,8 @@
 	require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), 0o600))
 }
 
-// issue writes the files of a box whose certificate one authority signs and
-// which trusts another.
+// issue writes the files of a box whose certificate is signed by one authority and which trusts
+// another.
 func issue(t *testing.T, by, trusts *authority) *Certificates {
 	t.Helper()
 	d := t.TempDir()
@@ -75,7 +75,7 @@
 	return r
 }
 
-// serveTLS is an echo server that wants certificates.
+// serveTLS starts an echo server that requires certificates.
 func serveTLS(t *testing.T, c *Certificates) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
