--- a/fold/example_test.go
+++ b/fold/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/hollowgrade/hollowgrade/fold"
 )
 
-// Two operators change the same item from the same revision. The log orders
-// their records; every box takes the first and passes over the second.
+// Two operators change the same item from the same revision. The log orders their records; every
+// box applies the first and skips the second.
 func ExampleState_Apply() {
 	s := fold.New()
 	for i, by := range []string{"ann", "bob"} {
--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -101,7 +101,7 @@
 	fresh := snapshot()
 	add(fresh)
 	put("c", 0, 4)
-	add(stale) // a writer that was paused wakes up
+	add(stale) // a paused writer continues
 
 	t.Run("from the first record", func(t *testing.T) {
 		n, err := Bootstrap(0, rs)
@@ -125,8 +125,7 @@
 	})
 }
 
-// naive keeps the last value of each name and its revision, in the plainest
-// way.
+// naive is a simple reference implementation: the last value of each name and its revision.
 type naive struct {
 	body     map[string]string
 	revision map[string]int64
@@ -156,7 +155,7 @@
 		for name, body := range n.body {
 			requireItem(t, s, name, body)
 		}
-		// A snapshot carries over all of it.
+		// A snapshot preserves all of it.
 		p, err := s.Snapshot()
 		require.NoError(t, err)
 		b, err := p.Encode()
@@ -237,7 +236,7 @@
 	})
 }
 
-// narrowLog is a log behind a link that takes a while for each record.
+// narrowLog is a log behind a link that takes some time for each record.
 type narrowLog struct {
 	hollowgrade.Log
 	each time.Duration
@@ -253,8 +252,8 @@
 	}
 }
 
-// A page of the log has a bound in records and a read one in time, so that a page of
-// large records was cut with each poll, for good, on a narrow link.
+// Guards against a page of large records that times out on a narrow link with each poll: pages are
+// limited in records, reads in time.
 func TestFollowerOnANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const records = 60
--- a/fold/follower.go
+++ b/fold/follower.go
@@ -18,16 +18,15 @@
 const (
 	defaultPoll = time.Second
 	readLimit   = 1000
-	// readTimeout bounds one read. What it reads has a bound in records and none in
-	// bytes, so that the next read asks for half as many after one that took too long.
+	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
+	// timeout the next one asks for half as many.
 	readTimeout = 5 * time.Second
-	// renewFraction of the retention may pass before the state is written
-	// anew. Half leaves the other half for outages of the log.
+	// renewFraction is the divisor of the retention after which the state is written again. Half
+	// leaves the other half for outages of the log.
 	renewFraction = 2
 )
 
-// Follower keeps a state up to date with the log. It is a service of the
-// kernel.
+// Follower keeps a state up to date with the log. It is a service of the kernel.
 type Follower struct {
 	log       hollowgrade.Log
 	clock     hollowgrade.Clock
@@ -37,10 +36,10 @@
 	peers     func(ctx context.Context, newerThan int64) [][]byte
 	renews    func() bool
 
-	limit int // records that the next read asks for
+	limit int // record limit of the next read
 
 	state atomic.Pointer[State]
-	// Fresh is read by watchers while set holds the lock, so it has none.
+	// fresh is atomic because watchers read it while set holds the lock.
 	fresh atomic.Pointer[time.Time]
 
 	mu     sync.Mutex
@@ -50,7 +49,7 @@
 	done   chan struct{}
 }
 
-// FollowerOption changes a follower as it is made.
+// FollowerOption configures a follower.
 type FollowerOption func(*Follower)
 
 // WithClock sets the clock.
@@ -68,15 +67,15 @@
 	return func(f *Follower) { f.poll = d }
 }
 
-// WithPeers sets where snapshots come from while the log is out: each is the
-// newest state of one peer, if newer than the offset given.
+// WithPeers sets the source of snapshots while the log is unavailable: each is the newest state of
+// one peer, if newer than the offset given.
 func WithPeers(p func(ctx context.Context, newerThan int64) [][]byte) FollowerOption {
 	return func(f *Follower) { f.peers = p }
 }
 
-// WithRenewal makes the follower write the state anew before the log drops its
-// records. Turn says whether it is this box's turn, so that not all write at
-// once; that two write does no harm.
+// WithRenewal makes the follower append a snapshot before the log drops the records of its state.
+// Turn reports whether it is this box's turn, so that not all write at once; duplicates are
+// harmless.
 func WithRenewal(retention time.Duration, turn func() bool) FollowerOption {
 	return func(f *Follower) { f.retention, f.renews = retention, turn }
 }
@@ -111,8 +110,7 @@
 	return *f.fresh.Load()
 }
 
-// Watch calls w with each new state, and at once with the present one. Calls
-// come one after another.
+// Watch calls w with the current state and with each new one. Calls do not overlap.
 func (f *Follower) Watch(w func(State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,8 +118,8 @@
 	w(f.State())
 }
 
-// Start implements [kernel.Service]. It does not wait for the log: a box must
-// come up during an outage.
+// Start implements [kernel.Service]. It does not wait for the log: a box must start during an
+// outage.
 func (f *Follower) Start(context.Context, *kernel.Kernel) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -144,7 +142,7 @@
 			f.askPeers(ctx)
 		}
 		f.renew(ctx)
-		// The jitter keeps a thousand boxes from reading in step.
+		// The jitter keeps a thousand boxes from reading at the same time.
 		d := f.poll*3/4 + rand.N(f.poll/2+1)
 		hollowgrade.Sleep(ctx, f.clock, d)
 	}
@@ -176,7 +174,7 @@
 	}
 }
 
-// read reads a page of the log, as large a one as the last ones allowed for.
+// read reads a page of the log with the current limit, and adapts the limit.
 func (f *Follower) read(ctx context.Context, from int64) (hollowgrade.Page, error) {
 	c, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -202,8 +200,7 @@
 	return s
 }
 
-// noteBase remembers how old the newest record is from which a new box could
-// begin.
+// noteBase records the time of the newest record from which a new box can begin.
 func (f *Follower) noteBase(r hollowgrade.Record) {
 	e, err := decode(r.Body)
 	isBase := r.Offset == 0 || err == nil && e.Type == SnapshotRecord
@@ -233,7 +230,7 @@
 	return Bootstrap(earliest, rs)
 }
 
-// set makes s the state if it is newer, and tells the watchers.
+// set makes s the state if it is newer, and notifies the watchers if its revision changed.
 func (f *Follower) set(s State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -250,7 +247,7 @@
 	}
 }
 
-// Restore takes an encoded snapshot if it is newer than the present state.
+// Restore replaces the state by an encoded snapshot if that is newer.
 func (f *Follower) Restore(b []byte) error {
 	s, err := f.State().Restore(b)
 	if err != nil {
@@ -271,8 +268,8 @@
 	}
 }
 
-// Encoded returns the state as an encoded snapshot if it is newer than the
-// offset given, else nil. It is what a box hands to its peers.
+// Encoded returns the state as an encoded snapshot for peers if it is newer than the offset given,
+// else nil.
 func (f *Follower) Encoded(newerThan int64) []byte {
 	s := f.State()
 	if s.Next() <= newerThan {
@@ -289,7 +286,7 @@
 	return b
 }
 
-// renew appends a snapshot when the base of the state is growing old.
+// renew appends a snapshot if the base of the state is close to the log's retention.
 func (f *Follower) renew(ctx context.Context) {
 	f.mu.Lock()
 	old := f.retention > 0 && !f.newest.IsZero() && f.clock.Since(f.newest) > f.retention/renewFraction
--- a/fold/publish.go
+++ b/fold/publish.go
@@ -14,14 +14,13 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// Publish appends a change and reads it back. It returns the revision once the
-// change is part of the fold. The error is a [fault.Error]: with
-// [fault.LostRace] nothing of the change is in force and never will be, with
-// [fault.PublishUnknown] the log could not be read back in time.
+// Publish appends a change and reads it back. It returns the revision once the change is part of
+// the fold. The error is a [fault.Error]: with [fault.LostRace] nothing of the change is in force
+// and never will be, with [fault.PublishUnknown] the log could not be read back in time.
 //
-// An append whose answer was lost is looked for by its nonce, and is sent again
-// only after the whole log was read without finding it. If both arrive in the
-// end the fold takes only one, since each replaces the same revision.
+// An append whose answer was lost is searched for by its nonce and repeated only after the whole
+// log was read without finding it. If both arrive, the fold applies only one, since each replaces
+// the same revision.
 func Publish(ctx context.Context, l hollowgrade.Log, s State, c Change) (revision int64, err error) {
 	b, err := c.Encode()
 	if err != nil {
@@ -31,8 +30,8 @@
 	attempt := func() (int64, error) {
 		r, err := readBack(ctx, l, s, c)
 		if errors.Is(err, errNotYet) {
-			// The end of the log was read and the record is not there. It may
-			// still be on its way; then the fold takes one of the two.
+			// The end of the log was read and the record is not there. It may still arrive, in
+			// which case the fold applies one of the two.
 			_, appendErr = l.Append(ctx, b)
 		}
 		return r, err
@@ -53,7 +52,7 @@
 	}
 }
 
-// errNotYet says that the record has not turned up in the log.
+// errNotYet means that the record has not appeared in the log.
 var errNotYet = errors.New("the record is not in the log yet")
 
 func readBack(ctx context.Context, l hollowgrade.Log, s State, c Change) (int64, error) {
@@ -76,8 +75,7 @@
 			break
 		}
 	}
-	// Another change may have taken the place already; then this one is lost
-	// wherever it turns up.
+	// If another change has replaced the revision already, this one is lost wherever it appears.
 	if cur, _ := s.Item(c.Kind, c.Name); cur.Revision != c.Replaces {
 		return 0, backoff.Permanent(lost(c, cur.Revision))
 	}
--- a/fold/record.go
+++ b/fold/record.go
@@ -1,12 +1,10 @@
-// Package fold turns the platform's append-only log into a configuration that
-// all boxes agree on. The state is a pure fold over the records: a record
-// names the revision of the item that it replaces, and is taken only if that
-// is the current one. So of two operators who race, one wins everywhere and
-// the other is told; and a record appended twice counts once.
+// Package fold turns the platform's append-only log into a configuration on which all boxes agree.
+// The state is a pure fold over the records: a record names the revision of the item that it
+// replaces, and is applied only if that is the current one. So of two concurrent changes one wins
+// everywhere and the other is reported as lost, and a record appended twice is applied once.
 //
-// A log keeps records for a limited time only. Snapshots carry the state over:
-// each states the offset up to which it holds, and only a higher offset ever
-// replaces a state.
+// A log keeps records for a limited time only. Snapshots preserve the state: each gives the offset
+// up to which it holds, and a state is replaced only by one with a higher offset.
 package fold
 
 import (
@@ -17,7 +15,7 @@
 	"fmt"
 )
 
-// RecordType tells the records of the log apart.
+// RecordType is the type of a record of the log.
 type RecordType string
 
 // The types of records.
@@ -33,7 +31,7 @@
 	Replaces int64           `json:"replaces"` // revision of the item that this replaces, 0 for a new one
 	Body     json.RawMessage `json:"body"`     // null removes the item
 	Digest   string          `json:"digest"`   // hex SHA-256 of Body
-	Nonce    string          `json:"nonce"`    // tells a publisher its own record when it reads back
+	Nonce    string          `json:"nonce"`    // identifies the publisher's own record when it reads back
 	Author   string          `json:"author"`
 }
 
@@ -50,8 +48,8 @@
 	Snapshot *Snapshot  `json:"snapshot,omitempty"`
 }
 
-// NewChange returns a change whose digest is filled in. The body is stored
-// compacted, as the log will have it.
+// NewChange returns a change with its digest. The body is stored compacted, as it will be in the
+// log.
 func NewChange(kind, name string, replaces int64, body any, nonce, author string) (c Change, err error) {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -78,7 +76,7 @@
 	return json.Marshal(envelope{Type: SnapshotRecord, Snapshot: &s})
 }
 
-// The reasons for which a record is passed over.
+// The reasons for which a record is skipped.
 var (
 	ErrMalformed = errors.New("record is malformed")
 	ErrDigest    = errors.New("record does not match its digest")
--- a/fold/state.go
+++ b/fold/state.go
@@ -42,14 +42,14 @@
 	return s.next
 }
 
-// Revision returns the revision of the last change that was taken, which
-// never falls. Zero stands for no configuration.
+// Revision returns the revision of the last applied change, which never decreases. Zero means that
+// there is no configuration.
 func (s State) Revision() int64 {
 	return s.revision
 }
 
-// Item returns an item, and false if there is none. The revision of an item
-// that was removed is still given: it is what a change must replace.
+// Item returns an item, and false if there is none. The revision of a removed item is still
+// returned, since a change must replace it.
 func (s State) Item(kind, name string) (i Item, ok bool) {
 	i = s.items[itemKey{kind, name}]
 	return i, len(i.Body) > 0
@@ -75,9 +75,9 @@
 	return is
 }
 
-// Apply returns the state after the record. A record that is passed over moves
-// the state past it and is reported by an error; all boxes pass over the same
-// ones. Only [ErrOrder] leaves the state where it was.
+// Apply returns the state after the record. A record that is skipped advances the state past it and
+// is reported by an error; all boxes skip the same ones. Only [ErrOutOfOrder] leaves the state
+// unchanged.
 func (s State) Apply(r hollowgrade.Record) (n State, err error) {
 	if r.Offset != s.next {
 		return s, fmt.Errorf("%w: offset %d where %d was due", ErrOrder, r.Offset, s.next)
@@ -103,8 +103,8 @@
 	if items == nil {
 		items = map[itemKey]Item{}
 	}
-	// A removed item leaves its revision behind. Without it, a late second copy
-	// of the record that first made the item would make it again.
+	// The revision of a removed item is kept. Without it, a late duplicate of the record that
+	// created the item would create it again.
 	items[k] = Item{Kind: c.Kind, Name: c.Name, Revision: revision, Body: withoutNull(c.Body), Author: c.Author}
 	s.items = items
 	s.revision = revision
@@ -123,8 +123,7 @@
 	return Snapshot{Next: s.next, Items: s.all()}.WithDigest()
 }
 
-// Restore returns the newer of s and the state in an encoded snapshot. An older
-// snapshot never wins.
+// Restore returns the newer of s and the state in an encoded snapshot.
 func (s State) Restore(b []byte) (State, error) {
 	e, err := decode(b)
 	if err != nil {
@@ -148,13 +147,12 @@
 	return s
 }
 
-// ErrNoSnapshot says that the log keeps no snapshot to begin from.
+// ErrNoSnapshot means that the log has no usable snapshot to begin from.
 var ErrNoSnapshot = errors.New("the log keeps neither its first record nor a usable snapshot")
 
-// Bootstrap folds the records that a log keeps, the earliest of which is given.
-// When the log has dropped its first records, it begins from the newest
-// snapshot after which no record is missing: a stale snapshot, whose following
-// records have been dropped, is no base.
+// Bootstrap folds the records of a log, the earliest of which is given. If the log has dropped its
+// first records, it begins from the newest snapshot after which no record is missing; a snapshot
+// whose following records have been dropped cannot be used.
 func Bootstrap(earliest int64, rs []hollowgrade.Record) (s State, err error) {
 	if earliest > 0 {
 		if s, err = base(earliest, rs); err != nil {
