--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -150,7 +150,7 @@
 		time.Sleep(5 * time.Second)
 		put(t, there, "a", "1")
 		time.Sleep(time.Second)
-		require.Equal(t, int64(1), kept.Next(), "the topic that is there is read on")
+		require.Equal(t, int64(1), kept.Next(), "the available topic is still read")
 		cancel()
 		g.Wait()
 	})
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -76,7 +76,7 @@
 	log    *log.Logger
 	wait   time.Duration
 	timing Timing
-	most   int // bytes of the largest value that is taken
+	most   int // size of the largest accepted value
 
 	// mergeMu serializes merges, so that watchers are called with one page after another. It is
 	// separate from mu because a watcher may take long over a large value while calls read the
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -259,7 +259,7 @@
 			age, _ = f.Age()
 			require.LessOrEqual(t, age, 2*time.Second)
 			require.Equal(t, "map[]", v.all())
-			require.Equal(t, 1, v.regained, "a drop that went on unseen is told as such")
+			require.Equal(t, 1, v.regained, "a drop during an outage is marked as uncertain")
 		})
 	})
 	t.Run("once the store is back it is fresh without waiting for a change", func(t *testing.T) {
@@ -314,12 +314,12 @@
 			return v.regained
 		}
 		require.Equal(t, 1, drop(1), "right after a failure")
-		require.Equal(t, time.Now().Add(doubtFor), f.doubt(), "until a box counts as in touch again")
+		require.Equal(t, time.Now().Add(doubtFor), f.doubt(), "until a box has to follow the registry again")
 		for range 10 {
 			time.Sleep(time.Second)
 			f.Merge(page(2), time.Now())
 		}
-		require.Zero(t, drop(2), "long after it, and fresh all the while")
+		require.Zero(t, drop(2), "long after it, with a view that stayed fresh")
 	})
 }
 
@@ -453,7 +453,7 @@
 		for _, a := range all(5) {
 			r := relay(a, 5)
 			reader := slices.Contains(rs, a)
-			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for word from readers at first")
+			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for replies of readers at first")
 			r.told = time.Now()
 			require.Equal(t, reader, r.Reads())
 			require.Equal(t, reader, len(r.toAsk()) == 0)
--- a/feed/seen_test.go
+++ b/feed/seen_test.go
@@ -68,7 +68,7 @@
 					fresh, next := f.Fresh(), f.Next()
 					for o, at := range written {
 						if !fresh.Before(at) && int64(o) >= next {
-							t.Fatalf("speed %v, seed %d: complete as of %s by its word, without a record written %s before", speed, seed, fresh, fresh.Sub(at))
+							t.Fatalf("speed %v, seed %d: reported complete as of %s without a record written %s before", speed, seed, fresh, fresh.Sub(at))
 						}
 					}
 				}
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -111,7 +111,7 @@
 		require.Equal(t, int64(8), f.Next())
 		require.Contains(t, l.String(), "value received")
 		_, ok := f.Age()
-		require.True(t, ok, "the peer says how fresh it is right after")
+		require.True(t, ok, "the next poll reports the age")
 		require.Zero(t, f.Outdated())
 	})
 	t.Run("are brought as what differs", func(t *testing.T) {
@@ -123,7 +123,7 @@
 		requireBrought(t, r, f, served(t, p), changed)
 		require.Contains(t, l.String(), "difference=true")
 		all, wasted := r.Received()
-		require.Less(t, all, int64(2000), "bytes for one word of 400 KB")
+		require.Less(t, all, int64(2000), "bytes for one changed word of 400 KB")
 		require.Zero(t, wasted)
 	})
 	t.Run("are brought whole where the peer does not know the value before", func(t *testing.T) {
@@ -192,7 +192,7 @@
 		r, _ := relayOf(t, f)
 		requireKept(t, r, f, served(t, holding(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
-		require.Zero(t, f.Outdated(), "it will never be in force here")
+		require.Zero(t, f.Outdated(), "a value over the limit is never applied")
 		require.Equal(t, int64(8), f.Next())
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
--- a/fold/follower.go
+++ b/fold/follower.go
@@ -19,7 +19,7 @@
 	defaultPoll = time.Second
 	readLimit   = 1000
 	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
-	// timeout the next one asks for half as many.
+	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
 	// renewFraction is the divisor of the retention after which the state is written again. Half
 	// leaves the other half for outages of the log.
