--- a/feed/access.go
+++ b/feed/access.go
@@ -14,7 +14,7 @@
 // the store does not answer, one call at a time probes it, and the others resume once it has
 // answered. Without it the three feeds of each of 103 gateways make 403 calls a second during an
 // outage (BenchmarkCalls of internal/spread). It is safe for concurrent use.
-type Access struct {
+type Breaker struct {
 	clock   hollowgrade.Clock
 	spacing func() time.Duration
 
@@ -27,17 +27,17 @@
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
 // than the exponential delay; it is called for each failure.
-func NewAccess(c hollowgrade.Clock, spacing func() time.Duration) *Access {
+func NewAccess(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = firstPause
 	p.MaxInterval = lastPause
-	return &Access{clock: c, spacing: spacing, pauses: p}
+	return &Breaker{clock: c, spacing: spacing, pauses: p}
 }
 
 // Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
 // before calling Begin again. A call that is a probe should not wait at the store. The outcome of
 // each call has to be passed to [Breaker.Report].
-func (a *Access) Begin() (try bool, wait time.Duration) {
+func (a *Breaker) Begin() (try bool, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch now := a.clock.Now(); {
@@ -54,7 +54,7 @@
 }
 
 // Report records whether a call was a probe and whether the store answered it.
-func (a *Access) Note(try, answered bool) {
+func (a *Breaker) Note(try, answered bool) {
 	spacing := a.spacing() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -71,7 +71,7 @@
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
 // lost it.
-func (a *Access) Doubt() {
+func (a *Breaker) Doubt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.away = true
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -18,7 +18,7 @@
 func noSpacing() time.Duration { return 0 }
 
 // requireMayCall checks whether a call may be made now, and whether it is a probe.
-func requireMayCall(t *testing.T, a *Access, may, try bool) {
+func requireMayCall(t *testing.T, a *Breaker, may, try bool) {
 	t.Helper()
 	isTry, wait := a.Begin()
 	require.Equal(t, may, wait == 0)
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -71,7 +71,7 @@
 	name   string
 	topic  hollowgrade.Topic
 	reads  func() bool // whether this process reads the store itself now
-	store  *Access
+	store  *Breaker
 	clock  hollowgrade.Clock
 	log    *log.Logger
 	wait   time.Duration
@@ -137,7 +137,7 @@
 }
 
 // WithBreaker sets the breaker for calls to the store, which feeds of a process share.
-func WithAccess(a *Access) Option {
+func WithAccess(a *Breaker) Option {
 	return func(f *Feed) { f.store = a }
 }
 
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -44,7 +44,7 @@
 	exchanges        sync.WaitGroup
 	notify           chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
-	store *Access
+	store *Breaker
 	begun time.Time // when this process started
 
 	timing Timing
@@ -126,7 +126,7 @@
 }
 
 // Breaker returns the breaker that all callers of the store in this process share.
-func (r *Relay) Access() *Access {
+func (r *Relay) Access() *Breaker {
 	return r.store
 }
 
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -25,7 +25,7 @@
 	topic hollowgrade.Topic
 	clock hollowgrade.Clock
 	log   *log.Logger
-	store *feed.Access // what this process knows of its way to the store
+	store *feed.Breaker // what this process knows of its way to the store
 	// unused counts records of the store that could not be used.
 	unused *atomic.Int64
 }
