--- a/feed/access.go
+++ b/feed/access.go
@@ -27,7 +27,7 @@
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
 // than the exponential delay; it is called for each failure.
-func NewAccess(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
+func NewBreaker(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = firstPause
 	p.MaxInterval = lastPause
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -27,7 +27,7 @@
 
 func TestAccess(t *testing.T) {
 	t.Run("all may call while the store answers", func(t *testing.T) {
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		requireMayCall(t, a, true, false)
 		requireMayCall(t, a, true, false)
 		a.Note(false, true)
@@ -35,7 +35,7 @@
 	})
 	t.Run("one tries at a time while it does not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+			a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 			a.Note(false, false)
 			requireMayCall(t, a, false, false)
 			time.Sleep(2 * firstPause)
@@ -53,7 +53,7 @@
 	t.Run("pauses are as long as the spacing asks for", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			const spacing = 10 * time.Second
-			a := NewAccess(hollowgrade.SystemClock(), func() time.Duration { return spacing })
+			a := NewBreaker(hollowgrade.SystemClock(), func() time.Duration { return spacing })
 			a.Note(false, false)
 			tries, began := 0, time.Now()
 			for time.Since(began) < 100*spacing {
@@ -69,7 +69,7 @@
 		})
 	})
 	t.Run("one tries first where others have lost the store", func(t *testing.T) {
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		a.Doubt()
 		requireMayCall(t, a, true, true)
 		requireMayCall(t, a, false, false)
@@ -83,7 +83,7 @@
 func TestATryDoesNotWaitAtTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		quiet := log.New(io.Discard)
 		slow, quick := newTopic(), newTopic()
 		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithAccess(a))
@@ -138,7 +138,7 @@
 func TestAccessOfOneTopicThatIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		quiet := log.New(io.Discard)
 		gone, there := newTopic(), newTopic()
 		gone.down = true
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -164,7 +164,7 @@
 		o(f)
 	}
 	if f.store == nil {
-		f.store = NewAccess(f.clock, func() time.Duration { return 0 })
+		f.store = NewBreaker(f.clock, func() time.Duration { return 0 })
 	}
 	return f
 }
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -121,7 +121,7 @@
 	r.hall = r.places(self).Hall
 	r.begun = r.clock.Now()
 	r.told = r.begun
-	r.store = NewAccess(r.clock, r.spacing)
+	r.store = NewBreaker(r.clock, r.spacing)
 	return r
 }
 
