--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -86,8 +86,8 @@
 		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		quiet := log.New(io.Discard)
 		slow, quick := newTopic(), newTopic()
-		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithAccess(a))
-		eager := New("config", quick, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
+		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithBreaker(a))
+		eager := New("config", quick, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
 		var g sync.WaitGroup
 		g.Go(func() { patient.Run(ctx) })
 		g.Go(func() { eager.Run(ctx) })
@@ -142,8 +142,8 @@
 		quiet := log.New(io.Discard)
 		gone, there := newTopic(), newTopic()
 		gone.down = true
-		lost := New("config", gone, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
-		kept := New("fleet", there, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
+		lost := New("config", gone, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
+		kept := New("fleet", there, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
 		var g sync.WaitGroup
 		g.Go(func() { lost.Run(ctx) })
 		g.Go(func() { kept.Run(ctx) })
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -137,7 +137,7 @@
 }
 
 // WithBreaker sets the breaker for calls to the store, which feeds of a process share.
-func WithAccess(a *Breaker) Option {
+func WithBreaker(a *Breaker) Option {
 	return func(f *Feed) { f.store = a }
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -92,7 +92,7 @@
 	}
 	relay := feed.NewRelay(c.PeerAddress(), n.members.addresses, feed.WithRelayLogger(g), feed.WithRelayClock(b.clock), feed.WithPlaces(n.members.place), feed.WithRelayTiming(c.Timing()))
 	follow := func(name string, t hollowgrade.Topic, wait time.Duration, os ...feed.Option) *feed.Feed {
-		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithAccess(relay.Access()), feed.WithTiming(c.Timing())}, os...)
+		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithBreaker(relay.Access()), feed.WithTiming(c.Timing())}, os...)
 		return feed.New(name, t, os...)
 	}
 	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValue(c.ConfigMaxBytes))
