--- a/feed/relay.go
+++ b/feed/relay.go
@@ -126,7 +126,7 @@
 }
 
 // Breaker returns the breaker that all callers of the store in this process share.
-func (r *Relay) Access() *Breaker {
+func (r *Relay) Breaker() *Breaker {
 	return r.store
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -92,7 +92,7 @@
 	}
 	relay := feed.NewRelay(c.PeerAddress(), n.members.addresses, feed.WithRelayLogger(g), feed.WithRelayClock(b.clock), feed.WithPlaces(n.members.place), feed.WithRelayTiming(c.Timing()))
 	follow := func(name string, t hollowgrade.Topic, wait time.Duration, os ...feed.Option) *feed.Feed {
-		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithBreaker(relay.Access()), feed.WithTiming(c.Timing())}, os...)
+		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithBreaker(relay.Breaker()), feed.WithTiming(c.Timing())}, os...)
 		return feed.New(name, t, os...)
 	}
 	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValue(c.ConfigMaxBytes))
@@ -116,7 +116,7 @@
 	n.config.Watch(n.takeConfig)
 	fleet.Watch(n.takeFleet)
 	others.Watch(n.members.take)
-	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Access(), unused: n.unused}
+	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.holds.take)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
