--- a/feed/access.go
+++ b/feed/access.go
@@ -54,7 +54,7 @@
 }
 
 // Report records whether a call was a probe and whether the store answered it.
-func (a *Breaker) Note(try, answered bool) {
+func (a *Breaker) Report(try, answered bool) {
 	spacing := a.spacing() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -30,22 +30,22 @@
 		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 		requireMayCall(t, a, true, false)
 		requireMayCall(t, a, true, false)
-		a.Note(false, true)
+		a.Report(false, true)
 		requireMayCall(t, a, true, false)
 	})
 	t.Run("one tries at a time while it does not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
-			a.Note(false, false)
+			a.Report(false, false)
 			requireMayCall(t, a, false, false)
 			time.Sleep(2 * firstPause)
 			requireMayCall(t, a, true, true)
 			requireMayCall(t, a, false, false)
-			a.Note(true, false)
+			a.Report(true, false)
 			requireMayCall(t, a, false, false)
 			time.Sleep(2 * lastPause)
 			requireMayCall(t, a, true, true)
-			a.Note(true, true)
+			a.Report(true, true)
 			requireMayCall(t, a, true, false)
 			requireMayCall(t, a, true, false)
 		})
@@ -54,13 +54,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			const spacing = 10 * time.Second
 			a := NewBreaker(hollowgrade.SystemClock(), func() time.Duration { return spacing })
-			a.Note(false, false)
+			a.Report(false, false)
 			tries, began := 0, time.Now()
 			for time.Since(began) < 100*spacing {
 				try, wait := a.Begin()
 				if try {
 					tries++
-					a.Note(true, false)
+					a.Report(true, false)
 					continue
 				}
 				time.Sleep(wait)
@@ -73,7 +73,7 @@
 		a.Doubt()
 		requireMayCall(t, a, true, true)
 		requireMayCall(t, a, false, false)
-		a.Note(true, true)
+		a.Report(true, true)
 		requireMayCall(t, a, true, false)
 	})
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -227,7 +227,7 @@
 		}
 		sent := f.clock.Now()
 		records, err := f.step(ctx, sent, try)
-		f.store.Note(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
+		f.store.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
 		if err == nil {
 			p.Reset()
 			f.regained()
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		err := s.keep(ctx, todo)
-		s.store.Note(try, err == nil || ctx.Err() != nil)
+		s.store.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
 		}
