--- a/feed/access.go
+++ b/feed/access.go
@@ -71,7 +71,7 @@
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
 // lost it.
-func (a *Breaker) Doubt() {
+func (a *Breaker) SuspectOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.away = true
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -70,7 +70,7 @@
 	})
 	t.Run("one tries first where others have lost the store", func(t *testing.T) {
 		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
-		a.Doubt()
+		a.SuspectOutage()
 		requireMayCall(t, a, true, true)
 		requireMayCall(t, a, false, false)
 		a.Report(true, true)
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -182,7 +182,7 @@
 	stoodIn := false
 	defer func() {
 		if stoodIn {
-			r.store.Doubt() // without the lock, since the breaker calls this relay
+			r.store.SuspectOutage() // without the lock, since the breaker calls this relay
 		}
 	}()
 	r.mu.Lock()
