--- a/feed/relay.go
+++ b/feed/relay.go
@@ -219,7 +219,7 @@
 func (r *Relay) Run(ctx context.Context) {
 	var asked time.Time
 	for r.rest(ctx) {
-		if r.clock.Since(asked) < r.timing.Ask && !r.asksOften() {
+		if r.clock.Since(asked) < r.timing.PollInterval && !r.asksOften() {
 			continue
 		}
 		asked = r.clock.Now()
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -230,7 +230,7 @@
 		n.log.SetLevel(l)
 	}
 	restart := c.Callers != old.Callers || c.Readiness != old.Readiness || c.PeerAddress() != old.PeerAddress() || c.Peers != old.Peers || c.Store != old.Store ||
-		c.ReadWait() != old.ReadWait() || c.Timing().Ask != old.Timing().Ask
+		c.ReadWait() != old.ReadWait() || c.Timing().PollInterval != old.Timing().PollInterval
 	n.log.Info("settings reloaded", "path", path, "key_freshness_ms", c.KeyFreshness.Milliseconds(), "key_outage_ms", c.KeyOutage.Milliseconds(),
 		"retry_ratio", c.RetryRatio, "retry_slack", c.RetrySlack, "needs_restart", restart)
 	return nil
