--- a/feed/feed.go
+++ b/feed/feed.go
@@ -217,7 +217,7 @@
 	p.MaxInterval = lastPause
 	for ctx.Err() == nil {
 		if f.follow(f.complete() && !f.reads()) {
-			hollowgrade.Sleep(ctx, f.clock, f.timing.Urgent)
+			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
 			continue
 		}
 		try, wait := f.store.Begin()
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -250,7 +250,7 @@
 
 // waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
 func (r *Relay) rest(ctx context.Context) bool {
-	t := r.clock.NewTimer(r.timing.Urgent)
+	t := r.clock.NewTimer(r.timing.UrgentPollInterval)
 	defer t.Stop()
 	select {
 	case <-t.Chan():
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -26,11 +26,11 @@
 // Timing divides the time for which a view may be trusted. All parts derive from one bound, so that
 // their sum keeps it.
 type Timing struct {
-	Wait         time.Duration // how long one read waits at the store for a record
-	Late         time.Duration // time beyond the wait after which the store is taken not to serve a reader
-	PollInterval time.Duration // between polls while a served process replies
-	Urgent       time.Duration // between polls while none does
-	Turn         time.Duration // between two groups of backups
+	Wait               time.Duration // how long one read waits at the store for a record
+	Late               time.Duration // time beyond the wait after which the store is taken not to serve a reader
+	PollInterval       time.Duration // between polls while a served process replies
+	UrgentPollInterval time.Duration // between polls while none does
+	Turn               time.Duration // between two groups of backups
 }
 
 // NewTiming returns the times that keep views no older than the bound, as long as the store serves
@@ -40,11 +40,11 @@
 	part := min(whole, 1)
 	share := func(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
 	return Timing{
-		Wait:         share(mostWait, whole),
-		Late:         share(mostLate, part),
-		PollInterval: share(mostAsk, part),
-		Urgent:       share(mostUrgent, part),
-		Turn:         share(mostTurn, part),
+		Wait:               share(mostWait, whole),
+		Late:               share(mostLate, part),
+		PollInterval:       share(mostAsk, part),
+		UrgentPollInterval: share(mostUrgent, part),
+		Turn:               share(mostTurn, part),
 	}
 }
 
@@ -65,13 +65,13 @@
 // looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) oldest(wait time.Duration, turn int) time.Duration {
-	return t.due(wait) + t.Late + t.PollInterval + 2*t.Urgent + time.Duration(turn)*t.Turn
+	return t.due(wait) + t.Late + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.Turn
 }
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
 // polls them at once if all of a round replied that they are not served.
 func (t Timing) untold() time.Duration {
-	return t.PollInterval + t.Urgent/2
+	return t.PollInterval + t.UrgentPollInterval/2
 }
 
 // statusTTL is how long a peer's status is valid; each reader is polled about that often.
