--- a/feed/feed.go
+++ b/feed/feed.go
@@ -252,7 +252,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.follows && !follows {
-		f.due = f.clock.Now().Add(readPause + f.timing.Late) // the first read may have to wait for the probe of another topic
+		f.due = f.clock.Now().Add(readPause + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
 	}
 	f.follows = follows
 	f.answered = f.answered && !follows
@@ -296,7 +296,7 @@
 	if try || f.away {
 		wait = 0 // the freshness of the view has to be known at once
 	}
-	f.due = sent.Add(wait + min(f.timing.Late+2*f.lag, answerMargin))
+	f.due = sent.Add(wait + min(f.timing.AnswerGrace+2*f.lag, answerMargin))
 	return f.next, f.synced, wait
 }
 
@@ -501,7 +501,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = true
-	f.due = hollowgrade.Later(f.due, f.clock.Now().Add(readPause+f.timing.Late))
+	f.due = hollowgrade.Later(f.due, f.clock.Now().Add(readPause+f.timing.AnswerGrace))
 	if !f.away {
 		return
 	}
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -27,7 +27,7 @@
 // their sum keeps it.
 type Timing struct {
 	Wait               time.Duration // how long one read waits at the store for a record
-	Late               time.Duration // time beyond the wait after which the store is taken not to serve a reader
+	AnswerGrace        time.Duration // time beyond the wait after which the store is taken not to serve a reader
 	PollInterval       time.Duration // between polls while a served process replies
 	UrgentPollInterval time.Duration // between polls while none does
 	Turn               time.Duration // between two groups of backups
@@ -41,7 +41,7 @@
 	share := func(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
 	return Timing{
 		Wait:               share(mostWait, whole),
-		Late:               share(mostLate, part),
+		AnswerGrace:        share(mostLate, part),
 		PollInterval:       share(mostAsk, part),
 		UrgentPollInterval: share(mostUrgent, part),
 		Turn:               share(mostTurn, part),
@@ -50,13 +50,13 @@
 
 // answerDue is the age of a view, read with the given wait, when its next answer is due.
 func (t Timing) due(wait time.Duration) time.Duration {
-	return wait + wait/driftShare + t.Late
+	return wait + wait/driftShare + t.AnswerGrace
 }
 
 // staleAge is the age from which a view, read by others with the given wait, is older than readers
 // that the store serves let it get.
 func (t Timing) stale(wait time.Duration) time.Duration {
-	return t.due(wait) + 2*t.Late + t.PollInterval
+	return t.due(wait) + 2*t.AnswerGrace + t.PollInterval
 }
 
 // maxAge is the largest age of a view, read with the given wait, while the store serves neither the
@@ -65,7 +65,7 @@
 // looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) oldest(wait time.Duration, turn int) time.Duration {
-	return t.due(wait) + t.Late + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.Turn
+	return t.due(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.Turn
 }
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
