--- a/feed/standin.go
+++ b/feed/standin.go
@@ -161,7 +161,7 @@
 	}
 	now := r.clock.Now()
 	alone := now.Sub(r.told) > lostAfter && now.Sub(r.reached) > lostAfter
-	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.Turn
+	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.BackupDelay
 }
 
 // countServed returns how many of the processes are served by the store by their status. The caller
@@ -196,5 +196,5 @@
 		return nil
 	}
 	others := order[readers:]
-	return others[:placesUntil(int(r.clock.Since(r.doubted)/r.timing.Turn), len(others))]
+	return others[:placesUntil(int(r.clock.Since(r.doubted)/r.timing.BackupDelay), len(others))]
 }
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -30,7 +30,7 @@
 	AnswerGrace        time.Duration // time beyond the wait after which the store is taken not to serve a reader
 	PollInterval       time.Duration // between polls while a served process replies
 	UrgentPollInterval time.Duration // between polls while none does
-	Turn               time.Duration // between two groups of backups
+	BackupDelay        time.Duration // between two groups of backups
 }
 
 // NewTiming returns the times that keep views no older than the bound, as long as the store serves
@@ -44,7 +44,7 @@
 		AnswerGrace:        share(mostLate, part),
 		PollInterval:       share(mostAsk, part),
 		UrgentPollInterval: share(mostUrgent, part),
-		Turn:               share(mostTurn, part),
+		BackupDelay:        share(mostTurn, part),
 	}
 }
 
@@ -65,7 +65,7 @@
 // looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) oldest(wait time.Duration, turn int) time.Duration {
-	return t.due(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.Turn
+	return t.due(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.BackupDelay
 }
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
