--- a/feed/timing.go
+++ b/feed/timing.go
@@ -26,7 +26,7 @@
 // Timing divides the time for which a view may be trusted. All parts derive from one bound, so that
 // their sum keeps it.
 type Timing struct {
-	Wait               time.Duration // how long one read waits at the store for a record
+	ReadWait           time.Duration // how long one read waits at the store for a record
 	AnswerGrace        time.Duration // time beyond the wait after which the store is taken not to serve a reader
 	PollInterval       time.Duration // between polls while a served process replies
 	UrgentPollInterval time.Duration // between polls while none does
@@ -40,7 +40,7 @@
 	part := min(whole, 1)
 	share := func(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
 	return Timing{
-		Wait:               share(mostWait, whole),
+		ReadWait:           share(mostWait, whole),
 		AnswerGrace:        share(mostLate, part),
 		PollInterval:       share(mostAsk, part),
 		UrgentPollInterval: share(mostUrgent, part),
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -302,7 +302,7 @@
 	quiet := log.New(io.Discard)
 	w := &gateway{box: box}
 	w.relay = feed.NewRelay(box, func() []string { return append([]string(nil), all...) }, feed.WithRelayLogger(quiet), feed.WithDialer(f.net.dialer(box)), feed.WithPlaces(f.net.place), feed.WithRelayTiming(f.timing))
-	w.config = feed.New("config", f.far(f.config, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.Wait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
+	w.config = feed.New("config", f.far(f.config, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.ReadWait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
 	w.fleet = feed.New("fleet", f.far(f.fleet, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(3*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
 	w.members = feed.New("members", f.far(f.members, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(20*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
 	fs := []*feed.Feed{w.config, w.fleet, w.members}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -236,7 +236,7 @@
 				for i := range moments {
 					inTest(b, func(t *testing.T) {
 						inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
-							time.Sleep(time.Duration(i) * f.timing.Wait / moments)
+							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
 							f.turnAway(w, turnedShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -51,7 +51,7 @@
 // ReadWait returns how long one read of the configuration waits: config_wait,
 // or less where key_freshness asks for it.
 func (g Gateway) ReadWait() time.Duration {
-	return min(g.ConfigWait, g.Timing().Wait)
+	return min(g.ConfigWait, g.Timing().ReadWait)
 }
 
 // CheckFreshness returns an error with the smallest key_freshness that holds, if this one does not:
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -80,7 +80,7 @@
 		g.ConfigWait = 5 * time.Second
 		require.Equal(t, 1500*time.Millisecond, g.ReadWait())
 		g.KeyFreshness = 3 * time.Second
-		require.Equal(t, g.Timing().Wait, g.ReadWait())
+		require.Equal(t, g.Timing().ReadWait, g.ReadWait())
 		require.Less(t, g.ReadWait(), 1500*time.Millisecond*3/5)
 		require.NoError(t, g.Validate())
 	})
