--- a/feed/timing.go
+++ b/feed/timing.go
@@ -16,7 +16,7 @@
 	// exceed ten a second.
 	leastShare = 4
 	// MinViewAge is the smallest supported bound on the age of views.
-	LeastBound = viewBound / leastShare
+	MinViewAge = viewBound / leastShare
 	// clockDriftDivisor bounds how much faster the store's monotonic clock may run than that of a
 	// process, as one part in so many. A read that waited its whole time shows what was there at
 	// the end of the wait by the store's clock.
@@ -36,7 +36,7 @@
 // NewTiming returns the times that keep views no older than the bound, as long as the store serves
 // some process. Below [MinViewAge] they do not shrink further.
 func NewTiming(bound time.Duration) Timing {
-	whole := float64(max(bound, LeastBound)) / float64(viewBound)
+	whole := float64(max(bound, MinViewAge)) / float64(viewBound)
 	part := min(whole, 1)
 	share := func(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
 	return Timing{
--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -9,7 +9,7 @@
 
 func TestTiming(t *testing.T) {
 	t.Run("all of it adds up to five sevenths of any bound", func(t *testing.T) {
-		for _, b := range []time.Duration{LeastBound, 1200 * time.Millisecond, 2200 * time.Millisecond, viewBound, 9200 * time.Millisecond} {
+		for _, b := range []time.Duration{MinViewAge, 1200 * time.Millisecond, 2200 * time.Millisecond, viewBound, 9200 * time.Millisecond} {
 			m := NewTiming(b)
 			require.Less(t, m.oldest(m.ReadWait, turnOf(102-readerCount(103))), b*5/7, "keys are good for %s", b)
 		}
@@ -21,7 +21,7 @@
 		require.Equal(t, m, l)
 	})
 	t.Run("what cannot be held is not tried for", func(t *testing.T) {
-		require.Equal(t, NewTiming(LeastBound), NewTiming(0))
+		require.Equal(t, NewTiming(MinViewAge), NewTiming(0))
 	})
 }
 
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -123,7 +123,7 @@
 	for _, b := range []struct {
 		bound    time.Duration
 		gateways int
-	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.LeastBound, some}} {
+	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.MinViewAge, some}} {
 		for _, w := range waysToTurn[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *fleetOf) {
--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -57,7 +57,7 @@
 // CheckFreshness returns an error with the smallest key_freshness that holds, if this one does not:
 // keys would end now and then while the store turns some gateways away. A gateway runs with it all the same.
 func (g Gateway) CheckFreshness() error {
-	if least := feed.LeastBound + freshnessSlack; g.KeyFreshness < least {
+	if least := feed.MinViewAge + freshnessSlack; g.KeyFreshness < least {
 		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, least)
 	}
 	return nil
