--- a/feed/feed.go
+++ b/feed/feed.go
@@ -58,7 +58,7 @@
 	// UncertainUntil is until when a dropped key may come back by itself: the change may be an
 	// effect of an outage of the store, since a read failed shortly before or the view was stale.
 	// It is zero otherwise.
-	MayReturn time.Time
+	UncertainUntil time.Time
 }
 
 // Source returns the origin of the record for logs.
@@ -354,7 +354,7 @@
 	cs := make([]Change, 0, len(p.Records))
 	for _, r := range p.Records {
 		if f.fits(r.Key, r.Offset, len(r.Value), p.From) && f.put(r) {
-			cs = append(cs, Change{KeyedRecord: r, From: p.From, MayReturn: doubt})
+			cs = append(cs, Change{KeyedRecord: r, From: p.From, UncertainUntil: doubt})
 		}
 	}
 	f.next = max(f.next, p.Next)
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -130,7 +130,7 @@
 			} else {
 				v.values[c.Key] = string(c.Value)
 			}
-			if !c.MayReturn.IsZero() {
+			if !c.UncertainUntil.IsZero() {
 				v.regained++
 			}
 		}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -300,7 +300,7 @@
 func (n *GatewayNode) takeFleet(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Dropped() {
-			n.Core.Fleet().Drop(c.Key, c.MayReturn)
+			n.Core.Fleet().Drop(c.Key, c.UncertainUntil)
 			continue
 		}
 		u, err := platform.DecodeUpstream(c.KeyedRecord)
