--- a/feed/feed.go
+++ b/feed/feed.go
@@ -34,7 +34,7 @@
 	// serve it meanwhile.
 	newestMargin = 3 * time.Second
 	// DefaultMaxValueBytes is the size of the largest accepted value.
-	DefaultMaxValue = 8 << 20
+	DefaultMaxValueBytes = 8 << 20
 	// maxBases is how many earlier values of a key are kept if they are large, so that a peer that
 	// is a few changes behind receives only the difference.
 	keptBases = 3
@@ -156,7 +156,7 @@
 		log:     log.Default(),
 		wait:    defaultWait,
 		timing:  NewTiming(viewBound),
-		most:    DefaultMaxValue,
+		most:    DefaultMaxValueBytes,
 		newest:  map[string]hollowgrade.KeyedRecord{},
 		earlier: map[string][]hollowgrade.KeyedRecord{},
 	}
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -160,7 +160,7 @@
 		"not to be decoded":    {func(*wire.ValueHead) {}, bytes.Repeat([]byte("x"), len(o.bytes)), "not the value"},
 		"of another size":      {func(h *wire.ValueHead) { h.Size = 10 }, o.bytes, "not the value"},
 		"older than announced": {func(h *wire.ValueHead) { h.Offset = 6 }, nil, "it has offset 6"},
-		"larger than allowed":  {func(h *wire.ValueHead) { h.Size = DefaultMaxValue + 1 }, nil, "allowed"},
+		"larger than allowed":  {func(h *wire.ValueHead) { h.Size = DefaultMaxValueBytes + 1 }, nil, "allowed"},
 		"of a negative size":   {func(h *wire.ValueHead) { h.Size = -1 }, nil, "not the value"},
 		"more than announced":  {func(h *wire.ValueHead) { h.FormSize = 10 }, o.bytes, "not due"},
 		"from the middle":      {func(h *wire.ValueHead) { h.From = 99 }, nil, "goes on from"},
