--- a/feed/asking.go
+++ b/feed/asking.go
@@ -115,7 +115,7 @@
 }
 
 // pollResult is the result of one poll of a peer.
-type told struct {
+type pollResult struct {
 	feeds  int  // that were in the answer
 	served bool // whether the peer reported that the store serves it
 	bytes  int64
@@ -229,7 +229,7 @@
 }
 
 // exchange polls a peer and merges what it sends.
-func (r *Relay) exchange(ctx context.Context, address string) (t told, err error) {
+func (r *Relay) exchange(ctx context.Context, address string) (t pollResult, err error) {
 	defer errs.Annotate(&err, "ask peer %s for feeds", address)
 	c, err := r.conn(ctx, address)
 	if err != nil {
@@ -281,7 +281,7 @@
 
 // merge merges a peer's reply and adds what has to be requested separately to t. The reply's age
 // counts from when the request was sent, the earliest time at which the peer can have answered.
-func (r *Relay) merge(address string, m *wire.FeedReply, sent time.Time, t *told) {
+func (r *Relay) merge(address string, m *wire.FeedReply, sent time.Time, t *pollResult) {
 	f := named(r.feeds, m.Feed)
 	if f == nil {
 		return
