--- a/feed/asking.go
+++ b/feed/asking.go
@@ -119,12 +119,12 @@
 	feeds  int  // that were in the answer
 	served bool // whether the peer reported that the store serves it
 	bytes  int64
-	more   *Feed   // a feed of which the peer can send the next page at once, or nil
-	large  []found // records whose values have to be requested
+	more   *Feed            // a feed of which the peer can send the next page at once, or nil
+	large  []announcedValue // records whose values have to be requested
 }
 
 // announcedValue is a record that a peer announced without its value.
-type found struct {
+type announcedValue struct {
 	feed   *Feed
 	record *wire.LargeRecord
 }
@@ -302,7 +302,7 @@
 	switch l := m.Large; {
 	case f.Next() != p.Next || p.Next == p.End:
 	case l != nil && f.expect(l.Key, l.Offset, int(l.Size), address):
-		t.large = append(t.large, found{f, l})
+		t.large = append(t.large, announcedValue{f, l})
 	default:
 		t.more = f
 	}
