--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -157,7 +157,7 @@
 }
 
 // valueReply is a peer's reply to a request for a value.
-type brought struct {
+type valueReply struct {
 	record    hollowgrade.KeyedRecord
 	formBytes int64
 	part      bool // whether it was sent as the difference from an earlier value
@@ -166,7 +166,7 @@
 }
 
 // request requests the value of the record at the offset, or of a later one, from a peer.
-func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v brought, err error) {
+func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v valueReply, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a value", address)
 	d, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -197,7 +197,7 @@
 }
 
 // receive receives a peer's reply.
-func (t *transfer) receive(s *peer.Stream, base hollowgrade.KeyedRecord, offset int64) (v brought, err error) {
+func (t *transfer) receive(s *peer.Stream, base hollowgrade.KeyedRecord, offset int64) (v valueReply, err error) {
 	if err = s.Extend(stallTimeout); err != nil {
 		return v, err
 	}
@@ -210,7 +210,7 @@
 	case h == nil:
 		return v, errors.New("peer sent a frame that is not due")
 	case h.Busy:
-		return brought{busy: true, holders: h.Holders}, nil
+		return valueReply{busy: true, holders: h.Holders}, nil
 	case h.Offset < offset:
 		return v, fmt.Errorf("%w: it has offset %d", errNotThere, h.Offset)
 	case h.Size <= 0 || h.FormSize <= 0:
@@ -235,7 +235,7 @@
 	if err != nil {
 		return v, err
 	}
-	return brought{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, part: h.Difference}, nil
+	return valueReply{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, part: h.Difference}, nil
 }
 
 // resume prepares for the bytes of an encoding, some of which may be here already.
