--- a/feed/relay.go
+++ b/feed/relay.go
@@ -55,18 +55,18 @@
 
 	mu        sync.Mutex
 	conns     map[string]*peer.Conn
-	words     map[string]word     // last reported status of each peer
-	asking    map[string]bool     // peers that are being polled
-	open      int                 // pending polls of the last round, if none has reached a served peer
-	vain      bool                // whether no peer of a round was served by the store, and no served one has replied since
-	told      time.Time           // time of the last complete reply of a served peer, or the start time of this process
-	reached   time.Time           // time of the last reply of any peer
-	standing  bool                // whether this process reads as a backup
-	doubted   time.Time           // since when the store has seemed to serve no reader; zero if it does
-	reads     reading             // last result of Reads
-	large     reading             // last result of ReadsLarge
-	transfers map[*Feed]*transfer // under way
-	catching  map[*Feed]bool      // feeds that are being read page by page
+	words     map[string]peerStatus // last reported status of each peer
+	asking    map[string]bool       // peers that are being polled
+	open      int                   // pending polls of the last round, if none has reached a served peer
+	vain      bool                  // whether no peer of a round was served by the store, and no served one has replied since
+	told      time.Time             // time of the last complete reply of a served peer, or the start time of this process
+	reached   time.Time             // time of the last reply of any peer
+	standing  bool                  // whether this process reads as a backup
+	doubted   time.Time             // since when the store has seemed to serve no reader; zero if it does
+	reads     reading               // last result of Reads
+	large     reading               // last result of ReadsLarge
+	transfers map[*Feed]*transfer   // under way
+	catching  map[*Feed]bool        // feeds that are being read page by page
 }
 
 // RelayOption configures a relay.
@@ -109,7 +109,7 @@
 		log:       log.Default(),
 		timing:    NewTiming(viewBound),
 		conns:     map[string]*peer.Conn{},
-		words:     map[string]word{},
+		words:     map[string]peerStatus{},
 		asking:    map[string]bool{},
 		notify:    make(chan struct{}, 1),
 		transfers: map[*Feed]*transfer{},
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -39,7 +39,7 @@
 
 // peerStatus is what a peer last reported: whether the store serves it, that is, it reads all
 // topics and the store answers these reads in time.
-type word struct {
+type peerStatus struct {
 	served bool
 	at     time.Time
 }
@@ -83,12 +83,12 @@
 // setStatus records the status of a peer, and removes expired ones. The caller holds the lock.
 func (r *Relay) noteWord(address string, served bool) {
 	if len(r.words) > keptWords {
-		maps.DeleteFunc(r.words, func(a string, _ word) bool {
+		maps.DeleteFunc(r.words, func(a string, _ peerStatus) bool {
 			_, ok := r.lastWord(a)
 			return !ok
 		})
 	}
-	r.words[address] = word{served, r.clock.Now()}
+	r.words[address] = peerStatus{served, r.clock.Now()}
 }
 
 // status returns the recent status of a peer, and false if there is none. The caller holds the
