--- a/feed/relay.go
+++ b/feed/relay.go
@@ -63,8 +63,8 @@
 	reached   time.Time             // time of the last reply of any peer
 	standing  bool                  // whether this process reads as a backup
 	doubted   time.Time             // since when the store has seemed to serve no reader; zero if it does
-	reads     reading               // last result of Reads
-	large     reading               // last result of ReadsLarge
+	reads     readDecision          // last result of Reads
+	large     readDecision          // last result of ReadsLarge
 	transfers map[*Feed]*transfer   // under way
 	catching  map[*Feed]bool        // feeds that are being read page by page
 }
@@ -168,11 +168,11 @@
 }
 
 // readDecision is whether this process reads some of the topics itself.
-type reading bool
+type readDecision bool
 
 // updateReads reports whether this process has to read topics that the given readers read for all,
 // and logs when the decision changes.
-func (r *Relay) readsAs(readers []string, said *reading, topics string) bool {
+func (r *Relay) readsAs(readers []string, said *readDecision, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
 	better := r.better()
 	served := r.isServed()
@@ -190,9 +190,9 @@
 	r.noteDoubt(large, served, stale)
 	r.standing = r.standsIn(turn, better, served)
 	reads := reader || r.standing
-	if reading(reads) != *said {
+	if readDecision(reads) != *said {
 		stoodIn = !reader && reads
-		*said = reading(reads)
+		*said = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
 			"told_ms", r.clock.Since(r.told).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.servedOf(better))
 	}
