--- a/feed/readers.go
+++ b/feed/readers.go
@@ -37,7 +37,7 @@
 }
 
 // candidate is a process with the properties that determine its rank as a reader.
-type ranked struct {
+type candidate struct {
 	address string
 	place   Place
 	rank    uint64
@@ -76,9 +76,9 @@
 	all := append(r.peers(), r.self)
 	slices.Sort(all)
 	all = slices.Compact(all)
-	rs := make([]ranked, len(all))
+	rs := make([]candidate, len(all))
 	for i, a := range all {
-		rs[i] = ranked{address: a, place: r.places(a), rank: sched.Rank(readersSubject, a)}
+		rs[i] = candidate{address: a, place: r.places(a), rank: sched.Rank(readersSubject, a)}
 	}
 	slices.SortFunc(rs, byLink)
 	turns := map[string]int{}
@@ -86,7 +86,7 @@
 		rs[i].turn = turns[rs[i].place.Hall]
 		turns[rs[i].place.Hall]++
 	}
-	slices.SortStableFunc(rs, func(a, b ranked) int { return cmp.Compare(a.turn, b.turn) })
+	slices.SortStableFunc(rs, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
 	for _, x := range rs {
 		as = append(as, x.address)
 	}
@@ -103,7 +103,7 @@
 	return (a + b - 1) / b
 }
 
-func byLink(a, b ranked) int {
+func byLink(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.place.Link, a.place.Link), cmp.Compare(b.rank, a.rank), cmp.Compare(a.address, b.address))
 }
 
