--- a/feed/form.go
+++ b/feed/form.go
@@ -30,7 +30,7 @@
 }
 
 // encodingCache caches the encodings of one record, so that each is made once for all peers.
-type forms struct {
+type encodingCache struct {
 	mu     sync.Mutex
 	key    string
 	offset int64
@@ -42,7 +42,7 @@
 
 // get returns the encoding of a record for a peer that has the value at the offset base, or for one
 // that has none if base is noBase.
-func (f *forms) get(r hollowgrade.KeyedRecord, base int64, baseValue []byte) (o encodedValue, err error) {
+func (f *encodingCache) get(r hollowgrade.KeyedRecord, base int64, baseValue []byte) (o encodedValue, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.key != r.Key || f.offset != r.Offset {
