--- a/feed/feed.go
+++ b/feed/feed.go
@@ -88,7 +88,7 @@
 	newest   map[string]hollowgrade.KeyedRecord
 	earlier  map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
 	next     int64                                // all records below this offset are known
-	missing  []missing                            // records that are known to exist but not received yet, by offset
+	missing  []missingRecord                      // records that are known to exist but not received yet, by offset
 	fresh    time.Time                            // when the view was last known to be complete
 	synced   bool                                 // whether the next read can continue at next
 	away     bool                                 // whether the last read failed
@@ -101,7 +101,7 @@
 }
 
 // missingRecord is a record that a peer has announced without its value.
-type missing struct {
+type missingRecord struct {
 	offset int64
 	heard  time.Time // when a peer first announced it
 }
@@ -366,7 +366,7 @@
 func (f *Feed) confirm(p hollowgrade.KeyedPage, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.missing = slices.DeleteFunc(f.missing, func(m missing) bool { return m.offset < f.next })
+	f.missing = slices.DeleteFunc(f.missing, func(m missingRecord) bool { return m.offset < f.next })
 	if p.Next >= p.End && sent.After(f.fresh) {
 		f.fresh = sent
 	}
