--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -94,7 +94,7 @@
 // addMissing adds a record that is known to exist. The caller holds the lock.
 func (f *Feed) miss(offset int64) {
 	if n := len(f.missing); n == 0 || f.missing[n-1].offset < offset {
-		f.missing = append(f.missing, missingRecord{offset: offset, heard: f.clock.Now()})
+		f.missing = append(f.missing, missingRecord{offset: offset, announcedAt: f.clock.Now()})
 	}
 }
 
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -102,8 +102,8 @@
 
 // missingRecord is a record that a peer has announced without its value.
 type missingRecord struct {
-	offset int64
-	heard  time.Time // when a peer first announced it
+	offset      int64
+	announcedAt time.Time // when a peer first announced it
 }
 
 // Option configures a feed.
@@ -444,7 +444,7 @@
 	if len(f.missing) == 0 {
 		return 0
 	}
-	return f.clock.Since(f.missing[0].heard)
+	return f.clock.Since(f.missing[0].announcedAt)
 }
 
 // Merge merges a page that a peer sent, complete as of fresh.
