--- a/feed/relay.go
+++ b/feed/relay.go
@@ -53,20 +53,20 @@
 	ranked   []string // cached ranking of all processes, readers first
 	rankedAt time.Time
 
-	mu        sync.Mutex
-	conns     map[string]*peer.Conn
-	words     map[string]peerStatus // last reported status of each peer
-	asking    map[string]bool       // peers that are being polled
-	open      int                   // pending polls of the last round, if none has reached a served peer
-	vain      bool                  // whether no peer of a round was served by the store, and no served one has replied since
-	told      time.Time             // time of the last complete reply of a served peer, or the start time of this process
-	reached   time.Time             // time of the last reply of any peer
-	standing  bool                  // whether this process reads as a backup
-	doubted   time.Time             // since when the store has seemed to serve no reader; zero if it does
-	reads     readDecision          // last result of Reads
-	large     readDecision          // last result of ReadsLarge
-	transfers map[*Feed]*transfer   // under way
-	catching  map[*Feed]bool        // feeds that are being read page by page
+	mu           sync.Mutex
+	conns        map[string]*peer.Conn
+	peerStatuses map[string]peerStatus // last reported status of each peer
+	asking       map[string]bool       // peers that are being polled
+	open         int                   // pending polls of the last round, if none has reached a served peer
+	vain         bool                  // whether no peer of a round was served by the store, and no served one has replied since
+	told         time.Time             // time of the last complete reply of a served peer, or the start time of this process
+	reached      time.Time             // time of the last reply of any peer
+	standing     bool                  // whether this process reads as a backup
+	doubted      time.Time             // since when the store has seemed to serve no reader; zero if it does
+	reads        readDecision          // last result of Reads
+	large        readDecision          // last result of ReadsLarge
+	transfers    map[*Feed]*transfer   // under way
+	catching     map[*Feed]bool        // feeds that are being read page by page
 }
 
 // RelayOption configures a relay.
@@ -101,19 +101,19 @@
 // addresses of the others. Feeds are added with [Relay.Add].
 func NewRelay(self string, peers func() []string, os ...RelayOption) *Relay {
 	r := &Relay{
-		self:      self,
-		peers:     peers,
-		places:    func(string) Place { return Place{} },
-		dial:      peer.TCP(),
-		clock:     hollowgrade.SystemClock(),
-		log:       log.Default(),
-		timing:    NewTiming(viewBound),
-		conns:     map[string]*peer.Conn{},
-		words:     map[string]peerStatus{},
-		asking:    map[string]bool{},
-		notify:    make(chan struct{}, 1),
-		transfers: map[*Feed]*transfer{},
-		catching:  map[*Feed]bool{},
+		self:         self,
+		peers:        peers,
+		places:       func(string) Place { return Place{} },
+		dial:         peer.TCP(),
+		clock:        hollowgrade.SystemClock(),
+		log:          log.Default(),
+		timing:       NewTiming(viewBound),
+		conns:        map[string]*peer.Conn{},
+		peerStatuses: map[string]peerStatus{},
+		asking:       map[string]bool{},
+		notify:       make(chan struct{}, 1),
+		transfers:    map[*Feed]*transfer{},
+		catching:     map[*Feed]bool{},
 	}
 	for _, o := range os {
 		o(r)
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -82,19 +82,19 @@
 
 // setStatus records the status of a peer, and removes expired ones. The caller holds the lock.
 func (r *Relay) noteWord(address string, served bool) {
-	if len(r.words) > keptWords {
-		maps.DeleteFunc(r.words, func(a string, _ peerStatus) bool {
+	if len(r.peerStatuses) > keptWords {
+		maps.DeleteFunc(r.peerStatuses, func(a string, _ peerStatus) bool {
 			_, ok := r.lastWord(a)
 			return !ok
 		})
 	}
-	r.words[address] = peerStatus{served, r.clock.Now()}
+	r.peerStatuses[address] = peerStatus{served, r.clock.Now()}
 }
 
 // status returns the recent status of a peer, and false if there is none. The caller holds the
 // lock.
 func (r *Relay) lastWord(address string) (served, ok bool) {
-	w, ok := r.words[address]
+	w, ok := r.peerStatuses[address]
 	return w.served, ok && r.clock.Since(w.at) <= r.timing.wordFor()
 }
 
@@ -179,7 +179,7 @@
 func (r *Relay) withTellers(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for a := range r.words {
+	for a := range r.peerStatuses {
 		if served, ok := r.lastWord(a); ok && served && !slices.Contains(as, a) {
 			as = append(as, a)
 		}
