--- a/feed/relay.go
+++ b/feed/relay.go
@@ -58,7 +58,7 @@
 	peerStatuses map[string]peerStatus // last reported status of each peer
 	asking       map[string]bool       // peers that are being polled
 	open         int                   // pending polls of the last round, if none has reached a served peer
-	vain         bool                  // whether no peer of a round was served by the store, and no served one has replied since
+	noneServed   bool                  // whether no peer of a round was served by the store, and no served one has replied since
 	told         time.Time             // time of the last complete reply of a served peer, or the start time of this process
 	reached      time.Time             // time of the last reply of any peer
 	standing     bool                  // whether this process reads as a backup
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -54,7 +54,7 @@
 		r.inVain()
 		return
 	}
-	r.open, r.vain, r.told = 0, false, r.reached
+	r.open, r.noneServed, r.told = 0, false, r.reached
 }
 
 // noteNoReply records that a peer did not reply.
@@ -70,10 +70,10 @@
 // as well. The caller holds the lock.
 func (r *Relay) inVain() {
 	r.open--
-	if r.open != 0 || r.vain {
+	if r.open != 0 || r.noneServed {
 		return
 	}
-	r.vain = true
+	r.noneServed = true
 	select {
 	case r.notify <- struct{}{}:
 	default: // a poll is due already
@@ -120,7 +120,7 @@
 // lacksServedReply reports whether no served process has replied within the expected time, or none
 // of the last round was served. The caller holds the lock.
 func (r *Relay) untold() bool {
-	return r.vain || r.clock.Since(r.told) > r.timing.untold()
+	return r.noneServed || r.clock.Since(r.told) > r.timing.untold()
 }
 
 // suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
@@ -139,7 +139,7 @@
 // serves suspects no outage. The caller holds the lock.
 func (r *Relay) noteDoubt(readers []string, served, stale bool) {
 	if served {
-		r.told, r.vain = r.clock.Now(), false
+		r.told, r.noneServed = r.clock.Now(), false
 	}
 	switch {
 	case !r.doubts(readers, stale):
