--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -120,7 +120,7 @@
 			if !reach {
 				r.reached = time.Time{}
 			}
-			r.told = time.Now().Add(-silent)
+			r.lastServedReply = time.Now().Add(-silent)
 			if r.Reads() {
 				reads++
 			}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -398,7 +398,7 @@
 		requireTold(t, r, served(t, empty))
 		_, ok := f.Age()
 		require.False(t, ok)
-		require.Equal(t, r.begun, r.told)
+		require.Equal(t, r.begun, r.lastServedReply)
 	})
 	// Guards against a peer that lost the store serving outdated records: readers that lose the
 	// store right before a change must not refresh processes that have a view.
@@ -411,7 +411,7 @@
 		f.Merge(page(2), time.Now().Add(-time.Second))
 		r := relay(f)
 		requireTold(t, r, a)
-		require.Equal(t, r.begun, r.told)
+		require.Equal(t, r.begun, r.lastServedReply)
 		require.Equal(t, int64(2), f.Next())
 		n := New("f", newTopic(), WithLogger(quiet))
 		requireTold(t, relay(n), a)
@@ -454,10 +454,10 @@
 			r := relay(a, 5)
 			reader := slices.Contains(rs, a)
 			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for replies of readers at first")
-			r.told = time.Now()
+			r.lastServedReply = time.Now()
 			require.Equal(t, reader, r.Reads())
 			require.Equal(t, reader, len(r.toAsk()) == 0)
-			r.told = time.Now().Add(-2 * lostAfter)
+			r.lastServedReply = time.Now().Add(-2 * lostAfter)
 			require.True(t, r.Reads())
 		}
 	})
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -53,20 +53,20 @@
 	ranked   []string // cached ranking of all processes, readers first
 	rankedAt time.Time
 
-	mu           sync.Mutex
-	conns        map[string]*peer.Conn
-	peerStatuses map[string]peerStatus // last reported status of each peer
-	asking       map[string]bool       // peers that are being polled
-	open         int                   // pending polls of the last round, if none has reached a served peer
-	noneServed   bool                  // whether no peer of a round was served by the store, and no served one has replied since
-	told         time.Time             // time of the last complete reply of a served peer, or the start time of this process
-	reached      time.Time             // time of the last reply of any peer
-	standing     bool                  // whether this process reads as a backup
-	doubted      time.Time             // since when the store has seemed to serve no reader; zero if it does
-	reads        readDecision          // last result of Reads
-	large        readDecision          // last result of ReadsLarge
-	transfers    map[*Feed]*transfer   // under way
-	catching     map[*Feed]bool        // feeds that are being read page by page
+	mu              sync.Mutex
+	conns           map[string]*peer.Conn
+	peerStatuses    map[string]peerStatus // last reported status of each peer
+	asking          map[string]bool       // peers that are being polled
+	open            int                   // pending polls of the last round, if none has reached a served peer
+	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
+	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
+	reached         time.Time             // time of the last reply of any peer
+	standing        bool                  // whether this process reads as a backup
+	doubted         time.Time             // since when the store has seemed to serve no reader; zero if it does
+	reads           readDecision          // last result of Reads
+	large           readDecision          // last result of ReadsLarge
+	transfers       map[*Feed]*transfer   // under way
+	catching        map[*Feed]bool        // feeds that are being read page by page
 }
 
 // RelayOption configures a relay.
@@ -120,7 +120,7 @@
 	}
 	r.hall = r.places(self).Hall
 	r.begun = r.clock.Now()
-	r.told = r.begun
+	r.lastServedReply = r.begun
 	r.store = NewBreaker(r.clock, r.spacing)
 	return r
 }
@@ -194,7 +194,7 @@
 		stoodIn = !reader && reads
 		*said = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
-			"told_ms", r.clock.Since(r.told).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.servedOf(better))
+			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.servedOf(better))
 	}
 	return reads
 }
@@ -245,7 +245,7 @@
 	served := r.isServed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !served && r.untold() && r.clock.Since(r.told) <= urgentFor
+	return !served && r.untold() && r.clock.Since(r.lastServedReply) <= urgentFor
 }
 
 // waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -54,7 +54,7 @@
 		r.inVain()
 		return
 	}
-	r.open, r.noneServed, r.told = 0, false, r.reached
+	r.open, r.noneServed, r.lastServedReply = 0, false, r.reached
 }
 
 // noteNoReply records that a peer did not reply.
@@ -120,7 +120,7 @@
 // lacksServedReply reports whether no served process has replied within the expected time, or none
 // of the last round was served. The caller holds the lock.
 func (r *Relay) untold() bool {
-	return r.noneServed || r.clock.Since(r.told) > r.timing.untold()
+	return r.noneServed || r.clock.Since(r.lastServedReply) > r.timing.untold()
 }
 
 // suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
@@ -129,7 +129,7 @@
 	if !r.untold() {
 		return false
 	}
-	return stale || r.clock.Since(r.told) > lostAfter || !slices.ContainsFunc(readers, func(a string) bool {
+	return stale || r.clock.Since(r.lastServedReply) > lostAfter || !slices.ContainsFunc(readers, func(a string) bool {
 		served, ok := r.lastWord(a)
 		return a != r.self && (!ok || served)
 	})
@@ -139,7 +139,7 @@
 // serves suspects no outage. The caller holds the lock.
 func (r *Relay) noteDoubt(readers []string, served, stale bool) {
 	if served {
-		r.told, r.noneServed = r.clock.Now(), false
+		r.lastServedReply, r.noneServed = r.clock.Now(), false
 	}
 	switch {
 	case !r.doubts(readers, stale):
@@ -160,7 +160,7 @@
 		return false
 	}
 	now := r.clock.Now()
-	alone := now.Sub(r.told) > lostAfter && now.Sub(r.reached) > lostAfter
+	alone := now.Sub(r.lastServedReply) > lostAfter && now.Sub(r.reached) > lostAfter
 	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.BackupDelay
 }
 
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -350,7 +350,7 @@
 		l := &logged{}
 		rs := NewRelay(many[0], peers).readers()
 		r := NewRelay(rs[mostOfLarge], peers, WithRelayLogger(log.New(l)))
-		r.told = time.Now()
+		r.lastServedReply = time.Now()
 		for range 10 {
 			require.True(t, r.Reads())
 			require.False(t, r.ReadsLarge())
