--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -118,7 +118,7 @@
 			r := NewRelay(a, func() []string { return append([]string(nil), all...) }, WithRelayLogger(log.New(io.Discard)))
 			r.heard("a peer", true)
 			if !reach {
-				r.reached = time.Time{}
+				r.lastReply = time.Time{}
 			}
 			r.lastServedReply = time.Now().Add(-silent)
 			if r.Reads() {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -60,7 +60,7 @@
 	open            int                   // pending polls of the last round, if none has reached a served peer
 	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
 	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
-	reached         time.Time             // time of the last reply of any peer
+	lastReply       time.Time             // time of the last reply of any peer
 	standing        bool                  // whether this process reads as a backup
 	doubted         time.Time             // since when the store has seemed to serve no reader; zero if it does
 	reads           readDecision          // last result of Reads
@@ -144,7 +144,7 @@
 func (r *Relay) alone() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Since(r.reached) > lostAfter
+	return r.clock.Since(r.lastReply) > lostAfter
 }
 
 // Add adds feeds. It is called before Run.
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -48,13 +48,13 @@
 func (r *Relay) heard(address string, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reached = r.clock.Now()
+	r.lastReply = r.clock.Now()
 	r.noteWord(address, served)
 	if !served {
 		r.inVain()
 		return
 	}
-	r.open, r.noneServed, r.lastServedReply = 0, false, r.reached
+	r.open, r.noneServed, r.lastServedReply = 0, false, r.lastReply
 }
 
 // noteNoReply records that a peer did not reply.
@@ -160,7 +160,7 @@
 		return false
 	}
 	now := r.clock.Now()
-	alone := now.Sub(r.lastServedReply) > lostAfter && now.Sub(r.reached) > lostAfter
+	alone := now.Sub(r.lastServedReply) > lostAfter && now.Sub(r.lastReply) > lostAfter
 	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.BackupDelay
 }
 
