--- a/feed/relay.go
+++ b/feed/relay.go
@@ -61,7 +61,7 @@
 	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
 	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
 	lastReply       time.Time             // time of the last reply of any peer
-	standing        bool                  // whether this process reads as a backup
+	isBackup        bool                  // whether this process reads as a backup
 	doubted         time.Time             // since when the store has seemed to serve no reader; zero if it does
 	reads           readDecision          // last result of Reads
 	large           readDecision          // last result of ReadsLarge
@@ -188,8 +188,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.noteDoubt(large, served, stale)
-	r.standing = r.standsIn(turn, better, served)
-	reads := reader || r.standing
+	r.isBackup = r.standsIn(turn, better, served)
+	reads := reader || r.isBackup
 	if readDecision(reads) != *said {
 		stoodIn = !reader && reads
 		*said = readDecision(reads)
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -153,7 +153,7 @@
 // readers: from when its group is due in an outage until enough processes of a higher rank are
 // served. The caller holds the lock.
 func (r *Relay) standsIn(turn int, better []string, served bool) bool {
-	if r.standing && served {
+	if r.isBackup && served {
 		return r.servedOf(better) < min(enoughServed, len(better))
 	}
 	if r.doubted.IsZero() {
