--- a/feed/relay.go
+++ b/feed/relay.go
@@ -62,7 +62,7 @@
 	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
 	lastReply       time.Time             // time of the last reply of any peer
 	isBackup        bool                  // whether this process reads as a backup
-	doubted         time.Time             // since when the store has seemed to serve no reader; zero if it does
+	outageSince     time.Time             // since when the store has seemed to serve no reader; zero if it does
 	reads           readDecision          // last result of Reads
 	large           readDecision          // last result of ReadsLarge
 	transfers       map[*Feed]*transfer   // under way
@@ -202,10 +202,10 @@
 // outageMillis returns how long the store has seemed to serve no reader, for logs; -1 if it does.
 // The caller holds the lock.
 func (r *Relay) doubtedMillis() int64 {
-	if r.doubted.IsZero() {
+	if r.outageSince.IsZero() {
 		return -1
 	}
-	return r.clock.Since(r.doubted).Milliseconds()
+	return r.clock.Since(r.outageSince).Milliseconds()
 }
 
 // isStarting reports whether this process has just started and knows no other yet. It reads all
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -143,9 +143,9 @@
 	}
 	switch {
 	case !r.doubts(readers, stale):
-		r.doubted = time.Time{}
-	case r.doubted.IsZero():
-		r.doubted = r.clock.Now()
+		r.outageSince = time.Time{}
+	case r.outageSince.IsZero():
+		r.outageSince = r.clock.Now()
 	}
 }
 
@@ -156,12 +156,12 @@
 	if r.isBackup && served {
 		return r.servedOf(better) < min(enoughServed, len(better))
 	}
-	if r.doubted.IsZero() {
+	if r.outageSince.IsZero() {
 		return false
 	}
 	now := r.clock.Now()
 	alone := now.Sub(r.lastServedReply) > lostAfter && now.Sub(r.lastReply) > lostAfter
-	return alone || now.Sub(r.doubted) >= time.Duration(turn)*r.timing.BackupDelay
+	return alone || now.Sub(r.outageSince) >= time.Duration(turn)*r.timing.BackupDelay
 }
 
 // countServed returns how many of the processes are served by the store by their status. The caller
@@ -192,9 +192,9 @@
 	order, readers := r.order()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.doubted.IsZero() {
+	if r.outageSince.IsZero() {
 		return nil
 	}
 	others := order[readers:]
-	return others[:placesUntil(int(r.clock.Since(r.doubted)/r.timing.BackupDelay), len(others))]
+	return others[:placesUntil(int(r.clock.Since(r.outageSince)/r.timing.BackupDelay), len(others))]
 }
