--- a/feed/asking.go
+++ b/feed/asking.go
@@ -32,9 +32,9 @@
 func (r *Relay) beginRound(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	as = slices.DeleteFunc(as, func(a string) bool { return r.asking[a] })
+	as = slices.DeleteFunc(as, func(a string) bool { return r.polling[a] })
 	for _, a := range as {
-		r.asking[a] = true
+		r.polling[a] = true
 	}
 	r.open = len(as)
 	return as
@@ -43,7 +43,7 @@
 func (r *Relay) endAsk(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.asking, address)
+	delete(r.polling, address)
 }
 
 // pollTargets returns the peers to poll now. A process that does not read all topics, or that the
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -56,7 +56,7 @@
 	mu              sync.Mutex
 	conns           map[string]*peer.Conn
 	peerStatuses    map[string]peerStatus // last reported status of each peer
-	asking          map[string]bool       // peers that are being polled
+	polling         map[string]bool       // peers that are being polled
 	open            int                   // pending polls of the last round, if none has reached a served peer
 	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
 	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
@@ -110,7 +110,7 @@
 		timing:       NewTiming(viewBound),
 		conns:        map[string]*peer.Conn{},
 		peerStatuses: map[string]peerStatus{},
-		asking:       map[string]bool{},
+		polling:      map[string]bool{},
 		notify:       make(chan struct{}, 1),
 		transfers:    map[*Feed]*transfer{},
 		catching:     map[*Feed]bool{},
