--- a/feed/asking.go
+++ b/feed/asking.go
@@ -36,7 +36,7 @@
 	for _, a := range as {
 		r.polling[a] = true
 	}
-	r.open = len(as)
+	r.outstanding = len(as)
 	return as
 }
 
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -57,7 +57,7 @@
 	conns           map[string]*peer.Conn
 	peerStatuses    map[string]peerStatus // last reported status of each peer
 	polling         map[string]bool       // peers that are being polled
-	open            int                   // pending polls of the last round, if none has reached a served peer
+	outstanding     int                   // pending polls of the last round, if none has reached a served peer
 	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
 	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
 	lastReply       time.Time             // time of the last reply of any peer
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -54,7 +54,7 @@
 		r.inVain()
 		return
 	}
-	r.open, r.noneServed, r.lastServedReply = 0, false, r.lastReply
+	r.outstanding, r.noneServed, r.lastServedReply = 0, false, r.lastReply
 }
 
 // noteNoReply records that a peer did not reply.
@@ -69,8 +69,8 @@
 // of a round without a served peer, others are polled at once, but not if the round before was one
 // as well. The caller holds the lock.
 func (r *Relay) inVain() {
-	r.open--
-	if r.open != 0 || r.noneServed {
+	r.outstanding--
+	if r.outstanding != 0 || r.noneServed {
 		return
 	}
 	r.noneServed = true
