--- a/feed/asking.go
+++ b/feed/asking.go
@@ -149,17 +149,17 @@
 func (r *Relay) catch(f *Feed) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.catching[f] {
+	if r.paging[f] {
 		return false
 	}
-	r.catching[f] = true
+	r.paging[f] = true
 	return true
 }
 
 func (r *Relay) caught(f *Feed) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.catching, f)
+	delete(r.paging, f)
 }
 
 // pollOnce polls a peer and starts the transfers of large values that it has. It returns a feed of
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -66,7 +66,7 @@
 	reads           readDecision          // last result of Reads
 	large           readDecision          // last result of ReadsLarge
 	transfers       map[*Feed]*transfer   // under way
-	catching        map[*Feed]bool        // feeds that are being read page by page
+	paging          map[*Feed]bool        // feeds that are being read page by page
 }
 
 // RelayOption configures a relay.
@@ -113,7 +113,7 @@
 		polling:      map[string]bool{},
 		notify:       make(chan struct{}, 1),
 		transfers:    map[*Feed]*transfer{},
-		catching:     map[*Feed]bool{},
+		paging:       map[*Feed]bool{},
 	}
 	for _, o := range os {
 		o(r)
