--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -398,7 +398,7 @@
 		requireTold(t, r, served(t, empty))
 		_, ok := f.Age()
 		require.False(t, ok)
-		require.Equal(t, r.begun, r.lastServedReply)
+		require.Equal(t, r.started, r.lastServedReply)
 	})
 	// Guards against a peer that lost the store serving outdated records: readers that lose the
 	// store right before a change must not refresh processes that have a view.
@@ -411,7 +411,7 @@
 		f.Merge(page(2), time.Now().Add(-time.Second))
 		r := relay(f)
 		requireTold(t, r, a)
-		require.Equal(t, r.begun, r.lastServedReply)
+		require.Equal(t, r.started, r.lastServedReply)
 		require.Equal(t, int64(2), f.Next())
 		n := New("f", newTopic(), WithLogger(quiet))
 		requireTold(t, relay(n), a)
@@ -464,7 +464,7 @@
 	t.Run("one that has just started and knows no other waits for the list", func(t *testing.T) {
 		r := relay("10.0.0.0:1", 1)
 		require.False(t, r.Reads())
-		r.begun = time.Now().Add(-2 * lostAfter)
+		r.started = time.Now().Add(-2 * lostAfter)
 		require.True(t, r.Reads(), "it is alone")
 	})
 	t.Run("the others ask some of them at a time, and all in turn", func(t *testing.T) {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -44,8 +44,8 @@
 	exchanges        sync.WaitGroup
 	notify           chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
-	store *Breaker
-	begun time.Time // when this process started
+	store   *Breaker
+	started time.Time // when this process started
 
 	timing Timing
 
@@ -119,8 +119,8 @@
 		o(r)
 	}
 	r.hall = r.places(self).Hall
-	r.begun = r.clock.Now()
-	r.lastServedReply = r.begun
+	r.started = r.clock.Now()
+	r.lastServedReply = r.started
 	r.store = NewBreaker(r.clock, r.spacing)
 	return r
 }
@@ -212,7 +212,7 @@
 // newest records in any case; whether it keeps reading is decided with the list of the others.
 // Without this wait, gateways that start together make seven calls each instead of four.
 func (r *Relay) begins(readers int) bool {
-	return readers <= 1 && r.clock.Since(r.begun) <= lostAfter
+	return readers <= 1 && r.clock.Since(r.started) <= lostAfter
 }
 
 // Run polls peers until ctx ends.
