--- a/feed/relay.go
+++ b/feed/relay.go
@@ -44,7 +44,7 @@
 	exchanges        sync.WaitGroup
 	notify           chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
-	store   *Breaker
+	breaker *Breaker
 	started time.Time // when this process started
 
 	timing Timing
@@ -121,13 +121,13 @@
 	r.hall = r.places(self).Hall
 	r.started = r.clock.Now()
 	r.lastServedReply = r.started
-	r.store = NewBreaker(r.clock, r.spacing)
+	r.breaker = NewBreaker(r.clock, r.spacing)
 	return r
 }
 
 // Breaker returns the breaker that all callers of the store in this process share.
 func (r *Relay) Breaker() *Breaker {
-	return r.store
+	return r.breaker
 }
 
 // probeInterval is the mean time between probes of a store that does not answer. Readers and
@@ -182,7 +182,7 @@
 	stoodIn := false
 	defer func() {
 		if stoodIn {
-			r.store.SuspectOutage() // without the lock, since the breaker calls this relay
+			r.breaker.SuspectOutage() // without the lock, since the breaker calls this relay
 		}
 	}()
 	r.mu.Lock()
