--- a/feed/feed.go
+++ b/feed/feed.go
@@ -68,15 +68,15 @@
 
 // Feed is a view of one topic. It is safe for concurrent use.
 type Feed struct {
-	name   string
-	topic  hollowgrade.Topic
-	reads  func() bool // whether this process reads the store itself now
-	store  *Breaker
-	clock  hollowgrade.Clock
-	log    *log.Logger
-	wait   time.Duration
-	timing Timing
-	most   int // size of the largest accepted value
+	name    string
+	topic   hollowgrade.Topic
+	reads   func() bool // whether this process reads the store itself now
+	breaker *Breaker
+	clock   hollowgrade.Clock
+	log     *log.Logger
+	wait    time.Duration
+	timing  Timing
+	most    int // size of the largest accepted value
 
 	// mergeMu serializes merges, so that watchers are called with one page after another. It is
 	// separate from mu because a watcher may take long over a large value while calls read the
@@ -138,7 +138,7 @@
 
 // WithBreaker sets the breaker for calls to the store, which feeds of a process share.
 func WithBreaker(a *Breaker) Option {
-	return func(f *Feed) { f.store = a }
+	return func(f *Feed) { f.breaker = a }
 }
 
 // WithMaxValue sets the size in bytes of the largest accepted value.
@@ -163,8 +163,8 @@
 	for _, o := range os {
 		o(f)
 	}
-	if f.store == nil {
-		f.store = NewBreaker(f.clock, func() time.Duration { return 0 })
+	if f.breaker == nil {
+		f.breaker = NewBreaker(f.clock, func() time.Duration { return 0 })
 	}
 	return f
 }
@@ -220,14 +220,14 @@
 			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
 			continue
 		}
-		try, wait := f.store.Begin()
+		try, wait := f.breaker.Begin()
 		if wait > 0 {
 			hollowgrade.Sleep(ctx, f.clock, wait)
 			continue
 		}
 		sent := f.clock.Now()
 		records, err := f.step(ctx, sent, try)
-		f.store.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
+		f.breaker.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
 		if err == nil {
 			p.Reset()
 			f.regained()
