--- a/feed/asking.go
+++ b/feed/asking.go
@@ -256,7 +256,7 @@
 	for t.served = true; ; t.feeds++ {
 		m, err := s.Receive()
 		if errors.Is(err, io.EOF) {
-			r.heard(address, t.served && t.feeds >= len(r.feeds))
+			r.noteReply(address, t.served && t.feeds >= len(r.feeds))
 			return t, nil
 		}
 		if err != nil {
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -45,7 +45,7 @@
 }
 
 // noteReply records that a peer replied, and whether the store serves it and it sent all feeds.
-func (r *Relay) heard(address string, served bool) {
+func (r *Relay) noteReply(address string, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastReply = r.clock.Now()
