--- a/feed/asking.go
+++ b/feed/asking.go
@@ -171,7 +171,7 @@
 	t, err := r.exchange(d, address)
 	r.received.Add(t.bytes)
 	if err != nil {
-		r.unheard(address)
+		r.noteNoReply(address)
 		r.cut(address, t.bytes, r.clock.Since(sent), errors.Join(d.Err(), err))
 		return nil
 	}
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -58,7 +58,7 @@
 }
 
 // noteNoReply records that a peer did not reply.
-func (r *Relay) unheard(address string) {
+func (r *Relay) noteNoReply(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.noteWord(address, false)
