--- a/feed/standin.go
+++ b/feed/standin.go
@@ -51,7 +51,7 @@
 	r.lastReply = r.clock.Now()
 	r.noteWord(address, served)
 	if !served {
-		r.inVain()
+		r.noteUnserved()
 		return
 	}
 	r.outstanding, r.noneServed, r.lastServedReply = 0, false, r.lastReply
@@ -62,13 +62,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.noteWord(address, false)
-	r.inVain()
+	r.noteUnserved()
 }
 
 // noteUnserved records that the store does not serve a peer of the last round. If it was the last
 // of a round without a served peer, others are polled at once, but not if the round before was one
 // as well. The caller holds the lock.
-func (r *Relay) inVain() {
+func (r *Relay) noteUnserved() {
 	r.outstanding--
 	if r.outstanding != 0 || r.noneServed {
 		return
