--- a/feed/standin.go
+++ b/feed/standin.go
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastReply = r.clock.Now()
-	r.noteWord(address, served)
+	r.setStatus(address, served)
 	if !served {
 		r.noteUnserved()
 		return
@@ -61,7 +61,7 @@
 func (r *Relay) noteNoReply(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noteWord(address, false)
+	r.setStatus(address, false)
 	r.noteUnserved()
 }
 
@@ -81,7 +81,7 @@
 }
 
 // setStatus records the status of a peer, and removes expired ones. The caller holds the lock.
-func (r *Relay) noteWord(address string, served bool) {
+func (r *Relay) setStatus(address string, served bool) {
 	if len(r.peerStatuses) > keptWords {
 		maps.DeleteFunc(r.peerStatuses, func(a string, _ peerStatus) bool {
 			_, ok := r.lastWord(a)
