--- a/feed/standin.go
+++ b/feed/standin.go
@@ -84,7 +84,7 @@
 func (r *Relay) setStatus(address string, served bool) {
 	if len(r.peerStatuses) > keptWords {
 		maps.DeleteFunc(r.peerStatuses, func(a string, _ peerStatus) bool {
-			_, ok := r.lastWord(a)
+			_, ok := r.status(a)
 			return !ok
 		})
 	}
@@ -93,7 +93,7 @@
 
 // status returns the recent status of a peer, and false if there is none. The caller holds the
 // lock.
-func (r *Relay) lastWord(address string) (served, ok bool) {
+func (r *Relay) status(address string) (served, ok bool) {
 	w, ok := r.peerStatuses[address]
 	return w.served, ok && r.clock.Since(w.at) <= r.timing.wordFor()
 }
@@ -112,7 +112,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(as), func(a string) bool {
-		served, ok := r.lastWord(a)
+		served, ok := r.status(a)
 		return a == r.self || ok && !served
 	})
 }
@@ -130,7 +130,7 @@
 		return false
 	}
 	return stale || r.clock.Since(r.lastServedReply) > lostAfter || !slices.ContainsFunc(readers, func(a string) bool {
-		served, ok := r.lastWord(a)
+		served, ok := r.status(a)
 		return a != r.self && (!ok || served)
 	})
 }
@@ -168,7 +168,7 @@
 // holds the lock.
 func (r *Relay) servedOf(as []string) (n int) {
 	for _, a := range as {
-		if served, ok := r.lastWord(a); ok && served && a != r.self {
+		if served, ok := r.status(a); ok && served && a != r.self {
 			n++
 		}
 	}
@@ -180,7 +180,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for a := range r.peerStatuses {
-		if served, ok := r.lastWord(a); ok && served && !slices.Contains(as, a) {
+		if served, ok := r.status(a); ok && served && !slices.Contains(as, a) {
 			as = append(as, a)
 		}
 	}
