--- a/feed/asking.go
+++ b/feed/asking.go
@@ -65,7 +65,7 @@
 		as = r.beside(as, r.better()) // those that it replaces as a backup may be served by now
 	}
 	r.mu.Lock()
-	untold := r.untold()
+	untold := r.lacksServedReply()
 	r.mu.Unlock()
 	if len(r.behind()) == 0 && (served || !untold) {
 		return as
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -245,7 +245,7 @@
 	served := r.isServed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !served && r.untold() && r.clock.Since(r.lastServedReply) <= urgentFor
+	return !served && r.lacksServedReply() && r.clock.Since(r.lastServedReply) <= urgentFor
 }
 
 // waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -119,14 +119,14 @@
 
 // lacksServedReply reports whether no served process has replied within the expected time, or none
 // of the last round was served. The caller holds the lock.
-func (r *Relay) untold() bool {
+func (r *Relay) lacksServedReply() bool {
 	return r.noneServed || r.clock.Since(r.lastServedReply) > r.timing.untold()
 }
 
 // suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
 // lock.
 func (r *Relay) doubts(readers []string, stale bool) bool {
-	if !r.untold() {
+	if !r.lacksServedReply() {
 		return false
 	}
 	return stale || r.clock.Since(r.lastServedReply) > lostAfter || !slices.ContainsFunc(readers, func(a string) bool {
