--- a/feed/standin.go
+++ b/feed/standin.go
@@ -125,7 +125,7 @@
 
 // suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
 // lock.
-func (r *Relay) doubts(readers []string, stale bool) bool {
+func (r *Relay) suspectsOutage(readers []string, stale bool) bool {
 	if !r.lacksServedReply() {
 		return false
 	}
@@ -142,7 +142,7 @@
 		r.lastServedReply, r.noneServed = r.clock.Now(), false
 	}
 	switch {
-	case !r.doubts(readers, stale):
+	case !r.suspectsOutage(readers, stale):
 		r.outageSince = time.Time{}
 	case r.outageSince.IsZero():
 		r.outageSince = r.clock.Now()
