--- a/feed/relay.go
+++ b/feed/relay.go
@@ -187,7 +187,7 @@
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noteDoubt(large, served, stale)
+	r.updateOutage(large, served, stale)
 	r.isBackup = r.standsIn(turn, better, served)
 	reads := reader || r.isBackup
 	if readDecision(reads) != *said {
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -137,7 +137,7 @@
 
 // updateOutage records since when the store has seemed to serve no reader. A process that the store
 // serves suspects no outage. The caller holds the lock.
-func (r *Relay) noteDoubt(readers []string, served, stale bool) {
+func (r *Relay) updateOutage(readers []string, served, stale bool) {
 	if served {
 		r.lastServedReply, r.noneServed = r.clock.Now(), false
 	}
