--- a/feed/relay.go
+++ b/feed/relay.go
@@ -188,7 +188,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateOutage(large, served, stale)
-	r.isBackup = r.standsIn(turn, better, served)
+	r.isBackup = r.actsAsBackup(turn, better, served)
 	reads := reader || r.isBackup
 	if readDecision(reads) != *said {
 		stoodIn = !reader && reads
