--- a/feed/asking.go
+++ b/feed/asking.go
@@ -71,7 +71,7 @@
 		return as
 	}
 	as = append(as, slices.DeleteFunc(r.mayBeServed(rs), func(a string) bool { return slices.Contains(as, a) })...)
-	as = r.beside(as, r.standIns())
+	as = r.beside(as, r.dueBackups())
 	return r.beside(as, r.peers())
 }
 
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -188,7 +188,7 @@
 }
 
 // dueBackups returns the backups that are due by now. The caller must not change them.
-func (r *Relay) standIns() []string {
+func (r *Relay) dueBackups() []string {
 	order, readers := r.order()
 	r.mu.Lock()
 	defer r.mu.Unlock()
