--- a/feed/asking.go
+++ b/feed/asking.go
@@ -57,9 +57,9 @@
 	served := r.isServed()
 	switch {
 	case !slices.Contains(rs, r.self):
-		as = r.beside(nil, r.withTellers(rs))
+		as = r.beside(nil, r.withServedPeers(rs))
 	case !slices.Contains(large, r.self), r.lacks():
-		as = r.beside(nil, r.withTellers(large))
+		as = r.beside(nil, r.withServedPeers(large))
 	}
 	if served && !slices.Contains(rs, r.self) {
 		as = r.beside(as, r.better()) // those that it replaces as a backup may be served by now
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -176,7 +176,7 @@
 }
 
 // withServedPeers returns the peers and all others that the store serves by their status.
-func (r *Relay) withTellers(as []string) []string {
+func (r *Relay) withServedPeers(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for a := range r.peerStatuses {
