--- a/feed/relay.go
+++ b/feed/relay.go
@@ -194,7 +194,7 @@
 		stoodIn = !reader && reads
 		*said = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
-			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.servedOf(better))
+			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.countServed(better))
 	}
 	return reads
 }
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -154,7 +154,7 @@
 // served. The caller holds the lock.
 func (r *Relay) actsAsBackup(turn int, better []string, served bool) bool {
 	if r.isBackup && served {
-		return r.servedOf(better) < min(enoughServed, len(better))
+		return r.countServed(better) < min(enoughServed, len(better))
 	}
 	if r.outageSince.IsZero() {
 		return false
@@ -166,7 +166,7 @@
 
 // countServed returns how many of the processes are served by the store by their status. The caller
 // holds the lock.
-func (r *Relay) servedOf(as []string) (n int) {
+func (r *Relay) countServed(as []string) (n int) {
 	for _, a := range as {
 		if served, ok := r.status(a); ok && served && a != r.self {
 			n++
