--- a/feed/asking.go
+++ b/feed/asking.go
@@ -70,7 +70,7 @@
 	if len(r.behind()) == 0 && (served || !untold) {
 		return as
 	}
-	as = append(as, slices.DeleteFunc(r.mayBeServed(rs), func(a string) bool { return slices.Contains(as, a) })...)
+	as = append(as, slices.DeleteFunc(r.withoutUnserved(rs), func(a string) bool { return slices.Contains(as, a) })...)
 	as = r.beside(as, r.dueBackups())
 	return r.beside(as, r.peers())
 }
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -101,14 +101,14 @@
 // preferServed leaves out the peers that the store does not serve by their status, unless none are
 // left.
 func (r *Relay) likelyServed(as []string) []string {
-	if hs := r.mayBeServed(as); len(hs) > 0 {
+	if hs := r.withoutUnserved(as); len(hs) > 0 {
 		return hs
 	}
 	return as
 }
 
 // withoutUnserved returns the peers whose status does not say that the store does not serve them.
-func (r *Relay) mayBeServed(as []string) []string {
+func (r *Relay) withoutUnserved(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(as), func(a string) bool {
