--- a/feed/asking.go
+++ b/feed/asking.go
@@ -96,7 +96,7 @@
 // sample returns a random sample of pollFanout peers, with one of the own hall if there is one, so
 // that large values come from there.
 func (r *Relay) some(as []string) []string {
-	as = r.likelyServed(as)
+	as = r.preferServed(as)
 	shuffle(as)
 	if i := slices.IndexFunc(as, r.near); i > 0 {
 		as[0], as[i] = as[i], as[0]
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -100,7 +100,7 @@
 
 // preferServed leaves out the peers that the store does not serve by their status, unless none are
 // left.
-func (r *Relay) likelyServed(as []string) []string {
+func (r *Relay) preferServed(as []string) []string {
 	if hs := r.withoutUnserved(as); len(hs) > 0 {
 		return hs
 	}
