--- a/feed/asking.go
+++ b/feed/asking.go
@@ -51,7 +51,7 @@
 // process replies, or a view is stale, it polls all readers that may be served, some of the backups
 // that are due, and some others. That holds for a reader too: one that started during an outage and
 // polled nobody got a change 3.3 s late.
-func (r *Relay) toAsk() (as []string) {
+func (r *Relay) pollTargets() (as []string) {
 	rs := r.readers()
 	large := readersOfLarge(rs)
 	served := r.isServed()
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -456,7 +456,7 @@
 			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for replies of readers at first")
 			r.lastServedReply = time.Now()
 			require.Equal(t, reader, r.Reads())
-			require.Equal(t, reader, len(r.toAsk()) == 0)
+			require.Equal(t, reader, len(r.pollTargets()) == 0)
 			r.lastServedReply = time.Now().Add(-2 * lostAfter)
 			require.True(t, r.Reads())
 		}
@@ -475,7 +475,7 @@
 			}
 			asked := map[string]bool{}
 			for range 200 {
-				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).toAsk() // no peer has had time to reply
+				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).pollTargets() // no peer has had time to reply
 				require.Len(t, as, askedPeers)
 				for _, x := range as {
 					asked[x] = true
