--- a/feed/asking.go
+++ b/feed/asking.go
@@ -57,12 +57,12 @@
 	served := r.isServed()
 	switch {
 	case !slices.Contains(rs, r.self):
-		as = r.beside(nil, r.withServedPeers(rs))
+		as = r.addSample(nil, r.withServedPeers(rs))
 	case !slices.Contains(large, r.self), r.lacks():
-		as = r.beside(nil, r.withServedPeers(large))
+		as = r.addSample(nil, r.withServedPeers(large))
 	}
 	if served && !slices.Contains(rs, r.self) {
-		as = r.beside(as, r.better()) // those that it replaces as a backup may be served by now
+		as = r.addSample(as, r.better()) // those that it replaces as a backup may be served by now
 	}
 	r.mu.Lock()
 	untold := r.lacksServedReply()
@@ -71,12 +71,12 @@
 		return as
 	}
 	as = append(as, slices.DeleteFunc(r.withoutUnserved(rs), func(a string) bool { return slices.Contains(as, a) })...)
-	as = r.beside(as, r.dueBackups())
-	return r.beside(as, r.peers())
+	as = r.addSample(as, r.dueBackups())
+	return r.addSample(as, r.peers())
 }
 
 // addSample adds a sample of more peers to those that are polled.
-func (r *Relay) beside(as, more []string) []string {
+func (r *Relay) addSample(as, more []string) []string {
 	return append(as, r.some(slices.DeleteFunc(slices.Clone(more), func(a string) bool { return a == r.self || slices.Contains(as, a) }))...)
 }
 
