--- a/feed/asking.go
+++ b/feed/asking.go
@@ -77,7 +77,7 @@
 
 // addSample adds a sample of more peers to those that are polled.
 func (r *Relay) addSample(as, more []string) []string {
-	return append(as, r.some(slices.DeleteFunc(slices.Clone(more), func(a string) bool { return a == r.self || slices.Contains(as, a) }))...)
+	return append(as, r.sample(slices.DeleteFunc(slices.Clone(more), func(a string) bool { return a == r.self || slices.Contains(as, a) }))...)
 }
 
 // unservedOnSome reports whether the store does not answer this process on some topic.
@@ -95,7 +95,7 @@
 
 // sample returns a random sample of pollFanout peers, with one of the own hall if there is one, so
 // that large values come from there.
-func (r *Relay) some(as []string) []string {
+func (r *Relay) sample(as []string) []string {
 	as = r.preferServed(as)
 	shuffle(as)
 	if i := slices.IndexFunc(as, r.near); i > 0 {
