--- a/feed/asking.go
+++ b/feed/asking.go
@@ -58,7 +58,7 @@
 	switch {
 	case !slices.Contains(rs, r.self):
 		as = r.addSample(nil, r.withServedPeers(rs))
-	case !slices.Contains(large, r.self), r.lacks():
+	case !slices.Contains(large, r.self), r.unservedOnSome():
 		as = r.addSample(nil, r.withServedPeers(large))
 	}
 	if served && !slices.Contains(rs, r.self) {
@@ -81,7 +81,7 @@
 }
 
 // unservedOnSome reports whether the store does not answer this process on some topic.
-func (r *Relay) lacks() bool {
+func (r *Relay) unservedOnSome() bool {
 	return slices.ContainsFunc(r.feeds, func(f *Feed) bool {
 		served, known := f.served()
 		return known && !served
