--- a/feed/asking.go
+++ b/feed/asking.go
@@ -67,7 +67,7 @@
 	r.mu.Lock()
 	untold := r.lacksServedReply()
 	r.mu.Unlock()
-	if len(r.behind()) == 0 && (served || !untold) {
+	if len(r.staleFeeds()) == 0 && (served || !untold) {
 		return as
 	}
 	as = append(as, slices.DeleteFunc(r.withoutUnserved(rs), func(a string) bool { return slices.Contains(as, a) })...)
@@ -105,7 +105,7 @@
 }
 
 // staleFeeds returns the feeds that are stale.
-func (r *Relay) behind() (fs []*Feed) {
+func (r *Relay) staleFeeds() (fs []*Feed) {
 	for _, f := range r.feeds {
 		if age, ok := f.Age(); !ok || age > r.timing.stale(f.wait) {
 			fs = append(fs, f)
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -176,7 +176,7 @@
 	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
 	better := r.better()
 	served := r.isServed()
-	stale := len(r.behind()) > 0
+	stale := len(r.staleFeeds()) > 0
 	large := readersOfLarge(r.readers())
 	turn := turnOf(max(len(better)-len(large), 0))
 	stoodIn := false
