--- a/feed/asking.go
+++ b/feed/asking.go
@@ -130,7 +130,7 @@
 }
 
 // poll polls a peer once, and then for the missing pages one after another.
-func (r *Relay) ask(ctx context.Context, address string) {
+func (r *Relay) poll(ctx context.Context, address string) {
 	for f := r.askOnce(ctx, address); f != nil; {
 		before := f.Next()
 		if !r.catch(f) {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -226,7 +226,7 @@
 		for _, a := range r.beginRound(r.pollTargets()) {
 			r.exchanges.Go(func() {
 				defer r.endAsk(a)
-				r.ask(ctx, a)
+				r.poll(ctx, a)
 			})
 		}
 	}
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -135,7 +135,7 @@
 				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
 			t.feed.takeValue(v.record, offset, a)
 			r.addHolders(t, a) // for a later value that was announced meanwhile
-			r.exchanges.Go(func() { r.ask(ctx, a) })
+			r.exchanges.Go(func() { r.poll(ctx, a) })
 		}
 	}
 }
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -68,7 +68,7 @@
 // requireFetched polls a peer and waits until the feed has the value.
 func requireBrought(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
-	r.ask(context.Background(), address)
+	r.poll(context.Background(), address)
 	require.Eventually(t, func() bool { v, _ := f.value("k"); return bytes.Equal(v.Value, value) }, 10*time.Second, time.Millisecond)
 	r.exchanges.Wait()
 }
@@ -76,7 +76,7 @@
 // requireKept polls a peer and requires that the feed keeps its value.
 func requireKept(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
-	r.ask(context.Background(), address)
+	r.poll(context.Background(), address)
 	r.exchanges.Wait()
 	v, _ := f.value("k")
 	require.Equal(t, len(value), len(v.Value))
@@ -220,7 +220,7 @@
 	})
 	f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 	r, _ := relayOf(t, f)
-	r.ask(context.Background(), cut)
+	r.poll(context.Background(), cut)
 	r.exchanges.Wait()
 	require.Equal(t, int64(7), f.Next(), "all before it is known")
 	var from atomic.Int64
@@ -293,7 +293,7 @@
 	t.Run("a process that knows nothing has them all with one ask", func(t *testing.T) {
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ := relayOf(t, n)
-		r.ask(context.Background(), served(t, f))
+		r.poll(context.Background(), served(t, f))
 		require.Equal(t, int64(records), n.Next())
 		require.Len(t, n.newest, records)
 		_, ok := n.Age()
