--- a/feed/asking.go
+++ b/feed/asking.go
@@ -131,12 +131,12 @@
 
 // poll polls a peer once, and then for the missing pages one after another.
 func (r *Relay) poll(ctx context.Context, address string) {
-	for f := r.askOnce(ctx, address); f != nil; {
+	for f := r.pollOnce(ctx, address); f != nil; {
 		before := f.Next()
 		if !r.catch(f) {
 			return // another poll does it
 		}
-		more := r.askOnce(ctx, address)
+		more := r.pollOnce(ctx, address)
 		r.caught(f)
 		if f.Next() == before {
 			return
@@ -164,7 +164,7 @@
 
 // pollOnce polls a peer and starts the transfers of large values that it has. It returns a feed of
 // which the peer can send more, or nil.
-func (r *Relay) askOnce(ctx context.Context, address string) (more *Feed) {
+func (r *Relay) pollOnce(ctx context.Context, address string) (more *Feed) {
 	sent := r.clock.Now()
 	d, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
