--- a/feed/asking.go
+++ b/feed/asking.go
@@ -29,7 +29,7 @@
 )
 
 // startRound returns those of the peers that are not being polled yet, and marks them as such.
-func (r *Relay) beginRound(as []string) []string {
+func (r *Relay) startRound(as []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	as = slices.DeleteFunc(as, func(a string) bool { return r.polling[a] })
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -223,7 +223,7 @@
 			continue
 		}
 		asked = r.clock.Now()
-		for _, a := range r.beginRound(r.pollTargets()) {
+		for _, a := range r.startRound(r.pollTargets()) {
 			r.exchanges.Go(func() {
 				defer r.endAsk(a)
 				r.poll(ctx, a)
