--- a/feed/asking.go
+++ b/feed/asking.go
@@ -40,7 +40,7 @@
 	return as
 }
 
-func (r *Relay) endAsk(address string) {
+func (r *Relay) endPoll(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.polling, address)
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -225,7 +225,7 @@
 		asked = r.clock.Now()
 		for _, a := range r.startRound(r.pollTargets()) {
 			r.exchanges.Go(func() {
-				defer r.endAsk(a)
+				defer r.endPoll(a)
 				r.poll(ctx, a)
 			})
 		}
