--- a/feed/asking.go
+++ b/feed/asking.go
@@ -133,7 +133,7 @@
 func (r *Relay) poll(ctx context.Context, address string) {
 	for f := r.pollOnce(ctx, address); f != nil; {
 		before := f.Next()
-		if !r.catch(f) {
+		if !r.startPaging(f) {
 			return // another poll does it
 		}
 		more := r.pollOnce(ctx, address)
@@ -146,7 +146,7 @@
 }
 
 // startPaging marks a feed as being read page by page. It returns false if it is already.
-func (r *Relay) catch(f *Feed) bool {
+func (r *Relay) startPaging(f *Feed) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.paging[f] {
