--- a/feed/asking.go
+++ b/feed/asking.go
@@ -137,7 +137,7 @@
 			return // another poll does it
 		}
 		more := r.pollOnce(ctx, address)
-		r.caught(f)
+		r.endPaging(f)
 		if f.Next() == before {
 			return
 		}
@@ -156,7 +156,7 @@
 	return true
 }
 
-func (r *Relay) caught(f *Feed) {
+func (r *Relay) endPaging(f *Feed) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.paging, f)
