--- a/feed/asking.go
+++ b/feed/asking.go
@@ -172,7 +172,7 @@
 	r.received.Add(t.bytes)
 	if err != nil {
 		r.noteNoReply(address)
-		r.cut(address, t.bytes, r.clock.Since(sent), errors.Join(d.Err(), err))
+		r.noteCut(address, t.bytes, r.clock.Since(sent), errors.Join(d.Err(), err))
 		return nil
 	}
 	for _, l := range t.large {
@@ -181,8 +181,8 @@
 	return t.more
 }
 
-// noteCut records that the answer of a peer was cut after so many bytes.
-func (r *Relay) cut(address string, bytes int64, took time.Duration, err error) {
+// noteCut records that the answer of a peer was noteCut after so many bytes.
+func (r *Relay) noteCut(address string, bytes int64, took time.Duration, err error) {
 	r.wasted.Add(bytes)
 	if bytes >= toldBytes {
 		r.log.Warn("answer of a peer was cut", "peer", address, "bytes", bytes, "took_ms", took.Milliseconds(), "err", err)
