--- a/feed/asking.go
+++ b/feed/asking.go
@@ -176,7 +176,7 @@
 		return nil
 	}
 	for _, l := range t.large {
-		r.bring(ctx, l.feed, l.record, address)
+		r.fetchValue(ctx, l.feed, l.record, address)
 	}
 	return t.more
 }
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -45,7 +45,7 @@
 
 // fetchValue starts the transfer of a large value, or adds the peer to the holders of a running
 // one.
-func (r *Relay) bring(ctx context.Context, f *Feed, l *wire.LargeRecord, address string) {
+func (r *Relay) fetchValue(ctx context.Context, f *Feed, l *wire.LargeRecord, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.transfers[f]
