--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -60,7 +60,7 @@
 	t.add(address)
 	if !t.running {
 		t.running = true
-		r.exchanges.Go(func() { r.carry(ctx, t) })
+		r.exchanges.Go(func() { r.runTransfer(ctx, t) })
 	}
 }
 
@@ -116,7 +116,7 @@
 }
 
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
-func (r *Relay) carry(ctx context.Context, t *transfer) {
+func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
 	r.waitForNear(ctx, t)
 	for pause := busyPause; !r.ended(t); {
 		a, near, offset := r.next(t)
