--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -78,7 +78,7 @@
 
 // stopIfDone stops a transfer if nothing is missing or no holder is left, and reports whether it
 // did.
-func (r *Relay) ended(t *transfer) bool {
+func (r *Relay) stopIfDone(t *transfer) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	missing := t.feed.Next() <= t.offset
@@ -118,7 +118,7 @@
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
 func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
 	r.waitForNear(ctx, t)
-	for pause := busyPause; !r.ended(t); {
+	for pause := busyPause; !r.stopIfDone(t); {
 		a, near, offset := r.next(t)
 		sent := r.clock.Now()
 		v, err := r.request(ctx, t, a, offset)
