--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -99,7 +99,7 @@
 }
 
 // nextHolder removes and returns the holder to request from, preferably one of the own hall.
-func (r *Relay) next(t *transfer) (address string, near bool, offset int64) {
+func (r *Relay) nextHolder(t *transfer) (address string, near bool, offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(t.holders, r.near)
@@ -119,7 +119,7 @@
 func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
 	r.waitForNear(ctx, t)
 	for pause := busyPause; !r.stopIfDone(t); {
-		a, near, offset := r.next(t)
+		a, near, offset := r.nextHolder(t)
 		sent := r.clock.Now()
 		v, err := r.request(ctx, t, a, offset)
 		switch {
