--- a/feed/asking.go
+++ b/feed/asking.go
@@ -98,7 +98,7 @@
 func (r *Relay) sample(as []string) []string {
 	as = r.preferServed(as)
 	shuffle(as)
-	if i := slices.IndexFunc(as, r.near); i > 0 {
+	if i := slices.IndexFunc(as, r.sameHall); i > 0 {
 		as[0], as[i] = as[i], as[0]
 	}
 	return as[:min(askedPeers, len(as))]
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -102,7 +102,7 @@
 func (r *Relay) nextHolder(t *transfer) (address string, near bool, offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := slices.IndexFunc(t.holders, r.near)
+	i := slices.IndexFunc(t.holders, r.sameHall)
 	near = i >= 0
 	i = max(i, 0)
 	address = t.holders[i]
@@ -111,7 +111,7 @@
 }
 
 // sameHall reports whether a peer is in this process's hall.
-func (r *Relay) near(address string) bool {
+func (r *Relay) sameHall(address string) bool {
 	return r.hall != "" && r.places(address).Hall == r.hall
 }
 
@@ -149,9 +149,9 @@
 // waitForSameHall gives a peer of the own hall time to get the value first.
 func (r *Relay) waitForNear(ctx context.Context, t *transfer) {
 	r.mu.Lock()
-	near := slices.ContainsFunc(t.holders, r.near)
+	near := slices.ContainsFunc(t.holders, r.sameHall)
 	r.mu.Unlock()
-	if !near && slices.ContainsFunc(r.readers(), r.near) {
+	if !near && slices.ContainsFunc(r.readers(), r.sameHall) {
 		hollowgrade.Sleep(ctx, r.clock, nearPause)
 	}
 }
