--- a/feed/asking.go
+++ b/feed/asking.go
@@ -62,7 +62,7 @@
 		as = r.addSample(nil, r.withServedPeers(large))
 	}
 	if served && !slices.Contains(rs, r.self) {
-		as = r.addSample(as, r.better()) // those that it replaces as a backup may be served by now
+		as = r.addSample(as, r.higherRanked()) // those that it replaces as a backup may be served by now
 	}
 	r.mu.Lock()
 	untold := r.lacksServedReply()
--- a/feed/readers.go
+++ b/feed/readers.go
@@ -55,7 +55,7 @@
 
 // higherRanked returns the processes of a higher rank than this one. The caller must not change
 // them.
-func (r *Relay) better() []string {
+func (r *Relay) higherRanked() []string {
 	order, _ := r.order()
 	return order[:max(slices.Index(order, r.self), 0)]
 }
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -174,7 +174,7 @@
 // and logs when the decision changes.
 func (r *Relay) readsAs(readers []string, said *readDecision, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
-	better := r.better()
+	better := r.higherRanked()
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
 	large := readersOfLarge(r.readers())
