--- a/feed/readers.go
+++ b/feed/readers.go
@@ -49,20 +49,20 @@
 // halls have no reader and have to poll others; within a hall wide links come first, since a reader
 // serves the others.
 func (r *Relay) readers() []string {
-	order, n := r.order()
+	order, n := r.rankedProcesses()
 	return slices.Clone(order[:n])
 }
 
 // higherRanked returns the processes of a higher rank than this one. The caller must not change
 // them.
 func (r *Relay) higherRanked() []string {
-	order, _ := r.order()
+	order, _ := r.rankedProcesses()
 	return order[:max(slices.Index(order, r.self), 0)]
 }
 
 // rankedProcesses returns all processes by rank, and how many of them read the store for the
 // others. The caller must not change them.
-func (r *Relay) order() (as []string, readers int) {
+func (r *Relay) rankedProcesses() (as []string, readers int) {
 	r.rankedMu.Lock()
 	defer r.rankedMu.Unlock()
 	if now := r.clock.Now(); r.ranked == nil || now.Sub(r.rankedAt) >= rankedFor {
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -189,7 +189,7 @@
 
 // dueBackups returns the backups that are due by now. The caller must not change them.
 func (r *Relay) dueBackups() []string {
-	order, readers := r.order()
+	order, readers := r.rankedProcesses()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.outageSince.IsZero() {
