--- a/feed/relay.go
+++ b/feed/relay.go
@@ -173,7 +173,7 @@
 // updateReads reports whether this process has to read topics that the given readers read for all,
 // and logs when the decision changes.
 func (r *Relay) readsAs(readers []string, said *readDecision, topics string) bool {
-	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
+	reader := slices.Contains(readers, r.self) && !r.isStarting(len(readers))
 	better := r.higherRanked()
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
@@ -211,7 +211,7 @@
 // isStarting reports whether this process has just started and knows no other yet. It reads all
 // newest records in any case; whether it keeps reading is decided with the list of the others.
 // Without this wait, gateways that start together make seven calls each instead of four.
-func (r *Relay) begins(readers int) bool {
+func (r *Relay) isStarting(readers int) bool {
 	return readers <= 1 && r.clock.Since(r.started) <= lostAfter
 }
 
