--- a/feed/relay.go
+++ b/feed/relay.go
@@ -218,7 +218,7 @@
 // Run polls peers until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	var asked time.Time
-	for r.rest(ctx) {
+	for r.waitForPoll(ctx) {
 		if r.clock.Since(asked) < r.timing.PollInterval && !r.asksOften() {
 			continue
 		}
@@ -249,7 +249,7 @@
 }
 
 // waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
-func (r *Relay) rest(ctx context.Context) bool {
+func (r *Relay) waitForPoll(ctx context.Context) bool {
 	t := r.clock.NewTimer(r.timing.UrgentPollInterval)
 	defer t.Stop()
 	select {
