--- a/feed/relay.go
+++ b/feed/relay.go
@@ -219,7 +219,7 @@
 func (r *Relay) Run(ctx context.Context) {
 	var asked time.Time
 	for r.waitForPoll(ctx) {
-		if r.clock.Since(asked) < r.timing.PollInterval && !r.asksOften() {
+		if r.clock.Since(asked) < r.timing.PollInterval && !r.pollsUrgently() {
 			continue
 		}
 		asked = r.clock.Now()
@@ -241,7 +241,7 @@
 // pollsUrgently reports whether this process polls at the urgent interval since no served process
 // replies. It does so only until the backups should be known, since in a long outage there are
 // none.
-func (r *Relay) asksOften() bool {
+func (r *Relay) pollsUrgently() bool {
 	served := r.isServed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
