--- a/feed/relay.go
+++ b/feed/relay.go
@@ -134,14 +134,14 @@
 // isolated processes use the exponential delay alone; all others together make
 // [backupProbesPerSecond].
 func (r *Relay) spacing() time.Duration {
-	if slices.Contains(r.readers(), r.self) || r.alone() {
+	if slices.Contains(r.readers(), r.self) || r.isolated() {
 		return 0
 	}
 	return time.Duration(len(r.peers())) * time.Second / standInRate
 }
 
 // isolated reports whether no peer has replied lately.
-func (r *Relay) alone() bool {
+func (r *Relay) isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clock.Since(r.lastReply) > lostAfter
