--- a/feed/relay.go
+++ b/feed/relay.go
@@ -121,7 +121,7 @@
 	r.hall = r.places(self).Hall
 	r.started = r.clock.Now()
 	r.lastServedReply = r.started
-	r.breaker = NewBreaker(r.clock, r.spacing)
+	r.breaker = NewBreaker(r.clock, r.probeInterval)
 	return r
 }
 
@@ -133,7 +133,7 @@
 // probeInterval is the mean time between probes of a store that does not answer. Readers and
 // isolated processes use the exponential delay alone; all others together make
 // [backupProbesPerSecond].
-func (r *Relay) spacing() time.Duration {
+func (r *Relay) probeInterval() time.Duration {
 	if slices.Contains(r.readers(), r.self) || r.isolated() {
 		return 0
 	}
