--- a/feed/relay.go
+++ b/feed/relay.go
@@ -194,14 +194,14 @@
 		stoodIn = !reader && reads
 		*said = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
-			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.countServed(better))
+			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(better))
 	}
 	return reads
 }
 
 // outageMillis returns how long the store has seemed to serve no reader, for logs; -1 if it does.
 // The caller holds the lock.
-func (r *Relay) doubtedMillis() int64 {
+func (r *Relay) outageMillis() int64 {
 	if r.outageSince.IsZero() {
 		return -1
 	}
