--- a/feed/relay.go
+++ b/feed/relay.go
@@ -154,7 +154,7 @@
 
 // Reads reports whether this process has to read the store itself, as a reader or as a backup.
 func (r *Relay) Reads() bool {
-	return r.readsAs(r.readers(), &r.reads, "all")
+	return r.updateReads(r.readers(), &r.reads, "all")
 }
 
 // ReadsLarge reports the same for topics with large records. While a peer sends one, this process
@@ -164,7 +164,7 @@
 	if r.transferring() {
 		return slices.Contains(rs, r.self)
 	}
-	return r.readsAs(rs, &r.large, "large")
+	return r.updateReads(rs, &r.large, "large")
 }
 
 // readDecision is whether this process reads some of the topics itself.
@@ -172,7 +172,7 @@
 
 // updateReads reports whether this process has to read topics that the given readers read for all,
 // and logs when the decision changes.
-func (r *Relay) readsAs(readers []string, said *readDecision, topics string) bool {
+func (r *Relay) updateReads(readers []string, said *readDecision, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.isStarting(len(readers))
 	better := r.higherRanked()
 	served := r.isServed()
