--- a/feed/server.go
+++ b/feed/server.go
@@ -62,7 +62,7 @@
 func (s *Server) Serve(t *peer.Stream, first *wire.Frame) error {
 	switch b := first.Body.(type) {
 	case *wire.Frame_FeedRequest:
-		return s.tell(t, b.FeedRequest)
+		return s.sendFeeds(t, b.FeedRequest)
 	case *wire.Frame_ValueRequest:
 		return s.give(t, b.ValueRequest)
 	default:
@@ -71,7 +71,7 @@
 }
 
 // sendFeeds answers with an excerpt of each feed that is known here.
-func (s *Server) tell(t *peer.Stream, q *wire.FeedRequest) (err error) {
+func (s *Server) sendFeeds(t *peer.Stream, q *wire.FeedRequest) (err error) {
 	defer errs.Annotate(&err, "answer with feeds")
 	unserved := !allServed(s.feeds)
 	for _, o := range q.Positions {
