--- a/feed/server.go
+++ b/feed/server.go
@@ -64,7 +64,7 @@
 	case *wire.Frame_FeedRequest:
 		return s.sendFeeds(t, b.FeedRequest)
 	case *wire.Frame_ValueRequest:
-		return s.give(t, b.ValueRequest)
+		return s.sendValue(t, b.ValueRequest)
 	default:
 		return fmt.Errorf("%w: a request for feeds or for a value was due", peer.ErrBroken)
 	}
@@ -105,7 +105,7 @@
 }
 
 // sendValue sends the newest value of a key, or a list of other processes that have it.
-func (s *Server) give(t *peer.Stream, q *wire.ValueRequest) (err error) {
+func (s *Server) sendValue(t *peer.Stream, q *wire.ValueRequest) (err error) {
 	defer errs.Annotate(&err, "send a value")
 	f := named(s.feeds, q.Feed)
 	if f == nil {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -228,7 +228,7 @@
 	server := NewServer(0, whole)
 	requireBrought(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
 		from.Store(q.From)
-		return server.give(s, q)
+		return server.sendValue(s, q)
 	}), value)
 	require.Equal(t, int64(sent), from.Load(), "it goes on from where the first was cut")
 }
