--- a/feed/server.go
+++ b/feed/server.go
@@ -116,7 +116,7 @@
 		return t.Finish()
 	}
 	h := holder{address: q.Address, hall: q.Hall, feed: q.Feed, key: q.Key, offset: r.Offset}
-	if !s.enter() {
+	if !s.acquireSlot() {
 		return s.refuse(t, h)
 	}
 	defer s.leave()
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy >= s.slots {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -237,7 +237,7 @@
 	value := large(2, 400_000)
 	f := holding(7, value)
 	s := NewServer(0, f)
-	for s.enter() {
+	for s.acquireSlot() {
 	}
 	require.Equal(t, fewestSlots, s.busy)
 	for _, h := range []holder{
