--- a/feed/server.go
+++ b/feed/server.go
@@ -119,7 +119,7 @@
 	if !s.acquireSlot() {
 		return s.refuse(t, h)
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	base, offset := s.base(f, q)
 	o, err := f.forms.get(r, offset, base)
 	if err != nil {
@@ -176,7 +176,7 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy--
