--- a/feed/server.go
+++ b/feed/server.go
@@ -135,7 +135,7 @@
 	if err = sendForm(t, o.bytes[m.From:]); err != nil {
 		return err
 	}
-	s.note(h)
+	s.addHolder(h)
 	return t.Finish()
 }
 
@@ -183,7 +183,7 @@
 }
 
 // addHolder records a process that has a value.
-func (s *Server) note(h holder) {
+func (s *Server) addHolder(h holder) {
 	if h.address == "" {
 		return
 	}
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -246,7 +246,7 @@
 		{address: "near:1", hall: "a", feed: "f", key: "k", offset: 7},
 		{address: "self:1", hall: "a", feed: "f", key: "k", offset: 7},
 	} {
-		s.note(h)
+		s.addHolder(h)
 	}
 	a := listening(t, func(_ context.Context, t *peer.Stream, first *wire.Frame) error { return s.Serve(t, first) })
 	c, err := peer.Dial(context.Background(), peer.TCP(), a)
@@ -260,7 +260,7 @@
 	require.Equal(t, []string{"near:1", "far:1"}, m.GetValueHead().GetHolders())
 	t.Run("who asks goes there, or comes back", func(t *testing.T) {
 		other := served(t, holding(7, value))
-		s.note(holder{address: other, feed: "f", key: "k", offset: 7})
+		s.addHolder(holder{address: other, feed: "f", key: "k", offset: 7})
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, n)
 		requireBrought(t, r, n, a, value)
