--- a/feed/server.go
+++ b/feed/server.go
@@ -117,7 +117,7 @@
 	}
 	h := holder{address: q.Address, hall: q.Hall, feed: q.Feed, key: q.Key, offset: r.Offset}
 	if !s.acquireSlot() {
-		return s.refuse(t, h)
+		return s.sendBusy(t, h)
 	}
 	defer s.releaseSlot()
 	base, offset := s.base(f, q)
@@ -195,7 +195,7 @@
 
 // sendBusy replies that no transfer can begin now and lists processes that have the value, those in
 // the peer's hall first.
-func (s *Server) refuse(t *peer.Stream, h holder) error {
+func (s *Server) sendBusy(t *peer.Stream, h holder) error {
 	s.mu.Lock()
 	var near, far []string
 	for _, o := range s.holders {
