--- a/feed/feed.go
+++ b/feed/feed.go
@@ -282,7 +282,7 @@
 		f.synced = false
 		f.mu.Unlock()
 	case err == nil:
-		f.take(p, f.seen(sent, wait, len(p.Records)))
+		f.mergePage(p, f.seen(sent, wait, len(p.Records)))
 	}
 	return len(p.Records), err
 }
@@ -330,12 +330,12 @@
 	}
 	f.synced = true
 	f.mu.Unlock()
-	f.take(p, sent)
+	f.mergePage(p, sent)
 }
 
 // mergePage merges the records of a read sent at sent. It advances the view's freshness only after
 // the watchers have run, since callers use the age to judge what is in force.
-func (f *Feed) take(p hollowgrade.KeyedPage, sent time.Time) {
+func (f *Feed) mergePage(p hollowgrade.KeyedPage, sent time.Time) {
 	f.order.Lock()
 	defer f.order.Unlock()
 	if cs := f.keep(p); len(cs) > 0 {
@@ -452,7 +452,7 @@
 	if p.Next < f.Next() {
 		return // the peer knows less
 	}
-	f.take(p, fresh)
+	f.mergePage(p, fresh)
 }
 
 func (f *Feed) lost(err error) {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -343,7 +343,7 @@
 		require.Equal(t, now.Add(-2*time.Second), f.Fresh())
 	})
 	t.Run("a page that does not reach the end makes it no fresher", func(t *testing.T) {
-		f.take(hollowgrade.KeyedPage{Next: 7, End: 9}, now)
+		f.mergePage(hollowgrade.KeyedPage{Next: 7, End: 9}, now)
 		require.Equal(t, now.Add(-2*time.Second), f.Fresh())
 	})
 }
