--- a/feed/feed.go
+++ b/feed/feed.go
@@ -338,7 +338,7 @@
 func (f *Feed) mergePage(p hollowgrade.KeyedPage, sent time.Time) {
 	f.order.Lock()
 	defer f.order.Unlock()
-	if cs := f.keep(p); len(cs) > 0 {
+	if cs := f.storeRecords(p); len(cs) > 0 {
 		for _, w := range f.watchers {
 			w(cs)
 		}
@@ -347,7 +347,7 @@
 }
 
 // storeRecords stores records in the view and returns the resulting changes by offset.
-func (f *Feed) keep(p hollowgrade.KeyedPage) []Change {
+func (f *Feed) storeRecords(p hollowgrade.KeyedPage) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	doubt := f.doubt()
