--- a/feed/feed.go
+++ b/feed/feed.go
@@ -343,7 +343,7 @@
 			w(cs)
 		}
 	}
-	f.confirm(p, sent)
+	f.markComplete(p, sent)
 }
 
 // storeRecords stores records in the view and returns the resulting changes by offset.
@@ -363,7 +363,7 @@
 }
 
 // markComplete records that the watchers have processed the whole page.
-func (f *Feed) confirm(p hollowgrade.KeyedPage, sent time.Time) {
+func (f *Feed) markComplete(p hollowgrade.KeyedPage, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.missing = slices.DeleteFunc(f.missing, func(m missingRecord) bool { return m.offset < f.next })
