--- a/feed/feed.go
+++ b/feed/feed.go
@@ -226,7 +226,7 @@
 			continue
 		}
 		sent := f.clock.Now()
-		records, err := f.step(ctx, sent, try)
+		records, err := f.readOnce(ctx, sent, try)
 		f.breaker.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
 		if err == nil {
 			p.Reset()
@@ -266,7 +266,7 @@
 
 // readOnce makes one read, sent at sent, and merges its records. It returns their number. A probe
 // does not wait at the store.
-func (f *Feed) step(ctx context.Context, sent time.Time, try bool) (records int, err error) {
+func (f *Feed) readOnce(ctx context.Context, sent time.Time, try bool) (records int, err error) {
 	next, synced, wait := f.plan(sent, try)
 	if !synced {
 		p, err := f.topic.Newest(ctx, newestMargin)
