--- a/feed/feed.go
+++ b/feed/feed.go
@@ -282,7 +282,7 @@
 		f.synced = false
 		f.mu.Unlock()
 	case err == nil:
-		f.mergePage(p, f.seen(sent, wait, len(p.Records)))
+		f.mergePage(p, f.completeAsOf(sent, wait, len(p.Records)))
 	}
 	return len(p.Records), err
 }
@@ -304,7 +304,7 @@
 // that it returned. The store answers a waiting read as soon as there is a record, so an empty
 // answer after the whole wait holds for the end of the wait; any other holds only for when the read
 // was sent. Always using the send time would make idle views up to two waits old instead of one.
-func (f *Feed) seen(sent time.Time, wait time.Duration, records int) time.Time {
+func (f *Feed) completeAsOf(sent time.Time, wait time.Duration, records int) time.Time {
 	took := f.clock.Since(sent)
 	waited := wait - wait/driftShare // in case the store's clock runs faster than this one
 	if records > 0 || took < waited {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -243,7 +243,7 @@
 	t.Run("freshness is counted from when a read was sent that was answered before its wait was over", func(t *testing.T) {
 		f := New("f", newTopic())
 		sent := time.Now()
-		require.Equal(t, sent, f.seen(sent, time.Second, 0))
+		require.Equal(t, sent, f.completeAsOf(sent, time.Second, 0))
 	})
 	t.Run("it ages while the store is down and comes back", func(t *testing.T) {
 		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, v *view) {
