--- a/feed/feed.go
+++ b/feed/feed.go
@@ -350,7 +350,7 @@
 func (f *Feed) storeRecords(p hollowgrade.KeyedPage) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	doubt := f.doubt()
+	doubt := f.uncertainUntil()
 	cs := make([]Change, 0, len(p.Records))
 	for _, r := range p.Records {
 		if f.fits(r.Key, r.Offset, len(r.Value), p.From) && f.put(r) {
@@ -396,7 +396,7 @@
 
 // uncertainUntil returns until when changes that arrive now may be effects of an outage, or zero.
 // The caller holds the lock.
-func (f *Feed) doubt() time.Time {
+func (f *Feed) uncertainUntil() time.Time {
 	now := f.clock.Now()
 	if until := f.failed.Add(doubtFor); !f.failed.IsZero() && now.Before(until) {
 		return until
