--- a/feed/feed.go
+++ b/feed/feed.go
@@ -241,7 +241,7 @@
 			continue
 		}
 		if ctx.Err() == nil {
-			f.lost(err)
+			f.noteReadFailed(err)
 			hollowgrade.Sleep(ctx, f.clock, p.NextBackOff())
 		}
 	}
@@ -455,7 +455,7 @@
 	f.mergePage(p, fresh)
 }
 
-func (f *Feed) lost(err error) {
+func (f *Feed) noteReadFailed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failed = f.clock.Now()
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -307,7 +307,7 @@
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)), WithWait(time.Second))
 		v := watch(f)
 		f.Merge(page(1, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1")}), time.Now())
-		f.lost(errDown)
+		f.noteReadFailed(errDown)
 		drop := func(offset int64) int {
 			v.regained = 0
 			f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "a", Value: []byte(fmt.Sprint("v", offset)), Offset: offset}), time.Now())
@@ -405,7 +405,7 @@
 	t.Run("a peer that has lost the store tells only those who know nothing", func(t *testing.T) {
 		lost := New("f", newTopic(), WithLogger(quiet))
 		lost.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now())
-		lost.lost(errDown)
+		lost.noteReadFailed(errDown)
 		a := served(t, lost)
 		f := New("f", newTopic(), WithLogger(quiet))
 		f.Merge(page(2), time.Now().Add(-time.Second))
