--- a/feed/feed.go
+++ b/feed/feed.go
@@ -230,7 +230,7 @@
 		f.breaker.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
 		if err == nil {
 			p.Reset()
-			f.regained()
+			f.noteReadAnswered()
 			if records > 0 {
 				hollowgrade.Sleep(ctx, f.clock, readPause-f.clock.Since(sent))
 			}
@@ -497,7 +497,7 @@
 	return some
 }
 
-func (f *Feed) regained() {
+func (f *Feed) noteReadAnswered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = true
