--- a/feed/feed.go
+++ b/feed/feed.go
@@ -424,7 +424,7 @@
 
 // unconfirmedSinceFailure reports whether the last read of the store failed and no peer has
 // confirmed the view since.
-func (f *Feed) lostNow() bool {
+func (f *Feed) unconfirmedSinceFailure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.away && f.fresh.Before(f.failed)
--- a/feed/server.go
+++ b/feed/server.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		p, ok := f.excerptFrom(o.Next)
-		if !ok || f.lostNow() && o.Next > 0 {
+		if !ok || f.unconfirmedSinceFailure() && o.Next > 0 {
 			continue // the view may be outdated, and the peer has one of its own
 		}
 		if err = t.Send(reply(f.Name(), p, unserved)); err != nil {
