--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -68,7 +68,7 @@
 func (f *Feed) expect(key string, offset int64, size int, from string) bool {
 	f.mu.Lock()
 	known, ok := f.newest[key]
-	wanted := (!ok || known.Offset < offset) && f.fits(key, offset, size, from)
+	wanted := (!ok || known.Offset < offset) && f.withinLimit(key, offset, size, from)
 	if wanted {
 		f.miss(offset)
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -353,7 +353,7 @@
 	doubt := f.uncertainUntil()
 	cs := make([]Change, 0, len(p.Records))
 	for _, r := range p.Records {
-		if f.fits(r.Key, r.Offset, len(r.Value), p.From) && f.put(r) {
+		if f.withinLimit(r.Key, r.Offset, len(r.Value), p.From) && f.put(r) {
 			cs = append(cs, Change{KeyedRecord: r, From: p.From, UncertainUntil: doubt})
 		}
 	}
@@ -373,7 +373,7 @@
 }
 
 // withinLimit reports whether a value is within the size limit, and logs an error if not.
-func (f *Feed) fits(key string, offset int64, bytes int, from string) bool {
+func (f *Feed) withinLimit(key string, offset int64, bytes int, from string) bool {
 	if bytes <= f.most {
 		return true
 	}
