--- a/feed/asking.go
+++ b/feed/asking.go
@@ -301,7 +301,7 @@
 	}
 	switch l := m.Large; {
 	case f.Next() != p.Next || p.Next == p.End:
-	case l != nil && f.expect(l.Key, l.Offset, int(l.Size), address):
+	case l != nil && f.noteAnnounced(l.Key, l.Offset, int(l.Size), address):
 		t.large = append(t.large, announcedValue{f, l})
 	default:
 		t.more = f
--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -65,7 +65,7 @@
 
 // noteAnnounced records that a peer announced a record without its value, and returns whether the
 // value has to be requested.
-func (f *Feed) expect(key string, offset int64, size int, from string) bool {
+func (f *Feed) noteAnnounced(key string, offset int64, size int, from string) bool {
 	f.mu.Lock()
 	known, ok := f.newest[key]
 	wanted := (!ok || known.Offset < offset) && f.withinLimit(key, offset, size, from)
