--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -70,7 +70,7 @@
 	known, ok := f.newest[key]
 	wanted := (!ok || known.Offset < offset) && f.withinLimit(key, offset, size, from)
 	if wanted {
-		f.miss(offset)
+		f.addMissing(offset)
 	}
 	f.mu.Unlock()
 	if !wanted { // the view has a later value already, or the value is too large
@@ -92,7 +92,7 @@
 }
 
 // addMissing adds a record that is known to exist. The caller holds the lock.
-func (f *Feed) miss(offset int64) {
+func (f *Feed) addMissing(offset int64) {
 	if n := len(f.missing); n == 0 || f.missing[n-1].offset < offset {
 		f.missing = append(f.missing, missingRecord{offset: offset, announcedAt: f.clock.Now()})
 	}
