--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -82,7 +82,7 @@
 // mergeValue merges a record that a peer sent for the missing one at an offset. All records before
 // that offset are known. A later value of the key implies nothing about records in between, so the
 // view's freshness does not change until the peer's next answer.
-func (f *Feed) takeValue(r hollowgrade.KeyedRecord, offset int64, from string) {
+func (f *Feed) mergeValue(r hollowgrade.KeyedRecord, offset int64, from string) {
 	f.Merge(hollowgrade.KeyedPage{
 		Records: []hollowgrade.KeyedRecord{r},
 		Next:    min(offset, r.Offset) + 1,
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -133,7 +133,7 @@
 		default:
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
 				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
-			t.feed.takeValue(v.record, offset, a)
+			t.feed.mergeValue(v.record, offset, a)
 			r.addHolders(t, a) // for a later value that was announced meanwhile
 			r.exchanges.Go(func() { r.poll(ctx, a) })
 		}
