--- a/feed/feed.go
+++ b/feed/feed.go
@@ -216,7 +216,7 @@
 	p.InitialInterval = firstPause
 	p.MaxInterval = lastPause
 	for ctx.Err() == nil {
-		if f.follow(f.complete() && !f.reads()) {
+		if f.setFollowing(f.complete() && !f.reads()) {
 			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
 			continue
 		}
@@ -248,7 +248,7 @@
 }
 
 // setFollowing records whether this process relies on peers for now, and returns that.
-func (f *Feed) follow(follows bool) bool {
+func (f *Feed) setFollowing(follows bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.follows && !follows {
