--- a/feed/feed.go
+++ b/feed/feed.go
@@ -180,13 +180,13 @@
 	f.order.Lock()
 	defer f.order.Unlock()
 	f.watchers = append(f.watchers, w)
-	if cs := f.standing(); len(cs) > 0 {
+	if cs := f.currentChanges(); len(cs) > 0 {
 		w(cs)
 	}
 }
 
 // currentChanges returns the newest records as changes.
-func (f *Feed) standing() (cs []Change) {
+func (f *Feed) currentChanges() (cs []Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.newest {
