--- a/feed/feed.go
+++ b/feed/feed.go
@@ -84,20 +84,20 @@
 	order    sync.Mutex
 	watchers []func([]Change)
 
-	mu       sync.Mutex
-	newest   map[string]hollowgrade.KeyedRecord
-	earlier  map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
-	next     int64                                // all records below this offset are known
-	missing  []missingRecord                      // records that are known to exist but not received yet, by offset
-	fresh    time.Time                            // when the view was last known to be complete
-	synced   bool                                 // whether the next read can continue at next
-	away     bool                                 // whether the last read failed
-	failed   time.Time                            // when a read last failed
-	follows  bool                                 // whether this process makes no reads and relies on peers
-	answered bool                                 // whether the store has answered since this process began to read
-	due      time.Time                            // when the answer to the current or next read is overdue
-	lag      time.Duration                        // smoothed time that answers take beyond the wait
-	forms    encodingCache
+	mu          sync.Mutex
+	newest      map[string]hollowgrade.KeyedRecord
+	earlier     map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
+	next        int64                                // all records below this offset are known
+	missing     []missingRecord                      // records that are known to exist but not received yet, by offset
+	fresh       time.Time                            // when the view was last known to be complete
+	synced      bool                                 // whether the next read can continue at next
+	readFailing bool                                 // whether the last read failed
+	failed      time.Time                            // when a read last failed
+	follows     bool                                 // whether this process makes no reads and relies on peers
+	answered    bool                                 // whether the store has answered since this process began to read
+	due         time.Time                            // when the answer to the current or next read is overdue
+	lag         time.Duration                        // smoothed time that answers take beyond the wait
+	forms       encodingCache
 }
 
 // missingRecord is a record that a peer has announced without its value.
@@ -293,7 +293,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wait = min(max(f.timing.due(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
-	if try || f.away {
+	if try || f.readFailing {
 		wait = 0 // the freshness of the view has to be known at once
 	}
 	f.due = sent.Add(wait + min(f.timing.AnswerGrace+2*f.lag, answerMargin))
@@ -427,7 +427,7 @@
 func (f *Feed) unconfirmedSinceFailure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.away && f.fresh.Before(f.failed)
+	return f.readFailing && f.fresh.Before(f.failed)
 }
 
 // Next returns the offset below which all records are known.
@@ -459,10 +459,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failed = f.clock.Now()
-	if f.away {
+	if f.readFailing {
 		return
 	}
-	f.away = true
+	f.readFailing = true
 	f.log.Warn("store lost", "feed", f.name, "next", f.next, "age_ms", f.ageMillis(), "err", err)
 }
 
@@ -474,7 +474,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	switch {
-	case f.away, f.follows, now.After(f.due):
+	case f.readFailing, f.follows, now.After(f.due):
 		return false, true
 	case f.answered:
 		return true, true
@@ -502,10 +502,10 @@
 	defer f.mu.Unlock()
 	f.answered = true
 	f.due = hollowgrade.Later(f.due, f.clock.Now().Add(readPause+f.timing.AnswerGrace))
-	if !f.away {
+	if !f.readFailing {
 		return
 	}
-	f.away = false
+	f.readFailing = false
 	f.log.Info("store regained", "feed", f.name, "next", f.next, "age_ms", f.ageMillis())
 }
 
