--- a/feed/feed.go
+++ b/feed/feed.go
@@ -92,7 +92,7 @@
 	fresh       time.Time                            // when the view was last known to be complete
 	synced      bool                                 // whether the next read can continue at next
 	readFailing bool                                 // whether the last read failed
-	failed      time.Time                            // when a read last failed
+	lastFailure time.Time                            // when a read last failed
 	follows     bool                                 // whether this process makes no reads and relies on peers
 	answered    bool                                 // whether the store has answered since this process began to read
 	due         time.Time                            // when the answer to the current or next read is overdue
@@ -398,7 +398,7 @@
 // The caller holds the lock.
 func (f *Feed) uncertainUntil() time.Time {
 	now := f.clock.Now()
-	if until := f.failed.Add(doubtFor); !f.failed.IsZero() && now.Before(until) {
+	if until := f.lastFailure.Add(doubtFor); !f.lastFailure.IsZero() && now.Before(until) {
 		return until
 	}
 	if !f.fresh.IsZero() && now.Sub(f.fresh) > f.wait+doubtFor {
@@ -427,7 +427,7 @@
 func (f *Feed) unconfirmedSinceFailure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.readFailing && f.fresh.Before(f.failed)
+	return f.readFailing && f.fresh.Before(f.lastFailure)
 }
 
 // Next returns the offset below which all records are known.
@@ -458,7 +458,7 @@
 func (f *Feed) noteReadFailed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed = f.clock.Now()
+	f.lastFailure = f.clock.Now()
 	if f.readFailing {
 		return
 	}
