--- a/feed/feed.go
+++ b/feed/feed.go
@@ -84,20 +84,20 @@
 	order    sync.Mutex
 	watchers []func([]Change)
 
-	mu          sync.Mutex
-	newest      map[string]hollowgrade.KeyedRecord
-	earlier     map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
-	next        int64                                // all records below this offset are known
-	missing     []missingRecord                      // records that are known to exist but not received yet, by offset
-	fresh       time.Time                            // when the view was last known to be complete
-	synced      bool                                 // whether the next read can continue at next
-	readFailing bool                                 // whether the last read failed
-	lastFailure time.Time                            // when a read last failed
-	follows     bool                                 // whether this process makes no reads and relies on peers
-	answered    bool                                 // whether the store has answered since this process began to read
-	due         time.Time                            // when the answer to the current or next read is overdue
-	lag         time.Duration                        // smoothed time that answers take beyond the wait
-	forms       encodingCache
+	mu            sync.Mutex
+	newest        map[string]hollowgrade.KeyedRecord
+	earlier       map[string][]hollowgrade.KeyedRecord // large values before the newest, latest first
+	next          int64                                // all records below this offset are known
+	missing       []missingRecord                      // records that are known to exist but not received yet, by offset
+	fresh         time.Time                            // when the view was last known to be complete
+	synced        bool                                 // whether the next read can continue at next
+	readFailing   bool                                 // whether the last read failed
+	lastFailure   time.Time                            // when a read last failed
+	follows       bool                                 // whether this process makes no reads and relies on peers
+	answered      bool                                 // whether the store has answered since this process began to read
+	nextAnswerDue time.Time                            // when the answer to the current or next read is overdue
+	lag           time.Duration                        // smoothed time that answers take beyond the wait
+	forms         encodingCache
 }
 
 // missingRecord is a record that a peer has announced without its value.
@@ -252,7 +252,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.follows && !follows {
-		f.due = f.clock.Now().Add(readPause + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
+		f.nextAnswerDue = f.clock.Now().Add(readPause + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
 	}
 	f.follows = follows
 	f.answered = f.answered && !follows
@@ -296,7 +296,7 @@
 	if try || f.readFailing {
 		wait = 0 // the freshness of the view has to be known at once
 	}
-	f.due = sent.Add(wait + min(f.timing.AnswerGrace+2*f.lag, answerMargin))
+	f.nextAnswerDue = sent.Add(wait + min(f.timing.AnswerGrace+2*f.lag, answerMargin))
 	return f.next, f.synced, wait
 }
 
@@ -474,7 +474,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	switch {
-	case f.readFailing, f.follows, now.After(f.due):
+	case f.readFailing, f.follows, now.After(f.nextAnswerDue):
 		return false, true
 	case f.answered:
 		return true, true
@@ -501,7 +501,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = true
-	f.due = hollowgrade.Later(f.due, f.clock.Now().Add(readPause+f.timing.AnswerGrace))
+	f.nextAnswerDue = hollowgrade.Later(f.nextAnswerDue, f.clock.Now().Add(readPause+f.timing.AnswerGrace))
 	if !f.readFailing {
 		return
 	}
--- a/feed/seen_test.go
+++ b/feed/seen_test.go
@@ -34,7 +34,7 @@
 func (f *Feed) answerDue() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.due
+	return f.nextAnswerDue
 }
 
 // A revoked key must not pass as valid for longer than allowed, so a view may be older than
