--- a/feed/feed.go
+++ b/feed/feed.go
@@ -68,15 +68,15 @@
 
 // Feed is a view of one topic. It is safe for concurrent use.
 type Feed struct {
-	name    string
-	topic   hollowgrade.Topic
-	reads   func() bool // whether this process reads the store itself now
-	breaker *Breaker
-	clock   hollowgrade.Clock
-	log     *log.Logger
-	wait    time.Duration
-	timing  Timing
-	most    int // size of the largest accepted value
+	name          string
+	topic         hollowgrade.Topic
+	reads         func() bool // whether this process reads the store itself now
+	breaker       *Breaker
+	clock         hollowgrade.Clock
+	log           *log.Logger
+	wait          time.Duration
+	timing        Timing
+	maxValueBytes int // size of the largest accepted value
 
 	// mergeMu serializes merges, so that watchers are called with one page after another. It is
 	// separate from mu because a watcher may take long over a large value while calls read the
@@ -143,22 +143,22 @@
 
 // WithMaxValue sets the size in bytes of the largest accepted value.
 func WithMaxValue(n int) Option {
-	return func(f *Feed) { f.most = n }
+	return func(f *Feed) { f.maxValueBytes = n }
 }
 
 // New returns a feed of the topic. Name identifies it in logs and to peers.
 func New(name string, t hollowgrade.Topic, os ...Option) *Feed {
 	f := &Feed{
-		name:    name,
-		topic:   t,
-		reads:   func() bool { return true },
-		clock:   hollowgrade.SystemClock(),
-		log:     log.Default(),
-		wait:    defaultWait,
-		timing:  NewTiming(viewBound),
-		most:    DefaultMaxValueBytes,
-		newest:  map[string]hollowgrade.KeyedRecord{},
-		earlier: map[string][]hollowgrade.KeyedRecord{},
+		name:          name,
+		topic:         t,
+		reads:         func() bool { return true },
+		clock:         hollowgrade.SystemClock(),
+		log:           log.Default(),
+		wait:          defaultWait,
+		timing:        NewTiming(viewBound),
+		maxValueBytes: DefaultMaxValueBytes,
+		newest:        map[string]hollowgrade.KeyedRecord{},
+		earlier:       map[string][]hollowgrade.KeyedRecord{},
 	}
 	for _, o := range os {
 		o(f)
@@ -374,10 +374,10 @@
 
 // withinLimit reports whether a value is within the size limit, and logs an error if not.
 func (f *Feed) withinLimit(key string, offset int64, bytes int, from string) bool {
-	if bytes <= f.most {
+	if bytes <= f.maxValueBytes {
 		return true
 	}
-	f.log.Error("value not taken", "feed", f.name, "key", key, "offset", offset, "bytes", bytes, "allowed", f.most, "from", source(from), "why", "larger than the settings allow")
+	f.log.Error("value not taken", "feed", f.name, "key", key, "offset", offset, "bytes", bytes, "allowed", f.maxValueBytes, "from", source(from), "why", "larger than the settings allow")
 	return false
 }
 
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -215,8 +215,8 @@
 		return v, fmt.Errorf("%w: it has offset %d", errNotThere, h.Offset)
 	case h.Size <= 0 || h.FormSize <= 0:
 		return v, fmt.Errorf("%w: %d bytes, sent as %d", errDamaged, h.Size, h.FormSize)
-	case h.Size > int64(t.feed.most) || h.FormSize > int64(t.feed.most):
-		return v, fmt.Errorf("%d bytes, sent as %d, where %d are allowed", h.Size, h.FormSize, t.feed.most)
+	case h.Size > int64(t.feed.maxValueBytes) || h.FormSize > int64(t.feed.maxValueBytes):
+		return v, fmt.Errorf("%d bytes, sent as %d, where %d are allowed", h.Size, h.FormSize, t.feed.maxValueBytes)
 	}
 	if err = t.begin(h); err != nil {
 		return v, err
