--- a/feed/server.go
+++ b/feed/server.go
@@ -132,7 +132,7 @@
 	if err = t.Send(&wire.Frame{Body: &wire.Frame_ValueHead{ValueHead: m}}); err != nil {
 		return err
 	}
-	if err = sendForm(t, o.bytes[m.From:]); err != nil {
+	if err = sendEncoded(t, o.bytes[m.From:]); err != nil {
 		return err
 	}
 	s.addHolder(h)
@@ -152,7 +152,7 @@
 }
 
 // sendEncoded sends an encoded value in chunks, each with its own deadline.
-func sendForm(t *peer.Stream, b []byte) error {
+func sendEncoded(t *peer.Stream, b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), chunkBytes)
 		if err := t.Extend(stallTimeout); err != nil {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -172,7 +172,7 @@
 				if err := sendHead(s, h); err != nil {
 					return err
 				}
-				if err := sendForm(s, c.bytes); err != nil {
+				if err := sendEncoded(s, c.bytes); err != nil {
 					return err
 				}
 				return s.Finish()
@@ -216,7 +216,7 @@
 		if err != nil {
 			return err
 		}
-		return sendForm(s, o.bytes[:sent])
+		return sendEncoded(s, o.bytes[:sent])
 	})
 	f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 	r, _ := relayOf(t, f)
