--- a/feed/feed.go
+++ b/feed/feed.go
@@ -392,17 +392,17 @@
 // uncertainPeriod is how long after a failed read a change may be an effect of the outage: entries
 // that expired during it are back within two seconds of the store's return. It has to end before
 // the three seconds from which a box that reaches the store again has to follow the registry.
-const doubtFor = 2800 * time.Millisecond
+const uncertainPeriod = 2800 * time.Millisecond
 
 // uncertainUntil returns until when changes that arrive now may be effects of an outage, or zero.
 // The caller holds the lock.
 func (f *Feed) uncertainUntil() time.Time {
 	now := f.clock.Now()
-	if until := f.lastFailure.Add(doubtFor); !f.lastFailure.IsZero() && now.Before(until) {
+	if until := f.lastFailure.Add(uncertainPeriod); !f.lastFailure.IsZero() && now.Before(until) {
 		return until
 	}
-	if !f.fresh.IsZero() && now.Sub(f.fresh) > f.wait+doubtFor {
-		return now.Add(doubtFor)
+	if !f.fresh.IsZero() && now.Sub(f.fresh) > f.wait+uncertainPeriod {
+		return now.Add(uncertainPeriod)
 	}
 	return time.Time{}
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -314,7 +314,7 @@
 			return v.regained
 		}
 		require.Equal(t, 1, drop(1), "right after a failure")
-		require.Equal(t, time.Now().Add(doubtFor), f.uncertainUntil(), "until a box has to follow the registry again")
+		require.Equal(t, time.Now().Add(uncertainPeriod), f.uncertainUntil(), "until a box has to follow the registry again")
 		for range 10 {
 			time.Sleep(time.Second)
 			f.Merge(page(2), time.Now())
