--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -128,10 +128,10 @@
 		return reads - len(NewRelay(all[0], func() []string { return append([]string(nil), all...) }).readers())
 	}
 	t.Run("are none while readers tell", func(t *testing.T) {
-		require.Zero(t, reading(lostAfter/2, true))
+		require.Zero(t, reading(servedReplyTimeout/2, true))
 	})
 	t.Run("are all that reach nobody", func(t *testing.T) {
-		require.Equal(t, n-readerCount(n), reading(lostAfter+time.Millisecond, false))
+		require.Equal(t, n-readerCount(n), reading(servedReplyTimeout+time.Millisecond, false))
 	})
 }
 
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -457,14 +457,14 @@
 			r.lastServedReply = time.Now()
 			require.Equal(t, reader, r.Reads())
 			require.Equal(t, reader, len(r.pollTargets()) == 0)
-			r.lastServedReply = time.Now().Add(-2 * lostAfter)
+			r.lastServedReply = time.Now().Add(-2 * servedReplyTimeout)
 			require.True(t, r.Reads())
 		}
 	})
 	t.Run("one that has just started and knows no other waits for the list", func(t *testing.T) {
 		r := relay("10.0.0.0:1", 1)
 		require.False(t, r.Reads())
-		r.started = time.Now().Add(-2 * lostAfter)
+		r.started = time.Now().Add(-2 * servedReplyTimeout)
 		require.True(t, r.Reads(), "it is alone")
 	})
 	t.Run("the others ask some of them at a time, and all in turn", func(t *testing.T) {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -18,7 +18,7 @@
 	// serves before it suspects that the store serves no reader, whatever they report: those that
 	// it polls may be gone. It is two poll intervals, or one and its timeout. A process that
 	// reaches no peer then reads the store itself.
-	lostAfter = 900 * time.Millisecond
+	servedReplyTimeout = 900 * time.Millisecond
 	// backupProbesPerSecond is how many probes a second all processes other than readers make
 	// together during an outage, once all backups are due. A few that get an answer are enough for
 	// all.
@@ -144,7 +144,7 @@
 func (r *Relay) isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Since(r.lastReply) > lostAfter
+	return r.clock.Since(r.lastReply) > servedReplyTimeout
 }
 
 // Add adds feeds. It is called before Run.
@@ -212,7 +212,7 @@
 // newest records in any case; whether it keeps reading is decided with the list of the others.
 // Without this wait, gateways that start together make seven calls each instead of four.
 func (r *Relay) isStarting(readers int) bool {
-	return readers <= 1 && r.clock.Since(r.started) <= lostAfter
+	return readers <= 1 && r.clock.Since(r.started) <= servedReplyTimeout
 }
 
 // Run polls peers until ctx ends.
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -129,7 +129,7 @@
 	if !r.lacksServedReply() {
 		return false
 	}
-	return stale || r.clock.Since(r.lastServedReply) > lostAfter || !slices.ContainsFunc(readers, func(a string) bool {
+	return stale || r.clock.Since(r.lastServedReply) > servedReplyTimeout || !slices.ContainsFunc(readers, func(a string) bool {
 		served, ok := r.status(a)
 		return a != r.self && (!ok || served)
 	})
@@ -160,7 +160,7 @@
 		return false
 	}
 	now := r.clock.Now()
-	alone := now.Sub(r.lastServedReply) > lostAfter && now.Sub(r.lastReply) > lostAfter
+	alone := now.Sub(r.lastServedReply) > servedReplyTimeout && now.Sub(r.lastReply) > servedReplyTimeout
 	return alone || now.Sub(r.outageSince) >= time.Duration(turn)*r.timing.BackupDelay
 }
 
