--- a/feed/relay.go
+++ b/feed/relay.go
@@ -25,7 +25,7 @@
 	standInRate = 20
 	// urgentPollPeriod is how long a process polls at the urgent interval while it gets no served
 	// reply: a few polls longer than until the last backups are due.
-	urgentFor = 3 * time.Second
+	urgentPollPeriod = 3 * time.Second
 )
 
 // Relay keeps feeds up to date from peers: a few processes read the store, and the others poll
@@ -245,7 +245,7 @@
 	served := r.isServed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !served && r.lacksServedReply() && r.clock.Since(r.lastServedReply) <= urgentFor
+	return !served && r.lacksServedReply() && r.clock.Since(r.lastServedReply) <= urgentPollPeriod
 }
 
 // waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
