--- a/feed/relay.go
+++ b/feed/relay.go
@@ -22,7 +22,7 @@
 	// backupProbesPerSecond is how many probes a second all processes other than readers make
 	// together during an outage, once all backups are due. A few that get an answer are enough for
 	// all.
-	standInRate = 20
+	backupProbesPerSecond = 20
 	// urgentPollPeriod is how long a process polls at the urgent interval while it gets no served
 	// reply: a few polls longer than until the last backups are due.
 	urgentPollPeriod = 3 * time.Second
@@ -137,7 +137,7 @@
 	if slices.Contains(r.readers(), r.self) || r.isolated() {
 		return 0
 	}
-	return time.Duration(len(r.peers())) * time.Second / standInRate
+	return time.Duration(len(r.peers())) * time.Second / backupProbesPerSecond
 }
 
 // isolated reports whether no peer has replied lately.
