--- a/feed/standin.go
+++ b/feed/standin.go
@@ -11,8 +11,8 @@
 	// no reader, each in another data hall, by rank. Each later group has backupGroupGrowth times
 	// as many as all before it, plus backupGroupSize, so that the last of 420 processes are due
 	// after half a second.
-	backupGroupSize = 3
-	standInGrowth   = 4
+	backupGroupSize   = 3
+	backupGroupGrowth = 4
 	// minServedAbove is how many processes of a higher rank have to be served before a backup
 	// stops. With only one, its loss would leave all processes without a served peer at once.
 	enoughServed = 2
@@ -23,7 +23,7 @@
 
 // backupGroup returns the group of the backup at a position after the readers.
 func turnOf(place int) (turn int) {
-	for end := backupGroupSize; place >= end; end = backupGroupSize + end*standInGrowth {
+	for end := backupGroupSize; place >= end; end = backupGroupSize + end*backupGroupGrowth {
 		turn++
 	}
 	return turn
@@ -32,7 +32,7 @@
 // backupsUpTo returns how many of all processes belong to a group or an earlier one.
 func placesUntil(turn, all int) (n int) {
 	for ; turn >= 0 && n < all; turn-- {
-		n = backupGroupSize + n*standInGrowth
+		n = backupGroupSize + n*backupGroupGrowth
 	}
 	return min(n, all)
 }
--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -32,7 +32,7 @@
 			n := placesUntil(turn, 10_000)
 			require.Equal(t, turn, turnOf(before))
 			require.Equal(t, turn, turnOf(n-1))
-			require.Equal(t, backupGroupSize+standInGrowth*before, n)
+			require.Equal(t, backupGroupSize+backupGroupGrowth*before, n)
 			before = n
 		}
 	})
