--- a/feed/standin.go
+++ b/feed/standin.go
@@ -15,7 +15,7 @@
 	backupGroupGrowth = 4
 	// minServedAbove is how many processes of a higher rank have to be served before a backup
 	// stops. With only one, its loss would leave all processes without a served peer at once.
-	enoughServed = 2
+	minServedAbove = 2
 	// maxPeerStatuses is the number of peer statuses above which expired ones are removed: more
 	// than the readers that one of 420 processes polls.
 	keptWords = 64
@@ -154,7 +154,7 @@
 // served. The caller holds the lock.
 func (r *Relay) actsAsBackup(turn int, better []string, served bool) bool {
 	if r.isBackup && served {
-		return r.countServed(better) < min(enoughServed, len(better))
+		return r.countServed(better) < min(minServedAbove, len(better))
 	}
 	if r.outageSince.IsZero() {
 		return false
