--- a/feed/standin.go
+++ b/feed/standin.go
@@ -18,7 +18,7 @@
 	minServedAbove = 2
 	// maxPeerStatuses is the number of peer statuses above which expired ones are removed: more
 	// than the readers that one of 420 processes polls.
-	keptWords = 64
+	maxPeerStatuses = 64
 )
 
 // backupGroup returns the group of the backup at a position after the readers.
@@ -82,7 +82,7 @@
 
 // setStatus records the status of a peer, and removes expired ones. The caller holds the lock.
 func (r *Relay) setStatus(address string, served bool) {
-	if len(r.peerStatuses) > keptWords {
+	if len(r.peerStatuses) > maxPeerStatuses {
 		maps.DeleteFunc(r.peerStatuses, func(a string, _ peerStatus) bool {
 			_, ok := r.status(a)
 			return !ok
