--- a/feed/relay.go
+++ b/feed/relay.go
@@ -178,7 +178,7 @@
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
 	large := readersOfLarge(r.readers())
-	turn := turnOf(max(len(better)-len(large), 0))
+	turn := backupGroup(max(len(better)-len(large), 0))
 	stoodIn := false
 	defer func() {
 		if stoodIn {
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -22,7 +22,7 @@
 )
 
 // backupGroup returns the group of the backup at a position after the readers.
-func turnOf(place int) (turn int) {
+func backupGroup(place int) (turn int) {
 	for end := backupGroupSize; place >= end; end = backupGroupSize + end*backupGroupGrowth {
 		turn++
 	}
--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -11,7 +11,7 @@
 	t.Run("all of it adds up to five sevenths of any bound", func(t *testing.T) {
 		for _, b := range []time.Duration{MinViewAge, 1200 * time.Millisecond, 2200 * time.Millisecond, viewBound, 9200 * time.Millisecond} {
 			m := NewTiming(b)
-			require.Less(t, m.oldest(m.ReadWait, turnOf(102-readerCount(103))), b*5/7, "keys are good for %s", b)
+			require.Less(t, m.oldest(m.ReadWait, backupGroup(102-readerCount(103))), b*5/7, "keys are good for %s", b)
 		}
 	})
 	t.Run("a longer bound makes reads wait longer, and nothing later", func(t *testing.T) {
@@ -30,8 +30,8 @@
 		before := 0
 		for turn := range 5 {
 			n := placesUntil(turn, 10_000)
-			require.Equal(t, turn, turnOf(before))
-			require.Equal(t, turn, turnOf(n-1))
+			require.Equal(t, turn, backupGroup(before))
+			require.Equal(t, turn, backupGroup(n-1))
 			require.Equal(t, backupGroupSize+backupGroupGrowth*before, n)
 			before = n
 		}
