--- a/feed/standin.go
+++ b/feed/standin.go
@@ -30,7 +30,7 @@
 }
 
 // backupsUpTo returns how many of all processes belong to a group or an earlier one.
-func placesUntil(turn, all int) (n int) {
+func backupsUpTo(turn, all int) (n int) {
 	for ; turn >= 0 && n < all; turn-- {
 		n = backupGroupSize + n*backupGroupGrowth
 	}
@@ -196,5 +196,5 @@
 		return nil
 	}
 	others := order[readers:]
-	return others[:placesUntil(int(r.clock.Since(r.outageSince)/r.timing.BackupDelay), len(others))]
+	return others[:backupsUpTo(int(r.clock.Since(r.outageSince)/r.timing.BackupDelay), len(others))]
 }
--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -29,7 +29,7 @@
 	t.Run("each has four times as many as the one before, and three more", func(t *testing.T) {
 		before := 0
 		for turn := range 5 {
-			n := placesUntil(turn, 10_000)
+			n := backupsUpTo(turn, 10_000)
 			require.Equal(t, turn, backupGroup(before))
 			require.Equal(t, turn, backupGroup(n-1))
 			require.Equal(t, backupGroupSize+backupGroupGrowth*before, n)
@@ -37,6 +37,6 @@
 		}
 	})
 	t.Run("there are no more places than processes", func(t *testing.T) {
-		require.Equal(t, 96, placesUntil(1000, 96))
+		require.Equal(t, 96, backupsUpTo(1000, 96))
 	})
 }
