--- a/feed/readers.go
+++ b/feed/readers.go
@@ -22,7 +22,7 @@
 	// maxLargeReaders is how many processes read a topic with large records: each read returns a
 	// whole record, and all reads share the store's 80 MB a second. Sixteen copies of 4 MB take 0.8
 	// s, the 84 of one in five of 420 processes would take 4.2 s. The other readers poll these.
-	mostOfLarge = 16
+	maxLargeReaders = 16
 	// rankingTTL is how long the ranking is cached. Each feed needs it ten times a second, and
 	// computing it takes 0.05 ms for 103 processes and 0.24 ms for 420 (BenchmarkReaders).
 	rankedFor = followPause
@@ -109,5 +109,5 @@
 
 // largeReaders returns those of the readers that read topics with large records.
 func readersOfLarge(rs []string) []string {
-	return rs[:min(mostOfLarge, len(rs))]
+	return rs[:min(maxLargeReaders, len(rs))]
 }
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -349,7 +349,7 @@
 		peers := func() []string { return append([]string(nil), many...) }
 		l := &logged{}
 		rs := NewRelay(many[0], peers).readers()
-		r := NewRelay(rs[mostOfLarge], peers, WithRelayLogger(log.New(l)))
+		r := NewRelay(rs[maxLargeReaders], peers, WithRelayLogger(log.New(l)))
 		r.lastServedReply = time.Now()
 		for range 10 {
 			require.True(t, r.Reads())
@@ -365,7 +365,7 @@
 		r := NewRelay(many[0], func() []string { return append([]string(nil), many...) })
 		rs := r.readers()
 		require.Len(t, rs, 21)
-		require.Len(t, readersOfLarge(rs), mostOfLarge)
+		require.Len(t, readersOfLarge(rs), maxLargeReaders)
 	})
 }
 
