--- a/feed/asking.go
+++ b/feed/asking.go
@@ -53,7 +53,7 @@
 // polled nobody got a change 3.3 s late.
 func (r *Relay) pollTargets() (as []string) {
 	rs := r.readers()
-	large := readersOfLarge(rs)
+	large := largeReaders(rs)
 	served := r.isServed()
 	switch {
 	case !slices.Contains(rs, r.self):
--- a/feed/readers.go
+++ b/feed/readers.go
@@ -108,6 +108,6 @@
 }
 
 // largeReaders returns those of the readers that read topics with large records.
-func readersOfLarge(rs []string) []string {
+func largeReaders(rs []string) []string {
 	return rs[:min(maxLargeReaders, len(rs))]
 }
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -160,7 +160,7 @@
 // ReadsLarge reports the same for topics with large records. While a peer sends one, this process
 // does not read another copy from the store, since both would share one link.
 func (r *Relay) ReadsLarge() bool {
-	rs := readersOfLarge(r.readers())
+	rs := largeReaders(r.readers())
 	if r.transferring() {
 		return slices.Contains(rs, r.self)
 	}
@@ -177,7 +177,7 @@
 	better := r.higherRanked()
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
-	large := readersOfLarge(r.readers())
+	large := largeReaders(r.readers())
 	turn := backupGroup(max(len(better)-len(large), 0))
 	stoodIn := false
 	defer func() {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -365,7 +365,7 @@
 		r := NewRelay(many[0], func() []string { return append([]string(nil), many...) })
 		rs := r.readers()
 		require.Len(t, rs, 21)
-		require.Len(t, readersOfLarge(rs), maxLargeReaders)
+		require.Len(t, largeReaders(rs), maxLargeReaders)
 	})
 }
 
