--- a/feed/readers.go
+++ b/feed/readers.go
@@ -13,9 +13,9 @@
 	// have to learn of a change within two seconds, so it must be rare that all readers are among
 	// them: once in 2,000 times with seven readers. More readers cost calls: one in five of 103
 	// gateways makes 18 calls a second at rest, seven make 7 (BenchmarkCalls of internal/spread).
-	minReaders    = 4
-	perReader     = 5
-	enoughReaders = 7
+	minReaders         = 4
+	processesPerReader = 5
+	enoughReaders      = 7
 	// maxClientsPerReader is how many processes poll one reader at the most: more would make more
 	// than 150 polls a second.
 	askersOfReader = 20
@@ -95,7 +95,7 @@
 
 // readerCount returns how many of n processes read the store.
 func readerCount(n int) int {
-	share := min(ceilDiv(n, perReader), enoughReaders)
+	share := min(ceilDiv(n, processesPerReader), enoughReaders)
 	return min(max(minReaders, share, ceilDiv(n, askersOfReader)), n)
 }
 
