--- a/feed/readers.go
+++ b/feed/readers.go
@@ -15,7 +15,7 @@
 	// gateways makes 18 calls a second at rest, seven make 7 (BenchmarkCalls of internal/spread).
 	minReaders         = 4
 	processesPerReader = 5
-	enoughReaders      = 7
+	targetReaders      = 7
 	// maxClientsPerReader is how many processes poll one reader at the most: more would make more
 	// than 150 polls a second.
 	askersOfReader = 20
@@ -95,7 +95,7 @@
 
 // readerCount returns how many of n processes read the store.
 func readerCount(n int) int {
-	share := min(ceilDiv(n, processesPerReader), enoughReaders)
+	share := min(ceilDiv(n, processesPerReader), targetReaders)
 	return min(max(minReaders, share, ceilDiv(n, askersOfReader)), n)
 }
 
