--- a/feed/readers.go
+++ b/feed/readers.go
@@ -18,7 +18,7 @@
 	targetReaders      = 7
 	// maxClientsPerReader is how many processes poll one reader at the most: more would make more
 	// than 150 polls a second.
-	askersOfReader = 20
+	maxClientsPerReader = 20
 	// maxLargeReaders is how many processes read a topic with large records: each read returns a
 	// whole record, and all reads share the store's 80 MB a second. Sixteen copies of 4 MB take 0.8
 	// s, the 84 of one in five of 420 processes would take 4.2 s. The other readers poll these.
@@ -96,7 +96,7 @@
 // readerCount returns how many of n processes read the store.
 func readerCount(n int) int {
 	share := min(ceilDiv(n, processesPerReader), targetReaders)
-	return min(max(minReaders, share, ceilDiv(n, askersOfReader)), n)
+	return min(max(minReaders, share, ceilDiv(n, maxClientsPerReader)), n)
 }
 
 func ceilDiv(a, b int) int {
