--- a/feed/asking.go
+++ b/feed/asking.go
@@ -17,7 +17,7 @@
 	// pollTimeout bounds one poll: a connection and an answer within a region. An answer has at
 	// most pageBytes for each topic, which fits into this time on any link. Larger values are
 	// transferred by themselves without a bound on the total time.
-	askTimeout = 700 * time.Millisecond
+	pollTimeout = 700 * time.Millisecond
 	// pollFanout is how many readers a process polls at a time, and how many peers besides while
 	// its view is stale, since some may be dead or cut off. Polling all readers would make the
 	// number of polls grow with the square of the number of processes.
@@ -166,7 +166,7 @@
 // which the peer can send more, or nil.
 func (r *Relay) pollOnce(ctx context.Context, address string) (more *Feed) {
 	sent := r.clock.Now()
-	d, cancel := context.WithTimeout(ctx, askTimeout)
+	d, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	t, err := r.exchange(d, address)
 	r.received.Add(t.bytes)
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -168,7 +168,7 @@
 // request requests the value of the record at the offset, or of a later one, from a peer.
 func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v valueReply, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a value", address)
-	d, cancel := context.WithTimeout(ctx, askTimeout)
+	d, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	c, err := r.conn(d, address)
 	if err != nil {
