--- a/feed/asking.go
+++ b/feed/asking.go
@@ -21,7 +21,7 @@
 	// pollFanout is how many readers a process polls at a time, and how many peers besides while
 	// its view is stale, since some may be dead or cut off. Polling all readers would make the
 	// number of polls grow with the square of the number of processes.
-	askedPeers = 3
+	pollFanout = 3
 	// minLoggedCutBytes is the size from which an answer that was cut is logged as a warning. Polls
 	// of a peer that is away are not: there are many, and "store lost" and the view's age are
 	// logged anyway.
@@ -101,7 +101,7 @@
 	if i := slices.IndexFunc(as, r.sameHall); i > 0 {
 		as[0], as[i] = as[i], as[0]
 	}
-	return as[:min(askedPeers, len(as))]
+	return as[:min(pollFanout, len(as))]
 }
 
 // staleFeeds returns the feeds that are stale.
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -476,7 +476,7 @@
 			asked := map[string]bool{}
 			for range 200 {
 				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).pollTargets() // no peer has had time to reply
-				require.Len(t, as, askedPeers)
+				require.Len(t, as, pollFanout)
 				for _, x := range as {
 					asked[x] = true
 				}
