--- a/feed/asking.go
+++ b/feed/asking.go
@@ -25,7 +25,7 @@
 	// minLoggedCutBytes is the size from which an answer that was cut is logged as a warning. Polls
 	// of a peer that is away are not: there are many, and "store lost" and the view's age are
 	// logged anyway.
-	toldBytes = 16 << 10
+	minLoggedCutBytes = 16 << 10
 )
 
 // startRound returns those of the peers that are not being polled yet, and marks them as such.
@@ -184,7 +184,7 @@
 // noteCut records that the answer of a peer was noteCut after so many bytes.
 func (r *Relay) noteCut(address string, bytes int64, took time.Duration, err error) {
 	r.wasted.Add(bytes)
-	if bytes >= toldBytes {
+	if bytes >= minLoggedCutBytes {
 		r.log.Warn("answer of a peer was cut", "peer", address, "bytes", bytes, "took_ms", took.Milliseconds(), "err", err)
 		return
 	}
