--- a/feed/feed.go
+++ b/feed/feed.go
@@ -155,7 +155,7 @@
 		clock:         hollowgrade.SystemClock(),
 		log:           log.Default(),
 		wait:          defaultWait,
-		timing:        NewTiming(viewBound),
+		timing:        NewTiming(nominalViewAge),
 		maxValueBytes: DefaultMaxValueBytes,
 		newest:        map[string]hollowgrade.KeyedRecord{},
 		earlier:       map[string][]hollowgrade.KeyedRecord{},
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -107,7 +107,7 @@
 		dial:         peer.TCP(),
 		clock:        hollowgrade.SystemClock(),
 		log:          log.Default(),
-		timing:       NewTiming(viewBound),
+		timing:       NewTiming(nominalViewAge),
 		conns:        map[string]*peer.Conn{},
 		peerStatuses: map[string]peerStatus{},
 		polling:      map[string]bool{},
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -5,7 +5,7 @@
 const (
 	// nominalViewAge is the bound on the age of views for which the nominal times below are made.
 	// With them a change is known everywhere well within the required two seconds.
-	viewBound = 4200 * time.Millisecond
+	nominalViewAge = 4200 * time.Millisecond
 	// The shares of that bound; [Timing.maxAge] adds them up.
 	mostWait   = 1500 * time.Millisecond
 	mostLate   = 200 * time.Millisecond
@@ -16,7 +16,7 @@
 	// exceed ten a second.
 	leastShare = 4
 	// MinViewAge is the smallest supported bound on the age of views.
-	MinViewAge = viewBound / leastShare
+	MinViewAge = nominalViewAge / leastShare
 	// clockDriftDivisor bounds how much faster the store's monotonic clock may run than that of a
 	// process, as one part in so many. A read that waited its whole time shows what was there at
 	// the end of the wait by the store's clock.
@@ -36,7 +36,7 @@
 // NewTiming returns the times that keep views no older than the bound, as long as the store serves
 // some process. Below [MinViewAge] they do not shrink further.
 func NewTiming(bound time.Duration) Timing {
-	whole := float64(max(bound, MinViewAge)) / float64(viewBound)
+	whole := float64(max(bound, MinViewAge)) / float64(nominalViewAge)
 	part := min(whole, 1)
 	share := func(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
 	return Timing{
