--- a/feed/timing.go
+++ b/feed/timing.go
@@ -7,11 +7,11 @@
 	// With them a change is known everywhere well within the required two seconds.
 	nominalViewAge = 4200 * time.Millisecond
 	// The shares of that bound; [Timing.maxAge] adds them up.
-	nominalReadWait     = 1500 * time.Millisecond
-	nominalAnswerGrace  = 200 * time.Millisecond
-	nominalPollInterval = 400 * time.Millisecond
-	mostUrgent          = 100 * time.Millisecond
-	mostTurn            = 125 * time.Millisecond
+	nominalReadWait           = 1500 * time.Millisecond
+	nominalAnswerGrace        = 200 * time.Millisecond
+	nominalPollInterval       = 400 * time.Millisecond
+	nominalUrgentPollInterval = 100 * time.Millisecond
+	mostTurn                  = 125 * time.Millisecond
 	// maxShrink is the factor by which these times may shrink at the most; below, polls would
 	// exceed ten a second.
 	leastShare = 4
@@ -43,7 +43,7 @@
 		ReadWait:           share(nominalReadWait, whole),
 		AnswerGrace:        share(nominalAnswerGrace, part),
 		PollInterval:       share(nominalPollInterval, part),
-		UrgentPollInterval: share(mostUrgent, part),
+		UrgentPollInterval: share(nominalUrgentPollInterval, part),
 		BackupDelay:        share(mostTurn, part),
 	}
 }
