--- a/feed/timing.go
+++ b/feed/timing.go
@@ -11,7 +11,7 @@
 	nominalAnswerGrace        = 200 * time.Millisecond
 	nominalPollInterval       = 400 * time.Millisecond
 	nominalUrgentPollInterval = 100 * time.Millisecond
-	mostTurn                  = 125 * time.Millisecond
+	nominalBackupDelay        = 125 * time.Millisecond
 	// maxShrink is the factor by which these times may shrink at the most; below, polls would
 	// exceed ten a second.
 	leastShare = 4
@@ -44,7 +44,7 @@
 		AnswerGrace:        share(nominalAnswerGrace, part),
 		PollInterval:       share(nominalPollInterval, part),
 		UrgentPollInterval: share(nominalUrgentPollInterval, part),
-		BackupDelay:        share(mostTurn, part),
+		BackupDelay:        share(nominalBackupDelay, part),
 	}
 }
 
