--- a/feed/timing.go
+++ b/feed/timing.go
@@ -14,9 +14,9 @@
 	nominalBackupDelay        = 125 * time.Millisecond
 	// maxShrink is the factor by which these times may shrink at the most; below, polls would
 	// exceed ten a second.
-	leastShare = 4
+	maxShrink = 4
 	// MinViewAge is the smallest supported bound on the age of views.
-	MinViewAge = nominalViewAge / leastShare
+	MinViewAge = nominalViewAge / maxShrink
 	// clockDriftDivisor bounds how much faster the store's monotonic clock may run than that of a
 	// process, as one part in so many. A read that waited its whole time shows what was there at
 	// the end of the wait by the store's clock.
