--- a/feed/feed.go
+++ b/feed/feed.go
@@ -306,7 +306,7 @@
 // was sent. Always using the send time would make idle views up to two waits old instead of one.
 func (f *Feed) completeAsOf(sent time.Time, wait time.Duration, records int) time.Time {
 	took := f.clock.Since(sent)
-	waited := wait - wait/driftShare // in case the store's clock runs faster than this one
+	waited := wait - wait/clockDriftDivisor // in case the store's clock runs faster than this one
 	if records > 0 || took < waited {
 		return sent
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -228,7 +228,7 @@
 			time.Sleep(time.Second + 400*time.Millisecond) // the current read was sent 400 ms ago
 			age, ok := f.Age()
 			require.True(t, ok)
-			require.Equal(t, 400*time.Millisecond+time.Second/driftShare, age)
+			require.Equal(t, 400*time.Millisecond+time.Second/clockDriftDivisor, age)
 		})
 	})
 	t.Run("freshness is counted from when a read was sent that gave records", func(t *testing.T) {
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -20,7 +20,7 @@
 	// clockDriftDivisor bounds how much faster the store's monotonic clock may run than that of a
 	// process, as one part in so many. A read that waited its whole time shows what was there at
 	// the end of the wait by the store's clock.
-	driftShare = 16
+	clockDriftDivisor = 16
 )
 
 // Timing divides the time for which a view may be trusted. All parts derive from one bound, so that
@@ -50,7 +50,7 @@
 
 // answerDue is the age of a view, read with the given wait, when its next answer is due.
 func (t Timing) due(wait time.Duration) time.Duration {
-	return wait + wait/driftShare + t.AnswerGrace
+	return wait + wait/clockDriftDivisor + t.AnswerGrace
 }
 
 // staleAge is the age from which a view, read by others with the given wait, is older than readers
