--- a/feed/feed.go
+++ b/feed/feed.go
@@ -21,7 +21,7 @@
 const (
 	// lagDecay sets how slowly the smoothed lag falls: each answer in time keeps lagDecay of
 	// lagDecay + 1 parts of it. A slower store raises the lag at once.
-	lagShare = 7
+	lagDecay = 7
 	// defaultWait is how long one read waits at the store for a record.
 	defaultWait = 1500 * time.Millisecond
 	// answerMargin bounds how long a read may take beyond its wait until its answer begins, and
@@ -312,7 +312,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lag = min(max(took-wait, f.lag*lagShare/(lagShare+1), 0), answerMargin)
+	f.lag = min(max(took-wait, f.lag*lagDecay/(lagDecay+1), 0), answerMargin)
 	return sent.Add(waited)
 }
 
