--- a/feed/feed.go
+++ b/feed/feed.go
@@ -292,7 +292,7 @@
 func (f *Feed) plan(sent time.Time, try bool) (next int64, synced bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	wait = min(max(f.timing.due(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
+	wait = min(max(f.timing.answerDue(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
 	if try || f.readFailing {
 		wait = 0 // the freshness of the view has to be known at once
 	}
@@ -479,7 +479,7 @@
 	case f.answered:
 		return true, true
 	default:
-		return false, now.Sub(f.fresh) > f.timing.due(f.wait)
+		return false, now.Sub(f.fresh) > f.timing.answerDue(f.wait)
 	}
 }
 
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -48,15 +48,15 @@
 	}
 }
 
-// answerDue is the age of a view, read with the given wait, when its next answer is due.
-func (t Timing) due(wait time.Duration) time.Duration {
+// answerDue is the age of a view, read with the given wait, when its next answer is answerDue.
+func (t Timing) answerDue(wait time.Duration) time.Duration {
 	return wait + wait/clockDriftDivisor + t.AnswerGrace
 }
 
 // staleAge is the age from which a view, read by others with the given wait, is older than readers
 // that the store serves let it get.
 func (t Timing) stale(wait time.Duration) time.Duration {
-	return t.due(wait) + 2*t.AnswerGrace + t.PollInterval
+	return t.answerDue(wait) + 2*t.AnswerGrace + t.PollInterval
 }
 
 // maxAge is the largest age of a view, read with the given wait, while the store serves neither the
@@ -65,7 +65,7 @@
 // looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) oldest(wait time.Duration, turn int) time.Duration {
-	return t.due(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.BackupDelay
+	return t.answerDue(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.BackupDelay
 }
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
