--- a/feed/asking.go
+++ b/feed/asking.go
@@ -107,7 +107,7 @@
 // staleFeeds returns the feeds that are stale.
 func (r *Relay) staleFeeds() (fs []*Feed) {
 	for _, f := range r.feeds {
-		if age, ok := f.Age(); !ok || age > r.timing.stale(f.wait) {
+		if age, ok := f.Age(); !ok || age > r.timing.staleAge(f.wait) {
 			fs = append(fs, f)
 		}
 	}
@@ -295,7 +295,7 @@
 		p.Records = append(p.Records, hollowgrade.KeyedRecord{Key: k.Key, Value: k.Value, Offset: k.Offset})
 	}
 	f.Merge(p, sent.Add(-time.Duration(m.AgeMicros)*time.Microsecond))
-	if after, ok := f.Age(); ok && after < before && (before > r.timing.stale(f.wait) || len(p.Records) > 0) {
+	if after, ok := f.Age(); ok && after < before && (before > r.timing.staleAge(f.wait) || len(p.Records) > 0) {
 		r.log.Info("learned from a peer", "feed", f.name, "peer", address, "next", m.Next, "records", len(p.Records),
 			"age_ms", after.Milliseconds(), "age_before_ms", before.Milliseconds())
 	}
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -55,7 +55,7 @@
 
 // staleAge is the age from which a view, read by others with the given wait, is older than readers
 // that the store serves let it get.
-func (t Timing) stale(wait time.Duration) time.Duration {
+func (t Timing) staleAge(wait time.Duration) time.Duration {
 	return t.answerDue(wait) + 2*t.AnswerGrace + t.PollInterval
 }
 
