--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -11,7 +11,7 @@
 	t.Run("all of it adds up to five sevenths of any bound", func(t *testing.T) {
 		for _, b := range []time.Duration{MinViewAge, 1200 * time.Millisecond, 2200 * time.Millisecond, nominalViewAge, 9200 * time.Millisecond} {
 			m := NewTiming(b)
-			require.Less(t, m.oldest(m.ReadWait, backupGroup(102-readerCount(103))), b*5/7, "keys are good for %s", b)
+			require.Less(t, m.maxAge(m.ReadWait, backupGroup(102-readerCount(103))), b*5/7, "keys are good for %s", b)
 		}
 	})
 	t.Run("a longer bound makes reads wait longer, and nothing later", func(t *testing.T) {
