--- a/feed/standin.go
+++ b/feed/standin.go
@@ -120,7 +120,7 @@
 // lacksServedReply reports whether no served process has replied within the expected time, or none
 // of the last round was served. The caller holds the lock.
 func (r *Relay) lacksServedReply() bool {
-	return r.noneServed || r.clock.Since(r.lastServedReply) > r.timing.untold()
+	return r.noneServed || r.clock.Since(r.lastServedReply) > r.timing.maxReplyGap()
 }
 
 // suspectsOutage reports whether the store seems to serve none of the readers. The caller holds the
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -70,7 +70,7 @@
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
 // polls them at once if all of a round replied that they are not served.
-func (t Timing) untold() time.Duration {
+func (t Timing) maxReplyGap() time.Duration {
 	return t.PollInterval + t.UrgentPollInterval/2
 }
 
