--- a/feed/standin.go
+++ b/feed/standin.go
@@ -95,7 +95,7 @@
 // lock.
 func (r *Relay) status(address string) (served, ok bool) {
 	w, ok := r.peerStatuses[address]
-	return w.served, ok && r.clock.Since(w.at) <= r.timing.wordFor()
+	return w.served, ok && r.clock.Since(w.at) <= r.timing.statusTTL()
 }
 
 // preferServed leaves out the peers that the store does not serve by their status, unless none are
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -75,6 +75,6 @@
 }
 
 // statusTTL is how long a peer's status is valid; each reader is polled about that often.
-func (t Timing) wordFor() time.Duration {
+func (t Timing) statusTTL() time.Duration {
 	return 4 * t.PollInterval
 }
