--- a/feed/feed.go
+++ b/feed/feed.go
@@ -41,7 +41,7 @@
 	// minReadInterval is the least time between a read that returned records and the next one.
 	// Records come in bursts and each read has a cost, but a change must be in force within two
 	// seconds.
-	readPause = 250 * time.Millisecond
+	minReadInterval = 250 * time.Millisecond
 	// followCheckInterval is how often a process that does not read the store checks whether it has
 	// to.
 	followPause = 100 * time.Millisecond
@@ -232,7 +232,7 @@
 			p.Reset()
 			f.noteReadAnswered()
 			if records > 0 {
-				hollowgrade.Sleep(ctx, f.clock, readPause-f.clock.Since(sent))
+				hollowgrade.Sleep(ctx, f.clock, minReadInterval-f.clock.Since(sent))
 			}
 			continue
 		}
@@ -252,7 +252,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.follows && !follows {
-		f.nextAnswerDue = f.clock.Now().Add(readPause + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
+		f.nextAnswerDue = f.clock.Now().Add(minReadInterval + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
 	}
 	f.follows = follows
 	f.answered = f.answered && !follows
@@ -501,7 +501,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = true
-	f.nextAnswerDue = hollowgrade.Later(f.nextAnswerDue, f.clock.Now().Add(readPause+f.timing.AnswerGrace))
+	f.nextAnswerDue = hollowgrade.Later(f.nextAnswerDue, f.clock.Now().Add(minReadInterval+f.timing.AnswerGrace))
 	if !f.readFailing {
 		return
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -169,7 +169,7 @@
 
 // pause waits until a feed may read again after it has read records.
 func pause() {
-	time.Sleep(readPause)
+	time.Sleep(minReadInterval)
 	synctest.Wait()
 }
 
