--- a/feed/access.go
+++ b/feed/access.go
@@ -29,7 +29,7 @@
 // than the exponential delay; it is called for each failure.
 func NewBreaker(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
-	p.InitialInterval = firstPause
+	p.InitialInterval = minRetryDelay
 	p.MaxInterval = lastPause
 	return &Breaker{clock: c, spacing: spacing, pauses: p}
 }
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -38,7 +38,7 @@
 			a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
 			a.Report(false, false)
 			requireMayCall(t, a, false, false)
-			time.Sleep(2 * firstPause)
+			time.Sleep(2 * minRetryDelay)
 			requireMayCall(t, a, true, true)
 			requireMayCall(t, a, false, false)
 			a.Report(true, false)
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -46,8 +46,8 @@
 	// to.
 	followCheckInterval = 100 * time.Millisecond
 	// Bounds of the exponential delay between failed reads.
-	firstPause = 100 * time.Millisecond
-	lastPause  = time.Second
+	minRetryDelay = 100 * time.Millisecond
+	lastPause     = time.Second
 )
 
 // Change is a record that has become the newest of its key.
@@ -213,7 +213,7 @@
 // meanwhile.
 func (f *Feed) Run(ctx context.Context) {
 	p := backoff.NewExponentialBackOff()
-	p.InitialInterval = firstPause
+	p.InitialInterval = minRetryDelay
 	p.MaxInterval = lastPause
 	for ctx.Err() == nil {
 		if f.setFollowing(f.complete() && !f.reads()) {
