--- a/feed/access.go
+++ b/feed/access.go
@@ -30,7 +30,7 @@
 func NewBreaker(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
-	p.MaxInterval = lastPause
+	p.MaxInterval = maxRetryDelay
 	return &Breaker{clock: c, spacing: spacing, pauses: p}
 }
 
--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -43,7 +43,7 @@
 			requireMayCall(t, a, false, false)
 			a.Report(true, false)
 			requireMayCall(t, a, false, false)
-			time.Sleep(2 * lastPause)
+			time.Sleep(2 * maxRetryDelay)
 			requireMayCall(t, a, true, true)
 			a.Report(true, true)
 			requireMayCall(t, a, true, false)
@@ -96,9 +96,9 @@
 			time.Sleep(3 * time.Second)
 			quick.set(func() { quick.down = false })
 			slow.set(func() {}) // ends its read, so that it makes the next probe
-			time.Sleep(2 * lastPause)
+			time.Sleep(2 * maxRetryDelay)
 			age, _ := eager.Age()
-			require.Less(t, age, 2*lastPause+time.Second)
+			require.Less(t, age, 2*maxRetryDelay+time.Second)
 		}
 		cancel()
 		g.Wait()
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -47,7 +47,7 @@
 	followCheckInterval = 100 * time.Millisecond
 	// Bounds of the exponential delay between failed reads.
 	minRetryDelay = 100 * time.Millisecond
-	lastPause     = time.Second
+	maxRetryDelay = time.Second
 )
 
 // Change is a record that has become the newest of its key.
@@ -214,7 +214,7 @@
 func (f *Feed) Run(ctx context.Context) {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
-	p.MaxInterval = lastPause
+	p.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
 		if f.setFollowing(f.complete() && !f.reads()) {
 			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
