--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -104,7 +104,7 @@
 		return
 	}
 	b := append([]hollowgrade.KeyedRecord{r}, f.earlier[r.Key]...)
-	f.earlier[r.Key] = b[:min(len(b), keptBases)]
+	f.earlier[r.Key] = b[:min(len(b), maxBases)]
 }
 
 // value returns the newest record of a key.
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -37,7 +37,7 @@
 	DefaultMaxValueBytes = 8 << 20
 	// maxBases is how many earlier values of a key are kept if they are large, so that a peer that
 	// is a few changes behind receives only the difference.
-	keptBases = 3
+	maxBases = 3
 	// minReadInterval is the least time between a read that returned records and the next one.
 	// Records come in bursts and each read has a cost, but a change must be in force within two
 	// seconds.
