--- a/feed/server.go
+++ b/feed/server.go
@@ -19,7 +19,7 @@
 	// maxSlots bound how many transfers a process makes at a time. On a narrow link two at a time
 	// distribute a value to n processes in log3(n) rounds; with all at once, each would wait for
 	// the last.
-	slotMbit    = 25
+	mbitPerSlot = 25
 	fewestSlots = 2
 	mostSlots   = 8
 	// maxHolders is how many processes that have received a value are remembered, and
@@ -55,7 +55,7 @@
 
 // NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if unknown.
 func NewServer(link float64, fs ...*Feed) *Server {
-	return &Server{feeds: fs, slots: min(max(int(link/slotMbit), fewestSlots), mostSlots)}
+	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), fewestSlots), mostSlots)}
 }
 
 // Serve answers one exchange that a peer has opened. It is meant to be called by a [peer.Handler].
