--- a/feed/server.go
+++ b/feed/server.go
@@ -20,7 +20,7 @@
 	// distribute a value to n processes in log3(n) rounds; with all at once, each would wait for
 	// the last.
 	mbitPerSlot = 25
-	fewestSlots = 2
+	minSlots    = 2
 	mostSlots   = 8
 	// maxHolders is how many processes that have received a value are remembered, and
 	// maxHoldersInReply how many of them a busy reply lists.
@@ -55,7 +55,7 @@
 
 // NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if unknown.
 func NewServer(link float64, fs ...*Feed) *Server {
-	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), fewestSlots), mostSlots)}
+	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), minSlots), mostSlots)}
 }
 
 // Serve answers one exchange that a peer has opened. It is meant to be called by a [peer.Handler].
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -239,7 +239,7 @@
 	s := NewServer(0, f)
 	for s.acquireSlot() {
 	}
-	require.Equal(t, fewestSlots, s.busy)
+	require.Equal(t, minSlots, s.busy)
 	for _, h := range []holder{
 		{address: "far:1", hall: "b", feed: "f", key: "k", offset: 7},
 		{address: "old:1", hall: "a", feed: "f", key: "k", offset: 6},
