--- a/feed/server.go
+++ b/feed/server.go
@@ -21,7 +21,7 @@
 	// the last.
 	mbitPerSlot = 25
 	minSlots    = 2
-	mostSlots   = 8
+	maxSlots    = 8
 	// maxHolders is how many processes that have received a value are remembered, and
 	// maxHoldersInReply how many of them a busy reply lists.
 	keptHolders  = 32
@@ -55,7 +55,7 @@
 
 // NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if unknown.
 func NewServer(link float64, fs ...*Feed) *Server {
-	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), minSlots), mostSlots)}
+	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), minSlots), maxSlots)}
 }
 
 // Serve answers one exchange that a peer has opened. It is meant to be called by a [peer.Handler].
