--- a/feed/server.go
+++ b/feed/server.go
@@ -24,7 +24,7 @@
 	maxSlots    = 8
 	// maxHolders is how many processes that have received a value are remembered, and
 	// maxHoldersInReply how many of them a busy reply lists.
-	keptHolders  = 32
+	maxHolders   = 32
 	namedHolders = 4
 	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
 	// longest that other exchanges on the connection wait for it.
@@ -190,7 +190,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holders = append([]holder{h}, s.holders...)
-	s.holders = s.holders[:min(len(s.holders), keptHolders)]
+	s.holders = s.holders[:min(len(s.holders), maxHolders)]
 }
 
 // sendBusy replies that no transfer can begin now and lists processes that have the value, those in
