--- a/feed/server.go
+++ b/feed/server.go
@@ -24,8 +24,8 @@
 	maxSlots    = 8
 	// maxHolders is how many processes that have received a value are remembered, and
 	// maxHoldersInReply how many of them a busy reply lists.
-	maxHolders   = 32
-	namedHolders = 4
+	maxHolders        = 32
+	maxHoldersInReply = 4
 	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
 	// longest that other exchanges on the connection wait for it.
 	chunkBytes = 16 << 10
@@ -211,7 +211,7 @@
 	shuffle(near)
 	shuffle(far)
 	m := &wire.ValueHead{Busy: true, Holders: slices.Concat(near, far)}
-	m.Holders = m.Holders[:min(len(m.Holders), namedHolders)]
+	m.Holders = m.Holders[:min(len(m.Holders), maxHoldersInReply)]
 	if err := t.Send(&wire.Frame{Body: &wire.Frame_ValueHead{ValueHead: m}}); err != nil {
 		return err
 	}
