--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -19,7 +19,7 @@
 const (
 	// minBusyDelay is the least delay before the next request after a busy reply. It doubles each
 	// time up to maxBusyDelay.
-	busyPause     = 20 * time.Millisecond
+	minBusyDelay  = 20 * time.Millisecond
 	mostBusyPause = 320 * time.Millisecond
 	// sameHallDelay is how long a process waits for a peer of its own hall to get a value that a
 	// peer of another hall has, if its hall has a reader. The value then crosses each link between
@@ -118,7 +118,7 @@
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
 func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
 	r.waitForNear(ctx, t)
-	for pause := busyPause; !r.stopIfDone(t); {
+	for pause := minBusyDelay; !r.stopIfDone(t); {
 		a, near, offset := r.nextHolder(t)
 		sent := r.clock.Now()
 		v, err := r.request(ctx, t, a, offset)
