--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -19,8 +19,8 @@
 const (
 	// minBusyDelay is the least delay before the next request after a busy reply. It doubles each
 	// time up to maxBusyDelay.
-	minBusyDelay  = 20 * time.Millisecond
-	mostBusyPause = 320 * time.Millisecond
+	minBusyDelay = 20 * time.Millisecond
+	maxBusyDelay = 320 * time.Millisecond
 	// sameHallDelay is how long a process waits for a peer of its own hall to get a value that a
 	// peer of another hall has, if its hall has a reader. The value then crosses each link between
 	// halls about once. A change has to be in force within two seconds, of which about one is left
@@ -129,7 +129,7 @@
 		case v.busy:
 			r.addHolders(t, append(slices.DeleteFunc(v.holders, func(h string) bool { return h == r.self }), a)...)
 			hollowgrade.Sleep(ctx, r.clock, pause/2+rand.N(pause))
-			pause = min(2*pause, mostBusyPause)
+			pause = min(2*pause, maxBusyDelay)
 		default:
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
 				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
