--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -25,7 +25,7 @@
 	// peer of another hall has, if its hall has a reader. The value then crosses each link between
 	// halls about once. A change has to be in force within two seconds, of which about one is left
 	// at this point.
-	nearPause = 150 * time.Millisecond
+	sameHallDelay = 150 * time.Millisecond
 )
 
 // errNoValue means that a peer no longer has a value.
@@ -152,7 +152,7 @@
 	near := slices.ContainsFunc(t.holders, r.sameHall)
 	r.mu.Unlock()
 	if !near && slices.ContainsFunc(r.readers(), r.sameHall) {
-		hollowgrade.Sleep(ctx, r.clock, nearPause)
+		hollowgrade.Sleep(ctx, r.clock, sameHallDelay)
 	}
 }
 
