--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -29,7 +29,7 @@
 )
 
 // errNoValue means that a peer no longer has a value.
-var errNotThere = errors.New("peer does not have the value")
+var errNoValue = errors.New("peer does not have the value")
 
 // transfer fetches one large value from the peers that have it, one at a time. If one peer is lost,
 // the bytes received so far are kept and the next one continues from there.
@@ -203,7 +203,7 @@
 	}
 	first, err := s.Receive()
 	if err != nil {
-		return v, errors.Join(errNotThere, err)
+		return v, errors.Join(errNoValue, err)
 	}
 	h := first.GetValueHead()
 	switch {
@@ -212,7 +212,7 @@
 	case h.Busy:
 		return valueReply{busy: true, holders: h.Holders}, nil
 	case h.Offset < offset:
-		return v, fmt.Errorf("%w: it has offset %d", errNotThere, h.Offset)
+		return v, fmt.Errorf("%w: it has offset %d", errNoValue, h.Offset)
 	case h.Size <= 0 || h.FormSize <= 0:
 		return v, fmt.Errorf("%w: %d bytes, sent as %d", errDamaged, h.Size, h.FormSize)
 	case h.Size > int64(t.feed.maxValueBytes) || h.FormSize > int64(t.feed.maxValueBytes):
