--- a/feed/access.go
+++ b/feed/access.go
@@ -66,7 +66,7 @@
 		a.pauses.Reset()
 		return
 	}
-	a.next = a.clock.Now().Add(max(a.pauses.NextBackOff(), drawn(spacing)))
+	a.next = a.clock.Now().Add(max(a.pauses.NextBackOff(), randomDelay(spacing)))
 }
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
@@ -79,6 +79,6 @@
 
 // randomDelay returns a random time with a given mean, so that processes that begin to wait
 // together do not end together.
-func drawn(mean time.Duration) time.Duration {
+func randomDelay(mean time.Duration) time.Duration {
 	return time.Duration(2 * rand.Float64() * float64(mean))
 }
