--- a/feed/access.go
+++ b/feed/access.go
@@ -19,7 +19,7 @@
 	spacing func() time.Duration
 
 	mu     sync.Mutex
-	away   bool
+	down   bool
 	trying bool      // whether a probe is under way
 	next   time.Time // earliest time of the next probe
 	pauses *backoff.ExponentialBackOff
@@ -41,7 +41,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch now := a.clock.Now(); {
-	case !a.away:
+	case !a.down:
 		return false, 0
 	case a.trying:
 		return false, followCheckInterval
@@ -61,7 +61,7 @@
 	if try {
 		a.trying = false
 	}
-	a.away = !answered
+	a.down = !answered
 	if answered {
 		a.pauses.Reset()
 		return
@@ -74,7 +74,7 @@
 func (a *Breaker) SuspectOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.away = true
+	a.down = true
 }
 
 // randomDelay returns a random time with a given mean, so that processes that begin to wait
