--- a/feed/access.go
+++ b/feed/access.go
@@ -18,11 +18,11 @@
 	clock   hollowgrade.Clock
 	spacing func() time.Duration
 
-	mu     sync.Mutex
-	down   bool
-	trying bool      // whether a probe is under way
-	next   time.Time // earliest time of the next probe
-	pauses *backoff.ExponentialBackOff
+	mu      sync.Mutex
+	down    bool
+	probing bool      // whether a probe is under way
+	next    time.Time // earliest time of the next probe
+	pauses  *backoff.ExponentialBackOff
 }
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
@@ -43,12 +43,12 @@
 	switch now := a.clock.Now(); {
 	case !a.down:
 		return false, 0
-	case a.trying:
+	case a.probing:
 		return false, followCheckInterval
 	case now.Before(a.next):
 		return false, min(a.next.Sub(now), followCheckInterval)
 	default:
-		a.trying = true
+		a.probing = true
 		return true, 0
 	}
 }
@@ -59,7 +59,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if try {
-		a.trying = false
+		a.probing = false
 	}
 	a.down = !answered
 	if answered {
