--- a/feed/access.go
+++ b/feed/access.go
@@ -18,11 +18,11 @@
 	clock   hollowgrade.Clock
 	spacing func() time.Duration
 
-	mu      sync.Mutex
-	down    bool
-	probing bool      // whether a probe is under way
-	next    time.Time // earliest time of the next probe
-	pauses  *backoff.ExponentialBackOff
+	mu        sync.Mutex
+	down      bool
+	probing   bool      // whether a probe is under way
+	nextProbe time.Time // earliest time of the next probe
+	pauses    *backoff.ExponentialBackOff
 }
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
@@ -45,8 +45,8 @@
 		return false, 0
 	case a.probing:
 		return false, followCheckInterval
-	case now.Before(a.next):
-		return false, min(a.next.Sub(now), followCheckInterval)
+	case now.Before(a.nextProbe):
+		return false, min(a.nextProbe.Sub(now), followCheckInterval)
 	default:
 		a.probing = true
 		return true, 0
@@ -66,7 +66,7 @@
 		a.pauses.Reset()
 		return
 	}
-	a.next = a.clock.Now().Add(max(a.pauses.NextBackOff(), randomDelay(spacing)))
+	a.nextProbe = a.clock.Now().Add(max(a.pauses.NextBackOff(), randomDelay(spacing)))
 }
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
