--- a/feed/access.go
+++ b/feed/access.go
@@ -15,8 +15,8 @@
 // answered. Without it the three feeds of each of 103 gateways make 403 calls a second during an
 // outage (BenchmarkCalls of internal/spread). It is safe for concurrent use.
 type Breaker struct {
-	clock   hollowgrade.Clock
-	spacing func() time.Duration
+	clock         hollowgrade.Clock
+	probeInterval func() time.Duration
 
 	mu        sync.Mutex
 	down      bool
@@ -31,7 +31,7 @@
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
 	p.MaxInterval = maxRetryDelay
-	return &Breaker{clock: c, spacing: spacing, pauses: p}
+	return &Breaker{clock: c, probeInterval: spacing, pauses: p}
 }
 
 // Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
@@ -55,7 +55,7 @@
 
 // Report records whether a call was a probe and whether the store answered it.
 func (a *Breaker) Report(try, answered bool) {
-	spacing := a.spacing() // called without the lock, since it may need a lock whose holder waits for this one
+	spacing := a.probeInterval() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if try {
