--- a/feed/access.go
+++ b/feed/access.go
@@ -22,7 +22,7 @@
 	down      bool
 	probing   bool      // whether a probe is under way
 	nextProbe time.Time // earliest time of the next probe
-	pauses    *backoff.ExponentialBackOff
+	delays    *backoff.ExponentialBackOff
 }
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
@@ -31,7 +31,7 @@
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
 	p.MaxInterval = maxRetryDelay
-	return &Breaker{clock: c, probeInterval: spacing, pauses: p}
+	return &Breaker{clock: c, probeInterval: spacing, delays: p}
 }
 
 // Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
@@ -63,10 +63,10 @@
 	}
 	a.down = !answered
 	if answered {
-		a.pauses.Reset()
+		a.delays.Reset()
 		return
 	}
-	a.nextProbe = a.clock.Now().Add(max(a.pauses.NextBackOff(), randomDelay(spacing)))
+	a.nextProbe = a.clock.Now().Add(max(a.delays.NextBackOff(), randomDelay(spacing)))
 }
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
