--- a/feed/access.go
+++ b/feed/access.go
@@ -37,7 +37,7 @@
 // Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
 // before calling Begin again. A call that is a probe should not wait at the store. The outcome of
 // each call has to be passed to [Breaker.Report].
-func (a *Breaker) Begin() (try bool, wait time.Duration) {
+func (a *Breaker) Begin() (probe bool, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch now := a.clock.Now(); {
