--- a/feed/access.go
+++ b/feed/access.go
@@ -54,11 +54,11 @@
 }
 
 // Report records whether a call was a probe and whether the store answered it.
-func (a *Breaker) Report(try, answered bool) {
+func (a *Breaker) Report(probe, answered bool) {
 	spacing := a.probeInterval() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if try {
+	if probe {
 		a.probing = false
 	}
 	a.down = !answered
