--- a/feed/feed.go
+++ b/feed/feed.go
@@ -266,8 +266,8 @@
 
 // readOnce makes one read, sent at sent, and merges its records. It returns their number. A probe
 // does not wait at the store.
-func (f *Feed) readOnce(ctx context.Context, sent time.Time, try bool) (records int, err error) {
-	next, synced, wait := f.plan(sent, try)
+func (f *Feed) readOnce(ctx context.Context, sent time.Time, probe bool) (records int, err error) {
+	next, synced, wait := f.plan(sent, probe)
 	if !synced {
 		p, err := f.topic.Newest(ctx, newestMargin)
 		if err == nil {
