--- a/feed/feed.go
+++ b/feed/feed.go
@@ -267,7 +267,7 @@
 // readOnce makes one read, sent at sent, and merges its records. It returns their number. A probe
 // does not wait at the store.
 func (f *Feed) readOnce(ctx context.Context, sent time.Time, probe bool) (records int, err error) {
-	next, synced, wait := f.plan(sent, probe)
+	next, synced, wait := f.planRead(sent, probe)
 	if !synced {
 		p, err := f.topic.Newest(ctx, newestMargin)
 		if err == nil {
@@ -289,7 +289,7 @@
 
 // planRead returns the offset at which the read sent at sent begins, and how long it waits, so that
 // the view gets no older than [Timing.answerDue] until the answer arrives.
-func (f *Feed) plan(sent time.Time, try bool) (next int64, synced bool, wait time.Duration) {
+func (f *Feed) planRead(sent time.Time, try bool) (next int64, synced bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wait = min(max(f.timing.answerDue(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
