--- a/feed/feed.go
+++ b/feed/feed.go
@@ -289,11 +289,11 @@
 
 // planRead returns the offset at which the read sent at sent begins, and how long it waits, so that
 // the view gets no older than [Timing.answerDue] until the answer arrives.
-func (f *Feed) planRead(sent time.Time, try bool) (next int64, synced bool, wait time.Duration) {
+func (f *Feed) planRead(sent time.Time, probe bool) (next int64, synced bool, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wait = min(max(f.timing.answerDue(f.wait)-f.lag-sent.Sub(f.fresh), 0), f.wait)
-	if try || f.readFailing {
+	if probe || f.readFailing {
 		wait = 0 // the freshness of the view has to be known at once
 	}
 	f.nextAnswerDue = sent.Add(wait + min(f.timing.AnswerGrace+2*f.lag, answerMargin))
