--- a/feed/feed.go
+++ b/feed/feed.go
@@ -81,7 +81,7 @@
 	// mergeMu serializes merges, so that watchers are called with one page after another. It is
 	// separate from mu because a watcher may take long over a large value while calls read the
 	// view's age.
-	order    sync.Mutex
+	mergeMu  sync.Mutex
 	watchers []func([]Change)
 
 	mu            sync.Mutex
@@ -177,8 +177,8 @@
 // Watch adds a function that is called with all changes in order, first with the current records.
 // It must not add a watcher or merge a page.
 func (f *Feed) Watch(w func([]Change)) {
-	f.order.Lock()
-	defer f.order.Unlock()
+	f.mergeMu.Lock()
+	defer f.mergeMu.Unlock()
 	f.watchers = append(f.watchers, w)
 	if cs := f.currentChanges(); len(cs) > 0 {
 		w(cs)
@@ -336,8 +336,8 @@
 // mergePage merges the records of a read sent at sent. It advances the view's freshness only after
 // the watchers have run, since callers use the age to judge what is in force.
 func (f *Feed) mergePage(p hollowgrade.KeyedPage, sent time.Time) {
-	f.order.Lock()
-	defer f.order.Unlock()
+	f.mergeMu.Lock()
+	defer f.mergeMu.Unlock()
 	if cs := f.storeRecords(p); len(cs) > 0 {
 		for _, w := range f.watchers {
 			w(cs)
