--- a/feed/feed.go
+++ b/feed/feed.go
@@ -70,7 +70,7 @@
 type Feed struct {
 	name          string
 	topic         hollowgrade.Topic
-	reads         func() bool // whether this process reads the store itself now
+	isReader      func() bool // whether this process reads the store itself now
 	breaker       *Breaker
 	clock         hollowgrade.Clock
 	log           *log.Logger
@@ -133,7 +133,7 @@
 // WithReader sets the function that reports whether this process reads the store itself. Otherwise
 // the view is updated by peers, after one initial read in any case.
 func WithReader(f func() bool) Option {
-	return func(d *Feed) { d.reads = f }
+	return func(d *Feed) { d.isReader = f }
 }
 
 // WithBreaker sets the breaker for calls to the store, which feeds of a process share.
@@ -151,7 +151,7 @@
 	f := &Feed{
 		name:          name,
 		topic:         t,
-		reads:         func() bool { return true },
+		isReader:      func() bool { return true },
 		clock:         hollowgrade.SystemClock(),
 		log:           log.Default(),
 		wait:          defaultWait,
@@ -216,7 +216,7 @@
 	p.InitialInterval = minRetryDelay
 	p.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		if f.setFollowing(f.complete() && !f.reads()) {
+		if f.setFollowing(f.complete() && !f.isReader()) {
 			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
 			continue
 		}
