--- a/feed/feed.go
+++ b/feed/feed.go
@@ -93,7 +93,7 @@
 	synced        bool                                 // whether the next read can continue at next
 	readFailing   bool                                 // whether the last read failed
 	lastFailure   time.Time                            // when a read last failed
-	follows       bool                                 // whether this process makes no reads and relies on peers
+	following     bool                                 // whether this process makes no reads and relies on peers
 	answered      bool                                 // whether the store has answered since this process began to read
 	nextAnswerDue time.Time                            // when the answer to the current or next read is overdue
 	lag           time.Duration                        // smoothed time that answers take beyond the wait
@@ -251,10 +251,10 @@
 func (f *Feed) setFollowing(follows bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.follows && !follows {
+	if f.following && !follows {
 		f.nextAnswerDue = f.clock.Now().Add(minReadInterval + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
 	}
-	f.follows = follows
+	f.following = follows
 	f.answered = f.answered && !follows
 	return follows
 }
@@ -474,7 +474,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	switch {
-	case f.readFailing, f.follows, now.After(f.nextAnswerDue):
+	case f.readFailing, f.following, now.After(f.nextAnswerDue):
 		return false, true
 	case f.answered:
 		return true, true
