--- a/feed/form.go
+++ b/feed/form.go
@@ -34,7 +34,7 @@
 	mu     sync.Mutex
 	key    string
 	offset int64
-	made   map[int64]encodedValue // by the offset of the base, noBase for a whole value
+	byBase map[int64]encodedValue // by the offset of the base, noBase for a whole value
 }
 
 // noBase is the offset that stands for no earlier value.
@@ -46,13 +46,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.key != r.Key || f.offset != r.Offset {
-		f.key, f.offset, f.made = r.Key, r.Offset, map[int64]encodedValue{}
+		f.key, f.offset, f.byBase = r.Key, r.Offset, map[int64]encodedValue{}
 	}
-	if o, ok := f.made[base]; ok {
+	if o, ok := f.byBase[base]; ok {
 		return o, nil
 	}
 	if o, err = encode(r.Value, baseValue); err == nil {
-		f.made[base] = o
+		f.byBase[base] = o
 	}
 	return o, err
 }
