--- a/feed/readers.go
+++ b/feed/readers.go
@@ -38,10 +38,10 @@
 
 // candidate is a process with the properties that determine its rank as a reader.
 type candidate struct {
-	address string
-	place   Place
-	rank    uint64
-	turn    int // position among the processes of its hall
+	address   string
+	place     Place
+	rank      uint64
+	hallIndex int // position among the processes of its hall
 }
 
 // readers returns the processes that read the store, those that read topics with large records
@@ -83,10 +83,10 @@
 	slices.SortFunc(rs, byLink)
 	turns := map[string]int{}
 	for i := range rs {
-		rs[i].turn = turns[rs[i].place.Hall]
+		rs[i].hallIndex = turns[rs[i].place.Hall]
 		turns[rs[i].place.Hall]++
 	}
-	slices.SortStableFunc(rs, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
+	slices.SortStableFunc(rs, func(a, b candidate) int { return cmp.Compare(a.hallIndex, b.hallIndex) })
 	for _, x := range rs {
 		as = append(as, x.address)
 	}
