--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -132,7 +132,7 @@
 			pause = min(2*pause, maxBusyDelay)
 		default:
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
-				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
+				"difference", v.difference, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
 			t.feed.mergeValue(v.record, offset, a)
 			r.addHolders(t, a) // for a later value that was announced meanwhile
 			r.exchanges.Go(func() { r.poll(ctx, a) })
@@ -158,11 +158,11 @@
 
 // valueReply is a peer's reply to a request for a value.
 type valueReply struct {
-	record    hollowgrade.KeyedRecord
-	formBytes int64
-	part      bool // whether it was sent as the difference from an earlier value
-	busy      bool
-	holders   []string
+	record     hollowgrade.KeyedRecord
+	formBytes  int64
+	difference bool // whether it was sent as the difference from an earlier value
+	busy       bool
+	holders    []string
 }
 
 // request requests the value of the record at the offset, or of a later one, from a peer.
@@ -235,7 +235,7 @@
 	if err != nil {
 		return v, err
 	}
-	return valueReply{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, part: h.Difference}, nil
+	return valueReply{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, difference: h.Difference}, nil
 }
 
 // resume prepares for the bytes of an encoding, some of which may be here already.
