--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -39,7 +39,7 @@
 	running bool
 	offset  int64    // of the latest missing record
 	holders []string // peers to request from, the next one first
-	form    uint64   // identifies the encoding of the received bytes
+	formSum uint64   // identifies the encoding of the received bytes
 	bytes   []byte
 }
 
@@ -175,7 +175,7 @@
 		return v, err
 	}
 	base, known := t.feed.value(t.key)
-	q := &wire.ValueRequest{Feed: t.feed.name, Key: t.key, BaseOffset: noBase, Form: t.form, From: int64(len(t.bytes)), Address: r.self, Hall: r.hall}
+	q := &wire.ValueRequest{Feed: t.feed.name, Key: t.key, BaseOffset: noBase, Form: t.formSum, From: int64(len(t.bytes)), Address: r.self, Hall: r.hall}
 	if known && !base.Dropped() {
 		q.BaseOffset, q.BaseSum = base.Offset, xxhash.Sum64(base.Value)
 	}
@@ -227,7 +227,7 @@
 		}
 	}
 	b := t.bytes
-	t.form, t.bytes = 0, nil
+	t.formSum, t.bytes = 0, nil
 	if !h.Difference {
 		base.Value = nil
 	}
@@ -240,11 +240,11 @@
 
 // resume prepares for the bytes of an encoding, some of which may be here already.
 func (t *transfer) begin(h *wire.ValueHead) error {
-	if h.Form != t.form || h.From == 0 {
-		t.form, t.bytes = h.Form, nil
+	if h.Form != t.formSum || h.From == 0 {
+		t.formSum, t.bytes = h.Form, nil
 	}
 	if h.From != int64(len(t.bytes)) {
-		t.form, t.bytes = 0, nil
+		t.formSum, t.bytes = 0, nil
 		return fmt.Errorf("%w: it goes on from byte %d", errDamaged, h.From)
 	}
 	return nil
@@ -261,7 +261,7 @@
 	}
 	c := m.GetChunk()
 	if c == nil || len(c.Data) == 0 || int64(len(t.bytes)+len(c.Data)) > size {
-		t.form, t.bytes = 0, nil
+		t.formSum, t.bytes = 0, nil
 		return fmt.Errorf("%w: a frame that is not due after %d of %d bytes", errDamaged, len(t.bytes), size)
 	}
 	t.bytes = append(t.bytes, c.Data...)
