--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -218,7 +218,7 @@
 	case h.Size > int64(t.feed.maxValueBytes) || h.FormSize > int64(t.feed.maxValueBytes):
 		return v, fmt.Errorf("%d bytes, sent as %d, where %d are allowed", h.Size, h.FormSize, t.feed.maxValueBytes)
 	}
-	if err = t.begin(h); err != nil {
+	if err = t.resume(h); err != nil {
 		return v, err
 	}
 	for int64(len(t.bytes)) < h.FormSize {
@@ -239,7 +239,7 @@
 }
 
 // resume prepares for the bytes of an encoding, some of which may be here already.
-func (t *transfer) begin(h *wire.ValueHead) error {
+func (t *transfer) resume(h *wire.ValueHead) error {
 	if h.Form != t.formSum || h.From == 0 {
 		t.formSum, t.bytes = h.Form, nil
 	}
