--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -222,7 +222,7 @@
 		return v, err
 	}
 	for int64(len(t.bytes)) < h.FormSize {
-		if err = t.more(s, h.FormSize); err != nil {
+		if err = t.receiveChunk(s, h.FormSize); err != nil {
 			return v, err
 		}
 	}
@@ -251,7 +251,7 @@
 }
 
 // receiveChunk receives the next chunk of an encoding of so many bytes.
-func (t *transfer) more(s *peer.Stream, size int64) error {
+func (t *transfer) receiveChunk(s *peer.Stream, size int64) error {
 	if err := s.Extend(stallTimeout); err != nil {
 		return err
 	}
