--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -57,7 +57,7 @@
 		return // one value of a feed at a time
 	}
 	t.offset = max(t.offset, l.Offset)
-	t.add(address)
+	t.addHolders(address)
 	if !t.running {
 		t.running = true
 		r.exchanges.Go(func() { r.runTransfer(ctx, t) })
@@ -90,7 +90,7 @@
 }
 
 // addHolders adds peers that have the value. The caller holds the relay's lock.
-func (t *transfer) add(as ...string) {
+func (t *transfer) addHolders(as ...string) {
 	for _, a := range as {
 		if !slices.Contains(t.holders, a) {
 			t.holders = append(t.holders, a)
@@ -143,7 +143,7 @@
 func (r *Relay) addHolders(t *transfer, as ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.add(as...)
+	t.addHolders(as...)
 }
 
 // waitForSameHall gives a peer of the own hall time to get the value first.
