--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -117,7 +117,7 @@
 
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
 func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
-	r.waitForNear(ctx, t)
+	r.waitForSameHall(ctx, t)
 	for pause := minBusyDelay; !r.stopIfDone(t); {
 		a, near, offset := r.nextHolder(t)
 		sent := r.clock.Now()
@@ -147,7 +147,7 @@
 }
 
 // waitForSameHall gives a peer of the own hall time to get the value first.
-func (r *Relay) waitForNear(ctx context.Context, t *transfer) {
+func (r *Relay) waitForSameHall(ctx context.Context, t *transfer) {
 	r.mu.Lock()
 	near := slices.ContainsFunc(t.holders, r.sameHall)
 	r.mu.Unlock()
