--- a/feed/asking.go
+++ b/feed/asking.go
@@ -271,7 +271,7 @@
 }
 
 // feedByName returns the feed with a name, nil if there is none.
-func named(fs []*Feed, name string) *Feed {
+func feedByName(fs []*Feed, name string) *Feed {
 	i := slices.IndexFunc(fs, func(f *Feed) bool { return f.Name() == name })
 	if i < 0 {
 		return nil
@@ -282,7 +282,7 @@
 // merge merges a peer's reply and adds what has to be requested separately to t. The reply's age
 // counts from when the request was sent, the earliest time at which the peer can have answered.
 func (r *Relay) merge(address string, m *wire.FeedReply, sent time.Time, t *pollResult) {
-	f := named(r.feeds, m.Feed)
+	f := feedByName(r.feeds, m.Feed)
 	if f == nil {
 		return
 	}
--- a/feed/server.go
+++ b/feed/server.go
@@ -75,7 +75,7 @@
 	defer errs.Annotate(&err, "answer with feeds")
 	unserved := !allServed(s.feeds)
 	for _, o := range q.Positions {
-		f := named(s.feeds, o.Feed)
+		f := feedByName(s.feeds, o.Feed)
 		if f == nil {
 			continue
 		}
@@ -107,7 +107,7 @@
 // sendValue sends the newest value of a key, or a list of other processes that have it.
 func (s *Server) sendValue(t *peer.Stream, q *wire.ValueRequest) (err error) {
 	defer errs.Annotate(&err, "send a value")
-	f := named(s.feeds, q.Feed)
+	f := feedByName(s.feeds, q.Feed)
 	if f == nil {
 		return t.Finish()
 	}
