--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -349,7 +349,7 @@
 }
 
 // serveFeeds serves feeds to peers over loopback and returns the address.
-func served(t *testing.T, fs ...*Feed) string {
+func serveFeeds(t *testing.T, fs ...*Feed) string {
 	t.Helper()
 	v := NewServer(0, fs...)
 	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
@@ -371,7 +371,7 @@
 	quiet := log.New(io.Discard)
 	known := New("f", newTopic(), WithLogger(quiet))
 	known.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now().Add(-time.Second))
-	address := served(t, known)
+	address := serveFeeds(t, known)
 	relay := func(fs ...*Feed) *Relay {
 		r := NewRelay("self:1", func() []string { return nil }, WithRelayLogger(quiet))
 		r.Add(fs...)
@@ -395,7 +395,7 @@
 		f := New("f", newTopic(), WithLogger(quiet))
 		empty := New("f", newTopic(), WithLogger(quiet))
 		r := relay(f)
-		requireTold(t, r, served(t, empty))
+		requireTold(t, r, serveFeeds(t, empty))
 		_, ok := f.Age()
 		require.False(t, ok)
 		require.Equal(t, r.started, r.lastServedReply)
@@ -406,7 +406,7 @@
 		lost := New("f", newTopic(), WithLogger(quiet))
 		lost.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now())
 		lost.noteReadFailed(errDown)
-		a := served(t, lost)
+		a := serveFeeds(t, lost)
 		f := New("f", newTopic(), WithLogger(quiet))
 		f.Merge(page(2), time.Now().Add(-time.Second))
 		r := relay(f)
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -103,7 +103,7 @@
 func TestLargeValues(t *testing.T) {
 	old, value := large(1, 300_000), large(2, 400_000)
 	newer := holding(7, value)
-	address := served(t, newer)
+	address := serveFeeds(t, newer)
 	t.Run("are brought whole by a process that has none", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, f)
@@ -120,7 +120,7 @@
 		p.Merge(page(9, hollowgrade.KeyedRecord{Key: "k", Value: changed, Offset: 8}), time.Now())
 		f := holding(7, value)
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, served(t, p), changed)
+		requireBrought(t, r, f, serveFeeds(t, p), changed)
 		require.Contains(t, l.String(), "difference=true")
 		all, wasted := r.Received()
 		require.Less(t, all, int64(2000), "bytes for one changed word of 400 KB")
@@ -138,7 +138,7 @@
 		requireBrought(t, r, middle, address, value)
 		last := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ = relayOf(t, last)
-		requireBrought(t, r, last, served(t, middle), value)
+		requireBrought(t, r, last, serveFeeds(t, middle), value)
 	})
 }
 
@@ -190,7 +190,7 @@
 		l := &logged{}
 		f := holding(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
 		r, _ := relayOf(t, f)
-		requireKept(t, r, f, served(t, holding(7, value)), old)
+		requireKept(t, r, f, serveFeeds(t, holding(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
 		require.Zero(t, f.Outdated(), "a value over the limit is never applied")
 		require.Equal(t, int64(8), f.Next())
@@ -259,7 +259,7 @@
 	require.True(t, m.GetValueHead().GetBusy())
 	require.Equal(t, []string{"near:1", "far:1"}, m.GetValueHead().GetHolders())
 	t.Run("who asks goes there, or comes back", func(t *testing.T) {
-		other := served(t, holding(7, value))
+		other := serveFeeds(t, holding(7, value))
 		s.addHolder(holder{address: other, feed: "f", key: "k", offset: 7})
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, n)
@@ -293,7 +293,7 @@
 	t.Run("a process that knows nothing has them all with one ask", func(t *testing.T) {
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ := relayOf(t, n)
-		r.poll(context.Background(), served(t, f))
+		r.poll(context.Background(), serveFeeds(t, f))
 		require.Equal(t, int64(records), n.Next())
 		require.Len(t, n.newest, records)
 		_, ok := n.Age()
