--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -31,7 +31,7 @@
 }
 
 // feedWith returns a feed whose newest record of "k" is the value at the offset.
-func holding(offset int64, value []byte, os ...Option) *Feed {
+func feedWith(offset int64, value []byte, os ...Option) *Feed {
 	f := New("f", newTopic(), append([]Option{WithLogger(log.New(io.Discard))}, os...)...)
 	f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: offset}), time.Now())
 	return f
@@ -102,7 +102,7 @@
 
 func TestLargeValues(t *testing.T) {
 	old, value := large(1, 300_000), large(2, 400_000)
-	newer := holding(7, value)
+	newer := feedWith(7, value)
 	address := serveFeeds(t, newer)
 	t.Run("are brought whole by a process that has none", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
@@ -116,9 +116,9 @@
 	})
 	t.Run("are brought as what differs", func(t *testing.T) {
 		changed := bytes.Replace(value, []byte("version 2"), []byte("version 3"), 1)
-		p := holding(7, value)
+		p := feedWith(7, value)
 		p.Merge(page(9, hollowgrade.KeyedRecord{Key: "k", Value: changed, Offset: 8}), time.Now())
-		f := holding(7, value)
+		f := feedWith(7, value)
 		r, l := relayOf(t, f)
 		requireBrought(t, r, f, serveFeeds(t, p), changed)
 		require.Contains(t, l.String(), "difference=true")
@@ -127,7 +127,7 @@
 		require.Zero(t, wasted)
 	})
 	t.Run("are brought whole where the peer does not know the value before", func(t *testing.T) {
-		f := holding(3, old)
+		f := feedWith(3, old)
 		r, l := relayOf(t, f)
 		requireBrought(t, r, f, address, value)
 		require.Contains(t, l.String(), "difference=false")
@@ -166,7 +166,7 @@
 		"from the middle":      {func(h *wire.ValueHead) { h.From = 99 }, nil, "goes on from"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := scripted(t, holding(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+			a := scripted(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 				h := head()
 				c.change(h)
 				if err := sendHead(s, h); err != nil {
@@ -177,7 +177,7 @@
 				}
 				return s.Finish()
 			})
-			f := holding(3, old)
+			f := feedWith(3, old)
 			r, l := relayOf(t, f)
 			requireKept(t, r, f, a, old)
 			require.Contains(t, l.String(), "value of a peer not taken")
@@ -188,16 +188,16 @@
 	}
 	t.Run("announced as larger than allowed", func(t *testing.T) {
 		l := &logged{}
-		f := holding(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
 		r, _ := relayOf(t, f)
-		requireKept(t, r, f, serveFeeds(t, holding(7, value)), old)
+		requireKept(t, r, f, serveFeeds(t, feedWith(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
 		require.Zero(t, f.Outdated(), "a value over the limit is never applied")
 		require.Equal(t, int64(8), f.Next())
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
 		l := &logged{}
-		f := holding(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
 		f.Merge(page(8, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: 7}), time.Now())
 		v, _ := f.value("k")
 		require.Equal(t, int64(3), v.Offset)
@@ -211,7 +211,7 @@
 	o, err := encode(value, nil)
 	require.NoError(t, err)
 	const sent = 2 * chunkBytes
-	cut := scripted(t, holding(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+	cut := scripted(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 		err := sendHead(s, &wire.ValueHead{Offset: 7, Size: int64(len(value)), Form: o.sum, FormSize: int64(len(o.bytes))})
 		if err != nil {
 			return err
@@ -224,7 +224,7 @@
 	r.exchanges.Wait()
 	require.Equal(t, int64(7), f.Next(), "all before it is known")
 	var from atomic.Int64
-	whole := holding(7, value)
+	whole := feedWith(7, value)
 	server := NewServer(0, whole)
 	requireBrought(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
 		from.Store(q.From)
@@ -235,7 +235,7 @@
 
 func TestBusyPeerNamesOthers(t *testing.T) {
 	value := large(2, 400_000)
-	f := holding(7, value)
+	f := feedWith(7, value)
 	s := NewServer(0, f)
 	for s.acquireSlot() {
 	}
@@ -259,7 +259,7 @@
 	require.True(t, m.GetValueHead().GetBusy())
 	require.Equal(t, []string{"near:1", "far:1"}, m.GetValueHead().GetHolders())
 	t.Run("who asks goes there, or comes back", func(t *testing.T) {
-		other := serveFeeds(t, holding(7, value))
+		other := serveFeeds(t, feedWith(7, value))
 		s.addHolder(holder{address: other, feed: "f", key: "k", offset: 7})
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, n)
@@ -309,7 +309,7 @@
 
 // Callers must be able to read the view's age while a watcher processes a large value.
 func TestAgeIsToldWhileAWatcherWorks(t *testing.T) {
-	f := holding(3, large(1, 20_000))
+	f := feedWith(3, large(1, 20_000))
 	working, done := make(chan struct{}), make(chan struct{})
 	before := f.Fresh()
 	f.watchers = append(f.watchers, func([]Change) { close(working); <-done })
