--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -38,27 +38,27 @@
 }
 
 // logBuffer is a buffer that can be read while it is written.
-type logged struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
 // relayOf returns a relay for a feed, and its log.
-func relayOf(t *testing.T, f *Feed, os ...RelayOption) (*Relay, *logged) {
+func relayOf(t *testing.T, f *Feed, os ...RelayOption) (*Relay, *logBuffer) {
 	t.Helper()
-	l := &logged{}
+	l := &logBuffer{}
 	r := NewRelay("self:1", func() []string { return nil }, append([]RelayOption{WithRelayLogger(log.New(l))}, os...)...)
 	r.Add(f)
 	t.Cleanup(r.exchanges.Wait)
@@ -187,7 +187,7 @@
 		})
 	}
 	t.Run("announced as larger than allowed", func(t *testing.T) {
-		l := &logged{}
+		l := &logBuffer{}
 		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
 		r, _ := relayOf(t, f)
 		requireKept(t, r, f, serveFeeds(t, feedWith(7, value)), old)
@@ -196,7 +196,7 @@
 		require.Equal(t, int64(8), f.Next())
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
-		l := &logged{}
+		l := &logBuffer{}
 		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
 		f.Merge(page(8, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: 7}), time.Now())
 		v, _ := f.value("k")
@@ -347,7 +347,7 @@
 			many = append(many, fmt.Sprintf("10.1.%d.%d:1", i/250, i%250))
 		}
 		peers := func() []string { return append([]string(nil), many...) }
-		l := &logged{}
+		l := &logBuffer{}
 		rs := NewRelay(many[0], peers).readers()
 		r := NewRelay(rs[maxLargeReaders], peers, WithRelayLogger(log.New(l)))
 		r.lastServedReply = time.Now()
