--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -355,7 +355,7 @@
 	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
 }
 
-func requireTold(t *testing.T, r *Relay, address string) {
+func requirePoll(t *testing.T, r *Relay, address string) {
 	t.Helper()
 	_, err := r.exchange(context.Background(), address)
 	require.NoError(t, err)
@@ -382,7 +382,7 @@
 	v := watch(f)
 	r := relay(f, unknown)
 	require.Len(t, r.staleFeeds(), 2)
-	requireTold(t, r, address)
+	requirePoll(t, r, address)
 	require.Equal(t, "map[a:1]", v.all())
 	age, ok := f.Age()
 	require.True(t, ok)
@@ -395,7 +395,7 @@
 		f := New("f", newTopic(), WithLogger(quiet))
 		empty := New("f", newTopic(), WithLogger(quiet))
 		r := relay(f)
-		requireTold(t, r, serveFeeds(t, empty))
+		requirePoll(t, r, serveFeeds(t, empty))
 		_, ok := f.Age()
 		require.False(t, ok)
 		require.Equal(t, r.started, r.lastServedReply)
@@ -410,22 +410,22 @@
 		f := New("f", newTopic(), WithLogger(quiet))
 		f.Merge(page(2), time.Now().Add(-time.Second))
 		r := relay(f)
-		requireTold(t, r, a)
+		requirePoll(t, r, a)
 		require.Equal(t, r.started, r.lastServedReply)
 		require.Equal(t, int64(2), f.Next())
 		n := New("f", newTopic(), WithLogger(quiet))
-		requireTold(t, relay(n), a)
+		requirePoll(t, relay(n), a)
 		require.Equal(t, int64(5), n.Next())
 	})
 	t.Run("a connection is kept, and opened again after it broke", func(t *testing.T) {
 		r := relay(New("f", newTopic(), WithLogger(quiet)))
-		requireTold(t, r, address)
+		requirePoll(t, r, address)
 		c := r.conns[address]
-		requireTold(t, r, address)
+		requirePoll(t, r, address)
 		require.Equal(t, c, r.conns[address])
 		require.NoError(t, c.Close())
 		requireSilent(t, r, address)
-		requireTold(t, r, address)
+		requirePoll(t, r, address)
 	})
 }
 
