--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -361,7 +361,7 @@
 	require.NoError(t, err)
 }
 
-func requireSilent(t *testing.T, r *Relay, address string) {
+func requirePollFails(t *testing.T, r *Relay, address string) {
 	t.Helper()
 	_, err := r.exchange(context.Background(), address)
 	require.Error(t, err)
@@ -389,7 +389,7 @@
 	require.GreaterOrEqual(t, age, time.Second, "the peer's own age counts")
 	require.Len(t, r.staleFeeds(), 1)
 	t.Run("a peer that is not there", func(t *testing.T) {
-		requireSilent(t, r, "127.0.0.1:1")
+		requirePollFails(t, r, "127.0.0.1:1")
 	})
 	t.Run("a peer that has never seen the topic says nothing", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(quiet))
@@ -424,7 +424,7 @@
 		requirePoll(t, r, address)
 		require.Equal(t, c, r.conns[address])
 		require.NoError(t, c.Close())
-		requireSilent(t, r, address)
+		requirePollFails(t, r, address)
 		requirePoll(t, r, address)
 	})
 }
