--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -66,7 +66,7 @@
 }
 
 // requireFetched polls a peer and waits until the feed has the value.
-func requireBrought(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
+func requireFetched(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
 	r.poll(context.Background(), address)
 	require.Eventually(t, func() bool { v, _ := f.value("k"); return bytes.Equal(v.Value, value) }, 10*time.Second, time.Millisecond)
@@ -107,7 +107,7 @@
 	t.Run("are brought whole by a process that has none", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, address, value)
+		requireFetched(t, r, f, address, value)
 		require.Equal(t, int64(8), f.Next())
 		require.Contains(t, l.String(), "value received")
 		_, ok := f.Age()
@@ -120,7 +120,7 @@
 		p.Merge(page(9, hollowgrade.KeyedRecord{Key: "k", Value: changed, Offset: 8}), time.Now())
 		f := feedWith(7, value)
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, serveFeeds(t, p), changed)
+		requireFetched(t, r, f, serveFeeds(t, p), changed)
 		require.Contains(t, l.String(), "difference=true")
 		all, wasted := r.Received()
 		require.Less(t, all, int64(2000), "bytes for one changed word of 400 KB")
@@ -129,16 +129,16 @@
 	t.Run("are brought whole where the peer does not know the value before", func(t *testing.T) {
 		f := feedWith(3, old)
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, address, value)
+		requireFetched(t, r, f, address, value)
 		require.Contains(t, l.String(), "difference=false")
 	})
 	t.Run("come from a peer that read them from another", func(t *testing.T) {
 		middle := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ := relayOf(t, middle)
-		requireBrought(t, r, middle, address, value)
+		requireFetched(t, r, middle, address, value)
 		last := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ = relayOf(t, last)
-		requireBrought(t, r, last, serveFeeds(t, middle), value)
+		requireFetched(t, r, last, serveFeeds(t, middle), value)
 	})
 }
 
@@ -226,7 +226,7 @@
 	var from atomic.Int64
 	whole := feedWith(7, value)
 	server := NewServer(0, whole)
-	requireBrought(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
+	requireFetched(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
 		from.Store(q.From)
 		return server.sendValue(s, q)
 	}), value)
@@ -263,7 +263,7 @@
 		s.addHolder(holder{address: other, feed: "f", key: "k", offset: 7})
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, n)
-		requireBrought(t, r, n, a, value)
+		requireFetched(t, r, n, a, value)
 		require.Contains(t, l.String(), other)
 	})
 }
