--- a/feed/suspend_test.go
+++ b/feed/suspend_test.go
@@ -14,9 +14,9 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// runSuspended runs a feed on a machine that is suspended for d, and calls then on resume and again
+// runSuspended runs a feed on a machine that is runSuspended for d, and calls then on resume and again
 // two seconds later.
-func suspended(t *testing.T, d time.Duration, meanwhile func(*fakeTopic), then func(f *Feed, back bool)) {
+func runSuspended(t *testing.T, d time.Duration, meanwhile func(*fakeTopic), then func(f *Feed, back bool)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var lost atomic.Int64
@@ -44,27 +44,27 @@
 func TestViewOfAMachineThatWasSuspended(t *testing.T) {
 	const long = 10 * time.Second
 	t.Run("is as old as the world makes it, until the store is heard again", func(t *testing.T) {
-		suspended(t, long, func(*fakeTopic) {}, func(f *Feed, back bool) {
+		runSuspended(t, long, func(*fakeTopic) {}, func(f *Feed, back bool) {
 			age, _ := f.Age()
 			require.Equal(t, !back, age >= long, "%s", age)
 		})
 	})
 	t.Run("is told to peers as old as it is", func(t *testing.T) {
-		suspended(t, long, func(*fakeTopic) {}, func(f *Feed, back bool) {
+		runSuspended(t, long, func(*fakeTopic) {}, func(f *Feed, back bool) {
 			p, ok := f.excerptFrom(0)
 			require.True(t, ok)
 			require.Equal(t, !back, p.age >= long, "%s", p.age)
 		})
 	})
 	t.Run("has what changed meanwhile", func(t *testing.T) {
-		suspended(t, long, func(p *fakeTopic) { _ = p.Put(context.Background(), "k", []byte("after")) }, func(f *Feed, back bool) {
+		runSuspended(t, long, func(p *fakeTopic) { _ = p.Put(context.Background(), "k", []byte("after")) }, func(f *Feed, back bool) {
 			if back {
 				require.EqualValues(t, 2, f.Next())
 			}
 		})
 	})
 	t.Run("stays old while the store is away", func(t *testing.T) {
-		suspended(t, long, func(p *fakeTopic) { p.set(func() { p.down = true }) }, func(f *Feed, _ bool) {
+		runSuspended(t, long, func(p *fakeTopic) { p.set(func() { p.down = true }) }, func(f *Feed, _ bool) {
 			age, _ := f.Age()
 			require.GreaterOrEqual(t, age, long)
 		})
