--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -145,7 +145,7 @@
 }
 
 // runFeed runs a feed of a topic in virtual time.
-func bubble(t *testing.T, test func(t *testing.T, k *fakeTopic, f *Feed, v *view)) {
+func runFeed(t *testing.T, test func(t *testing.T, k *fakeTopic, f *Feed, v *view)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -175,7 +175,7 @@
 
 func TestFeed(t *testing.T) {
 	t.Run("the newest of each key is known", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			put(t, k, "a", "1")
 			put(t, k, "b", "1")
 			put(t, k, "a", "2")
@@ -188,7 +188,7 @@
 		})
 	})
 	t.Run("one change arrives at once, a burst of them with few reads", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			pause()
 			put(t, k, "a", "1")
 			require.Equal(t, "map[a:1]", v.all())
@@ -224,7 +224,7 @@
 	// end of its wait. TestViewsAreNeverYoungerThanTold checks that views are never reported as
 	// younger than they are.
 	t.Run("freshness is counted from the end of a wait in vain, less what clocks may differ", func(t *testing.T) {
-		bubble(t, func(t *testing.T, _ *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, _ *fakeTopic, f *Feed, _ *view) {
 			time.Sleep(time.Second + 400*time.Millisecond) // the current read was sent 400 ms ago
 			age, ok := f.Age()
 			require.True(t, ok)
@@ -232,7 +232,7 @@
 		})
 	})
 	t.Run("freshness is counted from when a read was sent that gave records", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			time.Sleep(time.Second + 400*time.Millisecond)
 			put(t, k, "a", "1")
 			age, ok := f.Age()
@@ -246,7 +246,7 @@
 		require.Equal(t, sent, f.completeAsOf(sent, time.Second, 0))
 	})
 	t.Run("it ages while the store is down and comes back", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, v *view) {
 			put(t, k, "a", "1")
 			k.set(func() { k.down = true })
 			time.Sleep(10 * time.Second)
@@ -263,7 +263,7 @@
 		})
 	})
 	t.Run("once the store is back it is fresh without waiting for a change", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			k.set(func() { k.down = true })
 			time.Sleep(10 * time.Second)
 			k.set(func() { k.down = false })
@@ -273,7 +273,7 @@
 		})
 	})
 	t.Run("what was dropped in forgotten history is found", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			put(t, k, "a", "1")
 			put(t, k, "b", "1")
 			k.set(func() { k.down = true })
@@ -288,7 +288,7 @@
 		})
 	})
 	t.Run("a late watcher is told what stands", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			put(t, k, "a", "1")
 			require.Equal(t, "map[a:1]", watch(f).all())
 		})
