--- a/feed/readers_test.go
+++ b/feed/readers_test.go
@@ -10,7 +10,7 @@
 )
 
 // relayAmong returns the relay of one of n processes.
-func oneOf(n int) *Relay {
+func relayAmong(n int) *Relay {
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.%d.%d:1", i/250, i%250))
@@ -37,13 +37,13 @@
 func BenchmarkReaders(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := oneOf(n)
+			r := relayAmong(n)
 			for b.Loop() {
 				r.readers()
 			}
 		})
 		b.Run(fmt.Sprint(n, " worked out"), func(b *testing.B) {
-			r := oneOf(n)
+			r := relayAmong(n)
 			for b.Loop() {
 				r.rank()
 			}
