--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -49,7 +49,7 @@
 	})
 	t.Run("a record that replaces another revision is passed over", func(t *testing.T) {
 		n, err := s.Apply(record(t, 1, change(t, "a", 0, 2)))
-		require.ErrorIs(t, err, ErrLost)
+		require.ErrorIs(t, err, ErrConflict)
 		requireItem(t, n, "a", "1")
 		require.Equal(t, int64(2), n.Next())
 		require.Equal(t, s.Revision(), n.Revision())
@@ -69,7 +69,7 @@
 		n, err := s.Apply(record(t, 1, change(t, "a", 1, nil)))
 		require.NoError(t, err)
 		n, err = n.Apply(hollowgrade.Record{Offset: 2, Body: one.Body})
-		require.ErrorIs(t, err, ErrLost)
+		require.ErrorIs(t, err, ErrConflict)
 		requireItem(t, n, "a", "")
 	})
 }
--- a/fold/record.go
+++ b/fold/record.go
@@ -80,7 +80,7 @@
 var (
 	ErrMalformed = errors.New("record is malformed")
 	ErrDigest    = errors.New("record does not match its digest")
-	ErrLost      = errors.New("record replaces a revision that is not current")
+	ErrConflict  = errors.New("record replaces a revision that is not current")
 	ErrOrder     = errors.New("record is not the next one")
 )
 
--- a/fold/state.go
+++ b/fold/state.go
@@ -97,7 +97,7 @@
 func (s State) withChange(c *Change, revision int64) (State, error) {
 	k := itemKey{c.Kind, c.Name}
 	if cur := s.items[k]; cur.Revision != c.Replaces {
-		return s, fmt.Errorf("%w: %s %s is at %d, not %d", ErrLost, c.Kind, c.Name, cur.Revision, c.Replaces)
+		return s, fmt.Errorf("%w: %s %s is at %d, not %d", ErrConflict, c.Kind, c.Name, cur.Revision, c.Replaces)
 	}
 	items := maps.Clone(s.items)
 	if items == nil {
