--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -56,7 +56,7 @@
 	})
 	t.Run("a gap in the offsets leaves the state", func(t *testing.T) {
 		n, err := s.Apply(record(t, 2, change(t, "a", 1, 2)))
-		require.ErrorIs(t, err, ErrOrder)
+		require.ErrorIs(t, err, ErrOutOfOrder)
 		require.Equal(t, s.Next(), n.Next())
 	})
 	t.Run("a body that does not match its digest is passed over", func(t *testing.T) {
--- a/fold/record.go
+++ b/fold/record.go
@@ -78,10 +78,10 @@
 
 // The reasons for which a record is skipped.
 var (
-	ErrMalformed = errors.New("record is malformed")
-	ErrDigest    = errors.New("record does not match its digest")
-	ErrConflict  = errors.New("record replaces a revision that is not current")
-	ErrOrder     = errors.New("record is not the next one")
+	ErrMalformed  = errors.New("record is malformed")
+	ErrDigest     = errors.New("record does not match its digest")
+	ErrConflict   = errors.New("record replaces a revision that is not current")
+	ErrOutOfOrder = errors.New("record is not the next one")
 )
 
 // WithDigest returns a copy of s whose digest is that of its items.
--- a/fold/state.go
+++ b/fold/state.go
@@ -80,7 +80,7 @@
 // unchanged.
 func (s State) Apply(r hollowgrade.Record) (n State, err error) {
 	if r.Offset != s.next {
-		return s, fmt.Errorf("%w: offset %d where %d was due", ErrOrder, r.Offset, s.next)
+		return s, fmt.Errorf("%w: offset %d where %d was due", ErrOutOfOrder, r.Offset, s.next)
 	}
 	n = s
 	n.next = r.Offset + 1
@@ -164,7 +164,7 @@
 			continue
 		}
 		next, err := s.Apply(r)
-		if errors.Is(err, ErrOrder) {
+		if errors.Is(err, ErrOutOfOrder) {
 			return s, err
 		}
 		s = next
