--- a/fold/publish.go
+++ b/fold/publish.go
@@ -66,7 +66,7 @@
 		}
 		for _, r := range p.Records {
 			next, err := s.Apply(r)
-			if own(r, c) {
+			if isOwnRecord(r, c) {
 				return verdict(r, err)
 			}
 			s = next
@@ -82,7 +82,7 @@
 	return 0, errNotYet
 }
 
-func own(r hollowgrade.Record, c Change) bool {
+func isOwnRecord(r hollowgrade.Record, c Change) bool {
 	e, err := decode(r.Body)
 	return err == nil && e.Change != nil && e.Change.Nonce == c.Nonce
 }
