--- a/fold/publish.go
+++ b/fold/publish.go
@@ -67,7 +67,7 @@
 		for _, r := range p.Records {
 			next, err := s.Apply(r)
 			if isOwnRecord(r, c) {
-				return verdict(r, err)
+				return publishResult(r, err)
 			}
 			s = next
 		}
@@ -87,7 +87,7 @@
 	return err == nil && e.Change != nil && e.Change.Nonce == c.Nonce
 }
 
-func verdict(r hollowgrade.Record, err error) (int64, error) {
+func publishResult(r hollowgrade.Record, err error) (int64, error) {
 	if err == nil {
 		return r.Offset + 1, nil
 	}
