--- a/fold/publish.go
+++ b/fold/publish.go
@@ -77,7 +77,7 @@
 	}
 	// If another change has replaced the revision already, this one is lost wherever it appears.
 	if cur, _ := s.Item(c.Kind, c.Name); cur.Revision != c.Replaces {
-		return 0, backoff.Permanent(lost(c, cur.Revision))
+		return 0, backoff.Permanent(lostRaceError(c, cur.Revision))
 	}
 	return 0, errNotYet
 }
@@ -94,7 +94,7 @@
 	return 0, backoff.Permanent(fault.New(fault.LostRace, "the record at offset %d was passed over: %v", r.Offset, err))
 }
 
-func lost(c Change, revision int64) error {
+func lostRaceError(c Change, revision int64) error {
 	return fault.New(fault.LostRace, "%s %s is at revision %d, this change replaces %d", c.Kind, c.Name, revision, c.Replaces)
 }
 
