--- a/fold/follower.go
+++ b/fold/follower.go
@@ -139,7 +139,7 @@
 	for ctx.Err() == nil {
 		if err := f.Update(ctx); err != nil && ctx.Err() == nil {
 			f.logger.Warn("log not read", "err", err)
-			f.askPeers(ctx)
+			f.restoreFromPeers(ctx)
 		}
 		f.renew(ctx)
 		// The jitter keeps a thousand boxes from reading at the same time.
@@ -257,7 +257,7 @@
 	return nil
 }
 
-func (f *Follower) askPeers(ctx context.Context) {
+func (f *Follower) restoreFromPeers(ctx context.Context) {
 	if f.peers == nil {
 		return
 	}
