--- a/fold/follower.go
+++ b/fold/follower.go
@@ -42,11 +42,11 @@
 	// fresh is atomic because watchers read it while set holds the lock.
 	fresh atomic.Pointer[time.Time]
 
-	mu     sync.Mutex
-	newest time.Time // log time of the newest base: a snapshot, or the first record
-	watch  []func(State)
-	cancel context.CancelFunc
-	done   chan struct{}
+	mu       sync.Mutex
+	baseTime time.Time // log time of the newest base: a snapshot, or the first record
+	watch    []func(State)
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
 // FollowerOption configures a follower.
@@ -206,7 +206,7 @@
 	isBase := r.Offset == 0 || err == nil && e.Type == SnapshotRecord
 	if isBase {
 		f.mu.Lock()
-		f.newest = r.Time
+		f.baseTime = r.Time
 		f.mu.Unlock()
 	}
 }
@@ -289,7 +289,7 @@
 // renew appends a snapshot if the base of the state is close to the log's retention.
 func (f *Follower) renew(ctx context.Context) {
 	f.mu.Lock()
-	old := f.retention > 0 && !f.newest.IsZero() && f.clock.Since(f.newest) > f.retention/renewFraction
+	old := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewFraction
 	f.mu.Unlock()
 	if !old || !f.renews() {
 		return
