--- a/fold/follower.go
+++ b/fold/follower.go
@@ -34,7 +34,7 @@
 	poll      time.Duration
 	retention time.Duration
 	peers     func(ctx context.Context, newerThan int64) [][]byte
-	renews    func() bool
+	mayRenew  func() bool
 
 	limit int // record limit of the next read
 
@@ -77,19 +77,19 @@
 // Turn reports whether it is this box's turn, so that not all write at once; duplicates are
 // harmless.
 func WithRenewal(retention time.Duration, turn func() bool) FollowerOption {
-	return func(f *Follower) { f.retention, f.renews = retention, turn }
+	return func(f *Follower) { f.retention, f.mayRenew = retention, turn }
 }
 
 // NewFollower returns a follower of the log.
 func NewFollower(l hollowgrade.Log, os ...FollowerOption) *Follower {
 	f := &Follower{
-		log:    l,
-		clock:  hollowgrade.SystemClock(),
-		logger: log.Default(),
-		poll:   defaultPoll,
-		renews: func() bool { return false },
-		limit:  readLimit,
-		done:   make(chan struct{}),
+		log:      l,
+		clock:    hollowgrade.SystemClock(),
+		logger:   log.Default(),
+		poll:     defaultPoll,
+		mayRenew: func() bool { return false },
+		limit:    readLimit,
+		done:     make(chan struct{}),
 	}
 	for _, o := range os {
 		o(f)
@@ -291,7 +291,7 @@
 	f.mu.Lock()
 	old := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewFraction
 	f.mu.Unlock()
-	if !old || !f.renews() {
+	if !old || !f.mayRenew() {
 		return
 	}
 	b := f.Encoded(0)
