--- a/fold/follower.go
+++ b/fold/follower.go
@@ -44,7 +44,7 @@
 
 	mu       sync.Mutex
 	baseTime time.Time // log time of the newest base: a snapshot, or the first record
-	watch    []func(State)
+	watchers []func(State)
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
@@ -114,7 +114,7 @@
 func (f *Follower) Watch(w func(State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watch = append(f.watch, w)
+	f.watchers = append(f.watchers, w)
 	w(f.State())
 }
 
@@ -242,7 +242,7 @@
 	if !changed {
 		return
 	}
-	for _, w := range f.watch {
+	for _, w := range f.watchers {
 		w(s)
 	}
 }
