--- a/fold/follower.go
+++ b/fold/follower.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	defaultPoll = time.Second
-	readLimit   = 1000
+	defaultPoll       = time.Second
+	maxRecordsPerRead = 1000
 	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
 	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
@@ -88,7 +88,7 @@
 		logger:   log.Default(),
 		poll:     defaultPoll,
 		mayRenew: func() bool { return false },
-		limit:    readLimit,
+		limit:    maxRecordsPerRead,
 		done:     make(chan struct{}),
 	}
 	for _, o := range os {
@@ -181,7 +181,7 @@
 	p, err := f.log.Read(c, from, f.limit)
 	switch {
 	case err == nil:
-		f.limit = min(2*f.limit, readLimit)
+		f.limit = min(2*f.limit, maxRecordsPerRead)
 	case c.Err() != nil && ctx.Err() == nil:
 		f.limit = max(f.limit/2, 1)
 	}
--- a/fold/publish.go
+++ b/fold/publish.go
@@ -57,7 +57,7 @@
 
 func readBack(ctx context.Context, l hollowgrade.Log, s State, c Change) (int64, error) {
 	for {
-		p, err := l.Read(ctx, s.Next(), readLimit)
+		p, err := l.Read(ctx, s.Next(), maxRecordsPerRead)
 		if errors.Is(err, hollowgrade.ErrTrimmed) {
 			return 0, backoff.Permanent(err)
 		}
