--- a/fold/follower.go
+++ b/fold/follower.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	defaultPoll       = time.Second
-	maxRecordsPerRead = 1000
+	defaultPollInterval = time.Second
+	maxRecordsPerRead   = 1000
 	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
 	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
@@ -86,7 +86,7 @@
 		log:      l,
 		clock:    hollowgrade.SystemClock(),
 		logger:   log.Default(),
-		poll:     defaultPoll,
+		poll:     defaultPollInterval,
 		mayRenew: func() bool { return false },
 		limit:    maxRecordsPerRead,
 		done:     make(chan struct{}),
