--- a/peer/peer.go
+++ b/peer/peer.go
@@ -34,7 +34,7 @@
 	// where it is opened. Their buffers are allocated per connection, of which a gateway has
 	// hundreds: with 4,096 both ends hold 121 KB, with 64 they hold 43 KB
 	// (BenchmarkMemoryOfAConnection).
-	waitingStreams = 64
+	acceptBacklog = 64
 
 	keepAlive    = 5 * time.Second
 	writeTimeout = 10 * time.Second
@@ -45,7 +45,7 @@
 
 func config() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.AcceptBacklog = waitingStreams
+	c.AcceptBacklog = acceptBacklog
 	c.KeepAliveInterval = keepAlive
 	c.ConnectionWriteTimeout = writeTimeout
 	c.LogOutput = io.Discard
