--- a/peer/peer.go
+++ b/peer/peer.go
@@ -136,17 +136,17 @@
 
 func newStream(y *yamux.Stream) *Stream {
 	s := &Stream{raw: y, out: bufio.NewWriterSize(y, bufferBytes)}
-	s.in = bufio.NewReaderSize(counted{y, &s.received}, bufferBytes)
+	s.in = bufio.NewReaderSize(countingReader{y, &s.received}, bufferBytes)
 	return s
 }
 
 // countingReader counts the bytes that are read.
-type counted struct {
+type countingReader struct {
 	io.Reader
 	n *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (n int, err error) {
+func (c countingReader) Read(b []byte) (n int, err error) {
 	n, err = c.Reader.Read(b)
 	c.n.Add(int64(n))
 	return n, err
