--- a/peer/packet.go
+++ b/peer/packet.go
@@ -17,7 +17,7 @@
 const MaxPacket = 1400
 
 // readErrorDelay is the delay after a packet that could not be read.
-const readPause = 10 * time.Millisecond
+const readErrorDelay = 10 * time.Millisecond
 
 // Packets sends and receives single frames as datagrams, which may be lost, duplicated or
 // reordered. A frame costs a tenth of one on a stream at both ends.
@@ -75,7 +75,7 @@
 		}
 		if err != nil {
 			broken(net.UDPAddrFromAddrPort(from), err) // such as an ICMP error for an earlier packet
-			time.Sleep(readPause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		f := &wire.Frame{}
