--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	var g sync.WaitGroup
 	g.Go(func() { _ = s.Serve(ctx, l) })
-	before := held()
+	before := memoryInUse()
 	var cs []*Conn
 	for range connections {
 		c, err := Dial(ctx, TCP(), l.Addr().String())
@@ -38,7 +38,7 @@
 		require.NoError(t, err)
 	}
 	open.Wait()
-	bytes = (held() - before) / int64(connections)
+	bytes = (memoryInUse() - before) / int64(connections)
 	for _, c := range cs {
 		require.NoError(t, c.Close())
 	}
@@ -50,7 +50,7 @@
 }
 
 // memoryInUse returns the bytes of heap and stacks in use.
-func held() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
