--- a/peer/tls.go
+++ b/peer/tls.go
@@ -19,7 +19,7 @@
 	cert, key, ca string
 
 	mu      sync.Mutex
-	changed time.Time // newest modification time of the loaded files
+	modTime time.Time // newest modification time of the loaded files
 	pair    tls.Certificate
 	pool    *x509.CertPool
 }
@@ -39,7 +39,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	newest, err := c.newest()
-	if err != nil || !newest.After(c.changed) {
+	if err != nil || !newest.After(c.modTime) {
 		return err
 	}
 	p, err := tls.LoadX509KeyPair(c.cert, c.key)
@@ -54,7 +54,7 @@
 	if !pool.AppendCertsFromPEM(b) {
 		return fmt.Errorf("%s holds no certificate", c.ca)
 	}
-	c.pair, c.pool, c.changed = p, pool, newest
+	c.pair, c.pool, c.modTime = p, pool, newest
 	return nil
 }
 
