--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 // only, unless the settings say in so many words that it need not be secure.
 func listenPeers(address string, c setting.Common, t *peer.Certificates) (l net.Listener, err error) {
 	defer errs.Annotate(&err, "listen for peers")
-	if t == nil && !c.Insecure && !peer.Loopback(address) {
+	if t == nil && !c.Insecure && !peer.IsLoopback(address) {
 		return nil, fault.New(fault.BadSetting, "peers is %s: beyond loopback set tls_cert, tls_key and tls_ca, or insecure = true", address)
 	}
 	l, err = listen(address)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -123,10 +123,10 @@
 }
 
 func TestTLSOnly(t *testing.T) {
-	require.True(t, Loopback("127.0.0.1:1"))
-	require.True(t, Loopback("[::1]:1"))
-	require.False(t, Loopback("0.0.0.0:1"))
-	require.False(t, Loopback("nonsense"))
+	require.True(t, IsLoopback("127.0.0.1:1"))
+	require.True(t, IsLoopback("[::1]:1"))
+	require.False(t, IsLoopback("0.0.0.0:1"))
+	require.False(t, IsLoopback("nonsense"))
 }
 
 func FuzzReceive(f *testing.F) {
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -118,7 +118,7 @@
 }
 
 // IsLoopback reports whether an address can be reached from this machine only.
-func Loopback(address string) bool {
+func IsLoopback(address string) bool {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
