--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -114,9 +114,9 @@
 
 // view records the changes that a watcher receives.
 type view struct {
-	mu       sync.Mutex
-	values   map[string]string
-	regained int
+	mu        sync.Mutex
+	values    map[string]string
+	uncertain int
 }
 
 func watch(f *Feed) *view {
@@ -131,7 +131,7 @@
 				v.values[c.Key] = string(c.Value)
 			}
 			if !c.UncertainUntil.IsZero() {
-				v.regained++
+				v.uncertain++
 			}
 		}
 	})
@@ -184,7 +184,7 @@
 			put(t, k, "b", "")
 			pause()
 			require.Equal(t, "map[a:2]", v.all())
-			require.Zero(t, v.regained)
+			require.Zero(t, v.uncertain)
 		})
 	})
 	t.Run("one change arrives at once, a burst of them with few reads", func(t *testing.T) {
@@ -259,7 +259,7 @@
 			age, _ = f.Age()
 			require.LessOrEqual(t, age, 2*time.Second)
 			require.Equal(t, "map[]", v.all())
-			require.Equal(t, 1, v.regained, "a drop during an outage is marked as uncertain")
+			require.Equal(t, 1, v.uncertain, "a drop during an outage is marked as uncertain")
 		})
 	})
 	t.Run("once the store is back it is fresh without waiting for a change", func(t *testing.T) {
@@ -309,9 +309,9 @@
 		f.Merge(page(1, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1")}), time.Now())
 		f.noteReadFailed(errDown)
 		drop := func(offset int64) int {
-			v.regained = 0
+			v.uncertain = 0
 			f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "a", Value: []byte(fmt.Sprint("v", offset)), Offset: offset}), time.Now())
-			return v.regained
+			return v.uncertain
 		}
 		require.Equal(t, 1, drop(1), "right after a failure")
 		require.Equal(t, time.Now().Add(uncertainPeriod), f.uncertainUntil(), "until a box has to follow the registry again")
