--- a/feed/feed.go
+++ b/feed/feed.go
@@ -350,11 +350,11 @@
 func (f *Feed) storeRecords(p hollowgrade.KeyedPage) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	doubt := f.uncertainUntil()
+	uncertainUntil := f.uncertainUntil()
 	cs := make([]Change, 0, len(p.Records))
 	for _, r := range p.Records {
 		if f.withinLimit(r.Key, r.Offset, len(r.Value), p.From) && f.put(r) {
-			cs = append(cs, Change{KeyedRecord: r, From: p.From, UncertainUntil: doubt})
+			cs = append(cs, Change{KeyedRecord: r, From: p.From, UncertainUntil: uncertainUntil})
 		}
 	}
 	f.next = max(f.next, p.Next)
