--- a/feed/relay.go
+++ b/feed/relay.go
@@ -42,7 +42,7 @@
 
 	received, wasted atomic.Int64 // bytes that peers sent; those that were discarded
 	exchanges        sync.WaitGroup
-	notify           chan struct{} // signals a round in which no polled peer was served: others are polled at once
+	pollNow          chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
 	breaker *Breaker
 	started time.Time // when this process started
@@ -111,7 +111,7 @@
 		conns:        map[string]*peer.Conn{},
 		peerStatuses: map[string]peerStatus{},
 		polling:      map[string]bool{},
-		notify:       make(chan struct{}, 1),
+		pollNow:      make(chan struct{}, 1),
 		transfers:    map[*Feed]*transfer{},
 		paging:       map[*Feed]bool{},
 	}
@@ -255,7 +255,7 @@
 	select {
 	case <-t.Chan():
 		return true
-	case <-r.notify:
+	case <-r.pollNow:
 		return true
 	case <-ctx.Done():
 		return false
--- a/feed/standin.go
+++ b/feed/standin.go
@@ -75,7 +75,7 @@
 	}
 	r.noneServed = true
 	select {
-	case r.notify <- struct{}{}:
+	case r.pollNow <- struct{}{}:
 	default: // a poll is due already
 	}
 }
