--- a/feed/readers.go
+++ b/feed/readers.go
@@ -78,7 +78,7 @@
 	all = slices.Compact(all)
 	rs := make([]candidate, len(all))
 	for i, a := range all {
-		rs[i] = candidate{address: a, place: r.places(a), rank: sched.Rank(readersSubject, a)}
+		rs[i] = candidate{address: a, place: r.placeOf(a), rank: sched.Rank(readersSubject, a)}
 	}
 	slices.SortFunc(rs, byLink)
 	turns := map[string]int{}
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -31,14 +31,14 @@
 // Relay keeps feeds up to date from peers: a few processes read the store, and the others poll
 // those. It also updates a process that the store does not serve.
 type Relay struct {
-	self   string
-	hall   string
-	feeds  []*Feed
-	peers  func() []string
-	places func(address string) Place
-	dial   peer.Dialer
-	clock  hollowgrade.Clock
-	log    *log.Logger
+	self    string
+	hall    string
+	feeds   []*Feed
+	peers   func() []string
+	placeOf func(address string) Place
+	dial    peer.Dialer
+	clock   hollowgrade.Clock
+	log     *log.Logger
 
 	received, wasted atomic.Int64 // bytes that peers sent; those that were discarded
 	exchanges        sync.WaitGroup
@@ -89,7 +89,7 @@
 
 // WithPlaces sets the function that returns the location of a process, this one included.
 func WithPlaces(f func(address string) Place) RelayOption {
-	return func(r *Relay) { r.places = f }
+	return func(r *Relay) { r.placeOf = f }
 }
 
 // WithRelayTiming sets the intervals of polls and the delays of backups.
@@ -103,7 +103,7 @@
 	r := &Relay{
 		self:         self,
 		peers:        peers,
-		places:       func(string) Place { return Place{} },
+		placeOf:      func(string) Place { return Place{} },
 		dial:         peer.TCP(),
 		clock:        hollowgrade.SystemClock(),
 		log:          log.Default(),
@@ -118,7 +118,7 @@
 	for _, o := range os {
 		o(r)
 	}
-	r.hall = r.places(self).Hall
+	r.hall = r.placeOf(self).Hall
 	r.started = r.clock.Now()
 	r.lastServedReply = r.started
 	r.breaker = NewBreaker(r.clock, r.probeInterval)
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -112,7 +112,7 @@
 
 // sameHall reports whether a peer is in this process's hall.
 func (r *Relay) sameHall(address string) bool {
-	return r.hall != "" && r.places(address).Hall == r.hall
+	return r.hall != "" && r.placeOf(address).Hall == r.hall
 }
 
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
