--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -352,7 +352,7 @@
 func serveFeeds(t *testing.T, fs ...*Feed) string {
 	t.Helper()
 	v := NewServer(0, fs...)
-	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
+	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
 }
 
 func requirePoll(t *testing.T, r *Relay, address string) {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -88,7 +88,7 @@
 func scripted(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
-	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
+	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if q := first.GetValueRequest(); q != nil {
 			return give(s, q)
 		}
@@ -248,7 +248,7 @@
 	} {
 		s.addHolder(h)
 	}
-	a := listening(t, func(_ context.Context, t *peer.Stream, first *wire.Frame) error { return s.Serve(t, first) })
+	a := listen(t, func(_ context.Context, t *peer.Stream, first *wire.Frame) error { return s.Serve(t, first) })
 	c, err := peer.Dial(context.Background(), peer.TCP(), a)
 	require.NoError(t, err)
 	defer c.Close()
@@ -403,8 +403,8 @@
 	})
 }
 
-// listening serves a handler on loopback until the test ends.
-func listening(t *testing.T, h peer.Handler) string {
+// listen serves a handler on loopback until the test ends.
+func listen(t *testing.T, h peer.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
