--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -83,9 +83,9 @@
 	require.True(t, bytes.Equal(value, v.Value))
 }
 
-// scripted serves a peer that answers requests for feeds like the feed, and requests for values by
+// serveValues serves a peer that answers requests for feeds like the feed, and requests for values by
 // a function.
-func scripted(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
+func serveValues(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
 	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
@@ -166,7 +166,7 @@
 		"from the middle":      {func(h *wire.ValueHead) { h.From = 99 }, nil, "goes on from"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := scripted(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+			a := serveValues(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 				h := head()
 				c.change(h)
 				if err := sendHead(s, h); err != nil {
@@ -211,7 +211,7 @@
 	o, err := encode(value, nil)
 	require.NoError(t, err)
 	const sent = 2 * chunkBytes
-	cut := scripted(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+	cut := serveValues(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 		err := sendHead(s, &wire.ValueHead{Offset: 7, Size: int64(len(value)), Form: o.sum, FormSize: int64(len(o.bytes))})
 		if err != nil {
 			return err
@@ -226,7 +226,7 @@
 	var from atomic.Int64
 	whole := feedWith(7, value)
 	server := NewServer(0, whole)
-	requireFetched(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
+	requireFetched(t, r, f, serveValues(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
 		from.Store(q.From)
 		return server.sendValue(s, q)
 	}), value)
