--- a/feed/asking.go
+++ b/feed/asking.go
@@ -181,7 +181,7 @@
 	return t.more
 }
 
-// noteCut records that the answer of a peer was noteCut after so many bytes.
+// noteCut records that the answer of a peer was cut after so many bytes.
 func (r *Relay) noteCut(address string, bytes int64, took time.Duration, err error) {
 	r.wasted.Add(bytes)
 	if bytes >= minLoggedCutBytes {
--- a/feed/suspend_test.go
+++ b/feed/suspend_test.go
@@ -14,7 +14,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// runSuspended runs a feed on a machine that is runSuspended for d, and calls then on resume and again
+// runSuspended runs a feed on a machine that is suspended for d, and calls then on resume and again
 // two seconds later.
 func runSuspended(t *testing.T, d time.Duration, meanwhile func(*fakeTopic), then func(f *Feed, back bool)) {
 	t.Helper()
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// answerDue is the age of a view, read with the given wait, when its next answer is answerDue.
+// answerDue is the age of a view, read with the given wait, when its next answer is due.
 func (t Timing) answerDue(wait time.Duration) time.Duration {
 	return wait + wait/clockDriftDivisor + t.AnswerGrace
 }
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -83,8 +83,8 @@
 	require.True(t, bytes.Equal(value, v.Value))
 }
 
-// serveValues serves a peer that answers requests for feeds like the feed, and requests for values by
-// a function.
+// serveValues serves a peer that answers requests for feeds like the feed, and requests for values
+// by a function.
 func serveValues(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
