--- a/feed/feed.go
+++ b/feed/feed.go
@@ -437,8 +437,8 @@
 	return f.next
 }
 
-// Outdated returns how long a record has been known to exist that is not in the view, or 0.
-func (f *Feed) Outdated() time.Duration {
+// OutdatedFor returns how long a record has been known to exist that is not in the view, or 0.
+func (f *Feed) OutdatedFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.missing) == 0 {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -112,7 +112,7 @@
 		require.Contains(t, l.String(), "value received")
 		_, ok := f.Age()
 		require.True(t, ok, "the next poll reports the age")
-		require.Zero(t, f.Outdated())
+		require.Zero(t, f.OutdatedFor())
 	})
 	t.Run("are brought as what differs", func(t *testing.T) {
 		changed := bytes.Replace(value, []byte("version 2"), []byte("version 3"), 1)
@@ -183,7 +183,7 @@
 			require.Contains(t, l.String(), "value of a peer not taken")
 			require.Contains(t, l.String(), c.why)
 			require.Contains(t, l.String(), a)
-			require.Positive(t, f.Outdated(), "it is known that there is a newer one")
+			require.Positive(t, f.OutdatedFor(), "it is known that there is a newer one")
 		})
 	}
 	t.Run("announced as larger than allowed", func(t *testing.T) {
@@ -192,7 +192,7 @@
 		r, _ := relayOf(t, f)
 		requireKept(t, r, f, serveFeeds(t, feedWith(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
-		require.Zero(t, f.Outdated(), "a value over the limit is never applied")
+		require.Zero(t, f.OutdatedFor(), "a value over the limit is never applied")
 		require.Equal(t, int64(8), f.Next())
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -109,7 +109,7 @@
 		core.WithProber(w),
 		core.WithBounds(bounds(c)),
 		core.WithAge(n.config.Age),
-		core.WithOutdated(n.config.Outdated),
+		core.WithOutdated(n.config.OutdatedFor),
 		core.WithProcesses(n.members.count),
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -80,7 +80,7 @@
 			require.Less(t, next, int64(10))
 		}
 		for _, w := range f.gateways {
-			require.Zero(t, w.config.Outdated())
+			require.Zero(t, w.config.OutdatedFor())
 		}
 	})
 }
