--- a/feed/feed.go
+++ b/feed/feed.go
@@ -141,8 +141,8 @@
 	return func(f *Feed) { f.breaker = a }
 }
 
-// WithMaxValue sets the size in bytes of the largest accepted value.
-func WithMaxValue(n int) Option {
+// WithMaxValueBytes sets the size in bytes of the largest accepted value.
+func WithMaxValueBytes(n int) Option {
 	return func(f *Feed) { f.maxValueBytes = n }
 }
 
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -188,7 +188,7 @@
 	}
 	t.Run("announced as larger than allowed", func(t *testing.T) {
 		l := &logBuffer{}
-		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		f := feedWith(3, old, WithMaxValueBytes(350_000), WithLogger(log.New(l)))
 		r, _ := relayOf(t, f)
 		requireKept(t, r, f, serveFeeds(t, feedWith(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
@@ -197,7 +197,7 @@
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
 		l := &logBuffer{}
-		f := feedWith(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		f := feedWith(3, old, WithMaxValueBytes(350_000), WithLogger(log.New(l)))
 		f.Merge(page(8, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: 7}), time.Now())
 		v, _ := f.value("k")
 		require.Equal(t, int64(3), v.Offset)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -95,7 +95,7 @@
 		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithBreaker(relay.Breaker()), feed.WithTiming(c.Timing())}, os...)
 		return feed.New(name, t, os...)
 	}
-	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValue(c.ConfigMaxBytes))
+	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValueBytes(c.ConfigMaxBytes))
 	fleet := follow(fleetFeed, s.Workers(), c.FleetWait)
 	others := follow(membersFeed, s.Members(), c.MembersWait)
 	n.held = follow(heldFeed, s.Held(), c.MembersWait)
