--- a/feed/feed.go
+++ b/feed/feed.go
@@ -220,14 +220,14 @@
 			hollowgrade.Sleep(ctx, f.clock, f.timing.UrgentPollInterval)
 			continue
 		}
-		try, wait := f.breaker.Begin()
+		probe, wait := f.breaker.Begin()
 		if wait > 0 {
 			hollowgrade.Sleep(ctx, f.clock, wait)
 			continue
 		}
 		sent := f.clock.Now()
-		records, err := f.readOnce(ctx, sent, try)
-		f.breaker.Report(try, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
+		records, err := f.readOnce(ctx, sent, probe)
+		f.breaker.Report(probe, err == nil || errors.Is(err, hollowgrade.ErrTrimmed) || ctx.Err() != nil)
 		if err == nil {
 			p.Reset()
 			f.noteReadAnswered()
