--- a/feed/relay.go
+++ b/feed/relay.go
@@ -63,7 +63,7 @@
 	lastReply       time.Time             // time of the last reply of any peer
 	isBackup        bool                  // whether this process reads as a backup
 	outageSince     time.Time             // since when the store has seemed to serve no reader; zero if it does
-	reads           readDecision          // last result of Reads
+	lastReads       readDecision          // last result of Reads
 	large           readDecision          // last result of ReadsLarge
 	transfers       map[*Feed]*transfer   // under way
 	paging          map[*Feed]bool        // feeds that are being read page by page
@@ -154,7 +154,7 @@
 
 // Reads reports whether this process has to read the store itself, as a reader or as a backup.
 func (r *Relay) Reads() bool {
-	return r.updateReads(r.readers(), &r.reads, "all")
+	return r.updateReads(r.readers(), &r.lastReads, "all")
 }
 
 // ReadsLarge reports the same for topics with large records. While a peer sends one, this process
