--- a/feed/relay.go
+++ b/feed/relay.go
@@ -64,7 +64,7 @@
 	isBackup        bool                  // whether this process reads as a backup
 	outageSince     time.Time             // since when the store has seemed to serve no reader; zero if it does
 	lastReads       readDecision          // last result of Reads
-	large           readDecision          // last result of ReadsLarge
+	lastReadsLarge  readDecision          // last result of ReadsLarge
 	transfers       map[*Feed]*transfer   // under way
 	paging          map[*Feed]bool        // feeds that are being read page by page
 }
@@ -164,7 +164,7 @@
 	if r.transferring() {
 		return slices.Contains(rs, r.self)
 	}
-	return r.updateReads(rs, &r.large, "large")
+	return r.updateReads(rs, &r.lastReadsLarge, "large")
 }
 
 // readDecision is whether this process reads some of the topics itself.
