--- a/feed/relay.go
+++ b/feed/relay.go
@@ -172,7 +172,7 @@
 
 // updateReads reports whether this process has to read topics that the given readers read for all,
 // and logs when the decision changes.
-func (r *Relay) updateReads(readers []string, said *readDecision, topics string) bool {
+func (r *Relay) updateReads(readers []string, last *readDecision, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.isStarting(len(readers))
 	better := r.higherRanked()
 	served := r.isServed()
@@ -190,9 +190,9 @@
 	r.updateOutage(large, served, stale)
 	r.isBackup = r.actsAsBackup(turn, better, served)
 	reads := reader || r.isBackup
-	if readDecision(reads) != *said {
+	if readDecision(reads) != *last {
 		stoodIn = !reader && reads
-		*said = readDecision(reads)
+		*last = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
 			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(better))
 	}
