--- a/feed/relay.go
+++ b/feed/relay.go
@@ -178,7 +178,7 @@
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
 	large := largeReaders(r.readers())
-	turn := backupGroup(max(len(better)-len(large), 0))
+	group := backupGroup(max(len(better)-len(large), 0))
 	stoodIn := false
 	defer func() {
 		if stoodIn {
@@ -188,12 +188,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateOutage(large, served, stale)
-	r.isBackup = r.actsAsBackup(turn, better, served)
+	r.isBackup = r.actsAsBackup(group, better, served)
 	reads := reader || r.isBackup
 	if readDecision(reads) != *last {
 		stoodIn = !reader && reads
 		*last = readDecision(reads)
-		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
+		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", group, "served", served,
 			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(better))
 	}
 	return reads
