--- a/feed/relay.go
+++ b/feed/relay.go
@@ -174,11 +174,11 @@
 // and logs when the decision changes.
 func (r *Relay) updateReads(readers []string, last *readDecision, topics string) bool {
 	reader := slices.Contains(readers, r.self) && !r.isStarting(len(readers))
-	better := r.higherRanked()
+	higherRanked := r.higherRanked()
 	served := r.isServed()
 	stale := len(r.staleFeeds()) > 0
 	large := largeReaders(r.readers())
-	group := backupGroup(max(len(better)-len(large), 0))
+	group := backupGroup(max(len(higherRanked)-len(large), 0))
 	stoodIn := false
 	defer func() {
 		if stoodIn {
@@ -188,13 +188,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateOutage(large, served, stale)
-	r.isBackup = r.actsAsBackup(group, better, served)
+	r.isBackup = r.actsAsBackup(group, higherRanked, served)
 	reads := reader || r.isBackup
 	if readDecision(reads) != *last {
 		stoodIn = !reader && reads
 		*last = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", group, "served", served,
-			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(better))
+			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(higherRanked))
 	}
 	return reads
 }
