--- a/feed/relay.go
+++ b/feed/relay.go
@@ -179,9 +179,9 @@
 	stale := len(r.staleFeeds()) > 0
 	large := largeReaders(r.readers())
 	group := backupGroup(max(len(higherRanked)-len(large), 0))
-	stoodIn := false
+	becameBackup := false
 	defer func() {
-		if stoodIn {
+		if becameBackup {
 			r.breaker.SuspectOutage() // without the lock, since the breaker calls this relay
 		}
 	}()
@@ -191,7 +191,7 @@
 	r.isBackup = r.actsAsBackup(group, higherRanked, served)
 	reads := reader || r.isBackup
 	if readDecision(reads) != *last {
-		stoodIn = !reader && reads
+		becameBackup = !reader && reads
 		*last = readDecision(reads)
 		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", group, "served", served,
 			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(higherRanked))
