--- a/feed/asking.go
+++ b/feed/asking.go
@@ -65,9 +65,9 @@
 		as = r.addSample(as, r.higherRanked()) // those that it replaces as a backup may be served by now
 	}
 	r.mu.Lock()
-	untold := r.lacksServedReply()
+	lacksReply := r.lacksServedReply()
 	r.mu.Unlock()
-	if len(r.staleFeeds()) == 0 && (served || !untold) {
+	if len(r.staleFeeds()) == 0 && (served || !lacksReply) {
 		return as
 	}
 	as = append(as, slices.DeleteFunc(r.withoutUnserved(rs), func(a string) bool { return slices.Contains(as, a) })...)
