--- a/feed/standin.go
+++ b/feed/standin.go
@@ -152,7 +152,7 @@
 // actsAsBackup reports whether this process of a group of backups reads the store in place of the
 // readers: from when its group is due in an outage until enough processes of a higher rank are
 // served. The caller holds the lock.
-func (r *Relay) actsAsBackup(turn int, better []string, served bool) bool {
+func (r *Relay) actsAsBackup(group int, better []string, served bool) bool {
 	if r.isBackup && served {
 		return r.countServed(better) < min(minServedAbove, len(better))
 	}
@@ -161,7 +161,7 @@
 	}
 	now := r.clock.Now()
 	alone := now.Sub(r.lastServedReply) > servedReplyTimeout && now.Sub(r.lastReply) > servedReplyTimeout
-	return alone || now.Sub(r.outageSince) >= time.Duration(turn)*r.timing.BackupDelay
+	return alone || now.Sub(r.outageSince) >= time.Duration(group)*r.timing.BackupDelay
 }
 
 // countServed returns how many of the processes are served by the store by their status. The caller
