--- a/feed/standin.go
+++ b/feed/standin.go
@@ -152,9 +152,9 @@
 // actsAsBackup reports whether this process of a group of backups reads the store in place of the
 // readers: from when its group is due in an outage until enough processes of a higher rank are
 // served. The caller holds the lock.
-func (r *Relay) actsAsBackup(group int, better []string, served bool) bool {
+func (r *Relay) actsAsBackup(group int, higherRanked []string, served bool) bool {
 	if r.isBackup && served {
-		return r.countServed(better) < min(minServedAbove, len(better))
+		return r.countServed(higherRanked) < min(minServedAbove, len(higherRanked))
 	}
 	if r.outageSince.IsZero() {
 		return false
