--- a/feed/timing.go
+++ b/feed/timing.go
@@ -64,8 +64,8 @@
 // reader's answer becomes due and then overdue, the reader is polled and reports that, a due backup
 // looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
-func (t Timing) maxAge(wait time.Duration, turn int) time.Duration {
-	return t.answerDue(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(turn)*t.BackupDelay
+func (t Timing) maxAge(wait time.Duration, group int) time.Duration {
+	return t.answerDue(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(group)*t.BackupDelay
 }
 
 // maxReplyGap is how long a process goes without a served reply before it polls all readers. It
