--- a/feed/standin.go
+++ b/feed/standin.go
@@ -30,8 +30,8 @@
 }
 
 // backupsUpTo returns how many of all processes belong to a group or an earlier one.
-func backupsUpTo(turn, all int) (n int) {
-	for ; turn >= 0 && n < all; turn-- {
+func backupsUpTo(group, all int) (n int) {
+	for ; group >= 0 && n < all; group-- {
 		n = backupGroupSize + n*backupGroupGrowth
 	}
 	return min(n, all)
