--- a/feed/standin.go
+++ b/feed/standin.go
@@ -22,11 +22,11 @@
 )
 
 // backupGroup returns the group of the backup at a position after the readers.
-func backupGroup(place int) (turn int) {
+func backupGroup(place int) (group int) {
 	for end := backupGroupSize; place >= end; end = backupGroupSize + end*backupGroupGrowth {
-		turn++
+		group++
 	}
-	return turn
+	return group
 }
 
 // backupsUpTo returns how many of all processes belong to a group or an earlier one.
