--- a/feed/standin.go
+++ b/feed/standin.go
@@ -22,8 +22,8 @@
 )
 
 // backupGroup returns the group of the backup at a position after the readers.
-func backupGroup(place int) (group int) {
-	for end := backupGroupSize; place >= end; end = backupGroupSize + end*backupGroupGrowth {
+func backupGroup(position int) (group int) {
+	for end := backupGroupSize; position >= end; end = backupGroupSize + end*backupGroupGrowth {
 		group++
 	}
 	return group
