--- a/feed/access.go
+++ b/feed/access.go
@@ -27,11 +27,11 @@
 
 // NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
 // than the exponential delay; it is called for each failure.
-func NewBreaker(c hollowgrade.Clock, spacing func() time.Duration) *Breaker {
+func NewBreaker(c hollowgrade.Clock, probeInterval func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
 	p.MaxInterval = maxRetryDelay
-	return &Breaker{clock: c, probeInterval: spacing, delays: p}
+	return &Breaker{clock: c, probeInterval: probeInterval, delays: p}
 }
 
 // Begin reports whether a call to the store may be made now: wait is 0 then, else how long to wait
