--- a/feed/access.go
+++ b/feed/access.go
@@ -55,7 +55,7 @@
 
 // Report records whether a call was a probe and whether the store answered it.
 func (a *Breaker) Report(probe, answered bool) {
-	spacing := a.probeInterval() // called without the lock, since it may need a lock whose holder waits for this one
+	interval := a.probeInterval() // called without the lock, since it may need a lock whose holder waits for this one
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if probe {
@@ -66,7 +66,7 @@
 		a.delays.Reset()
 		return
 	}
-	a.nextProbe = a.clock.Now().Add(max(a.delays.NextBackOff(), randomDelay(spacing)))
+	a.nextProbe = a.clock.Now().Add(max(a.delays.NextBackOff(), randomDelay(interval)))
 }
 
 // SuspectOutage makes the next call a probe: this process has to call the store because others have
