--- a/feed/seen_test.go
+++ b/feed/seen_test.go
@@ -19,14 +19,14 @@
 // another speed than the reader's.
 type farTopic struct {
 	*fakeTopic
-	requestDelay, back func() time.Duration
-	speed              float64
+	requestDelay, answerDelay func() time.Duration
+	speed                     float64
 }
 
 func (t *farTopic) Wait(ctx context.Context, from int64, d, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
 	time.Sleep(t.requestDelay())
 	p, err = t.fakeTopic.Wait(ctx, from, time.Duration(float64(d)/t.speed), patience)
-	time.Sleep(t.back())
+	time.Sleep(t.answerDelay())
 	return p, err
 }
 
@@ -50,7 +50,7 @@
 				if seed%4 == 0 {
 					delay = func() time.Duration { return time.Duration(r.IntN(700)) * time.Millisecond }
 				}
-				k := &farTopic{fakeTopic: newTopic(), requestDelay: delay, back: delay, speed: speed}
+				k := &farTopic{fakeTopic: newTopic(), requestDelay: delay, answerDelay: delay, speed: speed}
 				f := New("f", k, WithLogger(log.New(io.Discard)), WithWait(time.Second))
 				ctx, cancel := context.WithCancel(context.Background())
 				var g sync.WaitGroup
