--- a/feed/suspend_test.go
+++ b/feed/suspend_test.go
@@ -19,9 +19,9 @@
 func runSuspended(t *testing.T, d time.Duration, meanwhile func(*fakeTopic), then func(f *Feed, back bool)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		var lost atomic.Int64
+		var suspendedFor atomic.Int64
 		started := time.Now()
-		w := hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + time.Duration(lost.Load()), nil }))
+		w := hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + time.Duration(suspendedFor.Load()), nil }))
 		p := newTopic()
 		require.NoError(t, p.Put(context.Background(), "k", []byte("before")))
 		f := New("feed", p, WithClock(w), WithLogger(log.New(io.Discard)))
@@ -31,7 +31,7 @@
 		age, known := f.Age()
 		require.True(t, known)
 		require.LessOrEqual(t, age, time.Second)
-		lost.Add(int64(d))
+		suspendedFor.Add(int64(d))
 		meanwhile(p)
 		then(f, false)
 		time.Sleep(2 * time.Second)
