--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// pageBytes bounds the records in one answer to a peer. With three answers at a time for three
+	// maxPageBytes bounds the records in one answer to a peer. With three answers at a time for three
 	// topics that is 144 KB, 58 ms on a link of 20 Mbit/s.
-	pageBytes = 16 << 10
+	maxPageBytes = 16 << 10
 	// largeBytes is the size above which a value is not part of an answer but requested by itself
 	// from one peer. Entries of upstreams and gateways have 0.3 KB.
 	largeBytes = 8 << 10
@@ -37,7 +37,7 @@
 	}
 	p.age = f.clock.Since(f.fresh)
 	p.Next, p.End = f.next, f.next
-	left := pageBytes
+	left := maxPageBytes
 	for _, r := range f.newestFrom(from) {
 		left -= recordBytes + len(r.Key) + len(r.Value)
 		if large := len(r.Value) > largeBytes; large || left < 0 {
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -284,7 +284,7 @@
 			for _, r := range p.Records {
 				bytes += len(r.Key) + len(r.Value)
 			}
-			require.LessOrEqual(t, bytes, pageBytes)
+			require.LessOrEqual(t, bytes, maxPageBytes)
 			require.Greater(t, p.Next, from)
 			require.Equal(t, int64(records), p.End)
 			from = p.Next
