--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -12,9 +12,9 @@
 	// maxPageBytes bounds the records in one answer to a peer. With three answers at a time for three
 	// topics that is 144 KB, 58 ms on a link of 20 Mbit/s.
 	maxPageBytes = 16 << 10
-	// largeBytes is the size above which a value is not part of an answer but requested by itself
+	// largeValueBytes is the size above which a value is not part of an answer but requested by itself
 	// from one peer. Entries of upstreams and gateways have 0.3 KB.
-	largeBytes = 8 << 10
+	largeValueBytes = 8 << 10
 	// recordBytes is the overhead of a record besides its key and value.
 	recordBytes = 16
 )
@@ -40,7 +40,7 @@
 	left := maxPageBytes
 	for _, r := range f.newestFrom(from) {
 		left -= recordBytes + len(r.Key) + len(r.Value)
-		if large := len(r.Value) > largeBytes; large || left < 0 {
+		if large := len(r.Value) > largeValueBytes; large || left < 0 {
 			p.Next = r.Offset
 			if large {
 				p.large = &r
@@ -100,7 +100,7 @@
 
 // keepBase keeps a replaced value if it is large. The caller holds the lock.
 func (f *Feed) keepBase(r hollowgrade.KeyedRecord) {
-	if len(r.Value) <= largeBytes {
+	if len(r.Value) <= largeValueBytes {
 		return
 	}
 	b := append([]hollowgrade.KeyedRecord{r}, f.earlier[r.Key]...)
