--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -15,8 +15,8 @@
 	// largeValueBytes is the size above which a value is not part of an answer but requested by itself
 	// from one peer. Entries of upstreams and gateways have 0.3 KB.
 	largeValueBytes = 8 << 10
-	// recordBytes is the overhead of a record besides its key and value.
-	recordBytes = 16
+	// recordOverheadBytes is the overhead of a record besides its key and value.
+	recordOverheadBytes = 16
 )
 
 // excerpt is a part of a view that is sent to a peer.
@@ -39,7 +39,7 @@
 	p.Next, p.End = f.next, f.next
 	left := maxPageBytes
 	for _, r := range f.newestFrom(from) {
-		left -= recordBytes + len(r.Key) + len(r.Value)
+		left -= recordOverheadBytes + len(r.Key) + len(r.Value)
 		if large := len(r.Value) > largeValueBytes; large || left < 0 {
 			p.Next = r.Offset
 			if large {
