--- a/feed/server.go
+++ b/feed/server.go
@@ -26,9 +26,9 @@
 	// maxHoldersInReply how many of them a busy reply lists.
 	maxHolders        = 32
 	maxHoldersInReply = 4
-	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
+	// maxChunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
 	// longest that other exchanges on the connection wait for it.
-	chunkBytes = 16 << 10
+	maxChunkBytes = 16 << 10
 	// stallTimeout is how long a transfer may make no progress, for example while a process is
 	// paused.
 	stallTimeout = time.Second
@@ -154,7 +154,7 @@
 // sendEncoded sends an encoded value in chunks, each with its own deadline.
 func sendEncoded(t *peer.Stream, b []byte) error {
 	for len(b) > 0 {
-		n := min(len(b), chunkBytes)
+		n := min(len(b), maxChunkBytes)
 		if err := t.Extend(stallTimeout); err != nil {
 			return err
 		}
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -210,7 +210,7 @@
 	_, _ = rand.NewChaCha8([32]byte{}).Read(value)
 	o, err := encode(value, nil)
 	require.NoError(t, err)
-	const sent = 2 * chunkBytes
+	const sent = 2 * maxChunkBytes
 	cut := serveValues(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 		err := sendHead(s, &wire.ValueHead{Offset: 7, Size: int64(len(value)), Form: o.sum, FormSize: int64(len(o.bytes))})
 		if err != nil {
