--- a/feed/access_test.go
+++ b/feed/access_test.go
@@ -18,11 +18,11 @@
 func noSpacing() time.Duration { return 0 }
 
 // requireMayCall checks whether a call may be made now, and whether it is a probe.
-func requireMayCall(t *testing.T, a *Breaker, may, try bool) {
+func requireMayCall(t *testing.T, a *Breaker, may, probe bool) {
 	t.Helper()
 	isTry, wait := a.Begin()
 	require.Equal(t, may, wait == 0)
-	require.Equal(t, try, isTry)
+	require.Equal(t, probe, isTry)
 }
 
 func TestAccess(t *testing.T) {
