--- a/fold/follower.go
+++ b/fold/follower.go
@@ -21,9 +21,9 @@
 	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
 	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
-	// renewFraction is the divisor of the retention after which the state is written again. Half
+	// renewDivisor is the divisor of the retention after which the state is written again. Half
 	// leaves the other half for outages of the log.
-	renewFraction = 2
+	renewDivisor = 2
 )
 
 // Follower keeps a state up to date with the log. It is a service of the kernel.
@@ -289,7 +289,7 @@
 // renew appends a snapshot if the base of the state is close to the log's retention.
 func (f *Follower) renew(ctx context.Context) {
 	f.mu.Lock()
-	old := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewFraction
+	old := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewDivisor
 	f.mu.Unlock()
 	if !old || !f.mayRenew() {
 		return
