--- a/fold/state.go
+++ b/fold/state.go
@@ -155,7 +155,7 @@
 // whose following records have been dropped cannot be used.
 func Bootstrap(earliest int64, rs []hollowgrade.Record) (s State, err error) {
 	if earliest > 0 {
-		if s, err = base(earliest, rs); err != nil {
+		if s, err = newestBase(earliest, rs); err != nil {
 			return s, err
 		}
 	}
@@ -172,7 +172,7 @@
 	return s, nil
 }
 
-func base(earliest int64, rs []hollowgrade.Record) (s State, err error) {
+func newestBase(earliest int64, rs []hollowgrade.Record) (s State, err error) {
 	found := false
 	for _, r := range rs {
 		e, err := decode(r.Body)
