--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -239,13 +239,13 @@
 // narrowLog is a log behind a link that takes some time for each record.
 type narrowLog struct {
 	hollowgrade.Log
-	each time.Duration
+	perRecord time.Duration
 }
 
 func (l narrowLog) Read(ctx context.Context, from int64, limit int) (p hollowgrade.Page, err error) {
 	p, err = l.Log.Read(ctx, from, limit)
 	select {
-	case <-time.After(time.Duration(len(p.Records)) * l.each):
+	case <-time.After(time.Duration(len(p.Records)) * l.perRecord):
 		return p, err
 	case <-ctx.Done():
 		return hollowgrade.Page{}, ctx.Err()
