--- a/peer/peer.go
+++ b/peer/peer.go
@@ -36,8 +36,8 @@
 	// (BenchmarkMemoryOfAConnection).
 	acceptBacklog = 64
 
-	keepAlive    = 5 * time.Second
-	writeTimeout = 10 * time.Second
+	keepAliveInterval = 5 * time.Second
+	writeTimeout      = 10 * time.Second
 )
 
 // ErrBroken is in the chain of the error for a frame that cannot be read.
@@ -46,7 +46,7 @@
 func config() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = acceptBacklog
-	c.KeepAliveInterval = keepAlive
+	c.KeepAliveInterval = keepAliveInterval
 	c.ConnectionWriteTimeout = writeTimeout
 	c.LogOutput = io.Discard
 	return c
