--- a/peer/peer.go
+++ b/peer/peer.go
@@ -132,11 +132,11 @@
 	received atomic.Int64 // bytes
 }
 
-const bufferBytes = 4 << 10
+const streamBufferBytes = 4 << 10
 
 func newStream(y *yamux.Stream) *Stream {
-	s := &Stream{raw: y, out: bufio.NewWriterSize(y, bufferBytes)}
-	s.in = bufio.NewReaderSize(countingReader{y, &s.received}, bufferBytes)
+	s := &Stream{raw: y, out: bufio.NewWriterSize(y, streamBufferBytes)}
+	s.in = bufio.NewReaderSize(countingReader{y, &s.received}, streamBufferBytes)
 	return s
 }
 
