--- a/feed/access.go
+++ b/feed/access.go
@@ -25,8 +25,8 @@
 	delays    *backoff.ExponentialBackOff
 }
 
-// NewBreaker returns a breaker. Spacing returns the mean time between probes where that is longer
-// than the exponential delay; it is called for each failure.
+// NewBreaker returns a breaker. ProbeInterval returns the mean time between probes where that is
+// longer than the exponential delay; it is called for each reported call.
 func NewBreaker(c hollowgrade.Clock, probeInterval func() time.Duration) *Breaker {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryDelay
--- a/feed/asking.go
+++ b/feed/asking.go
@@ -15,7 +15,7 @@
 
 const (
 	// pollTimeout bounds one poll: a connection and an answer within a region. An answer has at
-	// most pageBytes for each topic, which fits into this time on any link. Larger values are
+	// most maxPageBytes for each topic, which fits into this time on any link. Larger values are
 	// transferred by themselves without a bound on the total time.
 	pollTimeout = 700 * time.Millisecond
 	// pollFanout is how many readers a process polls at a time, and how many peers besides while
--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxPageBytes bounds the records in one answer to a peer. With three answers at a time for three
-	// topics that is 144 KB, 58 ms on a link of 20 Mbit/s.
+	// maxPageBytes bounds the records in one answer to a peer. With three answers at a time for
+	// three topics that is 144 KB, 58 ms on a link of 20 Mbit/s.
 	maxPageBytes = 16 << 10
-	// largeValueBytes is the size above which a value is not part of an answer but requested by itself
-	// from one peer. Entries of upstreams and gateways have 0.3 KB.
+	// largeValueBytes is the size above which a value is not part of an answer but requested by
+	// itself from one peer. Entries of upstreams and gateways have 0.3 KB.
 	largeValueBytes = 8 << 10
 	// recordOverheadBytes is the overhead of a record besides its key and value.
 	recordOverheadBytes = 16
