--- a/feed/feed.go
+++ b/feed/feed.go
@@ -97,7 +97,7 @@
 	answered      bool                                 // whether the store has answered since this process began to read
 	nextAnswerDue time.Time                            // when the answer to the current or next read is overdue
 	lag           time.Duration                        // smoothed time that answers take beyond the wait
-	forms         encodingCache
+	encodings     encodingCache
 }
 
 // missingRecord is a record that a peer has announced without its value.
--- a/feed/server.go
+++ b/feed/server.go
@@ -121,7 +121,7 @@
 	}
 	defer s.releaseSlot()
 	base, offset := s.base(f, q)
-	o, err := f.forms.get(r, offset, base)
+	o, err := f.encodings.get(r, offset, base)
 	if err != nil {
 		return err
 	}
