--- a/feed/relay.go
+++ b/feed/relay.go
@@ -217,12 +217,12 @@
 
 // Run polls peers until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
-	var asked time.Time
+	var lastPoll time.Time
 	for r.waitForPoll(ctx) {
-		if r.clock.Since(asked) < r.timing.PollInterval && !r.pollsUrgently() {
+		if r.clock.Since(lastPoll) < r.timing.PollInterval && !r.pollsUrgently() {
 			continue
 		}
-		asked = r.clock.Now()
+		lastPoll = r.clock.Now()
 		for _, a := range r.startRound(r.pollTargets()) {
 			r.exchanges.Go(func() {
 				defer r.endPoll(a)
