--- a/feed/feed.go
+++ b/feed/feed.go
@@ -248,15 +248,15 @@
 }
 
 // setFollowing records whether this process relies on peers for now, and returns that.
-func (f *Feed) setFollowing(follows bool) bool {
+func (f *Feed) setFollowing(following bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.following && !follows {
+	if f.following && !following {
 		f.nextAnswerDue = f.clock.Now().Add(minReadInterval + f.timing.AnswerGrace) // the first read may have to wait for the probe of another topic
 	}
-	f.following = follows
-	f.answered = f.answered && !follows
-	return follows
+	f.following = following
+	f.answered = f.answered && !following
+	return following
 }
 
 // complete reports whether the view has ever been complete.
