--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -85,12 +85,12 @@
 
 // serveValues serves a peer that answers requests for feeds like the feed, and requests for values
 // by a function.
-func serveValues(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
+func serveValues(t *testing.T, f *Feed, answer func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
 	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if q := first.GetValueRequest(); q != nil {
-			return give(s, q)
+			return answer(s, q)
 		}
 		return v.Serve(s, first)
 	})
