--- a/feed/standin.go
+++ b/feed/standin.go
@@ -195,6 +195,6 @@
 	if r.outageSince.IsZero() {
 		return nil
 	}
-	others := order[readers:]
-	return others[:backupsUpTo(int(r.clock.Since(r.outageSince)/r.timing.BackupDelay), len(others))]
+	backups := order[readers:]
+	return backups[:backupsUpTo(int(r.clock.Since(r.outageSince)/r.timing.BackupDelay), len(backups))]
 }
