--- a/feed/breaker_test.go
+++ b/feed/breaker_test.go
@@ -15,7 +15,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-func noSpacing() time.Duration { return 0 }
+func noProbeInterval() time.Duration { return 0 }
 
 // requireMayCall checks whether a call may be made now, and whether it is a probe.
 func requireMayCall(t *testing.T, a *Breaker, may, probe bool) {
@@ -27,7 +27,7 @@
 
 func TestAccess(t *testing.T) {
 	t.Run("all may call while the store answers", func(t *testing.T) {
-		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		requireMayCall(t, a, true, false)
 		requireMayCall(t, a, true, false)
 		a.Report(false, true)
@@ -35,7 +35,7 @@
 	})
 	t.Run("one tries at a time while it does not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
+			a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 			a.Report(false, false)
 			requireMayCall(t, a, false, false)
 			time.Sleep(2 * minRetryDelay)
@@ -69,7 +69,7 @@
 		})
 	})
 	t.Run("one tries first where others have lost the store", func(t *testing.T) {
-		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		a.SuspectOutage()
 		requireMayCall(t, a, true, true)
 		requireMayCall(t, a, false, false)
@@ -83,7 +83,7 @@
 func TestATryDoesNotWaitAtTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		quiet := log.New(io.Discard)
 		slow, quick := newTopic(), newTopic()
 		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithBreaker(a))
@@ -138,7 +138,7 @@
 func TestAccessOfOneTopicThatIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewBreaker(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		quiet := log.New(io.Discard)
 		gone, there := newTopic(), newTopic()
 		gone.down = true
