--- a/feed/breaker_test.go
+++ b/feed/breaker_test.go
@@ -20,9 +20,9 @@
 // requireMayCall checks whether a call may be made now, and whether it is a probe.
 func requireMayCall(t *testing.T, a *Breaker, may, probe bool) {
 	t.Helper()
-	isTry, wait := a.Begin()
+	isProbe, wait := a.Begin()
 	require.Equal(t, may, wait == 0)
-	require.Equal(t, probe, isTry)
+	require.Equal(t, probe, isProbe)
 }
 
 func TestAccess(t *testing.T) {
