--- a/feed/readers.go
+++ b/feed/readers.go
@@ -81,10 +81,10 @@
 		rs[i] = candidate{address: a, place: r.placeOf(a), rank: sched.Rank(readersSubject, a)}
 	}
 	slices.SortFunc(rs, byLink)
-	turns := map[string]int{}
+	hallCounts := map[string]int{}
 	for i := range rs {
-		rs[i].hallIndex = turns[rs[i].place.Hall]
-		turns[rs[i].place.Hall]++
+		rs[i].hallIndex = hallCounts[rs[i].place.Hall]
+		hallCounts[rs[i].place.Hall]++
 	}
 	slices.SortStableFunc(rs, func(a, b candidate) int { return cmp.Compare(a.hallIndex, b.hallIndex) })
 	for _, x := range rs {
