--- a/feed/readers.go
+++ b/feed/readers.go
@@ -80,7 +80,7 @@
 	for i, a := range all {
 		rs[i] = candidate{address: a, place: r.placeOf(a), rank: sched.Rank(readersSubject, a)}
 	}
-	slices.SortFunc(rs, byLink)
+	slices.SortFunc(rs, compareCandidates)
 	hallCounts := map[string]int{}
 	for i := range rs {
 		rs[i].hallIndex = hallCounts[rs[i].place.Hall]
@@ -103,7 +103,7 @@
 	return (a + b - 1) / b
 }
 
-func byLink(a, b candidate) int {
+func compareCandidates(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.place.Link, a.place.Link), cmp.Compare(b.rank, a.rank), cmp.Compare(a.address, b.address))
 }
 
