--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -28,10 +28,10 @@
 func TestTurns(t *testing.T) {
 	t.Run("each has four times as many as the one before, and three more", func(t *testing.T) {
 		before := 0
-		for turn := range 5 {
-			n := backupsUpTo(turn, 10_000)
-			require.Equal(t, turn, backupGroup(before))
-			require.Equal(t, turn, backupGroup(n-1))
+		for group := range 5 {
+			n := backupsUpTo(group, 10_000)
+			require.Equal(t, group, backupGroup(before))
+			require.Equal(t, group, backupGroup(n-1))
 			require.Equal(t, backupGroupSize+backupGroupGrowth*before, n)
 			before = n
 		}
