--- a/feed/breaker_test.go
+++ b/feed/breaker_test.go
@@ -111,9 +111,9 @@
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.0.%d:1", i))
 	}
-	// reading returns how many processes other than the readers read the store once no served
+	// countReads returns how many processes other than the readers read the store once no served
 	// process has replied for the given time, with or without replies from other peers.
-	reading := func(silent time.Duration, reach bool) (reads int) {
+	countReads := func(silent time.Duration, reach bool) (reads int) {
 		for _, a := range all {
 			r := NewRelay(a, func() []string { return append([]string(nil), all...) }, WithRelayLogger(log.New(io.Discard)))
 			r.noteReply("a peer", true)
@@ -128,10 +128,10 @@
 		return reads - len(NewRelay(all[0], func() []string { return append([]string(nil), all...) }).readers())
 	}
 	t.Run("are none while readers tell", func(t *testing.T) {
-		require.Zero(t, reading(servedReplyTimeout/2, true))
+		require.Zero(t, countReads(servedReplyTimeout/2, true))
 	})
 	t.Run("are all that reach nobody", func(t *testing.T) {
-		require.Equal(t, n-readerCount(n), reading(servedReplyTimeout+time.Millisecond, false))
+		require.Equal(t, n-readerCount(n), countReads(servedReplyTimeout+time.Millisecond, false))
 	})
 }
 
