--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -118,7 +118,7 @@
 // runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
 func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
 	r.waitForSameHall(ctx, t)
-	for pause := minBusyDelay; !r.stopIfDone(t); {
+	for delay := minBusyDelay; !r.stopIfDone(t); {
 		a, near, offset := r.nextHolder(t)
 		sent := r.clock.Now()
 		v, err := r.request(ctx, t, a, offset)
@@ -128,8 +128,8 @@
 				"took_ms", r.clock.Since(sent).Milliseconds(), "why", err)
 		case v.busy:
 			r.addHolders(t, append(slices.DeleteFunc(v.holders, func(h string) bool { return h == r.self }), a)...)
-			hollowgrade.Sleep(ctx, r.clock, pause/2+rand.N(pause))
-			pause = min(2*pause, maxBusyDelay)
+			hollowgrade.Sleep(ctx, r.clock, delay/2+rand.N(delay))
+			delay = min(2*delay, maxBusyDelay)
 		default:
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
 				"difference", v.difference, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
