--- a/feed/backup.go
+++ b/feed/backup.go
@@ -94,8 +94,8 @@
 // status returns the recent status of a peer, and false if there is none. The caller holds the
 // lock.
 func (r *Relay) status(address string) (served, ok bool) {
-	w, ok := r.peerStatuses[address]
-	return w.served, ok && r.clock.Since(w.at) <= r.timing.statusTTL()
+	s, ok := r.peerStatuses[address]
+	return s.served, ok && r.clock.Since(s.at) <= r.timing.statusTTL()
 }
 
 // preferServed leaves out the peers that the store does not serve by their status, unless none are
