--- a/fold/follower.go
+++ b/fold/follower.go
@@ -289,9 +289,9 @@
 // renew appends a snapshot if the base of the state is close to the log's retention.
 func (f *Follower) renew(ctx context.Context) {
 	f.mu.Lock()
-	old := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewDivisor
+	isDue := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewDivisor
 	f.mu.Unlock()
-	if !old || !f.mayRenew() {
+	if !isDue || !f.mayRenew() {
 		return
 	}
 	b := f.Encoded(0)
