--- a/feed/poll.go
+++ b/feed/poll.go
@@ -188,7 +188,7 @@
 		r.log.Warn("answer of a peer was cut", "peer", address, "bytes", bytes, "took_ms", took.Milliseconds(), "err", err)
 		return
 	}
-	r.log.Debug("peer did not tell what it knows of the store", "peer", address, "err", err)
+	r.log.Debug("poll of a peer failed", "peer", address, "err", err)
 }
 
 // Received returns how many bytes peers have sent, and how many of these belonged to answers and
