--- a/feed/poll.go
+++ b/feed/poll.go
@@ -296,7 +296,7 @@
 	}
 	f.Merge(p, sent.Add(-time.Duration(m.AgeMicros)*time.Microsecond))
 	if after, ok := f.Age(); ok && after < before && (before > r.timing.staleAge(f.wait) || len(p.Records) > 0) {
-		r.log.Info("learned from a peer", "feed", f.name, "peer", address, "next", m.Next, "records", len(p.Records),
+		r.log.Info("view updated from a peer", "feed", f.name, "peer", address, "next", m.Next, "records", len(p.Records),
 			"age_ms", after.Milliseconds(), "age_before_ms", before.Milliseconds())
 	}
 	switch l := m.Large; {
