--- a/fold/follower.go
+++ b/fold/follower.go
@@ -193,7 +193,7 @@
 		f.noteBase(r)
 		n, err := s.Apply(r)
 		if err != nil {
-			f.logger.Warn("record passed over", "code", "HG5005", "offset", r.Offset, "err", err)
+			f.logger.Warn("record skipped", "code", "HG5005", "offset", r.Offset, "err", err)
 		}
 		s = n
 	}
