--- a/fold/follower.go
+++ b/fold/follower.go
@@ -263,7 +263,7 @@
 	}
 	for _, b := range f.peers(ctx, f.State().Next()) {
 		if err := f.Restore(b); err != nil {
-			f.logger.Warn("snapshot of a peer passed over", "err", err)
+			f.logger.Warn("snapshot from a peer rejected", "err", err)
 		}
 	}
 }
