--- a/fold/follower.go
+++ b/fold/follower.go
@@ -138,7 +138,7 @@
 	defer close(f.done)
 	for ctx.Err() == nil {
 		if err := f.Update(ctx); err != nil && ctx.Err() == nil {
-			f.logger.Warn("log not read", "err", err)
+			f.logger.Warn("reading the log failed", "err", err)
 			f.restoreFromPeers(ctx)
 		}
 		f.renew(ctx)
