--- a/feed/access_test.go
+++ b/feed/breaker_test.go
@@ -15,37 +15,37 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-func noSpacing() time.Duration { return 0 }
+func noProbeInterval() time.Duration { return 0 }
 
-// requireMayCall checks whether a call may be made now, and whether it is a try.
-func requireMayCall(t *testing.T, a *Access, may, try bool) {
+// requireMayCall checks whether a call may be made now, and whether it is a probe.
+func requireMayCall(t *testing.T, a *Breaker, may, probe bool) {
 	t.Helper()
-	isTry, wait := a.Begin()
+	isProbe, wait := a.Begin()
 	require.Equal(t, may, wait == 0)
-	require.Equal(t, try, isTry)
+	require.Equal(t, probe, isProbe)
 }
 
 func TestAccess(t *testing.T) {
 	t.Run("all may call while the store answers", func(t *testing.T) {
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		requireMayCall(t, a, true, false)
 		requireMayCall(t, a, true, false)
-		a.Note(false, true)
+		a.Report(false, true)
 		requireMayCall(t, a, true, false)
 	})
 	t.Run("one tries at a time while it does not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := NewAccess(hollowgrade.SystemClock(), noSpacing)
-			a.Note(false, false)
+			a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
+			a.Report(false, false)
 			requireMayCall(t, a, false, false)
-			time.Sleep(2 * firstPause)
+			time.Sleep(2 * minRetryDelay)
 			requireMayCall(t, a, true, true)
 			requireMayCall(t, a, false, false)
-			a.Note(true, false)
+			a.Report(true, false)
 			requireMayCall(t, a, false, false)
-			time.Sleep(2 * lastPause)
+			time.Sleep(2 * maxRetryDelay)
 			requireMayCall(t, a, true, true)
-			a.Note(true, true)
+			a.Report(true, true)
 			requireMayCall(t, a, true, false)
 			requireMayCall(t, a, true, false)
 		})
@@ -53,14 +53,14 @@
 	t.Run("pauses are as long as the spacing asks for", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			const spacing = 10 * time.Second
-			a := NewAccess(hollowgrade.SystemClock(), func() time.Duration { return spacing })
-			a.Note(false, false)
+			a := NewBreaker(hollowgrade.SystemClock(), func() time.Duration { return spacing })
+			a.Report(false, false)
 			tries, began := 0, time.Now()
 			for time.Since(began) < 100*spacing {
 				try, wait := a.Begin()
 				if try {
 					tries++
-					a.Note(true, false)
+					a.Report(true, false)
 					continue
 				}
 				time.Sleep(wait)
@@ -69,25 +69,25 @@
 		})
 	})
 	t.Run("one tries first where others have lost the store", func(t *testing.T) {
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
-		a.Doubt()
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
+		a.SuspectOutage()
 		requireMayCall(t, a, true, true)
 		requireMayCall(t, a, false, false)
-		a.Note(true, true)
+		a.Report(true, true)
 		requireMayCall(t, a, true, false)
 	})
 }
 
-// A topic whose reads wait long is not what tells that the store is back: its answer
-// would come seconds later, and the other topics would wait for it.
+// A probe must not wait at the store: on a topic whose reads wait long, its answer would come
+// seconds after the store is back, and the other topics would wait for it.
 func TestATryDoesNotWaitAtTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		quiet := log.New(io.Discard)
 		slow, quick := newTopic(), newTopic()
-		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithAccess(a))
-		eager := New("config", quick, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
+		patient := New("members", slow, WithLogger(quiet), WithWait(20*time.Second), WithBreaker(a))
+		eager := New("config", quick, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
 		var g sync.WaitGroup
 		g.Go(func() { patient.Run(ctx) })
 		g.Go(func() { eager.Run(ctx) })
@@ -95,10 +95,10 @@
 			quick.set(func() { quick.down = true })
 			time.Sleep(3 * time.Second)
 			quick.set(func() { quick.down = false })
-			slow.set(func() {}) // its read ends, and it is the next to try
-			time.Sleep(2 * lastPause)
+			slow.set(func() {}) // ends its read, so that it makes the next probe
+			time.Sleep(2 * maxRetryDelay)
 			age, _ := eager.Age()
-			require.Less(t, age, 2*lastPause+time.Second)
+			require.Less(t, age, 2*maxRetryDelay+time.Second)
 		}
 		cancel()
 		g.Wait()
@@ -111,16 +111,16 @@
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.0.%d:1", i))
 	}
-	// reading returns how many of those that are no readers read the store once readers
-	// have told nothing for so long, whether or not they reach others.
-	reading := func(silent time.Duration, reach bool) (reads int) {
+	// countReads returns how many processes other than the readers read the store once no served
+	// process has replied for the given time, with or without replies from other peers.
+	countReads := func(silent time.Duration, reach bool) (reads int) {
 		for _, a := range all {
 			r := NewRelay(a, func() []string { return append([]string(nil), all...) }, WithRelayLogger(log.New(io.Discard)))
-			r.heard("a peer", true)
+			r.noteReply("a peer", true)
 			if !reach {
-				r.reached = time.Time{}
+				r.lastReply = time.Time{}
 			}
-			r.told = time.Now().Add(-silent)
+			r.lastServedReply = time.Now().Add(-silent)
 			if r.Reads() {
 				reads++
 			}
@@ -128,29 +128,29 @@
 		return reads - len(NewRelay(all[0], func() []string { return append([]string(nil), all...) }).readers())
 	}
 	t.Run("are none while readers tell", func(t *testing.T) {
-		require.Zero(t, reading(lostAfter/2, true))
+		require.Zero(t, countReads(servedReplyTimeout/2, true))
 	})
 	t.Run("are all that reach nobody", func(t *testing.T) {
-		require.Equal(t, n-readerCount(n), reading(lostAfter+time.Millisecond, false))
+		require.Equal(t, n-readerCount(n), countReads(servedReplyTimeout+time.Millisecond, false))
 	})
 }
 
 func TestAccessOfOneTopicThatIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := NewAccess(hollowgrade.SystemClock(), noSpacing)
+		a := NewBreaker(hollowgrade.SystemClock(), noProbeInterval)
 		quiet := log.New(io.Discard)
 		gone, there := newTopic(), newTopic()
 		gone.down = true
-		lost := New("config", gone, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
-		kept := New("fleet", there, WithLogger(quiet), WithWait(time.Second), WithAccess(a))
+		lost := New("config", gone, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
+		kept := New("fleet", there, WithLogger(quiet), WithWait(time.Second), WithBreaker(a))
 		var g sync.WaitGroup
 		g.Go(func() { lost.Run(ctx) })
 		g.Go(func() { kept.Run(ctx) })
 		time.Sleep(5 * time.Second)
 		put(t, there, "a", "1")
 		time.Sleep(time.Second)
-		require.Equal(t, int64(1), kept.Next(), "the topic that is there is read on")
+		require.Equal(t, int64(1), kept.Next(), "the available topic is still read")
 		cancel()
 		g.Wait()
 	})
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -28,10 +28,10 @@
 type fakeTopic struct {
 	mu      sync.Mutex
 	records []hollowgrade.KeyedRecord
-	first   int64 // offset of the first one kept
+	first   int64 // offset of the first retained record
 	down    bool
 	reads   int
-	slow    time.Duration // that reading the newest records takes
+	slow    time.Duration // how long reading the newest records takes
 	changed chan struct{}
 }
 
@@ -112,11 +112,11 @@
 	}
 }
 
-// view notes what a watcher is told.
+// view records the changes that a watcher receives.
 type view struct {
-	mu       sync.Mutex
-	values   map[string]string
-	regained int
+	mu        sync.Mutex
+	values    map[string]string
+	uncertain int
 }
 
 func watch(f *Feed) *view {
@@ -130,8 +130,8 @@
 			} else {
 				v.values[c.Key] = string(c.Value)
 			}
-			if !c.MayReturn.IsZero() {
-				v.regained++
+			if !c.UncertainUntil.IsZero() {
+				v.uncertain++
 			}
 		}
 	})
@@ -144,8 +144,8 @@
 	return fmt.Sprint(v.values)
 }
 
-// bubble runs a feed of a topic in virtual time.
-func bubble(t *testing.T, test func(t *testing.T, k *fakeTopic, f *Feed, v *view)) {
+// runFeed runs a feed of a topic in virtual time.
+func runFeed(t *testing.T, test func(t *testing.T, k *fakeTopic, f *Feed, v *view)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -167,15 +167,15 @@
 	synctest.Wait()
 }
 
-// pause lets a feed read again after it has read records.
+// pause waits until a feed may read again after it has read records.
 func pause() {
-	time.Sleep(readPause)
+	time.Sleep(minReadInterval)
 	synctest.Wait()
 }
 
 func TestFeed(t *testing.T) {
 	t.Run("the newest of each key is known", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			put(t, k, "a", "1")
 			put(t, k, "b", "1")
 			put(t, k, "a", "2")
@@ -184,11 +184,11 @@
 			put(t, k, "b", "")
 			pause()
 			require.Equal(t, "map[a:2]", v.all())
-			require.Zero(t, v.regained)
+			require.Zero(t, v.uncertain)
 		})
 	})
 	t.Run("one change arrives at once, a burst of them with few reads", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			pause()
 			put(t, k, "a", "1")
 			require.Equal(t, "map[a:1]", v.all())
@@ -202,9 +202,8 @@
 			require.LessOrEqual(t, k.reads-before, 6)
 		})
 	})
-	// Found on the sweep of sbn-push-grown: 300 gateways that were killed at once
-	// read 3,000 upstreams anew, which takes the store longer than the 3 s after
-	// which each began again.
+	// Guards against retrying a slow read of the newest records for ever: 300 gateways that restart
+	// together read 3,000 upstreams, which takes the store longer than a timeout of 3 s.
 	t.Run("newest records that take long are read all the same", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -221,19 +220,19 @@
 			g.Wait()
 		})
 	})
-	// A read that waits is answered as soon as there is a record: what it says of the end
-	// of its wait is as certain as what another says of when it was sent. That views are never
-	// younger than they are said to be, TestViewsAreNeverYoungerThanTold checks for any course.
+	// A waiting read is answered as soon as there is a record, so an empty answer is valid for the
+	// end of its wait. TestViewsAreNeverYoungerThanTold checks that views are never reported as
+	// younger than they are.
 	t.Run("freshness is counted from the end of a wait in vain, less what clocks may differ", func(t *testing.T) {
-		bubble(t, func(t *testing.T, _ *fakeTopic, f *Feed, _ *view) {
-			time.Sleep(time.Second + 400*time.Millisecond) // the read that is under way was sent 400 ms ago
+		runFeed(t, func(t *testing.T, _ *fakeTopic, f *Feed, _ *view) {
+			time.Sleep(time.Second + 400*time.Millisecond) // the current read was sent 400 ms ago
 			age, ok := f.Age()
 			require.True(t, ok)
-			require.Equal(t, 400*time.Millisecond+time.Second/driftShare, age)
+			require.Equal(t, 400*time.Millisecond+time.Second/clockDriftDivisor, age)
 		})
 	})
 	t.Run("freshness is counted from when a read was sent that gave records", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			time.Sleep(time.Second + 400*time.Millisecond)
 			put(t, k, "a", "1")
 			age, ok := f.Age()
@@ -244,10 +243,10 @@
 	t.Run("freshness is counted from when a read was sent that was answered before its wait was over", func(t *testing.T) {
 		f := New("f", newTopic())
 		sent := time.Now()
-		require.Equal(t, sent, f.seen(sent, time.Second, 0))
+		require.Equal(t, sent, f.completeAsOf(sent, time.Second, 0))
 	})
 	t.Run("it ages while the store is down and comes back", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, v *view) {
 			put(t, k, "a", "1")
 			k.set(func() { k.down = true })
 			time.Sleep(10 * time.Second)
@@ -256,25 +255,25 @@
 			require.Equal(t, "map[a:1]", v.all())
 			put(t, k, "a", "")
 			k.set(func() { k.down = false })
-			time.Sleep(2 * lastPause)
+			time.Sleep(2 * maxRetryDelay)
 			age, _ = f.Age()
 			require.LessOrEqual(t, age, 2*time.Second)
 			require.Equal(t, "map[]", v.all())
-			require.Equal(t, 1, v.regained, "a drop that went on unseen is told as such")
+			require.Equal(t, 1, v.uncertain, "a drop during an outage is marked as uncertain")
 		})
 	})
 	t.Run("once the store is back it is fresh without waiting for a change", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			k.set(func() { k.down = true })
 			time.Sleep(10 * time.Second)
 			k.set(func() { k.down = false })
-			time.Sleep(lastPause * 3 / 2)
+			time.Sleep(maxRetryDelay * 3 / 2)
 			age, _ := f.Age()
-			require.LessOrEqual(t, age, lastPause*3/2)
+			require.LessOrEqual(t, age, maxRetryDelay*3/2)
 		})
 	})
 	t.Run("what was dropped in forgotten history is found", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, _ *Feed, v *view) {
 			put(t, k, "a", "1")
 			put(t, k, "b", "1")
 			k.set(func() { k.down = true })
@@ -282,14 +281,14 @@
 			put(t, k, "a", "")
 			put(t, k, "c", "1")
 			k.set(func() { k.down, k.first = false, int64(len(k.records)) })
-			time.Sleep(2 * lastPause)
+			time.Sleep(2 * maxRetryDelay)
 			require.Equal(t, "map[b:1 c:1]", v.all())
 			put(t, k, "d", "1")
 			require.Equal(t, "map[b:1 c:1 d:1]", v.all())
 		})
 	})
 	t.Run("a late watcher is told what stands", func(t *testing.T) {
-		bubble(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
+		runFeed(t, func(t *testing.T, k *fakeTopic, f *Feed, _ *view) {
 			put(t, k, "a", "1")
 			require.Equal(t, "map[a:1]", watch(f).all())
 		})
@@ -300,27 +299,27 @@
 	return hollowgrade.KeyedPage{Records: rs, Next: next, End: next}
 }
 
-// Found by an incident on sbn-push (inc-f68e): a gateway whose own last read had
-// failed long ago, and which had followed others since, took each upstream that
-// left for one that had lapsed.
+// Guards against an old failed read making changes uncertain: a gateway whose own last read had
+// failed long ago, and which had followed peers since, treated each upstream that was removed as
+// expired.
 func TestAnOldFailureCastsNoDoubtOnChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)), WithWait(time.Second))
 		v := watch(f)
 		f.Merge(page(1, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1")}), time.Now())
-		f.lost(errDown)
+		f.noteReadFailed(errDown)
 		drop := func(offset int64) int {
-			v.regained = 0
+			v.uncertain = 0
 			f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "a", Value: []byte(fmt.Sprint("v", offset)), Offset: offset}), time.Now())
-			return v.regained
+			return v.uncertain
 		}
 		require.Equal(t, 1, drop(1), "right after a failure")
-		require.Equal(t, time.Now().Add(doubtFor), f.doubt(), "until a box counts as in touch again")
+		require.Equal(t, time.Now().Add(uncertainPeriod), f.uncertainUntil(), "until a box has to follow the registry again")
 		for range 10 {
 			time.Sleep(time.Second)
 			f.Merge(page(2), time.Now())
 		}
-		require.Zero(t, drop(2), "long after it, and fresh all the while")
+		require.Zero(t, drop(2), "long after it, with a view that stayed fresh")
 	})
 }
 
@@ -344,25 +343,25 @@
 		require.Equal(t, now.Add(-2*time.Second), f.Fresh())
 	})
 	t.Run("a page that does not reach the end makes it no fresher", func(t *testing.T) {
-		f.take(hollowgrade.KeyedPage{Next: 7, End: 9}, now)
+		f.mergePage(hollowgrade.KeyedPage{Next: 7, End: 9}, now)
 		require.Equal(t, now.Add(-2*time.Second), f.Fresh())
 	})
 }
 
-// served is a feed that a peer serves over loopback.
-func served(t *testing.T, fs ...*Feed) string {
+// serveFeeds serves feeds to peers over loopback and returns the address.
+func serveFeeds(t *testing.T, fs ...*Feed) string {
 	t.Helper()
 	v := NewServer(0, fs...)
-	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
+	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error { return v.Serve(s, first) })
 }
 
-func requireTold(t *testing.T, r *Relay, address string) {
+func requirePoll(t *testing.T, r *Relay, address string) {
 	t.Helper()
 	_, err := r.exchange(context.Background(), address)
 	require.NoError(t, err)
 }
 
-func requireSilent(t *testing.T, r *Relay, address string) {
+func requirePollFails(t *testing.T, r *Relay, address string) {
 	t.Helper()
 	_, err := r.exchange(context.Background(), address)
 	require.Error(t, err)
@@ -372,7 +371,7 @@
 	quiet := log.New(io.Discard)
 	known := New("f", newTopic(), WithLogger(quiet))
 	known.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now().Add(-time.Second))
-	address := served(t, known)
+	address := serveFeeds(t, known)
 	relay := func(fs ...*Feed) *Relay {
 		r := NewRelay("self:1", func() []string { return nil }, WithRelayLogger(quiet))
 		r.Add(fs...)
@@ -382,51 +381,51 @@
 	unknown := New("g", newTopic(), WithLogger(quiet))
 	v := watch(f)
 	r := relay(f, unknown)
-	require.Len(t, r.behind(), 2)
-	requireTold(t, r, address)
+	require.Len(t, r.staleFeeds(), 2)
+	requirePoll(t, r, address)
 	require.Equal(t, "map[a:1]", v.all())
 	age, ok := f.Age()
 	require.True(t, ok)
 	require.GreaterOrEqual(t, age, time.Second, "the peer's own age counts")
-	require.Len(t, r.behind(), 1)
+	require.Len(t, r.staleFeeds(), 1)
 	t.Run("a peer that is not there", func(t *testing.T) {
-		requireSilent(t, r, "127.0.0.1:1")
+		requirePollFails(t, r, "127.0.0.1:1")
 	})
 	t.Run("a peer that has never seen the topic says nothing", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(quiet))
 		empty := New("f", newTopic(), WithLogger(quiet))
 		r := relay(f)
-		requireTold(t, r, served(t, empty))
+		requirePoll(t, r, serveFeeds(t, empty))
 		_, ok := f.Age()
 		require.False(t, ok)
-		require.Equal(t, r.begun, r.told)
+		require.Equal(t, r.started, r.lastServedReply)
 	})
-	// Found on korrigan-replay trouble-3: both readers were cut off from the store
-	// right before a change, and went on telling what they knew.
+	// Guards against a peer that lost the store serving outdated records: readers that lose the
+	// store right before a change must not refresh processes that have a view.
 	t.Run("a peer that has lost the store tells only those who know nothing", func(t *testing.T) {
 		lost := New("f", newTopic(), WithLogger(quiet))
 		lost.Merge(page(5, hollowgrade.KeyedRecord{Key: "a", Value: []byte("1"), Offset: 4}), time.Now())
-		lost.lost(errDown)
-		a := served(t, lost)
+		lost.noteReadFailed(errDown)
+		a := serveFeeds(t, lost)
 		f := New("f", newTopic(), WithLogger(quiet))
 		f.Merge(page(2), time.Now().Add(-time.Second))
 		r := relay(f)
-		requireTold(t, r, a)
-		require.Equal(t, r.begun, r.told)
+		requirePoll(t, r, a)
+		require.Equal(t, r.started, r.lastServedReply)
 		require.Equal(t, int64(2), f.Next())
 		n := New("f", newTopic(), WithLogger(quiet))
-		requireTold(t, relay(n), a)
+		requirePoll(t, relay(n), a)
 		require.Equal(t, int64(5), n.Next())
 	})
 	t.Run("a connection is kept, and opened again after it broke", func(t *testing.T) {
 		r := relay(New("f", newTopic(), WithLogger(quiet)))
-		requireTold(t, r, address)
+		requirePoll(t, r, address)
 		c := r.conns[address]
-		requireTold(t, r, address)
+		requirePoll(t, r, address)
 		require.Equal(t, c, r.conns[address])
 		require.NoError(t, c.Close())
-		requireSilent(t, r, address)
-		requireTold(t, r, address)
+		requirePollFails(t, r, address)
+		requirePoll(t, r, address)
 	})
 }
 
@@ -454,18 +453,18 @@
 		for _, a := range all(5) {
 			r := relay(a, 5)
 			reader := slices.Contains(rs, a)
-			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for word from readers at first")
-			r.told = time.Now()
+			require.Equal(t, reader, r.Reads(), "it has its newest records, and waits for replies of readers at first")
+			r.lastServedReply = time.Now()
 			require.Equal(t, reader, r.Reads())
-			require.Equal(t, reader, len(r.toAsk()) == 0)
-			r.told = time.Now().Add(-2 * lostAfter)
+			require.Equal(t, reader, len(r.pollTargets()) == 0)
+			r.lastServedReply = time.Now().Add(-2 * servedReplyTimeout)
 			require.True(t, r.Reads())
 		}
 	})
 	t.Run("one that has just started and knows no other waits for the list", func(t *testing.T) {
 		r := relay("10.0.0.0:1", 1)
 		require.False(t, r.Reads())
-		r.begun = time.Now().Add(-2 * lostAfter)
+		r.started = time.Now().Add(-2 * servedReplyTimeout)
 		require.True(t, r.Reads(), "it is alone")
 	})
 	t.Run("the others ask some of them at a time, and all in turn", func(t *testing.T) {
@@ -476,8 +475,8 @@
 			}
 			asked := map[string]bool{}
 			for range 200 {
-				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).toAsk() // nobody has had time to tell it anything
-				require.Len(t, as, askedPeers)
+				as := relay(a, 60, WithRelayClock(clockwork.NewFakeClock())).pollTargets() // no peer has had time to reply
+				require.Len(t, as, pollFanout)
 				for _, x := range as {
 					asked[x] = true
 				}
@@ -502,7 +501,7 @@
 			put(t, k, "a", "1")
 			require.Equal(t, "map[]", v.all())
 			reads.Store(true)
-			time.Sleep(2 * followPause)
+			time.Sleep(2 * followCheckInterval)
 			require.Equal(t, "map[a:1]", v.all())
 			age, _ := f.Age()
 			require.Less(t, age, time.Second)
--- /dev/null
+++ b/feed/poll.go
@@ -0,0 +1,309 @@
+package feed
+
+import (
+	"context"
+	"errors"
+	"io"
+	"slices"
+	"time"
+
+	"github.com/hollowgrade/hollowgrade"
+	"github.com/hollowgrade/hollowgrade/internal/errs"
+	"github.com/hollowgrade/hollowgrade/internal/wire"
+	"github.com/hollowgrade/hollowgrade/peer"
+)
+
+const (
+	// pollTimeout bounds one poll: a connection and an answer within a region. An answer has at
+	// most maxPageBytes for each topic, which fits into this time on any link. Larger values are
+	// transferred by themselves without a bound on the total time.
+	pollTimeout = 700 * time.Millisecond
+	// pollFanout is how many readers a process polls at a time, and how many peers besides while
+	// its view is stale, since some may be dead or cut off. Polling all readers would make the
+	// number of polls grow with the square of the number of processes.
+	pollFanout = 3
+	// minLoggedCutBytes is the size from which an answer that was cut is logged as a warning. Polls
+	// of a peer that is away are not: there are many, and "store lost" and the view's age are
+	// logged anyway.
+	minLoggedCutBytes = 16 << 10
+)
+
+// startRound returns those of the peers that are not being polled yet, and marks them as such.
+func (r *Relay) startRound(as []string) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	as = slices.DeleteFunc(as, func(a string) bool { return r.polling[a] })
+	for _, a := range as {
+		r.polling[a] = true
+	}
+	r.outstanding = len(as)
+	return as
+}
+
+func (r *Relay) endPoll(address string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.polling, address)
+}
+
+// pollTargets returns the peers to poll now. A process that does not read all topics, or that the
+// store does not answer, polls a sample of the processes that the store may serve. While no served
+// process replies, or a view is stale, it polls all readers that may be served, some of the backups
+// that are due, and some others. That holds for a reader too: one that started during an outage and
+// polled nobody got a change 3.3 s late.
+func (r *Relay) pollTargets() (as []string) {
+	rs := r.readers()
+	large := largeReaders(rs)
+	served := r.isServed()
+	switch {
+	case !slices.Contains(rs, r.self):
+		as = r.addSample(nil, r.withServedPeers(rs))
+	case !slices.Contains(large, r.self), r.unservedOnSome():
+		as = r.addSample(nil, r.withServedPeers(large))
+	}
+	if served && !slices.Contains(rs, r.self) {
+		as = r.addSample(as, r.higherRanked()) // those that it replaces as a backup may be served by now
+	}
+	r.mu.Lock()
+	lacksReply := r.lacksServedReply()
+	r.mu.Unlock()
+	if len(r.staleFeeds()) == 0 && (served || !lacksReply) {
+		return as
+	}
+	as = append(as, slices.DeleteFunc(r.withoutUnserved(rs), func(a string) bool { return slices.Contains(as, a) })...)
+	as = r.addSample(as, r.dueBackups())
+	return r.addSample(as, r.peers())
+}
+
+// addSample adds a sample of more peers to those that are polled.
+func (r *Relay) addSample(as, more []string) []string {
+	return append(as, r.sample(slices.DeleteFunc(slices.Clone(more), func(a string) bool { return a == r.self || slices.Contains(as, a) }))...)
+}
+
+// unservedOnSome reports whether the store does not answer this process on some topic.
+func (r *Relay) unservedOnSome() bool {
+	return slices.ContainsFunc(r.feeds, func(f *Feed) bool {
+		served, known := f.served()
+		return known && !served
+	})
+}
+
+// isServed reports whether the store answers this process on all topics that it reads.
+func (r *Relay) isServed() bool {
+	return allServed(r.feeds)
+}
+
+// sample returns a random sample of pollFanout peers, with one of the own hall if there is one, so
+// that large values come from there.
+func (r *Relay) sample(as []string) []string {
+	as = r.preferServed(as)
+	shuffle(as)
+	if i := slices.IndexFunc(as, r.sameHall); i > 0 {
+		as[0], as[i] = as[i], as[0]
+	}
+	return as[:min(pollFanout, len(as))]
+}
+
+// staleFeeds returns the feeds that are stale.
+func (r *Relay) staleFeeds() (fs []*Feed) {
+	for _, f := range r.feeds {
+		if age, ok := f.Age(); !ok || age > r.timing.staleAge(f.wait) {
+			fs = append(fs, f)
+		}
+	}
+	return fs
+}
+
+// pollResult is the result of one poll of a peer.
+type pollResult struct {
+	feeds  int  // that were in the answer
+	served bool // whether the peer reported that the store serves it
+	bytes  int64
+	more   *Feed            // a feed of which the peer can send the next page at once, or nil
+	large  []announcedValue // records whose values have to be requested
+}
+
+// announcedValue is a record that a peer announced without its value.
+type announcedValue struct {
+	feed   *Feed
+	record *wire.LargeRecord
+}
+
+// poll polls a peer once, and then for the missing pages one after another.
+func (r *Relay) poll(ctx context.Context, address string) {
+	for f := r.pollOnce(ctx, address); f != nil; {
+		before := f.Next()
+		if !r.startPaging(f) {
+			return // another poll does it
+		}
+		more := r.pollOnce(ctx, address)
+		r.endPaging(f)
+		if f.Next() == before {
+			return
+		}
+		f = more
+	}
+}
+
+// startPaging marks a feed as being read page by page. It returns false if it is already.
+func (r *Relay) startPaging(f *Feed) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.paging[f] {
+		return false
+	}
+	r.paging[f] = true
+	return true
+}
+
+func (r *Relay) endPaging(f *Feed) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.paging, f)
+}
+
+// pollOnce polls a peer and starts the transfers of large values that it has. It returns a feed of
+// which the peer can send more, or nil.
+func (r *Relay) pollOnce(ctx context.Context, address string) (more *Feed) {
+	sent := r.clock.Now()
+	d, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	t, err := r.exchange(d, address)
+	r.received.Add(t.bytes)
+	if err != nil {
+		r.noteNoReply(address)
+		r.noteCut(address, t.bytes, r.clock.Since(sent), errors.Join(d.Err(), err))
+		return nil
+	}
+	for _, l := range t.large {
+		r.fetchValue(ctx, l.feed, l.record, address)
+	}
+	return t.more
+}
+
+// noteCut records that the answer of a peer was cut after so many bytes.
+func (r *Relay) noteCut(address string, bytes int64, took time.Duration, err error) {
+	r.wasted.Add(bytes)
+	if bytes >= minLoggedCutBytes {
+		r.log.Warn("answer of a peer was cut", "peer", address, "bytes", bytes, "took_ms", took.Milliseconds(), "err", err)
+		return
+	}
+	r.log.Debug("poll of a peer failed", "peer", address, "err", err)
+}
+
+// Received returns how many bytes peers have sent, and how many of these belonged to answers and
+// values that were cut.
+func (r *Relay) Received() (all, wasted int64) {
+	return r.received.Load(), r.wasted.Load()
+}
+
+// conn returns the existing connection to a peer, or opens one.
+func (r *Relay) conn(ctx context.Context, address string) (*peer.Conn, error) {
+	r.mu.Lock()
+	c := r.conns[address]
+	r.mu.Unlock()
+	if c != nil {
+		return c, nil
+	}
+	c, err := peer.Dial(ctx, r.dial, address)
+	if err != nil {
+		return nil, err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if o := r.conns[address]; o != nil {
+		return o, c.Close()
+	}
+	r.conns[address] = c
+	return c, nil
+}
+
+// drop closes and removes a connection on which an exchange failed.
+func (r *Relay) drop(address string, c *peer.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.conns[address] == c {
+		delete(r.conns, address)
+	}
+	_ = c.Close()
+}
+
+// exchange polls a peer and merges what it sends.
+func (r *Relay) exchange(ctx context.Context, address string) (t pollResult, err error) {
+	defer errs.Annotate(&err, "ask peer %s for feeds", address)
+	c, err := r.conn(ctx, address)
+	if err != nil {
+		return t, err
+	}
+	defer func() {
+		if err != nil {
+			r.drop(address, c)
+		}
+	}()
+	sent := r.clock.Now()
+	q := &wire.FeedRequest{}
+	for _, f := range r.feeds {
+		q.Positions = append(q.Positions, &wire.FeedPosition{Feed: f.Name(), Next: f.Next()})
+	}
+	s, err := c.Open(&wire.Frame{Body: &wire.Frame_FeedRequest{FeedRequest: q}})
+	if err != nil {
+		return t, err
+	}
+	defer s.Abort()
+	stop := context.AfterFunc(ctx, s.Abort)
+	defer stop()
+	defer func() { t.bytes = s.Received() }()
+	for t.served = true; ; t.feeds++ {
+		m, err := s.Receive()
+		if errors.Is(err, io.EOF) {
+			r.noteReply(address, t.served && t.feeds >= len(r.feeds))
+			return t, nil
+		}
+		if err != nil {
+			return t, err
+		}
+		p := m.GetFeedReply()
+		if p == nil {
+			return t, errors.New("peer sent a frame that is not due")
+		}
+		r.merge(address, p, sent, &t)
+	}
+}
+
+// feedByName returns the feed with a name, nil if there is none.
+func feedByName(fs []*Feed, name string) *Feed {
+	i := slices.IndexFunc(fs, func(f *Feed) bool { return f.Name() == name })
+	if i < 0 {
+		return nil
+	}
+	return fs[i]
+}
+
+// merge merges a peer's reply and adds what has to be requested separately to t. The reply's age
+// counts from when the request was sent, the earliest time at which the peer can have answered.
+func (r *Relay) merge(address string, m *wire.FeedReply, sent time.Time, t *pollResult) {
+	f := feedByName(r.feeds, m.Feed)
+	if f == nil {
+		return
+	}
+	if m.Unserved {
+		t.served = false
+	}
+	before, _ := f.Age()
+	p := hollowgrade.KeyedPage{Next: m.Next, End: max(m.End, m.Next), From: address}
+	for _, k := range m.Records {
+		p.Records = append(p.Records, hollowgrade.KeyedRecord{Key: k.Key, Value: k.Value, Offset: k.Offset})
+	}
+	f.Merge(p, sent.Add(-time.Duration(m.AgeMicros)*time.Microsecond))
+	if after, ok := f.Age(); ok && after < before && (before > r.timing.staleAge(f.wait) || len(p.Records) > 0) {
+		r.log.Info("view updated from a peer", "feed", f.name, "peer", address, "next", m.Next, "records", len(p.Records),
+			"age_ms", after.Milliseconds(), "age_before_ms", before.Milliseconds())
+	}
+	switch l := m.Large; {
+	case f.Next() != p.Next || p.Next == p.End:
+	case l != nil && f.noteAnnounced(l.Key, l.Offset, int(l.Size), address):
+		t.large = append(t.large, announcedValue{f, l})
+	default:
+		t.more = f
+	}
+}
--- a/feed/readers_test.go
+++ b/feed/readers_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneOf returns the relay of one of n processes.
-func oneOf(n int) *Relay {
+// relayAmong returns the relay of one of n processes.
+func relayAmong(n int) *Relay {
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprintf("10.0.%d.%d:1", i/250, i%250))
@@ -33,17 +33,17 @@
 	require.LessOrEqual(t, asked, 2)
 }
 
-// BenchmarkReaders measures the question who reads the store for the others.
+// BenchmarkReaders measures the lookup of the readers, cached and computed.
 func BenchmarkReaders(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := oneOf(n)
+			r := relayAmong(n)
 			for b.Loop() {
 				r.readers()
 			}
 		})
 		b.Run(fmt.Sprint(n, " worked out"), func(b *testing.B) {
-			r := oneOf(n)
+			r := relayAmong(n)
 			for b.Loop() {
 				r.rank()
 			}
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -14,62 +14,62 @@
 )
 
 const (
-	// lostAfter is how long a process goes without word from a process that the store
-	// serves before it doubts that any reader is, whatever they say: those that it asks may
-	// be gone. It is two asks, or one and its timeout. One that reaches nobody reads the
-	// store itself then.
-	lostAfter = 900 * time.Millisecond
-	// standInRate is how many tries a second all processes that are no readers make while
-	// the store is away, once each has had its turn: a few that get an answer are enough for
+	// servedReplyTimeout is how long a process goes without a reply from a process that the store
+	// serves before it suspects that the store serves no reader, whatever they report: those that
+	// it polls may be gone. It is two poll intervals, or one and its timeout. A process that
+	// reaches no peer then reads the store itself.
+	servedReplyTimeout = 900 * time.Millisecond
+	// backupProbesPerSecond is how many probes a second all processes other than readers make
+	// together during an outage, once all backups are due. A few that get an answer are enough for
 	// all.
-	standInRate = 20
-	// urgentFor is for how long a process that is told nothing asks often: a few asks
-	// more than the last turn of those that stand in.
-	urgentFor = 3 * time.Second
+	backupProbesPerSecond = 20
+	// urgentPollPeriod is how long a process polls at the urgent interval while it gets no served
+	// reply: a few polls longer than until the last backups are due.
+	urgentPollPeriod = 3 * time.Second
 )
 
-// Relay keeps feeds up to date from peers: a few processes read the store, and
-// the others ask those. It also helps a process that the store turns away.
+// Relay keeps feeds up to date from peers: a few processes read the store, and the others poll
+// those. It also updates a process that the store does not serve.
 type Relay struct {
-	self   string
-	hall   string
-	feeds  []*Feed
-	peers  func() []string
-	places func(address string) Place
-	dial   peer.Dialer
-	clock  hollowgrade.Clock
-	log    *log.Logger
+	self    string
+	hall    string
+	feeds   []*Feed
+	peers   func() []string
+	placeOf func(address string) Place
+	dial    peer.Dialer
+	clock   hollowgrade.Clock
+	log     *log.Logger
 
-	received, wasted atomic.Int64 // bytes that peers sent; those that were thrown away
+	received, wasted atomic.Int64 // bytes that peers sent; those that were discarded
 	exchanges        sync.WaitGroup
-	notify           chan struct{} // has an element when a round was in vain: others are asked at once
+	pollNow          chan struct{} // signals a round in which no polled peer was served: others are polled at once
 
-	store *Access
-	begun time.Time // when this process started
+	breaker *Breaker
+	started time.Time // when this process started
 
 	timing Timing
 
 	rankedMu sync.Mutex
-	ranked   []string // all processes by rank as they were worked out last, readers first
+	ranked   []string // cached ranking of all processes, readers first
 	rankedAt time.Time
 
-	mu        sync.Mutex
-	conns     map[string]*peer.Conn
-	words     map[string]word     // what peers last said of themselves
-	asking    map[string]bool     // peers that are asked now
-	open      int                 // how many peers of the last round have still to answer, if none that the store serves has
-	vain      bool                // whether none of a round was one that the store serves, and none has answered since
-	told      time.Time           // when a process that the store serves last told all feeds, or this process began
-	reached   time.Time           // when a peer last answered
-	standing  bool                // whether this process stands in for the readers
-	doubted   time.Time           // since when the store seems to serve no reader; zero if it does
-	reads     reading             // what Reads last said
-	large     reading             // what ReadsLarge last said
-	transfers map[*Feed]*transfer // under way
-	catching  map[*Feed]bool      // feeds of which pages are read one after another
+	mu              sync.Mutex
+	conns           map[string]*peer.Conn
+	peerStatuses    map[string]peerStatus // last reported status of each peer
+	polling         map[string]bool       // peers that are being polled
+	outstanding     int                   // pending polls of the last round, if none has reached a served peer
+	noneServed      bool                  // whether no peer of a round was served by the store, and no served one has replied since
+	lastServedReply time.Time             // time of the last complete reply of a served peer, or the start time of this process
+	lastReply       time.Time             // time of the last reply of any peer
+	isBackup        bool                  // whether this process reads as a backup
+	outageSince     time.Time             // since when the store has seemed to serve no reader; zero if it does
+	lastReads       readDecision          // last result of Reads
+	lastReadsLarge  readDecision          // last result of ReadsLarge
+	transfers       map[*Feed]*transfer   // under way
+	paging          map[*Feed]bool        // feeds that are being read page by page
 }
 
-// RelayOption changes a relay as it is made.
+// RelayOption configures a relay.
 type RelayOption func(*Relay)
 
 // WithRelayClock sets the clock.
@@ -82,70 +82,69 @@
 	return func(r *Relay) { r.log = l }
 }
 
-// WithDialer sets how peers are reached.
+// WithDialer sets the dialer for connections to peers.
 func WithDialer(d peer.Dialer) RelayOption {
 	return func(r *Relay) { r.dial = d }
 }
 
-// WithPlaces sets what is known of where processes are, this one among them.
+// WithPlaces sets the function that returns the location of a process, this one included.
 func WithPlaces(f func(address string) Place) RelayOption {
-	return func(r *Relay) { r.places = f }
+	return func(r *Relay) { r.placeOf = f }
 }
 
-// WithRelayTiming sets the times by which peers are asked and stood in for.
+// WithRelayTiming sets the intervals of polls and the delays of backups.
 func WithRelayTiming(t Timing) RelayOption {
 	return func(r *Relay) { r.timing = t }
 }
 
-// NewRelay returns a relay for the process with the address self. Peers returns
-// the addresses of the others; it is asked anew each time. Feeds are added with
-// [Relay.Add].
+// NewRelay returns a relay for the process with the address self. Peers returns the current
+// addresses of the others. Feeds are added with [Relay.Add].
 func NewRelay(self string, peers func() []string, os ...RelayOption) *Relay {
 	r := &Relay{
-		self:      self,
-		peers:     peers,
-		places:    func(string) Place { return Place{} },
-		dial:      peer.TCP(),
-		clock:     hollowgrade.SystemClock(),
-		log:       log.Default(),
-		timing:    NewTiming(viewBound),
-		conns:     map[string]*peer.Conn{},
-		words:     map[string]word{},
-		asking:    map[string]bool{},
-		notify:    make(chan struct{}, 1),
-		transfers: map[*Feed]*transfer{},
-		catching:  map[*Feed]bool{},
+		self:         self,
+		peers:        peers,
+		placeOf:      func(string) Place { return Place{} },
+		dial:         peer.TCP(),
+		clock:        hollowgrade.SystemClock(),
+		log:          log.Default(),
+		timing:       NewTiming(nominalViewAge),
+		conns:        map[string]*peer.Conn{},
+		peerStatuses: map[string]peerStatus{},
+		polling:      map[string]bool{},
+		pollNow:      make(chan struct{}, 1),
+		transfers:    map[*Feed]*transfer{},
+		paging:       map[*Feed]bool{},
 	}
 	for _, o := range os {
 		o(r)
 	}
-	r.hall = r.places(self).Hall
-	r.begun = r.clock.Now()
-	r.told = r.begun
-	r.store = NewAccess(r.clock, r.spacing)
+	r.hall = r.placeOf(self).Hall
+	r.started = r.clock.Now()
+	r.lastServedReply = r.started
+	r.breaker = NewBreaker(r.clock, r.probeInterval)
 	return r
 }
 
-// Access returns what this process knows of its way to the store, for all that calls it.
-func (r *Relay) Access() *Access {
-	return r.store
+// Breaker returns the breaker that all callers of the store in this process share.
+func (r *Relay) Breaker() *Breaker {
+	return r.breaker
 }
 
-// spacing is the mean time between the tries of this process to read a store that is
-// away: readers make theirs as they fail, and so does one that reaches nobody; all others
-// together make [standInRate] a second.
-func (r *Relay) spacing() time.Duration {
-	if slices.Contains(r.readers(), r.self) || r.alone() {
+// probeInterval is the mean time between probes of a store that does not answer. Readers and
+// isolated processes use the exponential delay alone; all others together make
+// [backupProbesPerSecond].
+func (r *Relay) probeInterval() time.Duration {
+	if slices.Contains(r.readers(), r.self) || r.isolated() {
 		return 0
 	}
-	return time.Duration(len(r.peers())) * time.Second / standInRate
+	return time.Duration(len(r.peers())) * time.Second / backupProbesPerSecond
 }
 
-// alone reports whether this process has reached no other lately.
-func (r *Relay) alone() bool {
+// isolated reports whether no peer has replied lately.
+func (r *Relay) isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Since(r.reached) > lostAfter
+	return r.clock.Since(r.lastReply) > servedReplyTimeout
 }
 
 // Add adds feeds. It is called before Run.
@@ -153,82 +152,81 @@
 	r.feeds = append(r.feeds, fs...)
 }
 
-// Reads reports whether this process has to read the store itself: it is one of
-// the readers, or stands in for them.
+// Reads reports whether this process has to read the store itself, as a reader or as a backup.
 func (r *Relay) Reads() bool {
-	return r.readsAs(r.readers(), &r.reads, "all")
+	return r.updateReads(r.readers(), &r.lastReads, "all")
 }
 
-// ReadsLarge reports the same for topics with large records. While a peer sends one,
-// this process does not read another copy of it: both would share one link.
+// ReadsLarge reports the same for topics with large records. While a peer sends one, this process
+// does not read another copy from the store, since both would share one link.
 func (r *Relay) ReadsLarge() bool {
-	rs := readersOfLarge(r.readers())
+	rs := largeReaders(r.readers())
 	if r.transferring() {
 		return slices.Contains(rs, r.self)
 	}
-	return r.readsAs(rs, &r.large, "large")
+	return r.updateReads(rs, &r.lastReadsLarge, "large")
 }
 
-// reading is whether this process reads some of the topics itself.
-type reading bool
+// readDecision is whether this process reads some of the topics itself.
+type readDecision bool
 
-// readsAs reports whether this process has to read topics that these processes read
-// for all, and logs when that is no longer what was said last.
-func (r *Relay) readsAs(readers []string, said *reading, topics string) bool {
-	reader := slices.Contains(readers, r.self) && !r.begins(len(readers))
-	better := r.better()
+// updateReads reports whether this process has to read topics that the given readers read for all,
+// and logs when the decision changes.
+func (r *Relay) updateReads(readers []string, last *readDecision, topics string) bool {
+	reader := slices.Contains(readers, r.self) && !r.isStarting(len(readers))
+	higherRanked := r.higherRanked()
 	served := r.isServed()
-	stale := len(r.behind()) > 0
-	large := readersOfLarge(r.readers())
-	turn := turnOf(max(len(better)-len(large), 0))
-	stoodIn := false
+	stale := len(r.staleFeeds()) > 0
+	large := largeReaders(r.readers())
+	group := backupGroup(max(len(higherRanked)-len(large), 0))
+	becameBackup := false
 	defer func() {
-		if stoodIn {
-			r.store.Doubt() // without the lock, since the store's access asks this relay
+		if becameBackup {
+			r.breaker.SuspectOutage() // without the lock, since the breaker calls this relay
 		}
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noteDoubt(large, served, stale)
-	r.standing = r.standsIn(turn, better, served)
-	reads := reader || r.standing
-	if reading(reads) != *said {
-		stoodIn = !reader && reads
-		*said = reading(reads)
-		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", turn, "served", served,
-			"told_ms", r.clock.Since(r.told).Milliseconds(), "doubted_ms", r.doubtedMillis(), "stale", stale, "better_served", r.servedOf(better))
+	r.updateOutage(large, served, stale)
+	r.isBackup = r.actsAsBackup(group, higherRanked, served)
+	reads := reader || r.isBackup
+	if readDecision(reads) != *last {
+		becameBackup = !reader && reads
+		*last = readDecision(reads)
+		r.log.Info("reading of the store changed", "topics", topics, "reads", reads, "reader", reader, "turn", group, "served", served,
+			"told_ms", r.clock.Since(r.lastServedReply).Milliseconds(), "doubted_ms", r.outageMillis(), "stale", stale, "better_served", r.countServed(higherRanked))
 	}
 	return reads
 }
 
-// doubtedMillis returns for how long the store has seemed to serve no reader, for logs; -1 if
-// it does. The lock is held.
-func (r *Relay) doubtedMillis() int64 {
-	if r.doubted.IsZero() {
+// outageMillis returns how long the store has seemed to serve no reader, for logs; -1 if it does.
+// The caller holds the lock.
+func (r *Relay) outageMillis() int64 {
+	if r.outageSince.IsZero() {
 		return -1
 	}
-	return r.clock.Since(r.doubted).Milliseconds()
+	return r.clock.Since(r.outageSince).Milliseconds()
 }
 
-// begins reports whether this process has just started and knows no other yet. It has
-// read all newest records or is about to; whether it is to read on it learns with the list
-// of the others. Gateways that start together made seven calls each, and make four.
-func (r *Relay) begins(readers int) bool {
-	return readers <= 1 && r.clock.Since(r.begun) <= lostAfter
+// isStarting reports whether this process has just started and knows no other yet. It reads all
+// newest records in any case; whether it keeps reading is decided with the list of the others.
+// Without this wait, gateways that start together make seven calls each instead of four.
+func (r *Relay) isStarting(readers int) bool {
+	return readers <= 1 && r.clock.Since(r.started) <= servedReplyTimeout
 }
 
-// Run asks peers until ctx ends.
+// Run polls peers until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
-	var asked time.Time
-	for r.rest(ctx) {
-		if r.clock.Since(asked) < r.timing.Ask && !r.asksOften() {
+	var lastPoll time.Time
+	for r.waitForPoll(ctx) {
+		if r.clock.Since(lastPoll) < r.timing.PollInterval && !r.pollsUrgently() {
 			continue
 		}
-		asked = r.clock.Now()
-		for _, a := range r.beginRound(r.toAsk()) {
+		lastPoll = r.clock.Now()
+		for _, a := range r.startRound(r.pollTargets()) {
 			r.exchanges.Go(func() {
-				defer r.endAsk(a)
-				r.ask(ctx, a)
+				defer r.endPoll(a)
+				r.poll(ctx, a)
 			})
 		}
 	}
@@ -240,24 +238,24 @@
 	}
 }
 
-// asksOften reports whether this process asks often, since nobody that the store serves tells it
-// anything: only for as long as it may take to find out who stands in, as in a long outage nobody does.
-func (r *Relay) asksOften() bool {
+// pollsUrgently reports whether this process polls at the urgent interval since no served process
+// replies. It does so only until the backups should be known, since in a long outage there are
+// none.
+func (r *Relay) pollsUrgently() bool {
 	served := r.isServed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !served && r.untold() && r.clock.Since(r.told) <= urgentFor
+	return !served && r.lacksServedReply() && r.clock.Since(r.lastServedReply) <= urgentPollPeriod
 }
 
-// rest waits for the next moment at which peers may have to be asked. It returns false if ctx
-// ended before.
-func (r *Relay) rest(ctx context.Context) bool {
-	t := r.clock.NewTimer(r.timing.Urgent)
+// waitForPoll waits until peers may have to be polled. It returns false if ctx ends first.
+func (r *Relay) waitForPoll(ctx context.Context) bool {
+	t := r.clock.NewTimer(r.timing.UrgentPollInterval)
 	defer t.Stop()
 	select {
 	case <-t.Chan():
 		return true
-	case <-r.notify:
+	case <-r.pollNow:
 		return true
 	case <-ctx.Done():
 		return false
--- a/feed/server.go
+++ b/feed/server.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// slotMbit is how much of a link one transfer of a value is given, in Mbit/s, and
-	// fewestSlots and mostSlots how many transfers a process makes at a time. A
-	// narrow link that serves two at a time lets a fleet of n have a value after
-	// log3(n) rounds; all at a time would keep each of them waiting for the last.
-	slotMbit    = 25
-	fewestSlots = 2
-	mostSlots   = 8
-	// keptHolders is how many processes that have taken a value are remembered, and
-	// namedHolders how many of them a busy process names.
-	keptHolders  = 32
-	namedHolders = 4
-	// chunkBytes is how much of a value goes into one frame: 6.5 ms of a link of
-	// 20 Mbit/s, for which other exchanges on the connection wait at the most.
-	chunkBytes = 16 << 10
-	// stallTimeout is how long a transfer may stand still, a process that was paused
-	// for a moment among the reasons.
+	// mbitPerSlot is the share of a link in Mbit/s for one transfer of a value, and minSlots and
+	// maxSlots bound how many transfers a process makes at a time. On a narrow link two at a time
+	// distribute a value to n processes in log3(n) rounds; with all at once, each would wait for
+	// the last.
+	mbitPerSlot = 25
+	minSlots    = 2
+	maxSlots    = 8
+	// maxHolders is how many processes that have received a value are remembered, and
+	// maxHoldersInReply how many of them a busy reply lists.
+	maxHolders        = 32
+	maxHoldersInReply = 4
+	// maxChunkBytes is how much of a value goes into one frame: 6.5 ms of a link of 20 Mbit/s, the
+	// longest that other exchanges on the connection wait for it.
+	maxChunkBytes = 16 << 10
+	// stallTimeout is how long a transfer may make no progress, for example while a process is
+	// paused.
 	stallTimeout = time.Second
-	// unknownAge is told where an excerpt does not reach the end of a view.
+	// unknownAge is sent as the age if an excerpt does not reach the end of a view.
 	unknownAge = 24 * time.Hour
 )
 
-// Server answers peers: with excerpts of feeds, and with large values.
+// Server answers peers with excerpts of feeds and with large values.
 type Server struct {
 	feeds []*Feed
 	slots int
 
 	mu      sync.Mutex
 	busy    int
-	holders []holder // that have taken a value from here, latest first
+	holders []holder // that received a value from this process, latest first
 }
 
 // holder is a process that has a value.
@@ -53,37 +53,35 @@
 	offset        int64
 }
 
-// NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if
-// that is not known.
+// NewServer returns a server for feeds at a box with a link of so many Mbit/s, 0 if unknown.
 func NewServer(link float64, fs ...*Feed) *Server {
-	return &Server{feeds: fs, slots: min(max(int(link/slotMbit), fewestSlots), mostSlots)}
+	return &Server{feeds: fs, slots: min(max(int(link/mbitPerSlot), minSlots), maxSlots)}
 }
 
-// Serve answers one exchange that a peer has opened. It is a part of a
-// [peer.Handler].
+// Serve answers one exchange that a peer has opened. It is meant to be called by a [peer.Handler].
 func (s *Server) Serve(t *peer.Stream, first *wire.Frame) error {
 	switch b := first.Body.(type) {
 	case *wire.Frame_FeedRequest:
-		return s.tell(t, b.FeedRequest)
+		return s.sendFeeds(t, b.FeedRequest)
 	case *wire.Frame_ValueRequest:
-		return s.give(t, b.ValueRequest)
+		return s.sendValue(t, b.ValueRequest)
 	default:
 		return fmt.Errorf("%w: a request for feeds or for a value was due", peer.ErrBroken)
 	}
 }
 
-// tell answers with an excerpt of each feed that is known here.
-func (s *Server) tell(t *peer.Stream, q *wire.FeedRequest) (err error) {
+// sendFeeds answers with an excerpt of each feed that is known here.
+func (s *Server) sendFeeds(t *peer.Stream, q *wire.FeedRequest) (err error) {
 	defer errs.Annotate(&err, "answer with feeds")
 	unserved := !allServed(s.feeds)
 	for _, o := range q.Positions {
-		f := named(s.feeds, o.Feed)
+		f := feedByName(s.feeds, o.Feed)
 		if f == nil {
 			continue
 		}
 		p, ok := f.excerptFrom(o.Next)
-		if !ok || f.lostNow() && o.Next > 0 {
-			continue // the store's newest is not known here, and the peer knows something
+		if !ok || f.unconfirmedSinceFailure() && o.Next > 0 {
+			continue // the view may be outdated, and the peer has one of its own
 		}
 		if err = t.Send(reply(f.Name(), p, unserved)); err != nil {
 			return err
@@ -106,10 +104,10 @@
 	return &wire.Frame{Body: &wire.Frame_FeedReply{FeedReply: m}}
 }
 
-// give sends the newest value of a key, or says who else has it.
-func (s *Server) give(t *peer.Stream, q *wire.ValueRequest) (err error) {
+// sendValue sends the newest value of a key, or a list of other processes that have it.
+func (s *Server) sendValue(t *peer.Stream, q *wire.ValueRequest) (err error) {
 	defer errs.Annotate(&err, "send a value")
-	f := named(s.feeds, q.Feed)
+	f := feedByName(s.feeds, q.Feed)
 	if f == nil {
 		return t.Finish()
 	}
@@ -118,12 +116,12 @@
 		return t.Finish()
 	}
 	h := holder{address: q.Address, hall: q.Hall, feed: q.Feed, key: q.Key, offset: r.Offset}
-	if !s.enter() {
-		return s.refuse(t, h)
+	if !s.acquireSlot() {
+		return s.sendBusy(t, h)
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	base, offset := s.base(f, q)
-	o, err := f.forms.get(r, offset, base)
+	o, err := f.encodings.get(r, offset, base)
 	if err != nil {
 		return err
 	}
@@ -134,14 +132,14 @@
 	if err = t.Send(&wire.Frame{Body: &wire.Frame_ValueHead{ValueHead: m}}); err != nil {
 		return err
 	}
-	if err = sendForm(t, o.bytes[m.From:]); err != nil {
+	if err = sendEncoded(t, o.bytes[m.From:]); err != nil {
 		return err
 	}
-	s.note(h)
+	s.addHolder(h)
 	return t.Finish()
 }
 
-// base returns the value that a peer has, if it is known here and the same.
+// base returns the value that a peer has as a base, if it is known here with the same checksum.
 func (s *Server) base(f *Feed, q *wire.ValueRequest) (value []byte, offset int64) {
 	if q.BaseSum == 0 {
 		return nil, noBase
@@ -153,10 +151,10 @@
 	return v, q.BaseOffset
 }
 
-// sendForm sends a form in pieces, each of which has to make way in time.
-func sendForm(t *peer.Stream, b []byte) error {
+// sendEncoded sends an encoded value in chunks, each with its own deadline.
+func sendEncoded(t *peer.Stream, b []byte) error {
 	for len(b) > 0 {
-		n := min(len(b), chunkBytes)
+		n := min(len(b), maxChunkBytes)
 		if err := t.Extend(stallTimeout); err != nil {
 			return err
 		}
@@ -168,7 +166,7 @@
 	return nil
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy >= s.slots {
@@ -178,26 +176,26 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy--
 }
 
-// note remembers who has a value now.
-func (s *Server) note(h holder) {
+// addHolder records a process that has a value.
+func (s *Server) addHolder(h holder) {
 	if h.address == "" {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holders = append([]holder{h}, s.holders...)
-	s.holders = s.holders[:min(len(s.holders), keptHolders)]
+	s.holders = s.holders[:min(len(s.holders), maxHolders)]
 }
 
-// refuse tells a peer that no transfer can begin now, and who has the value, those
-// in its own hall first.
-func (s *Server) refuse(t *peer.Stream, h holder) error {
+// sendBusy replies that no transfer can begin now and lists processes that have the value, those in
+// the peer's hall first.
+func (s *Server) sendBusy(t *peer.Stream, h holder) error {
 	s.mu.Lock()
 	var near, far []string
 	for _, o := range s.holders {
@@ -213,7 +211,7 @@
 	shuffle(near)
 	shuffle(far)
 	m := &wire.ValueHead{Busy: true, Holders: slices.Concat(near, far)}
-	m.Holders = m.Holders[:min(len(m.Holders), namedHolders)]
+	m.Holders = m.Holders[:min(len(m.Holders), maxHoldersInReply)]
 	if err := t.Send(&wire.Frame{Body: &wire.Frame_ValueHead{ValueHead: m}}); err != nil {
 		return err
 	}
--- a/feed/timing_test.go
+++ b/feed/timing_test.go
@@ -9,34 +9,34 @@
 
 func TestTiming(t *testing.T) {
 	t.Run("all of it adds up to five sevenths of any bound", func(t *testing.T) {
-		for _, b := range []time.Duration{LeastBound, 1200 * time.Millisecond, 2200 * time.Millisecond, viewBound, 9200 * time.Millisecond} {
+		for _, b := range []time.Duration{MinViewAge, 1200 * time.Millisecond, 2200 * time.Millisecond, nominalViewAge, 9200 * time.Millisecond} {
 			m := NewTiming(b)
-			require.Less(t, m.oldest(m.Wait, turnOf(102-readerCount(103))), b*5/7, "keys are good for %s", b)
+			require.Less(t, m.maxAge(m.ReadWait, backupGroup(102-readerCount(103))), b*5/7, "keys are good for %s", b)
 		}
 	})
 	t.Run("a longer bound makes reads wait longer, and nothing later", func(t *testing.T) {
-		m, l := NewTiming(viewBound), NewTiming(2*viewBound)
-		require.Equal(t, 2*m.Wait, l.Wait)
-		l.Wait = m.Wait
+		m, l := NewTiming(nominalViewAge), NewTiming(2*nominalViewAge)
+		require.Equal(t, 2*m.ReadWait, l.ReadWait)
+		l.ReadWait = m.ReadWait
 		require.Equal(t, m, l)
 	})
 	t.Run("what cannot be held is not tried for", func(t *testing.T) {
-		require.Equal(t, NewTiming(LeastBound), NewTiming(0))
+		require.Equal(t, NewTiming(MinViewAge), NewTiming(0))
 	})
 }
 
 func TestTurns(t *testing.T) {
 	t.Run("each has four times as many as the one before, and three more", func(t *testing.T) {
 		before := 0
-		for turn := range 5 {
-			n := placesUntil(turn, 10_000)
-			require.Equal(t, turn, turnOf(before))
-			require.Equal(t, turn, turnOf(n-1))
-			require.Equal(t, standInGroup+standInGrowth*before, n)
+		for group := range 5 {
+			n := backupsUpTo(group, 10_000)
+			require.Equal(t, group, backupGroup(before))
+			require.Equal(t, group, backupGroup(n-1))
+			require.Equal(t, backupGroupSize+backupGroupGrowth*before, n)
 			before = n
 		}
 	})
 	t.Run("there are no more places than processes", func(t *testing.T) {
-		require.Equal(t, 96, placesUntil(1000, 96))
+		require.Equal(t, 96, backupsUpTo(1000, 96))
 	})
 }
--- a/feed/transfer.go
+++ b/feed/transfer.go
@@ -17,36 +17,35 @@
 )
 
 const (
-	// busyPause is how long a process waits at the least before it asks on after a
-	// peer that was busy, twice as long each time up to mostBusyPause.
-	busyPause     = 20 * time.Millisecond
-	mostBusyPause = 320 * time.Millisecond
-	// nearPause is how long a process waits for a peer of its own hall to have a
-	// value that one of another hall has, if its hall has a reader: so the value
-	// crosses a link between halls about once. It is short of the second that is left
-	// of the two in which a change has to be in force.
-	nearPause = 150 * time.Millisecond
+	// minBusyDelay is the least delay before the next request after a busy reply. It doubles each
+	// time up to maxBusyDelay.
+	minBusyDelay = 20 * time.Millisecond
+	maxBusyDelay = 320 * time.Millisecond
+	// sameHallDelay is how long a process waits for a peer of its own hall to get a value that a
+	// peer of another hall has, if its hall has a reader. The value then crosses each link between
+	// halls about once. A change has to be in force within two seconds, of which about one is left
+	// at this point.
+	sameHallDelay = 150 * time.Millisecond
 )
 
-// errNotThere means that a peer does not have a value any more.
-var errNotThere = errors.New("peer does not have the value")
+// errNoValue means that a peer no longer has a value.
+var errNoValue = errors.New("peer does not have the value")
 
-// transfer is the bringing of one large value from the peers that have it, one at a
-// time. What came of it before a peer was lost is kept, and another goes on from
-// there.
+// transfer fetches one large value from the peers that have it, one at a time. If one peer is lost,
+// the bytes received so far are kept and the next one continues from there.
 type transfer struct {
 	feed    *Feed
 	key     string
 	running bool
-	offset  int64    // of the latest record that is missing
-	holders []string // that are to be asked, the next one first
-	form    uint64   // of which bytes came
+	offset  int64    // of the latest missing record
+	holders []string // peers to request from, the next one first
+	formSum uint64   // identifies the encoding of the received bytes
 	bytes   []byte
 }
 
-// bring lets a large value be brought, unless it is; then the peer is one more that
-// has it.
-func (r *Relay) bring(ctx context.Context, f *Feed, l *wire.LargeRecord, address string) {
+// fetchValue starts the transfer of a large value, or adds the peer to the holders of a running
+// one.
+func (r *Relay) fetchValue(ctx context.Context, f *Feed, l *wire.LargeRecord, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.transfers[f]
@@ -55,17 +54,17 @@
 		r.transfers[f] = t
 	}
 	if t.key != l.Key {
-		return // one after the other
+		return // one value of a feed at a time
 	}
 	t.offset = max(t.offset, l.Offset)
-	t.add(address)
+	t.addHolders(address)
 	if !t.running {
 		t.running = true
-		r.exchanges.Go(func() { r.carry(ctx, t) })
+		r.exchanges.Go(func() { r.runTransfer(ctx, t) })
 	}
 }
 
-// transferring reports whether a value is being brought.
+// transferring reports whether a transfer is running.
 func (r *Relay) transferring() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,21 +76,21 @@
 	return false
 }
 
-// ended reports whether there is nothing left to bring, or nobody to ask; the
-// transfer has stopped then.
-func (r *Relay) ended(t *transfer) bool {
+// stopIfDone stops a transfer if nothing is missing or no holder is left, and reports whether it
+// did.
+func (r *Relay) stopIfDone(t *transfer) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	missing := t.feed.Next() <= t.offset
 	if !missing {
-		t.holders = nil // they are told anew of what comes next
+		t.holders = nil // later records are announced again
 	}
 	t.running = missing && len(t.holders) > 0
 	return !t.running
 }
 
-// add adds peers that have the value. The relay's lock is held.
-func (t *transfer) add(as ...string) {
+// addHolders adds peers that have the value. The caller holds the relay's lock.
+func (t *transfer) addHolders(as ...string) {
 	for _, a := range as {
 		if !slices.Contains(t.holders, a) {
 			t.holders = append(t.holders, a)
@@ -99,11 +98,11 @@
 	}
 }
 
-// next takes the peer to ask now, one of the own hall if there is one.
-func (r *Relay) next(t *transfer) (address string, near bool, offset int64) {
+// nextHolder removes and returns the holder to request from, preferably one of the own hall.
+func (r *Relay) nextHolder(t *transfer) (address string, near bool, offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := slices.IndexFunc(t.holders, r.near)
+	i := slices.IndexFunc(t.holders, r.sameHall)
 	near = i >= 0
 	i = max(i, 0)
 	address = t.holders[i]
@@ -111,17 +110,16 @@
 	return address, near, t.offset
 }
 
-// near reports whether a peer is in this process's hall.
-func (r *Relay) near(address string) bool {
-	return r.hall != "" && r.places(address).Hall == r.hall
+// sameHall reports whether a peer is in this process's hall.
+func (r *Relay) sameHall(address string) bool {
+	return r.hall != "" && r.placeOf(address).Hall == r.hall
 }
 
-// carry brings a value until it is here or nobody is left to ask. The next ask goes
-// on then.
-func (r *Relay) carry(ctx context.Context, t *transfer) {
-	r.waitForNear(ctx, t)
-	for pause := busyPause; !r.ended(t); {
-		a, near, offset := r.next(t)
+// runTransfer fetches a value until it is here or no holder is left. The next poll starts it again.
+func (r *Relay) runTransfer(ctx context.Context, t *transfer) {
+	r.waitForSameHall(ctx, t)
+	for delay := minBusyDelay; !r.stopIfDone(t); {
+		a, near, offset := r.nextHolder(t)
 		sent := r.clock.Now()
 		v, err := r.request(ctx, t, a, offset)
 		switch {
@@ -130,14 +128,14 @@
 				"took_ms", r.clock.Since(sent).Milliseconds(), "why", err)
 		case v.busy:
 			r.addHolders(t, append(slices.DeleteFunc(v.holders, func(h string) bool { return h == r.self }), a)...)
-			hollowgrade.Sleep(ctx, r.clock, pause/2+rand.N(pause))
-			pause = min(2*pause, mostBusyPause)
+			hollowgrade.Sleep(ctx, r.clock, delay/2+rand.N(delay))
+			delay = min(2*delay, maxBusyDelay)
 		default:
 			r.log.Info("value received", "feed", t.feed.name, "key", t.key, "offset", v.record.Offset, "bytes", len(v.record.Value), "sent_bytes", v.formBytes,
-				"difference", v.part, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
-			t.feed.takeValue(v.record, offset, a)
-			r.addHolders(t, a) // for a later value that has come meanwhile
-			r.exchanges.Go(func() { r.ask(ctx, a) })
+				"difference", v.difference, "peer", a, "same_hall", near, "took_ms", r.clock.Since(sent).Milliseconds())
+			t.feed.mergeValue(v.record, offset, a)
+			r.addHolders(t, a) // for a later value that was announced meanwhile
+			r.exchanges.Go(func() { r.poll(ctx, a) })
 		}
 	}
 }
@@ -145,39 +143,39 @@
 func (r *Relay) addHolders(t *transfer, as ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.add(as...)
+	t.addHolders(as...)
 }
 
-// waitForNear gives a peer of the own hall the time to have the value first.
-func (r *Relay) waitForNear(ctx context.Context, t *transfer) {
+// waitForSameHall gives a peer of the own hall time to get the value first.
+func (r *Relay) waitForSameHall(ctx context.Context, t *transfer) {
 	r.mu.Lock()
-	near := slices.ContainsFunc(t.holders, r.near)
+	near := slices.ContainsFunc(t.holders, r.sameHall)
 	r.mu.Unlock()
-	if !near && slices.ContainsFunc(r.readers(), r.near) {
-		hollowgrade.Sleep(ctx, r.clock, nearPause)
+	if !near && slices.ContainsFunc(r.readers(), r.sameHall) {
+		hollowgrade.Sleep(ctx, r.clock, sameHallDelay)
 	}
 }
 
-// brought is what a peer answered.
-type brought struct {
-	record    hollowgrade.KeyedRecord
-	formBytes int64
-	part      bool // whether it is what differs from the value before
-	busy      bool
-	holders   []string
+// valueReply is a peer's reply to a request for a value.
+type valueReply struct {
+	record     hollowgrade.KeyedRecord
+	formBytes  int64
+	difference bool // whether it was sent as the difference from an earlier value
+	busy       bool
+	holders    []string
 }
 
-// request asks a peer for the value of the record at the offset or a later one.
-func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v brought, err error) {
+// request requests the value of the record at the offset, or of a later one, from a peer.
+func (r *Relay) request(ctx context.Context, t *transfer, address string, offset int64) (v valueReply, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a value", address)
-	d, cancel := context.WithTimeout(ctx, askTimeout)
+	d, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	c, err := r.conn(d, address)
 	if err != nil {
 		return v, err
 	}
 	base, known := t.feed.value(t.key)
-	q := &wire.ValueRequest{Feed: t.feed.name, Key: t.key, BaseOffset: noBase, Form: t.form, From: int64(len(t.bytes)), Address: r.self, Hall: r.hall}
+	q := &wire.ValueRequest{Feed: t.feed.name, Key: t.key, BaseOffset: noBase, Form: t.formSum, From: int64(len(t.bytes)), Address: r.self, Hall: r.hall}
 	if known && !base.Dropped() {
 		q.BaseOffset, q.BaseSum = base.Offset, xxhash.Sum64(base.Value)
 	}
@@ -198,38 +196,38 @@
 	return v, err
 }
 
-// receive takes a peer's answer.
-func (t *transfer) receive(s *peer.Stream, base hollowgrade.KeyedRecord, offset int64) (v brought, err error) {
+// receive receives a peer's reply.
+func (t *transfer) receive(s *peer.Stream, base hollowgrade.KeyedRecord, offset int64) (v valueReply, err error) {
 	if err = s.Extend(stallTimeout); err != nil {
 		return v, err
 	}
 	first, err := s.Receive()
 	if err != nil {
-		return v, errors.Join(errNotThere, err)
+		return v, errors.Join(errNoValue, err)
 	}
 	h := first.GetValueHead()
 	switch {
 	case h == nil:
 		return v, errors.New("peer sent a frame that is not due")
 	case h.Busy:
-		return brought{busy: true, holders: h.Holders}, nil
+		return valueReply{busy: true, holders: h.Holders}, nil
 	case h.Offset < offset:
-		return v, fmt.Errorf("%w: it has offset %d", errNotThere, h.Offset)
+		return v, fmt.Errorf("%w: it has offset %d", errNoValue, h.Offset)
 	case h.Size <= 0 || h.FormSize <= 0:
 		return v, fmt.Errorf("%w: %d bytes, sent as %d", errDamaged, h.Size, h.FormSize)
-	case h.Size > int64(t.feed.most) || h.FormSize > int64(t.feed.most):
-		return v, fmt.Errorf("%d bytes, sent as %d, where %d are allowed", h.Size, h.FormSize, t.feed.most)
+	case h.Size > int64(t.feed.maxValueBytes) || h.FormSize > int64(t.feed.maxValueBytes):
+		return v, fmt.Errorf("%d bytes, sent as %d, where %d are allowed", h.Size, h.FormSize, t.feed.maxValueBytes)
 	}
-	if err = t.begin(h); err != nil {
+	if err = t.resume(h); err != nil {
 		return v, err
 	}
 	for int64(len(t.bytes)) < h.FormSize {
-		if err = t.more(s, h.FormSize); err != nil {
+		if err = t.receiveChunk(s, h.FormSize); err != nil {
 			return v, err
 		}
 	}
 	b := t.bytes
-	t.form, t.bytes = 0, nil
+	t.formSum, t.bytes = 0, nil
 	if !h.Difference {
 		base.Value = nil
 	}
@@ -237,23 +235,23 @@
 	if err != nil {
 		return v, err
 	}
-	return brought{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, part: h.Difference}, nil
+	return valueReply{record: hollowgrade.KeyedRecord{Key: t.key, Value: value, Offset: h.Offset}, formBytes: h.FormSize, difference: h.Difference}, nil
 }
 
-// begin prepares for the bytes of a form, of which some may be here.
-func (t *transfer) begin(h *wire.ValueHead) error {
-	if h.Form != t.form || h.From == 0 {
-		t.form, t.bytes = h.Form, nil
+// resume prepares for the bytes of an encoding, some of which may be here already.
+func (t *transfer) resume(h *wire.ValueHead) error {
+	if h.Form != t.formSum || h.From == 0 {
+		t.formSum, t.bytes = h.Form, nil
 	}
 	if h.From != int64(len(t.bytes)) {
-		t.form, t.bytes = 0, nil
+		t.formSum, t.bytes = 0, nil
 		return fmt.Errorf("%w: it goes on from byte %d", errDamaged, h.From)
 	}
 	return nil
 }
 
-// more takes the next piece of a form of so many bytes.
-func (t *transfer) more(s *peer.Stream, size int64) error {
+// receiveChunk receives the next chunk of an encoding of so many bytes.
+func (t *transfer) receiveChunk(s *peer.Stream, size int64) error {
 	if err := s.Extend(stallTimeout); err != nil {
 		return err
 	}
@@ -263,7 +261,7 @@
 	}
 	c := m.GetChunk()
 	if c == nil || len(c.Data) == 0 || int64(len(t.bytes)+len(c.Data)) > size {
-		t.form, t.bytes = 0, nil
+		t.formSum, t.bytes = 0, nil
 		return fmt.Errorf("%w: a frame that is not due after %d of %d bytes", errDamaged, len(t.bytes), size)
 	}
 	t.bytes = append(t.bytes, c.Data...)
--- a/feed/transfer_test.go
+++ b/feed/transfer_test.go
@@ -21,7 +21,7 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// large returns a value of so many bytes that says which one it is.
+// large returns a value of at least size bytes that depends on n.
 func large(n, size int) []byte {
 	var b strings.Builder
 	for i := 0; b.Len() < size; i++ {
@@ -30,67 +30,67 @@
 	return []byte(b.String())
 }
 
-// holding returns a feed whose newest record of "k" is the value at the offset.
-func holding(offset int64, value []byte, os ...Option) *Feed {
+// feedWith returns a feed whose newest record of "k" is the value at the offset.
+func feedWith(offset int64, value []byte, os ...Option) *Feed {
 	f := New("f", newTopic(), append([]Option{WithLogger(log.New(io.Discard))}, os...)...)
 	f.Merge(page(offset+1, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: offset}), time.Now())
 	return f
 }
 
-// logged is a log that can be read while it is written.
-type logged struct {
+// logBuffer is a buffer that can be read while it is written.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
 // relayOf returns a relay for a feed, and its log.
-func relayOf(t *testing.T, f *Feed, os ...RelayOption) (*Relay, *logged) {
+func relayOf(t *testing.T, f *Feed, os ...RelayOption) (*Relay, *logBuffer) {
 	t.Helper()
-	l := &logged{}
+	l := &logBuffer{}
 	r := NewRelay("self:1", func() []string { return nil }, append([]RelayOption{WithRelayLogger(log.New(l))}, os...)...)
 	r.Add(f)
 	t.Cleanup(r.exchanges.Wait)
 	return r, l
 }
 
-// requireBrought asks a peer and waits until the feed has the value.
-func requireBrought(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
+// requireFetched polls a peer and waits until the feed has the value.
+func requireFetched(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
-	r.ask(context.Background(), address)
+	r.poll(context.Background(), address)
 	require.Eventually(t, func() bool { v, _ := f.value("k"); return bytes.Equal(v.Value, value) }, 10*time.Second, time.Millisecond)
 	r.exchanges.Wait()
 }
 
-// requireKept asks a peer and requires that the feed keeps its value.
+// requireKept polls a peer and requires that the feed keeps its value.
 func requireKept(t *testing.T, r *Relay, f *Feed, address string, value []byte) {
 	t.Helper()
-	r.ask(context.Background(), address)
+	r.poll(context.Background(), address)
 	r.exchanges.Wait()
 	v, _ := f.value("k")
 	require.Equal(t, len(value), len(v.Value))
 	require.True(t, bytes.Equal(value, v.Value))
 }
 
-// scripted listens as a peer that answers requests for feeds like the feed, and
-// requests for values by a function.
-func scripted(t *testing.T, f *Feed, give func(s *peer.Stream, q *wire.ValueRequest) error) string {
+// serveValues serves a peer that answers requests for feeds like the feed, and requests for values
+// by a function.
+func serveValues(t *testing.T, f *Feed, answer func(s *peer.Stream, q *wire.ValueRequest) error) string {
 	t.Helper()
 	v := NewServer(0, f)
-	return listening(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
+	return listen(t, func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if q := first.GetValueRequest(); q != nil {
-			return give(s, q)
+			return answer(s, q)
 		}
 		return v.Serve(s, first)
 	})
@@ -102,48 +102,47 @@
 
 func TestLargeValues(t *testing.T) {
 	old, value := large(1, 300_000), large(2, 400_000)
-	newer := holding(7, value)
-	address := served(t, newer)
+	newer := feedWith(7, value)
+	address := serveFeeds(t, newer)
 	t.Run("are brought whole by a process that has none", func(t *testing.T) {
 		f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, address, value)
+		requireFetched(t, r, f, address, value)
 		require.Equal(t, int64(8), f.Next())
 		require.Contains(t, l.String(), "value received")
 		_, ok := f.Age()
-		require.True(t, ok, "the peer says how fresh it is right after")
-		require.Zero(t, f.Outdated())
+		require.True(t, ok, "the next poll reports the age")
+		require.Zero(t, f.OutdatedFor())
 	})
 	t.Run("are brought as what differs", func(t *testing.T) {
 		changed := bytes.Replace(value, []byte("version 2"), []byte("version 3"), 1)
-		p := holding(7, value)
+		p := feedWith(7, value)
 		p.Merge(page(9, hollowgrade.KeyedRecord{Key: "k", Value: changed, Offset: 8}), time.Now())
-		f := holding(7, value)
+		f := feedWith(7, value)
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, served(t, p), changed)
+		requireFetched(t, r, f, serveFeeds(t, p), changed)
 		require.Contains(t, l.String(), "difference=true")
 		all, wasted := r.Received()
-		require.Less(t, all, int64(2000), "bytes for one word of 400 KB")
+		require.Less(t, all, int64(2000), "bytes for one changed word of 400 KB")
 		require.Zero(t, wasted)
 	})
 	t.Run("are brought whole where the peer does not know the value before", func(t *testing.T) {
-		f := holding(3, old)
+		f := feedWith(3, old)
 		r, l := relayOf(t, f)
-		requireBrought(t, r, f, address, value)
+		requireFetched(t, r, f, address, value)
 		require.Contains(t, l.String(), "difference=false")
 	})
 	t.Run("come from a peer that read them from another", func(t *testing.T) {
 		middle := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ := relayOf(t, middle)
-		requireBrought(t, r, middle, address, value)
+		requireFetched(t, r, middle, address, value)
 		last := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ = relayOf(t, last)
-		requireBrought(t, r, last, served(t, middle), value)
+		requireFetched(t, r, last, serveFeeds(t, middle), value)
 	})
 }
 
-// The value itself counts, not how it came: each of these answers leaves the one
-// before, and one line says what was wrong and who sent it.
+// An invalid answer must leave the earlier value in place and log the reason and the sender.
 func TestValuesThatAreNotTaken(t *testing.T) {
 	old, value := large(1, 300_000), large(2, 400_000)
 	o, err := encode(value, nil)
@@ -161,44 +160,44 @@
 		"not to be decoded":    {func(*wire.ValueHead) {}, bytes.Repeat([]byte("x"), len(o.bytes)), "not the value"},
 		"of another size":      {func(h *wire.ValueHead) { h.Size = 10 }, o.bytes, "not the value"},
 		"older than announced": {func(h *wire.ValueHead) { h.Offset = 6 }, nil, "it has offset 6"},
-		"larger than allowed":  {func(h *wire.ValueHead) { h.Size = DefaultMaxValue + 1 }, nil, "allowed"},
+		"larger than allowed":  {func(h *wire.ValueHead) { h.Size = DefaultMaxValueBytes + 1 }, nil, "allowed"},
 		"of a negative size":   {func(h *wire.ValueHead) { h.Size = -1 }, nil, "not the value"},
 		"more than announced":  {func(h *wire.ValueHead) { h.FormSize = 10 }, o.bytes, "not due"},
 		"from the middle":      {func(h *wire.ValueHead) { h.From = 99 }, nil, "goes on from"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := scripted(t, holding(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+			a := serveValues(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 				h := head()
 				c.change(h)
 				if err := sendHead(s, h); err != nil {
 					return err
 				}
-				if err := sendForm(s, c.bytes); err != nil {
+				if err := sendEncoded(s, c.bytes); err != nil {
 					return err
 				}
 				return s.Finish()
 			})
-			f := holding(3, old)
+			f := feedWith(3, old)
 			r, l := relayOf(t, f)
 			requireKept(t, r, f, a, old)
 			require.Contains(t, l.String(), "value of a peer not taken")
 			require.Contains(t, l.String(), c.why)
 			require.Contains(t, l.String(), a)
-			require.Positive(t, f.Outdated(), "it is known that there is a newer one")
+			require.Positive(t, f.OutdatedFor(), "it is known that there is a newer one")
 		})
 	}
 	t.Run("announced as larger than allowed", func(t *testing.T) {
-		l := &logged{}
-		f := holding(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		l := &logBuffer{}
+		f := feedWith(3, old, WithMaxValueBytes(350_000), WithLogger(log.New(l)))
 		r, _ := relayOf(t, f)
-		requireKept(t, r, f, served(t, holding(7, value)), old)
+		requireKept(t, r, f, serveFeeds(t, feedWith(7, value)), old)
 		require.Contains(t, l.String(), "larger than the settings allow")
-		require.Zero(t, f.Outdated(), "it will never be in force here")
+		require.Zero(t, f.OutdatedFor(), "a value over the limit is never applied")
 		require.Equal(t, int64(8), f.Next())
 	})
 	t.Run("read from the store and larger than allowed", func(t *testing.T) {
-		l := &logged{}
-		f := holding(3, old, WithMaxValue(350_000), WithLogger(log.New(l)))
+		l := &logBuffer{}
+		f := feedWith(3, old, WithMaxValueBytes(350_000), WithLogger(log.New(l)))
 		f.Merge(page(8, hollowgrade.KeyedRecord{Key: "k", Value: value, Offset: 7}), time.Now())
 		v, _ := f.value("k")
 		require.Equal(t, int64(3), v.Offset)
@@ -207,49 +206,49 @@
 }
 
 func TestTransferThatIsCutGoesOnElsewhere(t *testing.T) {
-	value := make([]byte, 400_000) // that nothing compresses
+	value := make([]byte, 400_000) // incompressible
 	_, _ = rand.NewChaCha8([32]byte{}).Read(value)
 	o, err := encode(value, nil)
 	require.NoError(t, err)
-	const sent = 2 * chunkBytes
-	cut := scripted(t, holding(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
+	const sent = 2 * maxChunkBytes
+	cut := serveValues(t, feedWith(7, value), func(s *peer.Stream, _ *wire.ValueRequest) error {
 		err := sendHead(s, &wire.ValueHead{Offset: 7, Size: int64(len(value)), Form: o.sum, FormSize: int64(len(o.bytes))})
 		if err != nil {
 			return err
 		}
-		return sendForm(s, o.bytes[:sent])
+		return sendEncoded(s, o.bytes[:sent])
 	})
 	f := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 	r, _ := relayOf(t, f)
-	r.ask(context.Background(), cut)
+	r.poll(context.Background(), cut)
 	r.exchanges.Wait()
 	require.Equal(t, int64(7), f.Next(), "all before it is known")
 	var from atomic.Int64
-	whole := holding(7, value)
+	whole := feedWith(7, value)
 	server := NewServer(0, whole)
-	requireBrought(t, r, f, scripted(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
+	requireFetched(t, r, f, serveValues(t, whole, func(s *peer.Stream, q *wire.ValueRequest) error {
 		from.Store(q.From)
-		return server.give(s, q)
+		return server.sendValue(s, q)
 	}), value)
 	require.Equal(t, int64(sent), from.Load(), "it goes on from where the first was cut")
 }
 
 func TestBusyPeerNamesOthers(t *testing.T) {
 	value := large(2, 400_000)
-	f := holding(7, value)
+	f := feedWith(7, value)
 	s := NewServer(0, f)
-	for s.enter() {
+	for s.acquireSlot() {
 	}
-	require.Equal(t, fewestSlots, s.busy)
+	require.Equal(t, minSlots, s.busy)
 	for _, h := range []holder{
 		{address: "far:1", hall: "b", feed: "f", key: "k", offset: 7},
 		{address: "old:1", hall: "a", feed: "f", key: "k", offset: 6},
 		{address: "near:1", hall: "a", feed: "f", key: "k", offset: 7},
 		{address: "self:1", hall: "a", feed: "f", key: "k", offset: 7},
 	} {
-		s.note(h)
+		s.addHolder(h)
 	}
-	a := listening(t, func(_ context.Context, t *peer.Stream, first *wire.Frame) error { return s.Serve(t, first) })
+	a := listen(t, func(_ context.Context, t *peer.Stream, first *wire.Frame) error { return s.Serve(t, first) })
 	c, err := peer.Dial(context.Background(), peer.TCP(), a)
 	require.NoError(t, err)
 	defer c.Close()
@@ -260,11 +259,11 @@
 	require.True(t, m.GetValueHead().GetBusy())
 	require.Equal(t, []string{"near:1", "far:1"}, m.GetValueHead().GetHolders())
 	t.Run("who asks goes there, or comes back", func(t *testing.T) {
-		other := served(t, holding(7, value))
-		s.note(holder{address: other, feed: "f", key: "k", offset: 7})
+		other := serveFeeds(t, feedWith(7, value))
+		s.addHolder(holder{address: other, feed: "f", key: "k", offset: 7})
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, l := relayOf(t, n)
-		requireBrought(t, r, n, a, value)
+		requireFetched(t, r, n, a, value)
 		require.Contains(t, l.String(), other)
 	})
 }
@@ -285,7 +284,7 @@
 			for _, r := range p.Records {
 				bytes += len(r.Key) + len(r.Value)
 			}
-			require.LessOrEqual(t, bytes, pageBytes)
+			require.LessOrEqual(t, bytes, maxPageBytes)
 			require.Greater(t, p.Next, from)
 			require.Equal(t, int64(records), p.End)
 			from = p.Next
@@ -294,7 +293,7 @@
 	t.Run("a process that knows nothing has them all with one ask", func(t *testing.T) {
 		n := New("f", newTopic(), WithLogger(log.New(io.Discard)))
 		r, _ := relayOf(t, n)
-		r.ask(context.Background(), served(t, f))
+		r.poll(context.Background(), serveFeeds(t, f))
 		require.Equal(t, int64(records), n.Next())
 		require.Len(t, n.newest, records)
 		_, ok := n.Age()
@@ -308,9 +307,9 @@
 	})
 }
 
-// While a watcher compiles a value of some MB, calls go on asking for the view's age.
+// Callers must be able to read the view's age while a watcher processes a large value.
 func TestAgeIsToldWhileAWatcherWorks(t *testing.T) {
-	f := holding(3, large(1, 20_000))
+	f := feedWith(3, large(1, 20_000))
 	working, done := make(chan struct{}), make(chan struct{})
 	before := f.Fresh()
 	f.watchers = append(f.watchers, func([]Change) { close(working); <-done })
@@ -348,10 +347,10 @@
 			many = append(many, fmt.Sprintf("10.1.%d.%d:1", i/250, i%250))
 		}
 		peers := func() []string { return append([]string(nil), many...) }
-		l := &logged{}
+		l := &logBuffer{}
 		rs := NewRelay(many[0], peers).readers()
-		r := NewRelay(rs[mostOfLarge], peers, WithRelayLogger(log.New(l)))
-		r.told = time.Now()
+		r := NewRelay(rs[maxLargeReaders], peers, WithRelayLogger(log.New(l)))
+		r.lastServedReply = time.Now()
 		for range 10 {
 			require.True(t, r.Reads())
 			require.False(t, r.ReadsLarge())
@@ -366,7 +365,7 @@
 		r := NewRelay(many[0], func() []string { return append([]string(nil), many...) })
 		rs := r.readers()
 		require.Len(t, rs, 21)
-		require.Len(t, readersOfLarge(rs), mostOfLarge)
+		require.Len(t, largeReaders(rs), maxLargeReaders)
 	})
 }
 
@@ -375,7 +374,7 @@
 	changed := bytes.Replace(value, []byte("version 2"), []byte("version 3"), 1)
 	for name, base := range map[string][]byte{"whole": nil, "difference": value} {
 		b.Run(name, func(b *testing.B) {
-			var o form
+			var o encodedValue
 			for b.Loop() {
 				var err error
 				if o, err = encode(changed, base); err != nil {
@@ -404,8 +403,8 @@
 	})
 }
 
-// listening serves a handler on loopback until the test ends.
-func listening(t *testing.T, h peer.Handler) string {
+// listen serves a handler on loopback until the test ends.
+func listen(t *testing.T, h peer.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -49,14 +49,14 @@
 	})
 	t.Run("a record that replaces another revision is passed over", func(t *testing.T) {
 		n, err := s.Apply(record(t, 1, change(t, "a", 0, 2)))
-		require.ErrorIs(t, err, ErrLost)
+		require.ErrorIs(t, err, ErrConflict)
 		requireItem(t, n, "a", "1")
 		require.Equal(t, int64(2), n.Next())
 		require.Equal(t, s.Revision(), n.Revision())
 	})
 	t.Run("a gap in the offsets leaves the state", func(t *testing.T) {
 		n, err := s.Apply(record(t, 2, change(t, "a", 1, 2)))
-		require.ErrorIs(t, err, ErrOrder)
+		require.ErrorIs(t, err, ErrOutOfOrder)
 		require.Equal(t, s.Next(), n.Next())
 	})
 	t.Run("a body that does not match its digest is passed over", func(t *testing.T) {
@@ -69,7 +69,7 @@
 		n, err := s.Apply(record(t, 1, change(t, "a", 1, nil)))
 		require.NoError(t, err)
 		n, err = n.Apply(hollowgrade.Record{Offset: 2, Body: one.Body})
-		require.ErrorIs(t, err, ErrLost)
+		require.ErrorIs(t, err, ErrConflict)
 		requireItem(t, n, "a", "")
 	})
 }
@@ -101,7 +101,7 @@
 	fresh := snapshot()
 	add(fresh)
 	put("c", 0, 4)
-	add(stale) // a writer that was paused wakes up
+	add(stale) // a paused writer continues
 
 	t.Run("from the first record", func(t *testing.T) {
 		n, err := Bootstrap(0, rs)
@@ -125,8 +125,7 @@
 	})
 }
 
-// naive keeps the last value of each name and its revision, in the plainest
-// way.
+// naive is a simple reference implementation: the last value of each name and its revision.
 type naive struct {
 	body     map[string]string
 	revision map[string]int64
@@ -156,7 +155,7 @@
 		for name, body := range n.body {
 			requireItem(t, s, name, body)
 		}
-		// A snapshot carries over all of it.
+		// A snapshot preserves all of it.
 		p, err := s.Snapshot()
 		require.NoError(t, err)
 		b, err := p.Encode()
@@ -237,24 +236,24 @@
 	})
 }
 
-// narrowLog is a log behind a link that takes a while for each record.
+// narrowLog is a log behind a link that takes some time for each record.
 type narrowLog struct {
 	hollowgrade.Log
-	each time.Duration
+	perRecord time.Duration
 }
 
 func (l narrowLog) Read(ctx context.Context, from int64, limit int) (p hollowgrade.Page, err error) {
 	p, err = l.Log.Read(ctx, from, limit)
 	select {
-	case <-time.After(time.Duration(len(p.Records)) * l.each):
+	case <-time.After(time.Duration(len(p.Records)) * l.perRecord):
 		return p, err
 	case <-ctx.Done():
 		return hollowgrade.Page{}, ctx.Err()
 	}
 }
 
-// A page of the log has a bound in records and a read one in time, so that a page of
-// large records was cut with each poll, for good, on a narrow link.
+// Guards against a page of large records that times out on a narrow link with each poll: pages are
+// limited in records, reads in time.
 func TestFollowerOnANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const records = 60
--- a/fold/follower.go
+++ b/fold/follower.go
@@ -16,18 +16,17 @@
 )
 
 const (
-	defaultPoll = time.Second
-	readLimit   = 1000
-	// readTimeout bounds one read. What it reads has a bound in records and none in
-	// bytes, so that the next read asks for half as many after one that took too long.
+	defaultPollInterval = time.Second
+	maxRecordsPerRead   = 1000
+	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
+	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
-	// renewFraction of the retention may pass before the state is written
-	// anew. Half leaves the other half for outages of the log.
-	renewFraction = 2
+	// renewDivisor is the divisor of the retention after which the state is written again. Half
+	// leaves the other half for outages of the log.
+	renewDivisor = 2
 )
 
-// Follower keeps a state up to date with the log. It is a service of the
-// kernel.
+// Follower keeps a state up to date with the log. It is a service of the kernel.
 type Follower struct {
 	log       hollowgrade.Log
 	clock     hollowgrade.Clock
@@ -35,22 +34,22 @@
 	poll      time.Duration
 	retention time.Duration
 	peers     func(ctx context.Context, newerThan int64) [][]byte
-	renews    func() bool
+	mayRenew  func() bool
 
-	limit int // records that the next read asks for
+	limit int // record limit of the next read
 
 	state atomic.Pointer[State]
-	// Fresh is read by watchers while set holds the lock, so it has none.
+	// fresh is atomic because watchers read it while set holds the lock.
 	fresh atomic.Pointer[time.Time]
 
-	mu     sync.Mutex
-	newest time.Time // log time of the newest base: a snapshot, or the first record
-	watch  []func(State)
-	cancel context.CancelFunc
-	done   chan struct{}
+	mu       sync.Mutex
+	baseTime time.Time // log time of the newest base: a snapshot, or the first record
+	watchers []func(State)
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
-// FollowerOption changes a follower as it is made.
+// FollowerOption configures a follower.
 type FollowerOption func(*Follower)
 
 // WithClock sets the clock.
@@ -68,29 +67,29 @@
 	return func(f *Follower) { f.poll = d }
 }
 
-// WithPeers sets where snapshots come from while the log is out: each is the
-// newest state of one peer, if newer than the offset given.
+// WithPeers sets the source of snapshots while the log is unavailable: each is the newest state of
+// one peer, if newer than the offset given.
 func WithPeers(p func(ctx context.Context, newerThan int64) [][]byte) FollowerOption {
 	return func(f *Follower) { f.peers = p }
 }
 
-// WithRenewal makes the follower write the state anew before the log drops its
-// records. Turn says whether it is this box's turn, so that not all write at
-// once; that two write does no harm.
+// WithRenewal makes the follower append a snapshot before the log drops the records of its state.
+// Turn reports whether it is this box's turn, so that not all write at once; duplicates are
+// harmless.
 func WithRenewal(retention time.Duration, turn func() bool) FollowerOption {
-	return func(f *Follower) { f.retention, f.renews = retention, turn }
+	return func(f *Follower) { f.retention, f.mayRenew = retention, turn }
 }
 
 // NewFollower returns a follower of the log.
 func NewFollower(l hollowgrade.Log, os ...FollowerOption) *Follower {
 	f := &Follower{
-		log:    l,
-		clock:  hollowgrade.SystemClock(),
-		logger: log.Default(),
-		poll:   defaultPoll,
-		renews: func() bool { return false },
-		limit:  readLimit,
-		done:   make(chan struct{}),
+		log:      l,
+		clock:    hollowgrade.SystemClock(),
+		logger:   log.Default(),
+		poll:     defaultPollInterval,
+		mayRenew: func() bool { return false },
+		limit:    maxRecordsPerRead,
+		done:     make(chan struct{}),
 	}
 	for _, o := range os {
 		o(f)
@@ -111,17 +110,16 @@
 	return *f.fresh.Load()
 }
 
-// Watch calls w with each new state, and at once with the present one. Calls
-// come one after another.
+// Watch calls w with the current state and with each new one. Calls do not overlap.
 func (f *Follower) Watch(w func(State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watch = append(f.watch, w)
+	f.watchers = append(f.watchers, w)
 	w(f.State())
 }
 
-// Start implements [kernel.Service]. It does not wait for the log: a box must
-// come up during an outage.
+// Start implements [kernel.Service]. It does not wait for the log: a box must start during an
+// outage.
 func (f *Follower) Start(context.Context, *kernel.Kernel) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -140,11 +138,11 @@
 	defer close(f.done)
 	for ctx.Err() == nil {
 		if err := f.Update(ctx); err != nil && ctx.Err() == nil {
-			f.logger.Warn("log not read", "err", err)
-			f.askPeers(ctx)
+			f.logger.Warn("reading the log failed", "err", err)
+			f.restoreFromPeers(ctx)
 		}
 		f.renew(ctx)
-		// The jitter keeps a thousand boxes from reading in step.
+		// The jitter keeps a thousand boxes from reading at the same time.
 		d := f.poll*3/4 + rand.N(f.poll/2+1)
 		hollowgrade.Sleep(ctx, f.clock, d)
 	}
@@ -176,14 +174,14 @@
 	}
 }
 
-// read reads a page of the log, as large a one as the last ones allowed for.
+// read reads a page of the log with the current limit, and adapts the limit.
 func (f *Follower) read(ctx context.Context, from int64) (hollowgrade.Page, error) {
 	c, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	p, err := f.log.Read(c, from, f.limit)
 	switch {
 	case err == nil:
-		f.limit = min(2*f.limit, readLimit)
+		f.limit = min(2*f.limit, maxRecordsPerRead)
 	case c.Err() != nil && ctx.Err() == nil:
 		f.limit = max(f.limit/2, 1)
 	}
@@ -195,21 +193,20 @@
 		f.noteBase(r)
 		n, err := s.Apply(r)
 		if err != nil {
-			f.logger.Warn("record passed over", "code", "HG5005", "offset", r.Offset, "err", err)
+			f.logger.Warn("record skipped", "code", "HG5005", "offset", r.Offset, "err", err)
 		}
 		s = n
 	}
 	return s
 }
 
-// noteBase remembers how old the newest record is from which a new box could
-// begin.
+// noteBase records the time of the newest record from which a new box can begin.
 func (f *Follower) noteBase(r hollowgrade.Record) {
 	e, err := decode(r.Body)
 	isBase := r.Offset == 0 || err == nil && e.Type == SnapshotRecord
 	if isBase {
 		f.mu.Lock()
-		f.newest = r.Time
+		f.baseTime = r.Time
 		f.mu.Unlock()
 	}
 }
@@ -233,7 +230,7 @@
 	return Bootstrap(earliest, rs)
 }
 
-// set makes s the state if it is newer, and tells the watchers.
+// set makes s the state if it is newer, and notifies the watchers if its revision changed.
 func (f *Follower) set(s State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -245,12 +242,12 @@
 	if !changed {
 		return
 	}
-	for _, w := range f.watch {
+	for _, w := range f.watchers {
 		w(s)
 	}
 }
 
-// Restore takes an encoded snapshot if it is newer than the present state.
+// Restore replaces the state by an encoded snapshot if that is newer.
 func (f *Follower) Restore(b []byte) error {
 	s, err := f.State().Restore(b)
 	if err != nil {
@@ -260,19 +257,19 @@
 	return nil
 }
 
-func (f *Follower) askPeers(ctx context.Context) {
+func (f *Follower) restoreFromPeers(ctx context.Context) {
 	if f.peers == nil {
 		return
 	}
 	for _, b := range f.peers(ctx, f.State().Next()) {
 		if err := f.Restore(b); err != nil {
-			f.logger.Warn("snapshot of a peer passed over", "err", err)
+			f.logger.Warn("snapshot from a peer rejected", "err", err)
 		}
 	}
 }
 
-// Encoded returns the state as an encoded snapshot if it is newer than the
-// offset given, else nil. It is what a box hands to its peers.
+// Encoded returns the state as an encoded snapshot for peers if it is newer than the offset given,
+// else nil.
 func (f *Follower) Encoded(newerThan int64) []byte {
 	s := f.State()
 	if s.Next() <= newerThan {
@@ -289,12 +286,12 @@
 	return b
 }
 
-// renew appends a snapshot when the base of the state is growing old.
+// renew appends a snapshot if the base of the state is close to the log's retention.
 func (f *Follower) renew(ctx context.Context) {
 	f.mu.Lock()
-	old := f.retention > 0 && !f.newest.IsZero() && f.clock.Since(f.newest) > f.retention/renewFraction
+	isDue := f.retention > 0 && !f.baseTime.IsZero() && f.clock.Since(f.baseTime) > f.retention/renewDivisor
 	f.mu.Unlock()
-	if !old || !f.renews() {
+	if !isDue || !f.mayRenew() {
 		return
 	}
 	b := f.Encoded(0)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -92,10 +92,10 @@
 	}
 	relay := feed.NewRelay(c.PeerAddress(), n.members.addresses, feed.WithRelayLogger(g), feed.WithRelayClock(b.clock), feed.WithPlaces(n.members.place), feed.WithRelayTiming(c.Timing()))
 	follow := func(name string, t hollowgrade.Topic, wait time.Duration, os ...feed.Option) *feed.Feed {
-		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithAccess(relay.Access()), feed.WithTiming(c.Timing())}, os...)
+		os = append([]feed.Option{feed.WithLogger(g), feed.WithClock(b.clock), feed.WithWait(wait), feed.WithReader(relay.Reads), feed.WithBreaker(relay.Breaker()), feed.WithTiming(c.Timing())}, os...)
 		return feed.New(name, t, os...)
 	}
-	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValue(c.ConfigMaxBytes))
+	n.config = follow(configFeed, s.Config(), c.ReadWait(), feed.WithReader(relay.ReadsLarge), feed.WithMaxValueBytes(c.ConfigMaxBytes))
 	fleet := follow(fleetFeed, s.Workers(), c.FleetWait)
 	others := follow(membersFeed, s.Members(), c.MembersWait)
 	n.held = follow(heldFeed, s.Held(), c.MembersWait)
@@ -109,14 +109,14 @@
 		core.WithProber(w),
 		core.WithBounds(bounds(c)),
 		core.WithAge(n.config.Age),
-		core.WithOutdated(n.config.Outdated),
+		core.WithOutdated(n.config.OutdatedFor),
 		core.WithProcesses(n.members.count),
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
 	n.config.Watch(n.takeConfig)
 	fleet.Watch(n.takeFleet)
 	others.Watch(n.members.take)
-	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Access(), unused: n.unused}
+	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.holds.take)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
@@ -230,7 +230,7 @@
 		n.log.SetLevel(l)
 	}
 	restart := c.Callers != old.Callers || c.Readiness != old.Readiness || c.PeerAddress() != old.PeerAddress() || c.Peers != old.Peers || c.Store != old.Store ||
-		c.ReadWait() != old.ReadWait() || c.Timing().Ask != old.Timing().Ask
+		c.ReadWait() != old.ReadWait() || c.Timing().PollInterval != old.Timing().PollInterval
 	n.log.Info("settings reloaded", "path", path, "key_freshness_ms", c.KeyFreshness.Milliseconds(), "key_outage_ms", c.KeyOutage.Milliseconds(),
 		"retry_ratio", c.RetryRatio, "retry_slack", c.RetrySlack, "needs_restart", restart)
 	return nil
@@ -300,7 +300,7 @@
 func (n *GatewayNode) takeFleet(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Dropped() {
-			n.Core.Fleet().Drop(c.Key, c.MayReturn)
+			n.Core.Fleet().Drop(c.Key, c.UncertainUntil)
 			continue
 		}
 		u, err := platform.DecodeUpstream(c.KeyedRecord)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -25,7 +25,7 @@
 	topic hollowgrade.Topic
 	clock hollowgrade.Clock
 	log   *log.Logger
-	store *feed.Access // what this process knows of its way to the store
+	store *feed.Breaker // what this process knows of its way to the store
 	// unused counts records of the store that could not be used.
 	unused *atomic.Int64
 }
@@ -98,7 +98,7 @@
 			continue
 		}
 		err := s.keep(ctx, todo)
-		s.store.Note(try, err == nil || ctx.Err() != nil)
+		s.store.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
 		}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -123,7 +123,7 @@
 	for _, b := range []struct {
 		bound    time.Duration
 		gateways int
-	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.LeastBound, some}} {
+	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.MinViewAge, some}} {
 		for _, w := range waysToTurn[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *fleetOf) {
@@ -236,7 +236,7 @@
 				for i := range moments {
 					inTest(b, func(t *testing.T) {
 						inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
-							time.Sleep(time.Duration(i) * f.timing.Wait / moments)
+							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
 							f.turnAway(w, turnedShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -51,13 +51,13 @@
 // ReadWait returns how long one read of the configuration waits: config_wait,
 // or less where key_freshness asks for it.
 func (g Gateway) ReadWait() time.Duration {
-	return min(g.ConfigWait, g.Timing().Wait)
+	return min(g.ConfigWait, g.Timing().ReadWait)
 }
 
 // CheckFreshness returns an error with the smallest key_freshness that holds, if this one does not:
 // keys would end now and then while the store turns some gateways away. A gateway runs with it all the same.
 func (g Gateway) CheckFreshness() error {
-	if least := feed.LeastBound + freshnessSlack; g.KeyFreshness < least {
+	if least := feed.MinViewAge + freshnessSlack; g.KeyFreshness < least {
 		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, least)
 	}
 	return nil
