--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -7,24 +7,24 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// mostEnds bounds the ends of upstreams that are kept of one service. Of 600 upstreams each may end
-// within the window.
+// mostEnds bounds the crashes kept per service. Each of up to 600 upstreams may crash within the
+// window.
 const mostEnds = 1024
 
-// end is the end of an upstream, as far as gateways have seen it.
+// end is a crash of an upstream, as reported by gateways.
 type end struct {
 	upstream hollowgrade.Life
 	at       time.Time
-	under    []under // requests that were lost with it
+	under    []under // runs that were lost in it
 }
 
-// under is a run that was lost with an upstream.
+// under is a run that was lost in a crash.
 type under struct {
 	fingerprint hollowgrade.Fingerprint
 	sent        time.Time
 }
 
-// of returns the run of a request that was lost with the upstream.
+// of returns the run of a request that was lost in the crash.
 func (e *end) of(f hollowgrade.Fingerprint) (u under, ok bool) {
 	for _, u = range e.under {
 		if u.fingerprint == f {
@@ -34,23 +34,23 @@
 	return under{}, false
 }
 
-// mostUnder bounds the requests that are kept of one end; one that is not kept counts as not
-// having been there, which speaks for it.
+// mostUnder bounds the lost runs kept per crash. A request beyond it counts as not having run
+// there, which is in its favour.
 const mostUnder = 64
 
-// background is how upstreams of a service end without a request.
+// background is the crashes of a service's upstreams that a request doesn't explain.
 type background struct {
-	upstreams int // there are
+	upstreams int // number of upstreams of the service
 	ends      int // without the request, within [rateWindow] before the loss
-	atOnce    int // others within [together] of its end; those under the request only if both runs were under way at a time
+	atOnce    int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
 }
 
-// ends keeps the ends of the upstreams of one service.
+// ends keeps the crashes of the upstreams of one service.
 type ends struct {
-	list []end // by time of arrival here
+	list []end // in order of arrival here
 }
 
-// add notes that a request was lost with an upstream.
+// add records a lost run with the crash of its upstream.
 func (e *ends) add(l Loss) {
 	e.list = slices.DeleteFunc(e.list, func(x end) bool { return l.Lost.Sub(x.at) > 2*rateWindow })
 	for i := range e.list {
@@ -69,8 +69,8 @@
 	e.list = append(e.list, end{upstream: l.Upstream, at: l.Lost, under: []under{{l.Fingerprint, l.Sent}}})
 }
 
-// around returns how upstreams ended around a loss. Those that ended under another request which is held
-// are explained by that one.
+// around counts the crashes around a loss. Those in which a run of a blocked request was lost are
+// attributed to that request.
 func (e *ends) around(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
 	explained := func(u under) bool { return held(u.fingerprint) }
 	for i := range e.list {
@@ -86,8 +86,9 @@
 		if before > together {
 			continue
 		}
-		// One run after another ends upstreams at no one moment, however short they are. One without
-		// the request may have ended just before it was sent into the same event.
+		// Consecutive runs of the request, however short, don't crash upstreams at the same time. A
+		// crash without the request counts even if it came just before this run was sent: both may
+		// be one event.
 		if !with || x.at.After(l.Sent) && own.sent.Before(l.Lost) {
 			b.atOnce++
 		}
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -6,71 +6,74 @@
 )
 
 const (
-	// lossesToHold is after how many losses in a row a request is held. One loss is any crash, and each
-	// call that was under way at the upstream has it; two in a row are met by one harmless call in
-	// some hundred while an upstream of eighteen ends twice a second.
+	// lossesToHold is the number of consecutive losses after which a request is blocked. One loss
+	// happens to every call in flight at a crash; two in a row happen to one harmless call in some
+	// hundred while eighteen upstreams have two crashes a second.
 	lossesToHold = 3
-	// lossesToTry is after how many it is let through once at a time. A harmless call that is
-	// repeated is served by that, a harmful one ends one upstream at a time.
+	// lossesToTry is the number of consecutive losses after which one run is admitted at a time.
+	// This still serves a harmless call that is repeated, and a harmful one crashes one upstream at
+	// a time.
 	lossesToTry = 2
-	// momentsToTry is after how many moments at which upstreams ended under it the same holds, however few of
-	// the losses came one after another: many copies that are under way end many upstreams. A
-	// rack or a service that is lost is one moment.
+	// momentsToTry is the number of separate crash events after which the same applies, even if few
+	// of the losses are consecutive: many copies in flight crash many upstreams. The loss of a rack
+	// or a service is one event.
 	momentsToTry = 3
-	// tryOdds is how unlikely the losses have to be for that. Where all of a service is lost each 2.5 s a
-	// request that comes fifty times a second has odds of nearly one; with trials it would be refused four times in
-	// five (TestPopularRequestsAreNotHeld).
+	// tryOdds is the largest probability of the losses at which one run is admitted at a time.
+	// While all of a service is lost every 2.5 s, the losses of a request sent 50 times a second
+	// have a probability of nearly 1; trials would refuse four in five of its calls
+	// (TestPopularRequestsAreNotHeld).
 	tryOdds = 0.2
 
-	// sureOdds is how unlikely the losses have to be for a harmless request to be held for
-	// longHold. At a thousand calls a second that are lost once each, of which one in ten is lost again, a
-	// hundred thousandth of them is one in seventeen minutes.
+	// sureOdds is the largest probability of the losses at which a request is blocked for the long
+	// time. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of them is one
+	// call in 17 minutes.
 	sureOdds = 1e-5
-	// fairOdds is the same for a hold of firstHold, which doubles with each loss after it. So a wrong
-	// verdict takes seconds, and one harmless run ends it; and a harmful request gets through three more times in
-	// 35 s, 4 times in 75 s.
+	// fairOdds is the same for a short block, which doubles with each further loss. A wrong block
+	// thus lasts seconds and ends with one answered run, and a harmful request runs only three more
+	// times in 35 s, four times in 75 s.
 	fairOdds  = 1e-2
 	firstHold = 5 * time.Second
 	longHold  = 10 * time.Minute
 
-	// restRate is how often an upstream is taken to end by itself at the least, a second. Of a thousand
-	// boxes 270 are lost or restarted a day on the users' sheet of sizes, 3 in a million a second; more than
-	// that allows for what this process doesn't see.
+	// restRate is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
+	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
+	// that this process doesn't see.
 	restRate = 1e-3
-	// rateWindow is over what time ends are counted for the rate at which upstreams end by themselves.
+	// rateWindow is the period over which crashes are counted for the crash rate.
 	rateWindow = 10 * time.Second
-	// together is within which time ends count as one moment, as when a rack is lost: the part of the
-	// upstreams that ended in it is the chance of a harmless call to be among them, also where copies of
-	// the request were under way at the others.
+	// together is the period within which crashes count as one event, such as the loss of a rack.
+	// The share of upstreams that crash in it is the probability that a harmless call is among the
+	// lost, also if copies of the request ran on the others.
 	together = 250 * time.Millisecond
-	// settle is how long after a loss it is judged: what else ended at that moment other gateways tell within
-	// 25 ms and the time of a packet. A request that is lost with all of a service looked as if it had ended a
-	// third of it.
+	// settle is how long after a loss it is evaluated: other gateways report crashes of the same
+	// event within 25 ms plus the network delay. Evaluated at once, the loss of all of a service
+	// would look like that of a third of it.
 	settle = 100 * time.Millisecond
-	// lateShare is which part of the time that a loss took to show its judgement waits for: what ended at the same
-	// moment shows as late, in entries that are read 0.4 s apart after 1.5 s or by probes 50 ms apart after 250 ms. A
-	// request that was lost with all of a service had odds of 0.003 and 0.13 after 4 of 18 ends, 1 after all.
+	// lateShare divides the detection delay of a loss to give how long its evaluation waits at
+	// least, since crashes of one event aren't detected together: entries show them 1.5 to 1.9 s
+	// later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service would
+	// have a probability of 0.003 or 0.13 instead of 1.
 	lateShare = 3
-	// leastRun is the shortest time for which a run counts: a request is not the more suspect for a
-	// connection that broke at once.
+	// leastRun is the shortest run time assumed: a connection that broke at once doesn't make the
+	// request more suspect.
 	leastRun = 10 * time.Millisecond
 )
 
 // mark is a loss that is kept of a request.
 type mark struct {
 	Loss
-	known time.Time // when this process heard of it
-	odds  float64   // of a harmless run to be lost so
-	sure  bool      // the odds were worked out once the loss had settled
+	known time.Time // when this process learned of it
+	odds  float64   // probability that a harmless run is lost like this
+	sure  bool      // the odds were computed after the loss had settled
 }
 
-// settled reports whether what else ended at the moment of the loss is known by now.
+// settled reports whether other crashes of the same event are known by now.
 func (m mark) settled(now time.Time) bool {
 	return now.Sub(m.known) >= max(settle, m.known.Sub(m.Lost)/lateShare)
 }
 
-// inRow returns the marks in a row since a moment: each of a run that was sent after the loss before
-// it. Marks are in the order in which they were lost.
+// inRow returns the consecutive losses since a time: each run was sent after the loss before it.
+// The losses are ordered by the time of the loss.
 func inRow(ms []mark, since time.Time) (row []mark) {
 	last := since
 	for _, m := range ms {
@@ -82,7 +85,7 @@
 	return row
 }
 
-// moments returns at how many moments upstreams ended.
+// moments returns the number of separate crash events.
 func moments(ms []mark) (n int) {
 	var last time.Time
 	for _, m := range ms {
@@ -93,7 +96,7 @@
 	return n
 }
 
-// all returns the chance of all marks together.
+// all returns the joint probability of the losses.
 func all(ms []mark) float64 {
 	chance := 1.0
 	for _, m := range ms {
@@ -102,9 +105,9 @@
 	return chance
 }
 
-// odds returns the chance of a harmless run to be lost: at the rate at which upstreams end without
-// the request, over the time of the run and for each engine that had a part in it, or with
-// others that ended at the same moment.
+// odds returns the probability that a harmless run is lost: from the background crash rate over the
+// run time of all engines that took part, or the share of upstreams that crashed at the same time,
+// whichever is larger.
 func odds(l Loss, b background) float64 {
 	n := float64(max(b.upstreams, 1))
 	rate := math.Max(float64(b.ends)/(n*rateWindow.Seconds()), restRate)
@@ -112,8 +115,8 @@
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
 }
 
-// judge returns for how long a request is held after some losses in a row, with these odds all in
-// all; 0 if it is not.
+// judge returns how long a request is blocked after some consecutive losses with this joint
+// probability; 0 if it isn't.
 func judge(losses int, odds float64) time.Duration {
 	switch {
 	case losses < lossesToHold || odds > fairOdds:
--- a/quarantine/keep.go
+++ b/quarantine/keep.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// saveGrace is how long a gateway that learned of a verdict waits for the one that reached it to
-	// write it to the store, and as long again by chance, so that not all write at once.
+	// saveGrace is how long a gateway that learned of a change waits for the gateway that made it
+	// to write it to the store, plus a random time of up to as long, so that not all write at once.
 	saveGrace = 3 * time.Second
-	// clocksDiffer is by how much two gateways may take one end of a hold to differ, since their
-	// clocks do, without the store being told again.
+	// clocksDiffer is the difference in the expiry of a block that is put down to clock skew
+	// between gateways, and not written to the store.
 	clocksDiffer = 3 * time.Second
-	// dropAfter is how long after the end of a hold the store forgets it: a request that comes again
-	// within that time is known to be one that was held. dropSpread is over what time gateways try.
+	// dropAfter is how long after its expiry a block stays in the store, so that a request which
+	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
 	dropAfter  = memory / 2
 	dropSpread = 30 * time.Second
-	// mostKept bounds the holds in the store, some 400 bytes each.
+	// mostKept bounds the blocks in the store, some 400 bytes each.
 	mostKept = 1000
 )
 
-// graceFor returns how long this process leaves a change to the gateway that made it, empty for itself.
+// graceFor returns how long this process leaves a change to the peer that made it; the peer is
+// empty for its own changes.
 func graceFor(peer string) time.Duration {
 	if peer == "" {
 		return 0
@@ -29,19 +30,20 @@
 	return saveGrace
 }
 
-// plan sets from when on this process puts right what the store has of a request. The lock is held.
+// plan sets from when on this process updates what the store has of a request. The lock is held.
 func (t *Table) plan(r *record, now time.Time, grace time.Duration) {
 	r.due = now.Add(grace + time.Duration(t.chance()*float64(grace)))
 }
 
-// ToKeep is what the store has to be told.
+// ToKeep is the changes to write to the store.
 type ToKeep struct {
 	Save []Hold
 	Drop []hollowgrade.Fingerprint
 }
 
-// ToKeep judges losses that have settled, and returns what this process has to tell the store: holds
-// that it doesn't have, and what it has of requests that are harmless or long forgotten.
+// ToKeep evaluates losses that have settled and returns what this process has to write to the
+// store: blocks that are missing there, and deletions of those whose request is harmless or that
+// expired long ago.
 func (t *Table) ToKeep() (k ToKeep) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +74,7 @@
 	return k
 }
 
-// Stored notes that the store has a hold, which may be news.
+// Stored records that the store has a block, which may be new to this process.
 func (t *Table) Stored(h Hold) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,12 +82,12 @@
 	r := t.record(h.Subject)
 	r.stored = h.Until
 	if r.hold.Since.IsZero() {
-		t.plan(r, t.clock.Now(), saveGrace) // it is harmless, or forgotten everywhere
+		t.plan(r, t.clock.Now(), saveGrace) // the request is harmless, or forgotten everywhere
 	}
 }
 
-// Dropped notes that the store has no hold of a request any more. If it was still held, another
-// process has found it harmless.
+// Dropped records that the store no longer has a block of a request. If it hasn't expired, another
+// process has found the request harmless.
 func (t *Table) Dropped(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -6,11 +6,11 @@
 	"github.com/charmbracelet/log"
 )
 
-// mostWords bounds what is kept to be told of each kind. After the loss of a hall gateways tell of
-// 14 calls each on a fleet of a hundred gateways. What is beyond it is not told, with a line in the log.
+// mostWords bounds the pending entries of each kind. After the loss of a hall, each of a hundred
+// gateways reports 14 calls. What exceeds it is dropped with a warning.
 const mostWords = 256
 
-// outbox keeps what other gateways are to be told.
+// outbox keeps the update that is pending for other gateways.
 type outbox struct {
 	notify chan struct{}
 	log    *log.Logger
@@ -20,7 +20,7 @@
 	dropped int
 }
 
-// add keeps a word to be told.
+// add adds to the pending update.
 func (o *outbox) add(w Word) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,12 +38,12 @@
 	}
 }
 
-// Changed returns a channel that gets a value when there is something to tell.
+// Changed returns a channel that receives a value when an update is pending.
 func (t *Table) Changed() <-chan struct{} {
 	return t.outbox.notify
 }
 
-// Tell returns what others are to be told since the last call.
+// Tell returns the update pending for other gateways and clears it.
 func (t *Table) Tell() Word {
 	o := &t.outbox
 	o.mu.Lock()
@@ -53,7 +53,7 @@
 	return w
 }
 
-// Known returns what a gateway is to be told that knows nothing yet.
+// Known returns the update for a gateway that has no state yet.
 func (t *Table) Known() Word {
 	return Word{Holds: t.Holds()}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,16 +1,15 @@
-// Package quarantine knows requests that seem to end the upstreams which run them. A request
-// is known by its fingerprint, over all its arrivals, ids and gateways.
+// Package quarantine blocks requests that crash the upstreams which run them. A request is
+// identified by its fingerprint, whatever its id and whichever gateway it arrives at.
 //
-// A run that ends with the connection to its upstream is a loss, and speaks against its request; a
-// run that brings an answer of the upstream, whatever it says, speaks for it and clears it. Losses
-// count one after another: a run counts that was sent after the loss before it, so that the end of
-// many upstreams at one moment counts once. After three of them the request is held for
-// a time that depends on how likely three such losses are for a harmless request while upstreams
-// end as often as they do. After two of them, or once upstreams have ended under it at three moments, one run
-// of it is let through at a time, by all gateways together.
+// A run that is lost because its upstream crashed is a loss of its request. Any answer of the
+// upstream, even an error, clears the request. Losses are consecutive only if each run was sent
+// after the loss before it, so that many upstreams that crash at the same time count once. After
+// three consecutive losses the request is blocked for a time that depends on how probable they are
+// for a harmless request at the current crash rate. After two, or after crashes at three separate
+// times, all gateways together admit one run of it at a time.
 //
-// The package decides and keeps; package loadview tells other gateways, package node the
-// platform's store.
+// The package decides and keeps the state; package loadview exchanges it between gateways, and
+// package node writes it to the platform's store.
 package quarantine
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Subject is what is known of a request beside its fingerprint, for operators.
+// Subject identifies a request, with what operators need beside its fingerprint.
 type Subject struct {
 	Fingerprint  hollowgrade.Fingerprint
 	Organisation string
@@ -27,40 +26,41 @@
 	Service      string
 }
 
-// Loss is a run that ended with the connection to its upstream.
+// Loss is a run that was lost because its upstream crashed.
 type Loss struct {
 	Subject
 	Upstream hollowgrade.Life
-	Engines  int // that had a part in the run: the upstream and those that read parts for it
+	Engines  int // that took part in the run: the upstream and those that prefilled parts of the prompt for it
 	Sent     time.Time
 	Lost     time.Time
 }
 
-// Harmless is a run after which the upstream still answered.
+// Harmless clears a request of its losses up to a time: a run of it was answered, or an operator
+// lifted its block.
 type Harmless struct {
 	Fingerprint hollowgrade.Fingerprint
 	At          time.Time
 }
 
-// Trial is a run that is let through alone.
+// Trial is the start or the end of a run that is admitted alone.
 type Trial struct {
 	Fingerprint hollowgrade.Fingerprint
 	At          time.Time
 	Over        bool
 }
 
-// Hold is the verdict on a request: it is not sent to any upstream for a while.
+// Hold is a block on a request: it is sent to no upstream until the block expires.
 type Hold struct {
 	Subject
 	Since     time.Time
 	Until     time.Time
-	Losses    int                // one after another, without a harmless run between
-	Odds      float64            // of as many losses in a row for a harmless request
-	Upstreams []hollowgrade.Life // that ended, the latest last
-	By        string             // the gateway that reached the verdict
+	Losses    int                // consecutive
+	Odds      float64            // probability that a harmless request has as many consecutive losses
+	Upstreams []hollowgrade.Life // that crashed, the latest last
+	By        string             // the gateway that decided on the block
 }
 
-// Word is what gateways tell each other.
+// Word is an update that gateways send to each other.
 type Word struct {
 	Losses   []Loss
 	Harmless []Harmless
@@ -68,12 +68,12 @@
 	Holds    []Hold
 }
 
-// Empty reports whether there is nothing in the word.
+// Empty reports whether the update has no entries.
 func (w Word) Empty() bool {
 	return len(w.Losses)+len(w.Harmless)+len(w.Trials)+len(w.Holds) == 0
 }
 
-// Plus returns what both words say.
+// Plus returns the entries of both updates.
 func (w Word) Plus(o Word) Word {
 	w.Losses = append(w.Losses[:len(w.Losses):len(w.Losses)], o.Losses...)
 	w.Harmless = append(w.Harmless[:len(w.Harmless):len(w.Harmless)], o.Harmless...)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,43 +7,45 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// mostMarks bounds the losses that are kept of one request.
+// mostMarks bounds the losses kept per request.
 const mostMarks = 32
 
-// record is what is known of one request that was lost.
+// record is the state of one request that was lost.
 type record struct {
 	subject  Subject
-	marks    []mark    // since the last harmless run, by when they were lost
-	harmless time.Time // when a run of it was answered last
-	earlier  int       // losses in a row that a hold told of and that are not among the marks
-	hold     Hold      // the last one, also when it is over
-	touched  time.Time // when there was word of it
+	marks    []mark    // since the last answered run, ordered by the time of the loss
+	harmless time.Time // time up to which the request is cleared of losses
+	earlier  int       // consecutive losses that a block reported and that aren't among the marks
+	hold     Hold      // the last one, also after its expiry
+	touched  time.Time // last update
 
-	running bool      // whether this process has a trial under way
-	trial   time.Time // when a trial began that is under way anywhere; zero if none is
+	running bool      // whether this process runs a trial
+	trial   time.Time // start of a trial at any gateway; zero if none runs
 
-	stored time.Time // until when the store has it held; zero if it has nothing
-	due    time.Time // from when on this process puts right what the store has
+	stored time.Time // expiry of the block in the store; zero if it has none
+	due    time.Time // from when on this process updates the store
 }
 
-// held reports whether the request is held.
+// held reports whether the request is blocked.
 func (r *record) held(now time.Time) bool {
 	return now.Before(r.hold.Until)
 }
 
-// row returns the marks in a row, and how many losses in a row that makes.
+// row returns the marks of consecutive losses, and the number of consecutive losses including
+// reported ones.
 func (r *record) row() (ms []mark, losses int) {
 	ms = inRow(r.marks, r.harmless)
 	return ms, len(ms) + r.earlier
 }
 
-// suspect reports whether runs are let through one at a time.
+// suspect reports whether runs are admitted one at a time.
 func (r *record) suspect() bool {
 	ms, n := r.row()
 	return (n >= lossesToTry || moments(r.marks) >= momentsToTry) && r.odds(ms) <= tryOdds
 }
 
-// odds returns the chance of losses in a row for a harmless request, with those that a hold told of.
+// odds returns the joint probability of losses for a harmless request, including those that a block
+// reported.
 func (r *record) odds(ms []mark) float64 {
 	if r.earlier > 0 {
 		return r.hold.Odds * all(ms)
@@ -51,17 +53,17 @@
 	return all(ms)
 }
 
-// settled reports whether it is known how upstreams ended around its losses.
+// settled reports whether all losses have settled.
 func (r *record) settled(now time.Time) bool {
 	return !slices.ContainsFunc(r.marks, func(m mark) bool { return !m.settled(now) })
 }
 
-// trying reports whether a trial is under way.
+// trying reports whether a trial is running.
 func (r *record) trying(now time.Time) bool {
 	return r.running || !r.trial.IsZero() && now.Sub(r.trial) < trialLasts
 }
 
-// upstreams returns those that ended under the request since it was harmless.
+// upstreams returns the upstreams that crashed under the request since it was last cleared.
 func (r *record) upstreams() (us []hollowgrade.Life) {
 	for _, m := range r.marks {
 		if !slices.Contains(us, m.Upstream) {
@@ -71,16 +73,16 @@
 	return us
 }
 
-// mostNamed bounds the upstreams that a hold names, the latest ones.
+// mostNamed bounds the upstreams that a block names, the latest ones.
 const mostNamed = 8
 
-// named returns the upstreams that a hold names.
+// named returns the upstreams that a block names.
 func (r *record) named() []hollowgrade.Life {
 	us := r.upstreams()
 	return us[max(len(us)-mostNamed, 0):]
 }
 
-// add keeps a loss, unless it is known or a harmless run came after it.
+// add adds a loss, unless it is known or the request was cleared after it.
 func (r *record) add(l Loss, now time.Time) {
 	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.marks, l.is) {
 		return
@@ -92,8 +94,8 @@
 	}
 }
 
-// sameLoss is by how much two words on one loss may differ in time: each is told with its age, and
-// comes a moment later in a packet or on a stream.
+// sameLoss is the difference in time up to which two reports are of one loss: each is sent as an
+// age, and takes a moment longer in a packet or on a stream.
 const sameLoss = 200 * time.Millisecond
 
 // is reports whether a mark is of this loss.
@@ -101,8 +103,8 @@
 	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLoss && m.Sent.Sub(l.Sent).Abs() < sameLoss
 }
 
-// clear takes the request as harmless up to a moment, and reports whether that ends a hold. Losses
-// after it stay.
+// clear clears the request of losses up to a time, and reports whether that ends a block. Later
+// losses stay.
 func (r *record) clear(at time.Time) (ends bool) {
 	r.harmless = hollowgrade.Later(r.harmless, at)
 	r.marks = slices.DeleteFunc(r.marks, func(m mark) bool { return !m.Lost.After(at) })
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// memory is for how long a request is remembered after its last loss or the end of its hold.
+	// memory is how long a request is remembered after its last loss or the expiry of its block.
 	memory = 10 * time.Minute
-	// mostRecords bounds the requests that are remembered, 2 KB each at the most; those lost longest ago
-	// go first, held ones last. A caller that makes up bodies has to end three upstreams for
-	// each that is held.
+	// mostRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
+	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
+	// three upstreams for each that is blocked.
 	mostRecords = 4096
-	// dropAtOnce is how many are forgotten at a time then.
+	// dropAtOnce is the number of records evicted at a time.
 	dropAtOnce = mostRecords / 8
-	// trialLasts is for how long a trial counts as under way without word of its end: the gateway
-	// that has it may have been lost.
+	// trialLasts is how long a trial counts as running without a report of its end: its gateway may
+	// have crashed.
 	trialLasts = 10 * time.Second
-	// usualTrial is when to come back while a trial is under way: most runs are over by then.
+	// usualTrial is the retry delay while a trial is running: most runs end within it.
 	usualTrial = time.Second
-	// sweepEvery is how often records are looked through for those that may be forgotten.
+	// sweepEvery is the time between two searches for records to forget.
 	sweepEvery = 10 * time.Second
 )
 
-// Table keeps what is known of requests that were lost. It is safe for concurrent use.
+// Table keeps the state of requests that were lost. It is safe for concurrent use.
 type Table struct {
 	box       string
 	clock     hollowgrade.Clock
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	records map[hollowgrade.Fingerprint]*record
 	ends    map[string]*ends                 // by service
-	open    map[hollowgrade.Fingerprint]bool // with losses that are not judged yet
+	open    map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
 	swept   time.Time
 }
 
@@ -63,7 +63,7 @@
 	return func(t *Table) { t.log = l }
 }
 
-// WithUpstreams sets how the number of upstreams of a service is known.
+// WithUpstreams sets the function that returns the number of upstreams of a service.
 func WithUpstreams(f func(service string) int) Option {
 	return func(t *Table) { t.upstreams = f }
 }
@@ -92,15 +92,15 @@
 	return t.clock.Now()
 }
 
-// Leave says whether a request may be sent to an upstream.
+// Leave is the decision whether a request may be sent to an upstream.
 type Leave struct {
 	Granted bool
-	Trial   bool          // it is the one run that is let through
-	Hold    Hold          // for which it is not granted; zero if another trial is under way
-	Wait    time.Duration // after which it may be asked again, if it is not granted
+	Trial   bool          // it is the one run that is admitted
+	Hold    Hold          // that refuses the request; zero if another trial is running
+	Wait    time.Duration // retry delay if the request is refused
 }
 
-// Begin asks for leave to send a request to an upstream. [Table.Over] ends it.
+// Begin decides whether a request may be sent to an upstream. [Table.Over] ends the run.
 func (t *Table) Begin(f hollowgrade.Fingerprint) Leave {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,7 +124,7 @@
 	return Leave{Granted: true, Trial: true}
 }
 
-// Over ends what was granted.
+// Over ends a run that was admitted.
 func (t *Table) Over(f hollowgrade.Fingerprint, l Leave) {
 	if !l.Trial {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-// Lost notes a run of this process that ended with the connection to its upstream.
+// Lost records a run of this process that was lost because its upstream crashed.
 func (t *Table) Lost(l Loss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,8 +145,8 @@
 	t.outbox.add(Word{Losses: []Loss{l}})
 }
 
-// Answered notes a run of this process after which its upstream still answered, which clears the
-// request of all losses before it.
+// Answered records a run of this process that its upstream answered, which clears the request of
+// earlier losses.
 func (t *Table) Answered(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,8 +155,8 @@
 	}
 }
 
-// Lift ends the hold of a request, as an operator asks for it, and forgets its losses. It reports
-// whether it was held.
+// Lift ends the block on a request for an operator and clears its losses. It reports whether the
+// request was blocked.
 func (t *Table) Lift(f hollowgrade.Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +169,7 @@
 	return true
 }
 
-// Holds returns the requests that are held, the earliest first.
+// Holds returns the blocks in force, the earliest first.
 func (t *Table) Holds() (hs []Hold) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,7 +197,7 @@
 	return len(t.records)
 }
 
-// Take takes the word of another gateway, by its box.
+// Take applies an update of another gateway, given by its box.
 func (t *Table) Take(box string, w Word) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,10 +228,10 @@
 	}
 }
 
-// takeHold takes a hold that another gateway or the store told. The lock is held.
+// takeHold applies a block from another gateway or the store. The lock is held.
 func (t *Table) takeHold(h Hold, from string) {
 	now := t.clock.Now()
-	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of who wrote it may be off
+	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of its sender may be off
 	if now.Sub(h.Until) > memory {
 		return
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-// note takes a loss. The lock is held.
+// note records a loss. The lock is held.
 func (t *Table) note(l Loss) {
 	e := t.ends[l.Service]
 	if e == nil {
@@ -261,7 +261,7 @@
 	t.open[l.Fingerprint] = true
 }
 
-// record returns the record of a request, which it makes if there is none. The lock is held.
+// record returns the record of a request, creating it if there is none. The lock is held.
 func (t *Table) record(s Subject) *record {
 	now := t.clock.Now()
 	t.sweep(now)
@@ -274,7 +274,7 @@
 	return r
 }
 
-// release takes a request as harmless up to a moment. The lock is held.
+// release clears a request of losses up to a time and ends its block. The lock is held.
 func (t *Table) release(r *record, at time.Time, why, peer string) {
 	since := r.hold.Since
 	ended := r.clear(at)
@@ -289,8 +289,7 @@
 		"held_ms", at.Sub(since).Milliseconds())
 }
 
-// decide holds a request if what is known of it asks for that, once that has settled. The lock is
-// held.
+// decide blocks a request if its losses call for it and have settled. The lock is held.
 func (t *Table) decide(r *record, now time.Time) {
 	if r.held(now) || len(r.marks) == 0 {
 		return
@@ -310,7 +309,7 @@
 	t.outbox.add(Word{Holds: []Hold{r.hold}})
 }
 
-// decideAll decides on all requests whose losses are not judged yet and have settled. The lock is held.
+// decideAll evaluates all requests with losses that have settled since. The lock is held.
 func (t *Table) decideAll(now time.Time) {
 	for f := range t.open {
 		r := t.records[f]
@@ -324,8 +323,8 @@
 	}
 }
 
-// weigh works out the odds of the losses of a request, as long as it is known how upstreams ended
-// around them, and returns that for the last one. The lock is held.
+// weigh updates the odds of the losses of a request while crashes around them are kept, and returns
+// the background of the last loss. The lock is held.
 func (t *Table) weigh(r *record, now time.Time) (b background) {
 	held := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
@@ -335,7 +334,7 @@
 		m := &r.marks[i]
 		if now.Sub(m.Lost) > rateWindow {
 			if !m.sure {
-				m.odds = 1 // what ended beside it is no longer known
+				m.odds = 1 // crashes around it are no longer kept
 			}
 			continue
 		}
@@ -346,7 +345,7 @@
 	return b
 }
 
-// sweep forgets what is old, and what is too much. The lock is held.
+// sweep deletes old records, and evicts some if there are too many. The lock is held.
 func (t *Table) sweep(now time.Time) {
 	if now.Sub(t.swept) < sweepEvery && len(t.records) < mostRecords {
 		return
@@ -364,7 +363,7 @@
 	for f := range t.records {
 		fs = append(fs, f)
 	}
-	// A held one counts as touched at the end of its hold.
+	// A blocked request counts as updated at the expiry of its block.
 	slices.SortFunc(fs, func(a, b hollowgrade.Fingerprint) int {
 		x, y := t.records[a], t.records[b]
 		return hollowgrade.Later(x.touched, x.hold.Until).Compare(hollowgrade.Later(y.touched, y.hold.Until))
