--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -8,18 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The story. One caller whose requests end the upstreams that run them, each of them a new one, takes the service from
-// all others: each request is known only by itself, ends three upstreams, one for each attempt, and is not seen
-// again. Nothing that is known of one says anything of the next, though all are of one organisation.
-//
-// The evidence, 18 upstreams that are down for 1.5 s and five gateways: at 1, 5 and 20 such requests a second 82, 286 and
-// 329 upstreams ended in 30 s, and 0.975, 0.415 and 0.247 of a hundred calls a second of another organisation were
-// served in these and ten seconds before. Red at 5 and 20.
-
-// servedBeside is which part of the calls of others has to be served, as with a request that comes again.
+// servedBeside is the least part of the calls of others that has to be served.
 const servedBeside = 0.95
 
-// madeBy returns requests of an organisation that are all different, also from those of others.
+// madeBy returns a source of distinct requests of an organisation, also distinct from those of
+// others.
 func madeBy(organisation string, from int) func() Subject {
 	return func() Subject {
 		from++
@@ -29,6 +22,11 @@
 	}
 }
 
+// One caller that sends distinct harmful requests takes a service from all others: blocks are per
+// fingerprint, so each request crashes three upstreams, one per attempt, and is never sent again.
+// With five gateways and 18 upstreams that are down for 1.5 s, 1, 5 and 20 such requests a second
+// crash upstreams 82, 286 and 329 times in 30 s, and 0.975, 0.415 and 0.247 of 100 other calls a
+// second are served: the test fails at 5 and 20.
 func TestBodiesThatAreMadeUp(t *testing.T) {
 	for _, rate := range []float64{1, 5, 20} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -12,74 +12,75 @@
 
 const (
 	step     = 5 * time.Millisecond
-	wordTime = 25 * time.Millisecond // until gateways have each other's word
+	wordTime = 25 * time.Millisecond // between two exchanges of updates by gateways
 	downTime = 1500 * time.Millisecond
-	killTime = 100 * time.Millisecond // that an upstream lives on once a harmful request runs
+	killTime = 100 * time.Millisecond // until a harmful request crashes its upstream
 )
 
-// stream is requests that come at a rate.
+// stream is requests that are sent at a rate.
 type stream struct {
 	rate    float64 // a second
 	subject func() Subject
 	harmful bool
-	most    int // attempts
+	most    int // attempts per call
 
 	calls, sent, lost, served, refused, held int
 }
 
-// share returns the part of its calls that were served.
+// share returns the part of the calls that were served.
 func (s *stream) share() float64 {
 	return float64(s.served) / float64(max(s.calls, 1))
 }
 
-// run is an attempt that is under way.
+// run is an attempt that is running, or that waits to be retried.
 type run struct {
 	stream  *stream
 	subject Subject
 	box     *Table
 	leave   Leave
-	at      int // upstream
+	at      int // index of the upstream
 	sent    time.Time
 	ends    time.Time
 	tries   int
 }
 
-// play is a pool with its gateways and callers, step by step.
+// play simulates a pool of upstreams with its gateways and callers in steps of time.
 type play struct {
 	*world
 	random  *rand.Rand
 	streams []*stream
 	runs    []*run
-	later   []*run          // that are sent again
-	back    [pool]time.Time // when upstreams are back that are down
+	later   []*run          // attempts to be retried
+	back    [pool]time.Time // when upstreams that crashed are up again
 	lives   [pool]int
 	ended   []time.Time
 	spoke   time.Time
 	crash   crashes
-	pauses  bool // a call is sent again by the same gateway, after a pause
-	reaches bool // what finds an upstream down goes to another at once
-	relays  bool // upstreams end behind something that goes on accepting: their next life shows it
-	probed  bool // the same, and the second probe that is closed shows it
+	pauses  bool // the same gateway retries a call after a pause
+	reaches bool // an attempt that finds its upstream down goes to another one at once
+	relays  bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
+	probed  bool // the same, but the second probe that is closed shows the crash
 	unseen  []unseen
 }
 
-// unseen is a loss that is not known yet.
+// unseen is a loss that isn't detected yet.
 type unseen struct {
 	Loss
 	box  *Table
 	seen time.Time
 }
 
-// seenWithin is how long after an upstream is back all gateways have read its entry.
+// seenWithin is the time after an upstream is up again within which all gateways read its entry.
 const seenWithin = 400 * time.Millisecond
 
-// probesTake and probesDiffer are how long after a loss the second probe of its upstream is closed.
+// probesTake is how long after a crash the second probe of its upstream is closed, and probesDiffer
+// is by how much that varies.
 const (
 	probesTake   = 250 * time.Millisecond
 	probesDiffer = 50 * time.Millisecond
 )
 
-// lose lets a gateway know of a loss, at once or when the upstream is back and its entry is read.
+// lose reports a loss to a gateway, at once or when its crash is detected.
 func (p *play) lose(b *Table, l Loss) {
 	var after time.Duration
 	switch {
@@ -94,7 +95,7 @@
 	p.unseen = append(p.unseen, unseen{l, b, l.Lost.Add(after)})
 }
 
-// see lets gateways know of the losses that show by now.
+// see reports the losses that are detected by now.
 func (p *play) see(now time.Time) {
 	p.unseen = slices.DeleteFunc(p.unseen, func(u unseen) bool {
 		if now.Before(u.seen) {
@@ -109,7 +110,7 @@
 	return &play{world: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
 }
 
-// for plays some time.
+// run runs the simulation for some time.
 func (p *play) run(d time.Duration) {
 	for end := p.clock.Now().Add(d); p.clock.Now().Before(end); p.clock.Advance(step) {
 		now := p.clock.Now()
@@ -131,12 +132,12 @@
 	}
 }
 
-// send sends a request to an upstream that is up, by any gateway.
+// send sends a request to an upstream by a random gateway.
 func (p *play) send(s *stream, of Subject, tries int) {
 	p.sendBy(p.boxes[p.random.IntN(len(p.boxes))], s, of, tries)
 }
 
-// sendBy does that by one gateway.
+// sendBy sends a request to a random upstream by one gateway.
 func (p *play) sendBy(b *Table, s *stream, of Subject, tries int) {
 	now := p.clock.Now()
 	if tries == 1 {
@@ -155,7 +156,7 @@
 		at = p.random.IntN(pool)
 	}
 	if now.Before(p.back[at]) {
-		b.Over(of.Fingerprint, l) // not reached, and not sent
+		b.Over(of.Fingerprint, l) // the upstream is down and nothing was sent
 		return
 	}
 	s.sent++
@@ -166,7 +167,7 @@
 	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), tries})
 }
 
-// finish ends the runs that are over, and the upstreams under those that are harmful.
+// finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
 func (p *play) finish(now time.Time) {
 	for _, r := range slices.Clone(p.runs) {
 		if r.stream.harmful && !now.Before(r.ends) {
@@ -184,7 +185,7 @@
 	})
 }
 
-// end lets an upstream end with all that is under way there.
+// end crashes an upstream with all runs there.
 func (p *play) end(at int) {
 	now := p.clock.Now()
 	if now.Before(p.back[at]) {
@@ -218,10 +219,10 @@
 	}
 }
 
-// retryPause is after how long a call is sent again, by the same gateway.
+// retryPause is the pause before the same gateway retries a call.
 const retryPause = 20 * time.Millisecond
 
-// again sends calls again whose pause is over.
+// again retries calls whose pause is over.
 func (p *play) again(now time.Time) {
 	rs := p.later
 	p.later = nil
@@ -234,24 +235,24 @@
 	}
 }
 
-// distinct returns requests that are all different.
+// distinct returns a source of distinct requests.
 func distinct() func() Subject {
 	n := 1000
 	return func() Subject { n++; return request(n) }
 }
 
-// same returns one request again and again.
+// same returns a source of one request.
 func same(n int) func() Subject {
 	return func() Subject { return request(n) }
 }
 
-// crashes says which upstreams end by themselves in a step.
+// crashes returns the upstreams that crash by themselves in a step.
 type crashes func(p *play) (at []int)
 
-// none ends no upstream by itself.
+// none crashes no upstream.
 func none(*play) []int { return nil }
 
-// each ends one upstream at an interval, wherever it is.
+// each crashes a random upstream at a mean interval.
 func each(d time.Duration) crashes {
 	return func(p *play) []int {
 		if p.random.Float64() < step.Seconds()/d.Seconds() {
@@ -261,7 +262,7 @@
 	}
 }
 
-// many ends some upstreams at one moment, at an interval.
+// many crashes some upstreams at the same time, at an interval.
 func many(n int, d time.Duration) crashes {
 	var last time.Time
 	return func(p *play) []int {
@@ -273,9 +274,9 @@
 	}
 }
 
-// A request that many callers repeat is under way at many ends of upstreams, and is never held for
-// it: what ends well speaks for it. Some are refused for a trial, and come back after a second: none or hardly any,
-// and one in twenty-five where all of a service is lost each 2.5 s and three in four runs with it.
+// A popular request runs at many crashes and could be blocked for crashes that it didn't cause; the
+// runs that are answered have to clear it. Trials may refuse few of its calls: at most about one in
+// twenty-five, while all of a service is lost every 2.5 s and three in four runs with it.
 func TestPopularRequestsAreNotHeld(t *testing.T) {
 	for name, c := range map[string]func() crashes{
 		"one upstream each 0.4 s":       func() crashes { return each(400 * time.Millisecond) },
@@ -305,8 +306,9 @@
 	}
 }
 
-// The odds of a wrong verdict are not nothing: of 600 plays as above one held the popular request for ten calls, of 600
-// behind relays one for fourteen. In both all of a service was lost each 2.5 s.
+// A popular request may still be blocked wrongly, if rarely: it happened in one of 600 simulations
+// like those above, for ten calls, and in one of 600 behind relays, for fourteen. These are their
+// seeds; in both, all of a service is lost every 2.5 s.
 func TestPopularRequestsInRarePlays(t *testing.T) {
 	for _, x := range []struct {
 		rate   float64
@@ -323,8 +325,9 @@
 	}
 }
 
-// A harmful request is held after some runs, whatever else ends meanwhile: five to ten in a minute, and those
-// that are under way before the first end is known where fifty come a second and are sent twice each.
+// A harmful request has to be blocked after few runs, whatever else crashes meanwhile: five to ten
+// in a minute, and at 50 calls a second with two attempts each those that run before the first
+// crash is known.
 func TestHarmfulRequestsAreHeld(t *testing.T) {
 	for name, c := range map[string]func() crashes{
 		"alone":                               func() crashes { return none },
@@ -347,7 +350,8 @@
 	}
 }
 
-// Some harmful requests at once explain each other's ends.
+// Harmful requests that are sent at the same time must not hide each other: the crashes of one
+// count as background of the others until one is blocked.
 func TestManyHarmfulRequestsAreHeld(t *testing.T) {
 	var ss []*stream
 	for i := range 20 {
@@ -365,8 +369,9 @@
 	require.Zero(t, others.held)
 }
 
-// Many copies that come at one moment, at all gateways, end what they are sent to before anything is known;
-// so do second attempts; from then on one runs at a time. Of 18 upstreams 18 to 23 ended.
+// Copies of a harmful request that arrive together at all gateways crash their upstreams before any
+// crash is known, and so do their second attempts. From then on one may run at a time: the 18
+// upstreams crash 18 to 23 times in all.
 func TestManyCopiesAtOnce(t *testing.T) {
 	for _, copies := range []int{5, 20, 200} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
@@ -387,8 +392,8 @@
 	}
 }
 
-// Nine calls that were under way at each upstream that ends are served, by their second attempt or their callers'
-// second try.
+// Harmless calls that were running at an upstream when it crashed must not be blocked or refused
+// with the harmful request: they are served by their second attempt or a retry of their caller.
 func TestNeighboursAreServed(t *testing.T) {
 	for _, rate := range []float64{1, 10} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
@@ -403,8 +408,8 @@
 	}
 }
 
-// BenchmarkTable measures what one loss costs a gateway while a thousand harmful requests a minute end an upstream
-// three times each: 80 us and 1.2 KB, 0.4% of a core at fifty a second.
+// BenchmarkTable measures the cost of one loss for a gateway while a thousand harmful requests a
+// minute crash three upstreams each: 80 us and 1.2 KB, 0.4% of a core at 50 losses a second.
 func BenchmarkTable(b *testing.B) {
 	w := newWorld(nil, 1)
 	t := w.boxes[0]
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -14,10 +14,10 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// pool is how many upstreams the service has.
+// pool is the number of upstreams of the service.
 const pool = 18
 
-// world is gateways with a clock of their own time.
+// world is a set of gateways that share a fake clock.
 type world struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
@@ -32,14 +32,14 @@
 	return w
 }
 
-// start returns a gateway that knows nothing.
+// start returns a gateway with an empty table.
 func (w *world) start(box string) *Table {
 	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return pool }))
 	b.chance = rand.New(rand.NewPCG(1, 2)).Float64
 	return b
 }
 
-// spread lets all tell each other what there is to tell.
+// spread sends the pending updates of all gateways to the others.
 func (w *world) spread() {
 	for i, b := range w.boxes {
 		word := b.Tell()
@@ -56,7 +56,7 @@
 	return Subject{Fingerprint: hollowgrade.NewFingerprint("o", c), Organisation: "o", Route: "r", Service: "s"}
 }
 
-// lose plays a run that takes some time and ends with its upstream.
+// lose runs a request for some time and crashes its upstream.
 func (w *world) lose(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
 	w.t.Helper()
 	l := b.Begin(s.Fingerprint)
@@ -68,7 +68,7 @@
 	w.clock.Advance(time.Millisecond)
 }
 
-// life names an upstream.
+// life returns the instance of an upstream.
 func life(parts ...any) hollowgrade.Life {
 	return hollowgrade.Life(fmt.Sprint(parts...))
 }
@@ -205,7 +205,7 @@
 	})
 }
 
-// hold lets a request be held at a gateway.
+// hold gets a request blocked at a gateway.
 func (w *world) hold(b *Table, s Subject) {
 	for i := range lossesToHold {
 		w.lose(b, s, life("u", i), aRun)
@@ -257,7 +257,7 @@
 	})
 }
 
-// saved plays the store: it returns what gateways write, to be read by others.
+// saved is the store: it keeps the blocks that gateways write, for others to read.
 type saved map[hollowgrade.Fingerprint]Hold
 
 func (s saved) keep(b *Table) (writes int) {
@@ -311,7 +311,7 @@
 		require.True(t, w.boxes[1].Lift(s.Fingerprint))
 		require.Equal(t, 1, d.keep(w.boxes[1]))
 		require.Empty(t, d)
-		w.boxes[0].Dropped(s.Fingerprint) // of the word of its peer nothing came
+		w.boxes[0].Dropped(s.Fingerprint) // its peer's update was lost
 		requireHeld(t, w.boxes[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
