--- a/loadview/bench_test.go
+++ b/loadview/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/hollowgrade/hollowgrade/core"
 )
 
-// cpu returns the processor time of this process.
+// cpu returns the processor time used by this process.
 func cpu(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -23,8 +23,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkTell measures what it costs, at both ends together, to tell peers of
-// one change; docs/CAPACITY.md has what it showed.
+// BenchmarkTell measures the processor time of one change per peer, for sender and receiver
+// together; docs/CAPACITY.md has results.
 func BenchmarkTell(b *testing.B) {
 	for _, n := range []int{4, 27, 83} {
 		b.Run(fmt.Sprintf("streams/%d", n), func(b *testing.B) { tell(b, n) })
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -1,10 +1,10 @@
-// Package loadview tells other gateways what this one has given to upstreams,
-// and takes their word on the same. Each upstream is used by many gateways at
-// once; what it says of itself lags, and does not tell what it has yet to read.
+// Package loadview exchanges between gateways what load each has placed on upstreams. Each upstream
+// is used by many gateways at once; what it reports itself lags, and leaves out prompts that it has
+// yet to prefill.
 //
-// A change goes to each peer at once in a packet, which may get lost. What changed
-// since the last heartbeat goes with the next one, on a stream, and all there is
-// with some of them. So a view is wrong for a heartbeat at the most.
+// A change goes to each peer at once in a packet, which may get lost. What changed since the last
+// heartbeat goes with the next one on a stream, and the full view with some of them, so that a view
+// is wrong for one heartbeat at most.
 package loadview
 
 import (
@@ -28,29 +28,27 @@
 )
 
 const (
-	// pause is the least time between two messages to a peer. It bounds what a
-	// busy gateway sends; a view is that much out of date.
+	// pause is the least time between two messages to a peer. It bounds the traffic of a busy
+	// gateway; a view is out of date by as much.
 	pause = 25 * time.Millisecond
-	// wholeEvery is how often a gateway says all anew, so that a mistake does not last.
-	// All is what it has given to each upstream since it started: on the large fleet 4.5 KB
-	// to each of 102 peers: with heartbeats of 0.5 s, each tenth of which said all, 68 KB a second,
-	// 14 KB now (TestHeartbeatsOfManyGatewaysAreSmall).
+	// wholeEvery is the time between two full views, which correct mistakes. A full view has what a
+	// gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of 102
+	// peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second, with
+	// this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
 	wholeEvery = 30 * time.Second
-	// dialTimeout and dialEvery bound the tries to reach a peer.
+	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
 	dialTimeout = 500 * time.Millisecond
 	dialEvery   = time.Second
-	// startSyncs is how often it is looked for peers after a start, a pause apart:
-	// others that start at the same moment are listed within a second. With each
-	// heartbeat only, gateways that start together placed prompts for half a second
-	// without hearing of each other.
+	// startSyncs is the number of times that peers are looked up after the start, a pause apart:
+	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
+	// alone they placed prompts for half a second without views of each other.
 	startSyncs = 40
-	// packetShares is how many upstreams one packet tells of: a share takes some
-	// 65 bytes where ids are of a usual length and calls bear three pauses, a packet
-	// 1,400.
+	// packetShares bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
+	// usual length and three pause classes, and a packet has 1,400.
 	packetShares = 14
 )
 
-// Sharer tells peers of a fleet's own shares.
+// Sharer sends the load shares of this gateway to its peers.
 type Sharer struct {
 	box   string
 	fleet *core.Fleet
@@ -59,7 +57,7 @@
 	clock hollowgrade.Clock
 	log   *log.Logger
 
-	words    *quarantine.Table // nil if nothing is told of requests that were lost
+	words    *quarantine.Table // nil if no updates on lost requests are sent
 	packets  *peer.Packets     // nil if all goes on streams
 	sequence atomic.Uint64     // of the last message
 
@@ -67,18 +65,18 @@
 	links map[string]*link
 }
 
-// link is the way to one peer.
+// link is the connection to one peer.
 type link struct {
 	pending map[hollowgrade.Life]core.Share
-	whole   bool // whether pending is all there is to say
-	first   bool // whether nothing has been said on the stream yet
+	whole   bool // whether pending is the full view
+	first   bool // whether nothing has been sent on the stream yet
 	packets netip.AddrPort
 	word    quarantine.Word
-	begun   bool // whether the peer has been told what is held, and hears what is new from then on
-	up      bool // whether the peer has a stream, and so takes packets
+	begun   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
+	up      bool // whether the peer has a stream, without which it ignores packets
 	wake    chan struct{}
 	cancel  context.CancelFunc
-	redial  context.CancelFunc // ends the pause before the next try to connect
+	redial  context.CancelFunc // ends the pause before the next attempt to connect
 }
 
 // Option changes a sharer as it is made.
@@ -99,18 +97,18 @@
 	return func(s *Sharer) { s.dial = d }
 }
 
-// WithPackets lets changes go in packets, at once; without it they go on streams.
+// WithPackets sends changes in packets, at once; without it they go on streams.
 func WithPackets(p *peer.Packets) Option {
 	return func(s *Sharer) { s.packets = p }
 }
 
-// WithQuarantine lets peers be told of requests that were lost.
+// WithQuarantine sends updates on lost requests to peers.
 func WithQuarantine(t *quarantine.Table) Option {
 	return func(s *Sharer) { s.words = t }
 }
 
-// New returns a sharer. Box names one life of the gateway. Peers returns the addresses of the
-// other gateways; it is asked anew each second.
+// New returns a sharer. Box names one instance of the gateway. Peers returns the addresses of the
+// other gateways; it is called again with each heartbeat.
 func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sharer {
 	s := &Sharer{
 		box:   box,
@@ -127,7 +125,7 @@
 	return s
 }
 
-// Run tells peers until ctx ends.
+// Run sends updates to peers until ctx ends.
 func (s *Sharer) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	defer g.Wait()
@@ -151,7 +149,7 @@
 	}
 }
 
-// suspicions returns a channel that gets a value when there is a word on requests that were lost.
+// suspicions returns a channel that receives a value when an update on lost requests is pending.
 func (s *Sharer) suspicions() <-chan struct{} {
 	if s.words == nil {
 		return nil
@@ -159,8 +157,8 @@
 	return s.words.Changed()
 }
 
-// heartbeat lets each link say what has changed, or all there is if that was said last too
-// long ago. It returns when all was said last.
+// heartbeat makes each link send what has changed, or the full view if the last one was too long
+// ago. It returns the time of the last full view.
 func (s *Sharer) heartbeat(said time.Time) time.Time {
 	whole := s.clock.Since(said) >= wholeEvery
 	s.spread(s.fleet.Changes(whole), whole)
@@ -170,7 +168,7 @@
 	return said
 }
 
-// size returns how many peers there are.
+// size returns the number of peers.
 func (s *Sharer) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +185,7 @@
 	}
 }
 
-// sync keeps a link for each peer there is.
+// sync opens and closes links so that there is one for each peer.
 func (s *Sharer) sync(ctx context.Context, g *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,8 +208,7 @@
 	}
 }
 
-// packetAddress returns where a peer takes packets: at the same address as
-// connections.
+// packetAddress returns the address of a peer for packets: the same as for connections.
 func (s *Sharer) packetAddress(a string) netip.AddrPort {
 	p, err := netip.ParseAddrPort(a)
 	if err != nil && s.packets != nil {
@@ -220,8 +217,8 @@
 	return p
 }
 
-// change tells of changes at once: in packets to those that take them, and with
-// the next heartbeat in any case.
+// change sends changes at once, in packets to the peers that have a stream, and again with the next
+// heartbeat. Without packets they go on streams.
 func (s *Sharer) change(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
 		s.spread(cs, false)
@@ -254,7 +251,7 @@
 	return fs
 }
 
-// spread lets each link say what there is to say.
+// spread makes each link send shares on its stream.
 func (s *Sharer) spread(cs map[hollowgrade.Life]core.Share, whole bool) {
 	s.note(cs, whole)
 	s.mu.Lock()
@@ -267,8 +264,8 @@
 	}
 }
 
-// note keeps for each link what it has to say the next time, and returns where
-// packets can tell it earlier.
+// note adds shares to what each link has to send, and returns the packet addresses of the peers
+// that are connected.
 func (s *Sharer) note(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +282,7 @@
 	return to
 }
 
-// begin lets a link that has just been connected say all there is.
+// begin makes a link that has just connected send the full view.
 func (s *Sharer) begin(l *link) {
 	cs := s.fleet.Shares()
 	s.mu.Lock()
@@ -297,7 +294,7 @@
 	}
 }
 
-// end notes that a link is down.
+// end records that a link is down.
 func (s *Sharer) end(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,7 +307,7 @@
 	l.up = up
 }
 
-// take returns what a link has to say, as a frame.
+// take returns what is pending for a link as a frame, and clears it.
 func (s *Sharer) take(l *link) *wire.Frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,12 +322,12 @@
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}
 }
 
-// frame returns a message.
+// frame returns a message with shares.
 func (s *Sharer) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: s.view(cs, whole)}}
 }
 
-// addReadings adds what upstreams have still to read to a view.
+// addReadings adds the prefill backlog of upstreams to a view.
 func addReadings(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
 	for _, c := range m.Shares {
 		c.ReadingMicros = rs[hollowgrade.Life(c.Upstream)].Microseconds()
@@ -367,7 +364,7 @@
 	return m
 }
 
-// keep holds a connection to a peer and opens it again when it breaks.
+// keep connects to a peer, and again when the connection breaks.
 func (s *Sharer) keep(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
 		if err := s.tell(ctx, address, l); err != nil && ctx.Err() == nil {
@@ -377,7 +374,7 @@
 	}
 }
 
-// rest waits before the next try to connect, until [Sharer.Redial] at the most.
+// rest waits before the next attempt to connect, until [Sharer.Redial] at most.
 func (s *Sharer) rest(ctx context.Context, l *link) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -387,8 +384,8 @@
 	hollowgrade.Sleep(ctx, s.clock, dialEvery)
 }
 
-// Redial lets links that are down connect at once. A peer that has just begun to
-// tell its load has just started, or is reached again, and knows nothing of ours.
+// Redial makes links that are down connect at once. A peer whose stream has just begun has just
+// started or is reachable again, and has no view of ours.
 func (s *Sharer) Redial() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -447,7 +444,7 @@
 	return ss
 }
 
-// encodeLimit returns what is told of the limit of an upstream, nil if there is nothing.
+// encodeLimit returns the rate limit of an upstream, nil if there is none.
 func encodeLimit(s core.Seen) *wire.RateLimit {
 	if !s.HasLimit {
 		return nil
@@ -455,10 +452,10 @@
 	return &wire.RateLimit{Named: s.Limit.Named, PerSecond: s.Limit.PerSecond, AgeMillis: s.Limit.Age.Milliseconds(), Relayed: s.Limit.Relayed}
 }
 
-// paceUnit is how the speed of an engine goes into a message: in thousandths.
+// paceUnit is the factor of an engine's pace in messages, which state it in thousandths.
 const paceUnit = 1000
 
-// encodeStakes leaves out the classes in which nothing is at stake.
+// encodeStakes leaves out classes without a stake.
 func encodeStakes(s placement.Stakes) (ws []*wire.Stake) {
 	for i, n := range s {
 		if n != 0 {
@@ -468,7 +465,7 @@
 	return ws
 }
 
-// decodeStakes passes over classes that are not known here.
+// decodeStakes ignores classes that are unknown here.
 func decodeStakes(ws []*wire.Stake) (s placement.Stakes) {
 	for _, w := range ws {
 		if w.PauseClass >= 0 && int(w.PauseClass) < len(s) {
@@ -478,7 +475,7 @@
 	return s
 }
 
-// readings returns what upstreams have still to read by the word of a peer.
+// readings returns the prefill backlogs of upstreams in a peer's view.
 func readings(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
 	rs := map[hollowgrade.Life]time.Duration{}
 	for _, c := range m.Shares {
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -37,7 +37,7 @@
 	return p
 }
 
-// serve lets a fleet take views of others, and returns its address.
+// serve receives the views of others for a fleet, and returns its address.
 func serve(t testing.TB, f *core.Fleet) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return l.Addr().String()
 }
 
-// run lets a fleet tell others, until the function that it returns is called.
+// run sends the load of a fleet to others until the returned function is called.
 func run(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -106,8 +106,8 @@
 	})
 }
 
-// requireTold shows that a fleet hears what another one gives to upstreams, until
-// that ends.
+// requireTold checks that a fleet receives what another one sends to upstreams, until that one
+// stops.
 func requireTold(t *testing.T, os ...Option) {
 	t.Helper()
 	a, b := newFleet(), newFleet()
@@ -200,8 +200,9 @@
 	require.Equal(t, len(cs), told)
 }
 
-// Found on scale-1 of ampct-valico: a gateway that came back gave 0.9 s of reading to
-// each of six engines that were still reading what others had given to them before.
+// A gateway that restarts must learn the prefill backlogs of engines. Otherwise it sends prompts to
+// engines that are still busy with those of other gateways, such as 0.9 s of prefill to each of
+// six.
 func TestAProcessThatStartsLearnsWhatUpstreamsHaveToRead(t *testing.T) {
 	a := newFleet()
 	plan(t, a)
@@ -222,7 +223,8 @@
 	require.Equal(t, rs, readings(m))
 }
 
-// A peer that starts again is told at once, not after the pause between two tries.
+// A peer that restarts must get the full view at once, not after the pause between two attempts to
+// connect.
 func TestRedialEndsThePause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New("a", newFleet(), func() []string { return nil }, WithLogger(log.New(io.Discard)))
@@ -244,8 +246,8 @@
 	})
 }
 
-// bytesToPeers returns how many bytes a second heartbeats take that a gateway with so many
-// peers sends, in which nothing changes beside what it has given to each upstream.
+// bytesToPeers returns the bytes a second of the heartbeats of a gateway with so many peers while
+// its load doesn't change.
 func bytesToPeers(t *testing.T, peers, upstreams int) float64 {
 	t.Helper()
 	const span = time.Minute
@@ -272,8 +274,8 @@
 	return float64(bytes) / span.Seconds()
 }
 
-// 103 gateways told each other 0.45 GB from hall to hall on a quiet day of 48 s, 91 KB a second
-// each: heartbeats of half a second, of which each tenth had all that was ever given.
+// Full views have every upstream that was ever used. With one in every tenth heartbeat of 0.5 s,
+// each of 103 idle gateways sent 91 KB a second, 0.45 GB between halls in 48 s.
 func TestHeartbeatsOfManyGatewaysAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		few, many := bytesToPeers(t, 27, 60), bytesToPeers(t, 102, 150)
@@ -283,8 +285,8 @@
 	})
 }
 
-// requirePredicted waits until a fleet predicts the first event of a call after that many times
-// as long as an idle one does.
+// requirePredicted waits until a fleet predicts the first event of a call after a multiple of the
+// time on an idle fleet.
 func requirePredicted(t *testing.T, f *core.Fleet, times float64) {
 	t.Helper()
 	idle := plan(t, newFleet()).Predict
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -9,17 +9,18 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// How many words of each kind one packet has: where names are of a usual length a loss takes some 90 bytes
-// and a hold 220, and what comes at a time is mostly of one kind.
+// Bounds of the entries of each kind in one packet. With names of the usual length a loss takes
+// some 90 bytes and a block 220, and what is sent at a time is mostly of one kind.
 const (
 	wordsOfPacket = 14
 	holdsOfPacket = 5
 )
 
-// mostPending bounds the losses and holds that wait for the next heartbeat to a peer; the newest are kept.
+// mostPending bounds the entries of each kind that wait for the next heartbeat to a peer; the
+// newest are kept.
 const mostPending = 1024
 
-// packetsOf returns a word in parts that fit into packets.
+// packetsOf splits an update into parts that fit into packets.
 func packetsOf(w quarantine.Word) (ps []quarantine.Word) {
 	for !w.Empty() {
 		var p quarantine.Word
@@ -32,18 +33,18 @@
 	return ps
 }
 
-// cut splits off the first n at the most.
+// cut splits off at most the first n.
 func cut[T any](l []T, n int) (first, rest []T) {
 	n = min(len(l), n)
 	return l[:n], l[n:]
 }
 
-// newest returns the last n at the most.
+// newest returns at most the last n.
 func newest[T any](l []T, n int) []T {
 	return l[max(len(l)-n, 0):]
 }
 
-// tellWord tells all peers a word: in packets at once, and with the next heartbeat.
+// tellWord sends an update to all peers, in packets at once and with the next heartbeat.
 func (s *Sharer) tellWord(w quarantine.Word) {
 	to := s.noteWord(w)
 	if s.packets == nil || len(to) == 0 {
@@ -57,8 +58,8 @@
 	}
 }
 
-// noteWord keeps a word for each link that has begun, and returns where packets can tell it earlier.
-// A link that begins later is told what is held then.
+// noteWord adds an update to what each started link has to send, and returns the packet addresses
+// of these. A link that starts later sends the blocks in force then.
 func (s *Sharer) noteWord(w quarantine.Word) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,7 @@
 	return to
 }
 
-// encodeWord encodes a word. Moments go as ages: clocks of gateways differ.
+// encodeWord encodes an update. Times are sent as ages, since the clocks of gateways differ.
 func encodeWord(w quarantine.Word, now time.Time) *wire.Suspicions {
 	if w.Empty() {
 		return nil
@@ -102,7 +103,7 @@
 	return m
 }
 
-// convert returns the same names as another type.
+// convert converts strings to another string type.
 func convert[T, F ~string](l []F) (c []T) {
 	for _, x := range l {
 		c = append(c, T(x))
@@ -114,7 +115,8 @@
 	return &wire.Subject{Fingerprint: s.Fingerprint[:], Organisation: s.Organisation, Route: s.Route, Service: s.Service}
 }
 
-// decodeWord decodes a word that has just come. What has no whole fingerprint is passed over.
+// decodeWord decodes an update that was received now. Entries without a complete fingerprint are
+// ignored.
 func decodeWord(m *wire.Suspicions, now time.Time) (w quarantine.Word) {
 	at := func(age int64) time.Time { return now.Add(-time.Duration(age) * time.Microsecond) }
 	for _, l := range m.GetLosses() {
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -14,7 +14,7 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// someWord returns a word with n of each kind, with names of a usual length.
+// someWord returns an update with n entries of each kind, with names of the usual length.
 func someWord(n int, now time.Time) (w quarantine.Word) {
 	for i := range n {
 		f := hollowgrade.NewFingerprint("o", hollowgrade.Call{Target: fmt.Sprint(i)})
@@ -62,7 +62,7 @@
 	})
 }
 
-// Words of any kind are taken without harm.
+// Any update that decodes must be applied without a panic or a block that lasts too long.
 func FuzzSuspicions(f *testing.F) {
 	b, err := proto.Marshal(encodeWord(someWord(3, time.Now()), time.Now()))
 	require.NoError(f, err)
@@ -82,8 +82,8 @@
 	})
 }
 
-// BenchmarkWords measures the bytes of one word to one peer: 95 for a loss, 20 for a run that was answered, 22
-// for a trial, 178 for a hold that names three upstreams.
+// BenchmarkWords measures the bytes of one entry for one peer: 95 for a loss, 20 for an answered
+// run, 22 for a trial, 178 for a block that names three upstreams.
 func BenchmarkWords(b *testing.B) {
 	now := time.Now()
 	w := someWord(1, now)
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -12,20 +12,20 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// Taker takes the words of peers into a fleet. It is safe for concurrent use.
+// Taker applies the updates of peers to a fleet. It is safe for concurrent use.
 type Taker struct {
 	fleet *core.Fleet
-	words *quarantine.Table // nil if nothing is taken of requests that were lost
-	begun func()            // called when a peer begins to tell
+	words *quarantine.Table // nil if updates on lost requests are ignored
+	begun func()            // called when a peer opens its stream
 
 	mu    sync.Mutex
-	boxes map[string]*order // those that have a stream
+	boxes map[string]*order // peers that have a stream
 }
 
-// order is what is known of the messages of one life of a peer: those that come
-// late must not undo later ones.
+// order tracks the messages of one instance of a peer: one that arrives late must not undo later
+// ones.
 type order struct {
-	last  uint64                      // the latest that has come
+	last  uint64                      // the highest sequence number received
 	share map[hollowgrade.Life]uint64 // the same for each upstream
 }
 
@@ -34,27 +34,28 @@
 	return &Taker{fleet: f, begun: func() {}, boxes: map[string]*order{}}
 }
 
-// OnBegin sets what is called when a peer begins to tell. It is called before any
-// peer does.
+// OnBegin sets the function that is called when a peer opens its stream. It must be called before
+// any peer does.
 func (t *Taker) OnBegin(f func()) {
 	t.begun = f
 }
 
-// TakeWords sets what takes peers' words on requests that were lost. It is called before any peer tells.
+// TakeWords sets the table for updates on lost requests. It must be called before any peer
+// connects.
 func (t *Taker) TakeWords(q *quarantine.Table) {
 	t.words = q
 }
 
-// suspicions takes the word of a peer on requests that were lost. It needs no stream and no order:
-// each part says when it was so.
+// suspicions applies a peer's update on lost requests. It needs no stream and no order, since each
+// entry has its time.
 func (t *Taker) suspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.words != nil {
 		t.words.Take(m.Box, decodeWord(m.Suspicions, t.words.Now()))
 	}
 }
 
-// Stream takes a peer's word until its stream ends, and forgets it then. It is a
-// part of a [peer.Handler].
+// Stream applies a peer's messages until its stream ends, and drops its view then. It is part of a
+// [peer.Handler].
 func (t *Taker) Stream(s *peer.Stream, first *wire.LoadView) error {
 	o := t.begin(first)
 	defer t.end(first.Box, o)
@@ -73,14 +74,14 @@
 	}
 }
 
-// Packet takes a peer's word that came in a packet. Without a stream of the peer
-// it is not taken: nothing would tell when it ends.
+// Packet applies a peer's message from a packet. The load in it is ignored while the peer has no
+// stream: nothing would show when it ends.
 func (t *Taker) Packet(m *wire.LoadView) {
 	t.take(m)
 }
 
-// begin takes the first word of a stream. No packet comes between: one that overtook it would
-// leave it unknown for long whether all has been heard.
+// begin applies the first message of a stream. The lock is held throughout: if a packet overtook
+// this message, the peer would long not count as one whose full view is known.
 func (t *Taker) begin(first *wire.LoadView) *order {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +91,7 @@
 	return o
 }
 
-// end forgets a peer, unless it has a newer stream.
+// end drops a peer's view, unless it has a newer stream.
 func (t *Taker) end(box string, o *order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +109,7 @@
 	t.takeLocked(m)
 }
 
-// takeLocked takes a word with the lock held.
+// takeLocked applies a message with the lock held.
 func (t *Taker) takeLocked(m *wire.LoadView) {
 	o := t.boxes[m.Box]
 	if o == nil {
@@ -122,7 +123,7 @@
 		}
 		o.share[id] = m.Sequence
 	}
-	// One that was overtaken cannot tell what has come since.
+	// A full view that was overtaken lacks what came since.
 	whole := m.Whole && m.Sequence >= o.last
 	o.last = max(o.last, m.Sequence)
 	t.fleet.TakeView(m.Box, ss, whole)
@@ -136,7 +137,7 @@
 	}
 }
 
-// takeWord takes what a peer says of an upstream itself.
+// takeWord applies what a peer reports of an upstream itself.
 func (t *Taker) takeWord(box string, c *wire.LoadShare) {
 	if c.AvoidMillis > 0 {
 		t.fleet.TakeBlame(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
