--- a/losses/losses.go
+++ b/losses/losses.go
@@ -1,6 +1,5 @@
-// Package losses reads the logs of gateways and tells what was lost: by route, by
-// the reason, and by the second at which callers came. It is for the hours after
-// an incident, when there are only logs.
+// Package losses summarises the logs of gateways after an incident, when only logs are left: the
+// requests that were lost by route, by reason, and by the second in which they arrived.
 package losses
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// The reasons beside codes.
+// Reasons other than fault codes.
 const (
 	InTime     = "in time"
 	LateFirst  = "first event late"
@@ -28,7 +27,7 @@
 // maxLine bounds a line of a log, in bytes.
 const maxLine = 1 << 20
 
-// entry is what is read of a line.
+// entry is the part of a log line that is read.
 type entry struct {
 	Time        time.Time  `json:"time"`
 	Message     string     `json:"msg"`
@@ -42,7 +41,7 @@
 	PauseMS     int64      `json:"pause_ms"`
 }
 
-// reason says why a call was not of full use, or [InTime].
+// reason returns why a call failed or missed its goals, or [InTime].
 func (e entry) reason() string {
 	switch {
 	case e.Code != "":
@@ -56,30 +55,30 @@
 	}
 }
 
-// Row is the calls of one route that ended for one reason.
+// Row counts the calls of one route that ended for one reason.
 type Row struct {
 	Route  string `json:"route"` // empty if the call had none
 	Reason string `json:"reason"`
 	Calls  int    `json:"calls"`
-	Tokens int    `json:"prompt_tokens"` // all together
+	Tokens int    `json:"prompt_tokens"` // sum of all calls
 }
 
-// Second is the calls that came in one second.
+// Second counts the calls that arrived in one second.
 type Second struct {
 	At      time.Time      `json:"at"`
 	Calls   int            `json:"calls"`
-	Reasons map[string]int `json:"reasons"` // those that were of full use are not among them
+	Reasons map[string]int `json:"reasons"` // without calls that were in time
 }
 
-// Report is what logs tell.
+// Report is the summary of logs.
 type Report struct {
 	Rows    []Row    `json:"rows"`    // the route with the most prompt tokens first
-	Seconds []Second `json:"seconds"` // those in which nothing was lost are left out
-	Skipped int      `json:"skipped"` // lines that are no JSON objects
+	Seconds []Second `json:"seconds"` // without those in which nothing was lost
+	Skipped int      `json:"skipped"` // lines that aren't JSON objects
 }
 
-// Read makes a report from logs, of which each line holds a JSON object. What stands
-// before the object, such as the name of a box, is passed over.
+// Read makes a report from logs with a JSON object in each line. Text before the object, such as
+// the name of a box, is ignored.
 func Read(r io.Reader) (p Report, err error) {
 	rows := map[[2]string]*Row{}
 	seconds := map[time.Time]*Second{}
@@ -142,7 +141,7 @@
 	}
 }
 
-// sorted returns rows by the prompt tokens of their routes, then by calls.
+// sorted returns rows ordered by the prompt tokens of their routes, then by calls.
 func sorted(rows map[[2]string]*Row) (ws []Row) {
 	tokens := map[string]int{}
 	for _, w := range rows {
@@ -171,7 +170,7 @@
 	return t.Flush()
 }
 
-// lost returns how many calls were not of full use, and the reason of the most.
+// lost returns how many calls weren't in time, and the most frequent reason.
 func (s Second) lost() (n int, most string) {
 	for r, c := range s.Reasons {
 		n += c
@@ -182,7 +181,7 @@
 	return n, most
 }
 
-// describe adds what a code means.
+// describe adds the title of a fault code.
 func describe(reason string) string {
 	if c := fault.Code(reason); fault.Known(c) {
 		return reason + ", " + fault.Lookup(c).Title
