--- a/measure/html.go
+++ b/measure/html.go
@@ -18,7 +18,7 @@
 	"clock":   func(t time.Time) string { return t.Format("2006-01-02 15:04:05 MST") },
 }).Parse(page))
 
-// chart is a plot of quantiles by prompt length on a logarithmic scale of time.
+// chart is a plot of time quantiles by prompt length, with a logarithmic time axis.
 type chart struct {
 	Width, Height int
 	Groups        []group
@@ -41,7 +41,7 @@
 	Label string
 }
 
-// The measures of the chart, in the units of its view box.
+// Sizes of the chart, in the units of its view box.
 const (
 	chartWidth  = 720
 	chartHeight = 300
@@ -52,7 +52,7 @@
 	decades     = 6
 )
 
-// level returns the height at which a time in milliseconds is drawn.
+// level returns the y coordinate of a time in milliseconds.
 func level(ms float64) float64 {
 	share := math.Log10(max(ms, lowestMs)/lowestMs) / decades
 	return (chartHeight - chartBottom) * (1 - min(share, 1))
@@ -81,7 +81,7 @@
 	return c
 }
 
-// WriteHTML writes the report as one page that needs nothing beside it.
+// WriteHTML writes the report as a self-contained page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	return pageTemplate.Execute(w, struct {
 		*Report
--- a/measure/otel.go
+++ b/measure/otel.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// Metrics are the process's OpenTelemetry instruments. Organisations are no
-// attribute: thousands of them would make as many series on each box.
+// Metrics are the OpenTelemetry instruments of the process. Organisations are no attribute:
+// thousands of them would make as many series on each box.
 type Metrics struct {
 	registry *prometheus.Registry
 	meter    metric.Meter
@@ -53,7 +53,7 @@
 	return m, err
 }
 
-// Gauge adds a gauge whose value is asked for at each collection.
+// Gauge adds a gauge whose value is read at each collection.
 func (m *Metrics) Gauge(name, description string, value func() float64) error {
 	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(description),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -1,5 +1,5 @@
-// Package measure records what became of requests, as OpenTelemetry metrics for
-// the platform's own collectors and as mergeable histograms for the report.
+// Package measure records the outcomes of requests, as OpenTelemetry metrics for the platform's
+// collectors and as mergeable histograms for the report.
 package measure
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/hollowgrade/hollowgrade/config"
 )
 
-// Buckets are the upper bounds, in tokens, of the prompt lengths that are told
-// apart. The last one has none.
+// Buckets are the upper bounds, in tokens, of the buckets of prompt lengths. The last bucket has
+// none.
 var Buckets = []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}
 
 var bucketNames = []string{"1k", "4k", "16k", "64k", "256k", "1M"}
 
-// Bucket returns the name of the length bucket of a prompt. A bound is meant
-// generously, as 1k tokens are sometimes 1,024.
+// Bucket returns the name of the length bucket of a prompt. The bounds are 10% higher than named,
+// since 1k tokens are sometimes 1,024.
 func Bucket(tokens int) string {
 	for i, b := range Buckets {
 		if tokens <= b+b/10 {
@@ -48,10 +48,10 @@
 	Code         string
 	PromptTokens int
 	FirstToken   time.Duration // zero if none was sent
-	Ideal        time.Duration // the time to first token that an idle fleet would give, zero if not known
+	Ideal        time.Duration // time to first token on an idle fleet, zero if unknown
 	Took         time.Duration
 	Attempts     int
-	Predicted    time.Duration // time to first token as predicted when it was placed, zero if it was not
+	Predicted    time.Duration // time to first token predicted at placement, zero if it was not placed
 }
 
 // The range of the histograms. Times are in microseconds, slowdowns in
@@ -63,8 +63,8 @@
 )
 
 const (
-	maxKinds         = 32   // beyond them, "other" stands for the rest
-	maxOrganisations = 1024 // beyond them, "other" stands for the rest
+	maxKinds         = 32   // further ones are counted as "other"
+	maxOrganisations = 1024 // further ones are counted as "other"
 	otherName        = "other"
 	burnMinutes      = 6 * 60
 )
@@ -103,7 +103,7 @@
 // Minute counts the requests of one minute that met an objective and those
 // that missed it.
 type Minute struct {
-	At   int64 `json:"at"` // Unix time of its beginning, in minutes
+	At   int64 `json:"at"` // Unix time of its start, in minutes
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// Bound returns the kind, or "other" once too many kinds have been seen:
-// callers choose them, and each makes a series of its own.
+// Bound returns the kind, or "other" once there are too many: callers choose kinds, and each is a
+// series of its own.
 func (r *Recorder) Bound(kind string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +139,7 @@
 	return hdrhistogram.New(lowest, highest, digits)
 }
 
-// SetObjectives sets the objectives that requests are held against.
+// SetObjectives sets the objectives that requests are compared with.
 func (r *Recorder) SetObjectives(os map[string]config.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +169,7 @@
 	}
 }
 
-// record adds a value, moved into the histogram's range.
+// record adds a value, clamped to the range of the histogram.
 func record(h *hdrhistogram.Histogram, v int64) {
 	_ = h.RecordValue(min(max(v, lowest), highest))
 }
@@ -203,7 +203,8 @@
 	return (o.Kind == "" || o.Kind == s.Kind) && (o.MaxPrompt == 0 || s.PromptTokens <= o.MaxPrompt) && !callersFault(s)
 }
 
-// callersFault tells requests that no service could have answered.
+// callersFault reports whether the caller was at fault, so that no service could have answered the
+// request.
 func callersFault(s Sample) bool {
 	return strings.HasPrefix(s.Code, "HG1")
 }
@@ -227,8 +228,7 @@
 	r.burn[objective] = ms
 }
 
-// Snapshot is what one box has recorded. Its histograms merge with those of
-// others.
+// Snapshot is what one box has recorded. Its histograms can be merged with those of others.
 type Snapshot struct {
 	Box           string              `json:"box"`
 	Began         time.Time           `json:"began"`
@@ -251,7 +251,7 @@
 	Took   string `json:"took"`
 }
 
-// OutcomeCount counts the requests of a kind that ended in one way.
+// OutcomeCount counts the requests of a kind with one outcome and code.
 type OutcomeCount struct {
 	Kind    string              `json:"kind"`
 	Outcome hollowgrade.Outcome `json:"outcome"`
@@ -266,7 +266,7 @@
 	First string `json:"first_token"`
 }
 
-// ObjectiveSnapshot holds an objective and how it was met, minute by minute.
+// ObjectiveSnapshot holds an objective and the requests that met or missed it, by minute.
 type ObjectiveSnapshot struct {
 	Objective config.Objective `json:"objective"`
 	Minutes   []Minute         `json:"minutes"`
--- a/measure/report.go
+++ b/measure/report.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/config"
 )
 
-// Report sums up the snapshots of several boxes. Boxes keep nothing: it covers
-// the time since each box began, and what a lost box had recorded is missing.
+// Report merges the snapshots of several boxes. Boxes store nothing: it covers the time since the
+// start of each box, and lacks what a lost box had recorded.
 type Report struct {
 	Boxes         int                 `json:"boxes"`
-	Since         time.Time           `json:"since"` // beginning of the box that has been up longest
+	Since         time.Time           `json:"since"` // start of the box that has been up longest
 	AllSince      time.Time           `json:"all_since"`
 	Until         time.Time           `json:"until"`
 	Requests      int64               `json:"requests"`
@@ -35,8 +35,8 @@
 	first *hdrhistogram.Histogram
 }
 
-// Quantiles are those of a distribution: milliseconds for times, a plain ratio
-// for slowdowns.
+// Quantiles are quantiles of a distribution, in milliseconds for times and as a ratio for
+// slowdowns.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -56,13 +56,13 @@
 	Quantiles
 }
 
-// BurnRow says how an objective stands. A burn rate of 1 uses up the budget of
-// allowed failures exactly in the period of the objective.
+// BurnRow is the state of an objective. A burn rate of 1 uses up the budget of allowed failures
+// exactly in the period of the objective.
 type BurnRow struct {
 	Objective config.Objective `json:"objective"`
 	Good      int64            `json:"good"`
 	Bad       int64            `json:"bad"`
-	Budget    float64          `json:"budget_left"` // part of the allowed failures that is left, below 0 if overdrawn
+	Budget    float64          `json:"budget_left"` // part of the allowed failures that is left, below 0 if there were more
 	Burn      []Burn           `json:"burn"`
 }
 
@@ -72,8 +72,8 @@
 	Rate   float64 `json:"rate"`
 }
 
-// burnWindows are the windows over which burn rates are given: a short one to
-// see it begin, long ones to see that it lasts.
+// burnWindows are the windows of burn rates: a short one shows the start of a problem, long ones
+// that it lasts.
 var burnWindows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
 // worstRows is the number of organisations that a report names.
