--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -3,7 +3,7 @@
 // yet to prefill.
 //
 // A change goes to each peer at once in a packet, which may get lost. What changed since the last
-// heartbeat goes with the next one on a stream, and the full view with some of them, so that a view
+// heartbeat goes with the next one on a stream, and the whole view with some of them, so that a view
 // is wrong for one heartbeat at most.
 package loadview
 
@@ -31,10 +31,10 @@
 	// pause is the least time between two messages to a peer. It bounds the traffic of a busy
 	// gateway; a view is out of date by as much.
 	pause = 25 * time.Millisecond
-	// wholeEvery is the time between two full views, which correct mistakes. A full view has what a
-	// gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of 102
-	// peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second, with
-	// this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
+	// wholeEvery is the time between two whole views, which correct mistakes. A whole view has what
+	// a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of
+	// 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second,
+	// with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
 	wholeEvery = 30 * time.Second
 	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
 	dialTimeout = 500 * time.Millisecond
@@ -44,7 +44,7 @@
 	// alone they placed prompts for half a second without views of each other.
 	startSyncs = 40
 	// packetShares bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
-	// usual length and three pause classes, and a packet has 1,400.
+	// usual length and three pause classes, and a packet holds 1,400 bytes.
 	packetShares = 14
 )
 
@@ -68,7 +68,7 @@
 // link is the connection to one peer.
 type link struct {
 	pending map[hollowgrade.Life]core.Share
-	whole   bool // whether pending is the full view
+	whole   bool // whether pending is the whole view
 	first   bool // whether nothing has been sent on the stream yet
 	packets netip.AddrPort
 	word    quarantine.Word
@@ -79,7 +79,7 @@
 	redial  context.CancelFunc // ends the pause before the next attempt to connect
 }
 
-// Option changes a sharer as it is made.
+// Option configures a sender.
 type Option func(*Sharer)
 
 // WithClock sets the clock.
@@ -107,7 +107,7 @@
 	return func(s *Sharer) { s.words = t }
 }
 
-// New returns a sharer. Box names one instance of the gateway. Peers returns the addresses of the
+// New returns a sender. Box names one instance of the gateway. Peers returns the addresses of the
 // other gateways; it is called again with each heartbeat.
 func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sharer {
 	s := &Sharer{
@@ -157,8 +157,8 @@
 	return s.words.Changed()
 }
 
-// heartbeat makes each link send what has changed, or the full view if the last one was too long
-// ago. It returns the time of the last full view.
+// heartbeat makes each link send what has changed, or the whole view if the last one was too long
+// ago. It returns the time of the last whole view.
 func (s *Sharer) heartbeat(said time.Time) time.Time {
 	whole := s.clock.Since(said) >= wholeEvery
 	s.spread(s.fleet.Changes(whole), whole)
@@ -282,7 +282,7 @@
 	return to
 }
 
-// begin makes a link that has just connected send the full view.
+// begin makes a link that has just connected send the whole view.
 func (s *Sharer) begin(l *link) {
 	cs := s.fleet.Shares()
 	s.mu.Lock()
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -223,7 +223,7 @@
 	require.Equal(t, rs, readings(m))
 }
 
-// A peer that restarts must get the full view at once, not after the pause between two attempts to
+// A peer that restarts must get the whole view at once, not after the pause between two attempts to
 // connect.
 func TestRedialEndsThePause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -274,7 +274,7 @@
 	return float64(bytes) / span.Seconds()
 }
 
-// Full views have every upstream that was ever used. With one in every tenth heartbeat of 0.5 s,
+// Whole views have every upstream that was ever used. With one in every tenth heartbeat of 0.5 s,
 // each of 103 idle gateways sent 91 KB a second, 0.45 GB between halls in 48 s.
 func TestHeartbeatsOfManyGatewaysAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -29,7 +29,7 @@
 	share map[hollowgrade.Life]uint64 // the same for each upstream
 }
 
-// NewTaker returns a taker for a fleet.
+// NewTaker returns a receiver for a fleet.
 func NewTaker(f *core.Fleet) *Taker {
 	return &Taker{fleet: f, begun: func() {}, boxes: map[string]*order{}}
 }
@@ -81,7 +81,7 @@
 }
 
 // begin applies the first message of a stream. The lock is held throughout: if a packet overtook
-// this message, the peer would long not count as one whose full view is known.
+// this message, the peer would long not count as one whose whole view is known.
 func (t *Taker) begin(first *wire.LoadView) *order {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +123,7 @@
 		}
 		o.share[id] = m.Sequence
 	}
-	// A full view that was overtaken lacks what came since.
+	// A whole view that was overtaken lacks what came since.
 	whole := m.Whole && m.Sequence >= o.last
 	o.last = max(o.last, m.Sequence)
 	t.fleet.TakeView(m.Box, ss, whole)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -45,7 +45,7 @@
 	swept   time.Time
 }
 
-// Option changes a table as it is made.
+// Option configures a table.
 type Option func(*Table)
 
 // WithBox sets the name of this gateway.
