--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -71,7 +71,7 @@
 	whole   bool // whether pending is the whole view
 	first   bool // whether nothing has been sent on the stream yet
 	packets netip.AddrPort
-	word    quarantine.Word
+	word    quarantine.Update
 	begun   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
 	up      bool // whether the peer has a stream, without which it ignores packets
 	wake    chan struct{}
@@ -288,7 +288,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.pending, l.whole, l.first = cs, true, true
-	l.word, l.begun = quarantine.Word{}, true
+	l.word, l.begun = quarantine.Update{}, true
 	if s.words != nil {
 		l.word = s.words.Known()
 	}
@@ -298,7 +298,7 @@
 func (s *Sharer) end(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.word, l.begun = quarantine.Word{}, false
+	l.word, l.begun = quarantine.Update{}, false
 }
 
 func (s *Sharer) setUp(l *link, up bool) {
@@ -316,7 +316,7 @@
 		addReadings(m, s.fleet.Readings())
 	}
 	m.Suspicions = encodeWord(l.word, s.clock.Now())
-	l.word = quarantine.Word{}
+	l.word = quarantine.Update{}
 	clear(l.pending)
 	l.whole, l.first = false, false
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -21,9 +21,9 @@
 const mostPending = 1024
 
 // packetsOf splits an update into parts that fit into packets.
-func packetsOf(w quarantine.Word) (ps []quarantine.Word) {
+func packetsOf(w quarantine.Update) (ps []quarantine.Update) {
 	for !w.Empty() {
-		var p quarantine.Word
+		var p quarantine.Update
 		p.Losses, w.Losses = cut(w.Losses, wordsOfPacket)
 		p.Harmless, w.Harmless = cut(w.Harmless, wordsOfPacket)
 		p.Trials, w.Trials = cut(w.Trials, wordsOfPacket)
@@ -45,7 +45,7 @@
 }
 
 // tellWord sends an update to all peers, in packets at once and with the next heartbeat.
-func (s *Sharer) tellWord(w quarantine.Word) {
+func (s *Sharer) tellWord(w quarantine.Update) {
 	to := s.noteWord(w)
 	if s.packets == nil || len(to) == 0 {
 		return
@@ -60,7 +60,7 @@
 
 // noteWord adds an update to what each started link has to send, and returns the packet addresses
 // of these. A link that starts later sends the blocks in force then.
-func (s *Sharer) noteWord(w quarantine.Word) (to []netip.AddrPort) {
+func (s *Sharer) noteWord(w quarantine.Update) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -80,7 +80,7 @@
 }
 
 // encodeWord encodes an update. Times are sent as ages, since the clocks of gateways differ.
-func encodeWord(w quarantine.Word, now time.Time) *wire.Suspicions {
+func encodeWord(w quarantine.Update, now time.Time) *wire.Suspicions {
 	if w.Empty() {
 		return nil
 	}
@@ -117,7 +117,7 @@
 
 // decodeWord decodes an update that was received now. Entries without a complete fingerprint are
 // ignored.
-func decodeWord(m *wire.Suspicions, now time.Time) (w quarantine.Word) {
+func decodeWord(m *wire.Suspicions, now time.Time) (w quarantine.Update) {
 	at := func(age int64) time.Time { return now.Add(-time.Duration(age) * time.Microsecond) }
 	for _, l := range m.GetLosses() {
 		if s, ok := decodeSubject(l.Subject); ok {
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -15,7 +15,7 @@
 )
 
 // someWord returns an update with n entries of each kind, with names of the usual length.
-func someWord(n int, now time.Time) (w quarantine.Word) {
+func someWord(n int, now time.Time) (w quarantine.Update) {
 	for i := range n {
 		f := hollowgrade.NewFingerprint("o", hollowgrade.Call{Target: fmt.Sprint(i)})
 		s := quarantine.Subject{Fingerprint: f, Organisation: "organisation-12", Route: "r-umqqzgd", Service: "draft-llm"}
@@ -36,10 +36,10 @@
 		require.Equal(t, w, decodeWord(encodeWord(w, now), now))
 	})
 	t.Run("fit into packets", func(t *testing.T) {
-		var all quarantine.Word
+		var all quarantine.Update
 		for _, p := range packetsOf(w) {
 			one := 0
-			for _, part := range []quarantine.Word{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Holds: p.Holds}} {
+			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Holds: p.Holds}} {
 				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeWord(part, now)}}}
 				require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
 				one += proto.Size(f)
@@ -90,7 +90,7 @@
 	for b.Loop() {
 		encodeWord(w, now)
 	}
-	for name, p := range map[string]quarantine.Word{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Holds: w.Holds}} {
+	for name, p := range map[string]quarantine.Update{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Holds: w.Holds}} {
 		b.ReportMetric(float64(proto.Size(encodeWord(p, now))), "B/"+name)
 	}
 }
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -16,12 +16,12 @@
 	log    *log.Logger
 
 	mu      sync.Mutex
-	word    Word
+	word    Update
 	dropped int
 }
 
 // add adds to the pending update.
-func (o *outbox) add(w Word) {
+func (o *outbox) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := o.word.Plus(w)
@@ -44,16 +44,16 @@
 }
 
 // Tell returns the update pending for other gateways and clears it.
-func (t *Table) Tell() Word {
+func (t *Table) Tell() Update {
 	o := &t.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w := o.word
-	o.word, o.dropped = Word{}, 0
+	o.word, o.dropped = Update{}, 0
 	return w
 }
 
 // Known returns the update for a gateway that has no state yet.
-func (t *Table) Known() Word {
-	return Word{Holds: t.Holds()}
+func (t *Table) Known() Update {
+	return Update{Holds: t.Holds()}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -60,8 +60,8 @@
 	By        string             // the gateway that decided on the block
 }
 
-// Word is an update that gateways send to each other.
-type Word struct {
+// Update is an update that gateways send to each other.
+type Update struct {
 	Losses   []Loss
 	Harmless []Harmless
 	Trials   []Trial
@@ -69,12 +69,12 @@
 }
 
 // Empty reports whether the update has no entries.
-func (w Word) Empty() bool {
+func (w Update) Empty() bool {
 	return len(w.Losses)+len(w.Harmless)+len(w.Trials)+len(w.Holds) == 0
 }
 
 // Plus returns the entries of both updates.
-func (w Word) Plus(o Word) Word {
+func (w Update) Plus(o Update) Update {
 	w.Losses = append(w.Losses[:len(w.Losses):len(w.Losses)], o.Losses...)
 	w.Harmless = append(w.Harmless[:len(w.Harmless):len(w.Harmless)], o.Harmless...)
 	w.Trials = append(w.Trials[:len(w.Trials):len(w.Trials)], o.Trials...)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -120,7 +120,7 @@
 		return Leave{Wait: usualTrial}
 	}
 	r.trial, r.running = now, true
-	t.outbox.add(Word{Trials: []Trial{{Fingerprint: f, At: now}}})
+	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
 	return Leave{Granted: true, Trial: true}
 }
 
@@ -133,7 +133,7 @@
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
 		r.running, r.trial = false, time.Time{}
-		t.outbox.add(Word{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
+		t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
 	}
 }
 
@@ -142,7 +142,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.note(l)
-	t.outbox.add(Word{Losses: []Loss{l}})
+	t.outbox.add(Update{Losses: []Loss{l}})
 }
 
 // Answered records a run of this process that its upstream answered, which clears the request of
@@ -198,7 +198,7 @@
 }
 
 // Take applies an update of another gateway, given by its box.
-func (t *Table) Take(box string, w Word) {
+func (t *Table) Take(box string, w Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range w.Losses {
@@ -279,7 +279,7 @@
 	since := r.hold.Since
 	ended := r.clear(at)
 	if peer == "" {
-		t.outbox.add(Word{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
+		t.outbox.add(Update{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
 	}
 	if !ended {
 		return
@@ -306,7 +306,7 @@
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Word{Holds: []Hold{r.hold}})
+	t.outbox.add(Update{Holds: []Hold{r.hold}})
 }
 
 // decideAll evaluates all requests with losses that have settled since. The lock is held.
