--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -52,14 +52,14 @@
 }
 
 // encodeHold encodes a record. Its moments are written as times of day.
-func encodeHold(h quarantine.Hold, now, wall time.Time) ([]byte, error) {
+func encodeHold(h quarantine.Block, now, wall time.Time) ([]byte, error) {
 	ms := func(t time.Time) int64 { return wall.Add(t.Sub(now)).UnixMilli() }
 	return json.Marshal(heldRecord{h.Organisation, h.Route, h.Service, ms(h.Since), ms(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 }
 
 // decodeHold decodes a record. Its moments are of the time of day and are put on this process's clock, on which
 // it is now.
-func decodeHold(key string, v []byte, now, wall time.Time) (h quarantine.Hold, err error) {
+func decodeHold(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
 	defer errs.Annotate(&err, "decode the held request %s", key)
 	f, err := hollowgrade.ParseFingerprint(key)
 	if err != nil {
@@ -73,7 +73,7 @@
 		return h, errors.New("since, until or losses is missing")
 	}
 	on := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(wall)) }
-	return quarantine.Hold{
+	return quarantine.Block{
 		Subject:   quarantine.Subject{Fingerprint: f, Organisation: r.Organisation, Route: r.Route, Service: r.Service},
 		Since:     on(r.Since),
 		Until:     on(r.Until),
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -137,7 +137,7 @@
 	}
 	for _, h := range m.GetHolds() {
 		if s, ok := decodeSubject(h.Subject); ok {
-			w.Holds = append(w.Holds, quarantine.Hold{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
+			w.Holds = append(w.Holds, quarantine.Block{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
 				Losses: int(h.Losses), Odds: h.Odds, Upstreams: convert[hollowgrade.Life](h.Upstreams), By: h.By})
 		}
 	}
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -23,7 +23,7 @@
 		w.Losses = append(w.Losses, quarantine.Loss{Subject: s, Upstream: u, Engines: 17, Sent: now.Add(-3 * time.Second), Lost: now.Add(-time.Second)})
 		w.Harmless = append(w.Harmless, quarantine.Harmless{Fingerprint: f, At: now})
 		w.Trials = append(w.Trials, quarantine.Trial{Fingerprint: f, At: now, Over: i%2 == 0})
-		w.Holds = append(w.Holds, quarantine.Hold{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
+		w.Holds = append(w.Holds, quarantine.Block{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
 			Upstreams: []hollowgrade.Life{u, u, u}, By: "edge-hcm-quang-trung-17"})
 	}
 	return w
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -49,8 +49,8 @@
 	Over        bool
 }
 
-// Hold is a block on a request: it is sent to no upstream until the block expires.
-type Hold struct {
+// Block is a block on a request: it is sent to no upstream until the block expires.
+type Block struct {
 	Subject
 	Since     time.Time
 	Until     time.Time
@@ -65,7 +65,7 @@
 	Losses   []Loss
 	Harmless []Harmless
 	Trials   []Trial
-	Holds    []Hold
+	Holds    []Block
 }
 
 // Empty reports whether the update has no entries.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,7 +16,7 @@
 	marks    []mark    // since the last answered run, ordered by the time of the loss
 	harmless time.Time // time up to which the request is cleared of losses
 	earlier  int       // consecutive losses that a block reported and that aren't among the marks
-	hold     Hold      // the last one, also after its expiry
+	hold     Block     // the last one, also after its expiry
 	touched  time.Time // last update
 
 	running bool      // whether this process runs a trial
@@ -111,7 +111,7 @@
 	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
 		return false
 	}
-	r.hold, r.earlier = Hold{}, 0
+	r.hold, r.earlier = Block{}, 0
 	return true
 }
 
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -37,7 +37,7 @@
 
 // ToKeep is the changes to write to the store.
 type ToKeep struct {
-	Save []Hold
+	Save []Block
 	Drop []hollowgrade.Fingerprint
 }
 
@@ -75,7 +75,7 @@
 }
 
 // Stored records that the store has a block, which may be new to this process.
-func (t *Table) Stored(h Hold) {
+func (t *Table) Stored(h Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.takeHold(h, "store")
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -96,7 +96,7 @@
 type Leave struct {
 	Granted bool
 	Trial   bool          // it is the one run that is admitted
-	Hold    Hold          // that refuses the request; zero if another trial is running
+	Hold    Block         // that refuses the request; zero if another trial is running
 	Wait    time.Duration // retry delay if the request is refused
 }
 
@@ -170,7 +170,7 @@
 }
 
 // Holds returns the blocks in force, the earliest first.
-func (t *Table) Holds() (hs []Hold) {
+func (t *Table) Holds() (hs []Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -179,7 +179,7 @@
 			hs = append(hs, r.hold)
 		}
 	}
-	slices.SortFunc(hs, func(a, b Hold) int { return a.Since.Compare(b.Since) })
+	slices.SortFunc(hs, func(a, b Block) int { return a.Since.Compare(b.Since) })
 	return hs
 }
 
@@ -229,7 +229,7 @@
 }
 
 // takeHold applies a block from another gateway or the store. The lock is held.
-func (t *Table) takeHold(h Hold, from string) {
+func (t *Table) takeHold(h Block, from string) {
 	now := t.clock.Now()
 	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of its sender may be off
 	if now.Sub(h.Until) > memory {
@@ -301,12 +301,12 @@
 	if d == 0 || !r.settled(now) || !r.hold.Until.Before(r.marks[len(r.marks)-1].Lost) {
 		return
 	}
-	r.hold = Hold{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
+	r.hold = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
 	t.plan(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Update{Holds: []Hold{r.hold}})
+	t.outbox.add(Update{Holds: []Block{r.hold}})
 }
 
 // decideAll evaluates all requests with losses that have settled since. The lock is held.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -251,14 +251,14 @@
 		w.spread()
 		w.clock.Advance(time.Second)
 		require.True(t, w.boxes[1].Lift(s.Fingerprint))
-		w.boxes[1].Take("box-0", Update{Holds: []Hold{h}})
+		w.boxes[1].Take("box-0", Update{Holds: []Block{h}})
 		w.boxes[1].Stored(h)
 		requireHeld(t, w.boxes[1], s, false)
 	})
 }
 
 // saved is the store: it keeps the blocks that gateways write, for others to read.
-type saved map[hollowgrade.Fingerprint]Hold
+type saved map[hollowgrade.Fingerprint]Block
 
 func (s saved) keep(b *Table) (writes int) {
 	k := b.ToKeep()
@@ -339,7 +339,7 @@
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		now := w.clock.Now()
-		w.boxes[0].Stored(Hold{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
+		w.boxes[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
 		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).Wait, longHold)
 	})
 }
