--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -27,7 +27,7 @@
 		p.Losses, w.Losses = cut(w.Losses, wordsOfPacket)
 		p.Harmless, w.Harmless = cut(w.Harmless, wordsOfPacket)
 		p.Trials, w.Trials = cut(w.Trials, wordsOfPacket)
-		p.Holds, w.Holds = cut(w.Holds, holdsOfPacket)
+		p.Blocks, w.Blocks = cut(w.Blocks, holdsOfPacket)
 		ps = append(ps, p)
 	}
 	return ps
@@ -71,7 +71,7 @@
 		l.word.Losses = newest(l.word.Losses, mostPending)
 		l.word.Harmless = newest(l.word.Harmless, mostPending)
 		l.word.Trials = newest(l.word.Trials, mostPending)
-		l.word.Holds = newest(l.word.Holds, mostPending)
+		l.word.Blocks = newest(l.word.Blocks, mostPending)
 		if l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
@@ -96,7 +96,7 @@
 	for _, x := range w.Trials {
 		m.Trials = append(m.Trials, &wire.RunAlone{Fingerprint: x.Fingerprint[:], AgeMicros: age(x.At), Over: x.Over})
 	}
-	for _, h := range w.Holds {
+	for _, h := range w.Blocks {
 		m.Holds = append(m.Holds, &wire.RequestHeld{Subject: encodeSubject(h.Subject), AgeMicros: age(h.Since), LeftMicros: -age(h.Until),
 			Losses: int32(h.Losses), Odds: h.Odds, Upstreams: convert[string](h.Upstreams), By: h.By})
 	}
@@ -137,7 +137,7 @@
 	}
 	for _, h := range m.GetHolds() {
 		if s, ok := decodeSubject(h.Subject); ok {
-			w.Holds = append(w.Holds, quarantine.Block{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
+			w.Blocks = append(w.Blocks, quarantine.Block{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
 				Losses: int(h.Losses), Odds: h.Odds, Upstreams: convert[hollowgrade.Life](h.Upstreams), By: h.By})
 		}
 	}
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -23,7 +23,7 @@
 		w.Losses = append(w.Losses, quarantine.Loss{Subject: s, Upstream: u, Engines: 17, Sent: now.Add(-3 * time.Second), Lost: now.Add(-time.Second)})
 		w.Harmless = append(w.Harmless, quarantine.Harmless{Fingerprint: f, At: now})
 		w.Trials = append(w.Trials, quarantine.Trial{Fingerprint: f, At: now, Over: i%2 == 0})
-		w.Holds = append(w.Holds, quarantine.Block{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
+		w.Blocks = append(w.Blocks, quarantine.Block{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
 			Upstreams: []hollowgrade.Life{u, u, u}, By: "edge-hcm-quang-trung-17"})
 	}
 	return w
@@ -39,7 +39,7 @@
 		var all quarantine.Update
 		for _, p := range packetsOf(w) {
 			one := 0
-			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Holds: p.Holds}} {
+			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Blocks: p.Blocks}} {
 				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeWord(part, now)}}}
 				require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
 				one += proto.Size(f)
@@ -58,7 +58,7 @@
 		require.Len(t, d.Losses, 99)
 		require.Len(t, d.Harmless, 99)
 		require.Len(t, d.Trials, 99)
-		require.Len(t, d.Holds, 99)
+		require.Len(t, d.Blocks, 99)
 	})
 }
 
@@ -90,7 +90,7 @@
 	for b.Loop() {
 		encodeWord(w, now)
 	}
-	for name, p := range map[string]quarantine.Update{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Holds: w.Holds}} {
+	for name, p := range map[string]quarantine.Update{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Blocks: w.Blocks}} {
 		b.ReportMetric(float64(proto.Size(encodeWord(p, now))), "B/"+name)
 	}
 }
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -25,7 +25,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := o.word.Plus(w)
-	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Holds)) > mostWords {
+	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > mostWords {
 		if o.dropped++; o.dropped == 1 {
 			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", mostWords)
 		}
@@ -55,5 +55,5 @@
 
 // Known returns the update for a gateway that has no state yet.
 func (t *Table) Known() Update {
-	return Update{Holds: t.Holds()}
+	return Update{Blocks: t.Holds()}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -65,12 +65,12 @@
 	Losses   []Loss
 	Harmless []Harmless
 	Trials   []Trial
-	Holds    []Block
+	Blocks   []Block
 }
 
 // Empty reports whether the update has no entries.
 func (w Update) Empty() bool {
-	return len(w.Losses)+len(w.Harmless)+len(w.Trials)+len(w.Holds) == 0
+	return len(w.Losses)+len(w.Harmless)+len(w.Trials)+len(w.Blocks) == 0
 }
 
 // Plus returns the entries of both updates.
@@ -78,6 +78,6 @@
 	w.Losses = append(w.Losses[:len(w.Losses):len(w.Losses)], o.Losses...)
 	w.Harmless = append(w.Harmless[:len(w.Harmless):len(w.Harmless)], o.Harmless...)
 	w.Trials = append(w.Trials[:len(w.Trials):len(w.Trials)], o.Trials...)
-	w.Holds = append(w.Holds[:len(w.Holds):len(w.Holds)], o.Holds...)
+	w.Blocks = append(w.Blocks[:len(w.Blocks):len(w.Blocks)], o.Blocks...)
 	return w
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -212,7 +212,7 @@
 	for _, x := range w.Trials {
 		t.takeTrial(x)
 	}
-	for _, h := range w.Holds {
+	for _, h := range w.Blocks {
 		t.takeHold(h, box)
 	}
 }
@@ -306,7 +306,7 @@
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Update{Holds: []Block{r.hold}})
+	t.outbox.add(Update{Blocks: []Block{r.hold}})
 }
 
 // decideAll evaluates all requests with losses that have settled since. The lock is held.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -251,7 +251,7 @@
 		w.spread()
 		w.clock.Advance(time.Second)
 		require.True(t, w.boxes[1].Lift(s.Fingerprint))
-		w.boxes[1].Take("box-0", Update{Holds: []Block{h}})
+		w.boxes[1].Take("box-0", Update{Blocks: []Block{h}})
 		w.boxes[1].Stored(h)
 		requireHeld(t, w.boxes[1], s, false)
 	})
