--- a/core/harm.go
+++ b/core/harm.go
@@ -20,7 +20,7 @@
 // cannot be seen at once is seen by their next life (core/unproved.go), or as they go on closing connections (core/closing.go).
 
 // held is the answer to a call whose request is held, or under way alone.
-func (f *flow) held(l quarantine.Leave) *fault.Error {
+func (f *flow) held(l quarantine.Admission) *fault.Error {
 	if l.Hold.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
 			WithRetryAfter(l.Wait)
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -37,7 +37,7 @@
 	stream  *stream
 	subject Subject
 	box     *Table
-	leave   Leave
+	leave   Admission
 	at      int // index of the upstream
 	sent    time.Time
 	ends    time.Time
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -92,8 +92,8 @@
 	return t.clock.Now()
 }
 
-// Leave is the decision whether a request may be sent to an upstream.
-type Leave struct {
+// Admission is the decision whether a request may be sent to an upstream.
+type Admission struct {
 	Granted bool
 	Trial   bool          // it is the one run that is admitted
 	Hold    Block         // that refuses the request; zero if another trial is running
@@ -101,31 +101,31 @@
 }
 
 // Begin decides whether a request may be sent to an upstream. [Table.Over] ends the run.
-func (t *Table) Begin(f hollowgrade.Fingerprint) Leave {
+func (t *Table) Begin(f hollowgrade.Fingerprint) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
 	if r == nil {
-		return Leave{Granted: true}
+		return Admission{Granted: true}
 	}
 	now := t.clock.Now()
 	t.decide(r, now)
 	_, losses := r.row()
 	switch {
 	case r.held(now):
-		return Leave{Hold: r.hold, Wait: r.hold.Until.Sub(now)}
+		return Admission{Hold: r.hold, Wait: r.hold.Until.Sub(now)}
 	case !r.suspect():
-		return Leave{Granted: true}
+		return Admission{Granted: true}
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
-		return Leave{Wait: usualTrial}
+		return Admission{Wait: usualTrial}
 	}
 	r.trial, r.running = now, true
 	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
-	return Leave{Granted: true, Trial: true}
+	return Admission{Granted: true, Trial: true}
 }
 
 // Over ends a run that was admitted.
-func (t *Table) Over(f hollowgrade.Fingerprint, l Leave) {
+func (t *Table) Over(f hollowgrade.Fingerprint, l Admission) {
 	if !l.Trial {
 		return
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -223,7 +223,7 @@
 		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
 		w.boxes[0].Answered(s.Fingerprint)
 		w.boxes[0].Over(s.Fingerprint, l)
-		require.Equal(t, Leave{Granted: true}, w.boxes[0].Begin(s.Fingerprint))
+		require.Equal(t, Admission{Granted: true}, w.boxes[0].Begin(s.Fingerprint))
 	})
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
@@ -240,7 +240,7 @@
 		require.True(t, w.boxes[2].Lift(s.Fingerprint))
 		w.spread()
 		for _, b := range w.boxes {
-			require.Equal(t, Leave{Granted: true}, b.Begin(s.Fingerprint))
+			require.Equal(t, Admission{Granted: true}, b.Begin(s.Fingerprint))
 		}
 		require.False(t, w.boxes[2].Lift(s.Fingerprint))
 	})
