--- a/core/harm.go
+++ b/core/harm.go
@@ -21,12 +21,12 @@
 
 // held is the answer to a call whose request is held, or under way alone.
 func (f *flow) held(l quarantine.Admission) *fault.Error {
-	if l.Hold.Since.IsZero() {
+	if l.Block.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
 			WithRetryAfter(l.Wait)
 	}
 	return fault.New(fault.Quarantined, "%d upstreams ended one after another under this request, the last was %s; it is sent to none for another %s",
-		l.Hold.Losses, last(l.Hold.Upstreams), l.Wait.Round(time.Second)).
+		l.Block.Losses, last(l.Block.Upstreams), l.Wait.Round(time.Second)).
 		WithRetryAfter(l.Wait)
 }
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -146,7 +146,7 @@
 	l := b.Begin(of.Fingerprint)
 	if !l.Granted {
 		s.refused++
-		if !l.Hold.Since.IsZero() {
+		if !l.Block.Since.IsZero() {
 			s.held++
 		}
 		return
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -96,7 +96,7 @@
 type Admission struct {
 	Granted bool
 	Trial   bool          // it is the one run that is admitted
-	Hold    Block         // that refuses the request; zero if another trial is running
+	Block   Block         // that refuses the request; zero if another trial is running
 	Wait    time.Duration // retry delay if the request is refused
 }
 
@@ -113,7 +113,7 @@
 	_, losses := r.row()
 	switch {
 	case r.held(now):
-		return Admission{Hold: r.hold, Wait: r.hold.Until.Sub(now)}
+		return Admission{Block: r.hold, Wait: r.hold.Until.Sub(now)}
 	case !r.suspect():
 		return Admission{Granted: true}
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -79,7 +79,7 @@
 	t.Helper()
 	b.clock.(*clockwork.FakeClock).Advance(settle)
 	l := b.Begin(s.Fingerprint)
-	require.Equal(t, held, !l.Hold.Since.IsZero(), "at %s", b.box)
+	require.Equal(t, held, !l.Block.Since.IsZero(), "at %s", b.box)
 	b.Over(s.Fingerprint, l)
 }
 
