--- a/core/harm.go
+++ b/core/harm.go
@@ -23,11 +23,11 @@
 func (f *flow) held(l quarantine.Admission) *fault.Error {
 	if l.Block.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
-			WithRetryAfter(l.Wait)
+			WithRetryAfter(l.RetryAfter)
 	}
 	return fault.New(fault.Quarantined, "%d upstreams ended one after another under this request, the last was %s; it is sent to none for another %s",
-		l.Block.Losses, last(l.Block.Upstreams), l.Wait.Round(time.Second)).
-		WithRetryAfter(l.Wait)
+		l.Block.Losses, last(l.Block.Upstreams), l.RetryAfter.Round(time.Second)).
+		WithRetryAfter(l.RetryAfter)
 }
 
 func last(us []hollowgrade.Life) hollowgrade.Life {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -94,10 +94,10 @@
 
 // Admission is the decision whether a request may be sent to an upstream.
 type Admission struct {
-	Granted bool
-	Trial   bool          // it is the one run that is admitted
-	Block   Block         // that refuses the request; zero if another trial is running
-	Wait    time.Duration // retry delay if the request is refused
+	Granted    bool
+	Trial      bool          // it is the one run that is admitted
+	Block      Block         // that refuses the request; zero if another trial is running
+	RetryAfter time.Duration // retry delay if the request is refused
 }
 
 // Begin decides whether a request may be sent to an upstream. [Table.Over] ends the run.
@@ -113,11 +113,11 @@
 	_, losses := r.row()
 	switch {
 	case r.held(now):
-		return Admission{Block: r.hold, Wait: r.hold.Until.Sub(now)}
+		return Admission{Block: r.hold, RetryAfter: r.hold.Until.Sub(now)}
 	case !r.suspect():
 		return Admission{Granted: true}
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
-		return Admission{Wait: usualTrial}
+		return Admission{RetryAfter: usualTrial}
 	}
 	r.trial, r.running = now, true
 	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -93,7 +93,7 @@
 		}
 		for _, b := range w.boxes {
 			requireHeld(t, b, s, true)
-			require.Greater(t, b.Begin(s.Fingerprint).Wait, 9*time.Minute)
+			require.Greater(t, b.Begin(s.Fingerprint).RetryAfter, 9*time.Minute)
 		}
 	})
 	t.Run("say nothing of its neighbours", func(t *testing.T) {
@@ -144,7 +144,7 @@
 		w.clock.Advance(settle)
 		l := w.boxes[0].Begin(s.Fingerprint)
 		require.False(t, l.Granted)
-		require.Equal(t, firstHold, l.Wait.Round(time.Second))
+		require.Equal(t, firstHold, l.RetryAfter.Round(time.Second))
 	})
 	t.Run("hold nobody where a rack is lost again and again", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
@@ -171,7 +171,7 @@
 		for _, b := range w.boxes {
 			o := b.Begin(s.Fingerprint)
 			require.False(t, o.Granted)
-			require.Equal(t, usualTrial, o.Wait)
+			require.Equal(t, usualTrial, o.RetryAfter)
 		}
 		w.boxes[1].Answered(s.Fingerprint)
 		w.boxes[1].Over(s.Fingerprint, l)
@@ -340,7 +340,7 @@
 		w, s := newWorld(t, 1), request(1)
 		now := w.clock.Now()
 		w.boxes[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
-		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).Wait, longHold)
+		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).RetryAfter, longHold)
 	})
 }
 
