--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -76,7 +76,7 @@
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			sent, c := play(t, &front{closes: always}, afterAWhile(broken))
-			require.Len(t, c.Quarantine().Holds(), 1)
+			require.Len(t, c.Quarantine().Blocks(), 1)
 			require.Equal(t, 3, sent, "as with ports that refuse")
 		})
 	})
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -57,7 +57,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				xs, k, f := repeat(t, c.path, 8, nil, c.end)
 				require.Len(t, f.sendings(), c.sent)
-				require.Len(t, k.Quarantine().Holds(), 1)
+				require.Len(t, k.Quarantine().Blocks(), 1)
 				last := xs[len(xs)-1]
 				requireFault(t, last, fault.Quarantined, hollowgrade.NotRun)
 				require.Greater(t, last.RetryAfter, 9*time.Minute, "it would bring the same answer sooner")
@@ -115,12 +115,12 @@
 	})
 	t.Run("those of upstreams that ended do", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, gone{}).Quarantine().Holds(), 1)
+			require.Len(t, play(t, gone{}).Quarantine().Blocks(), 1)
 		})
 	})
 	t.Run("and those of upstreams that say nothing", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, gone{silent: true}).Quarantine().Holds(), 1)
+			require.Len(t, play(t, gone{silent: true}).Quarantine().Blocks(), 1)
 		})
 	})
 	t.Run("one look is enough for all calls that were lost with an upstream", func(t *testing.T) {
@@ -157,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				xs, k, _ := repeat(t, c.path, 8, c.change, c.end)
-				require.Empty(t, k.Quarantine().Holds())
+				require.Empty(t, k.Quarantine().Blocks())
 				for _, x := range xs {
 					require.True(t, x == nil || x.Code != fault.Quarantined)
 				}
@@ -212,7 +212,7 @@
 			helpers += len(s.Helpers)
 		}
 		require.Positive(t, helpers)
-		require.Len(t, c.Quarantine().Holds(), 1)
+		require.Len(t, c.Quarantine().Blocks(), 1)
 	})
 }
 
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -299,7 +299,7 @@
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		c.kill()
-		return len(c.gateways[0].Core.Quarantine().Holds()) > 0
+		return len(c.gateways[0].Core.Quarantine().Blocks()) > 0
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
@@ -309,7 +309,7 @@
 	t.Helper()
 	before := m.reached()
 	for i, g := range gs {
-		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) > 0 }, knownWithin, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Blocks()) > 0 }, knownWithin, 5*time.Millisecond)
 		st, body, err := g.post("/stream/x", fmt.Sprint("known", i), "k1", killing)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, st, "it was not run")
@@ -361,7 +361,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusNoContent, a.StatusCode)
 		for _, g := range c.gateways {
-			require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) == 0 }, knownWithin, 5*time.Millisecond)
+			require.Eventually(t, func() bool { return len(g.Core.Quarantine().Blocks()) == 0 }, knownWithin, 5*time.Millisecond)
 		}
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) == "" }, 10*time.Second, 5*time.Millisecond)
 	})
@@ -369,7 +369,7 @@
 
 // fingerprint returns that of the killing request, as operators see it.
 func (c *crowd) fingerprint() string {
-	for _, h := range c.gateways[0].Core.Quarantine().Holds() {
+	for _, h := range c.gateways[0].Core.Quarantine().Blocks() {
 		return h.Fingerprint.String()
 	}
 	return ""
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -74,6 +74,6 @@
 		require.Eventually(t, func() bool {
 			return g.unused.Load() >= before && strings.Count(g.log.String(), `"msg":"held request not used"`) == 3
 		}, 20*time.Second, time.Millisecond)
-		require.Empty(t, g.Core.Quarantine().Holds())
+		require.Empty(t, g.Core.Quarantine().Blocks())
 	})
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -348,7 +348,7 @@
 			return float64(n.unused.Load())
 		}),
 		n.metrics.Gauge("hollowgrade.requests_held", "Requests that are sent to no upstream, since upstreams ended under them.", func() float64 {
-			return float64(len(n.Core.Quarantine().Holds()))
+			return float64(len(n.Core.Quarantine().Blocks()))
 		}),
 		n.metrics.Gauge("hollowgrade.requests_lost", "Requests that are remembered since an upstream was lost under them.", func() float64 {
 			return float64(n.Core.Quarantine().Size())
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -178,7 +178,7 @@
 		hs := []HeldRequest{}
 		now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
 		day := func(t time.Time) time.Time { return wall.Add(t.Sub(now)) }
-		for _, h := range s.table.Holds() {
+		for _, h := range s.table.Blocks() {
 			hs = append(hs, HeldRequest{h.Fingerprint.String(), h.Organisation, h.Route, h.Service, day(h.Since), day(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 		}
 		writeJSON(w, hs)
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -55,5 +55,5 @@
 
 // Known returns the update for a gateway that has no state yet.
 func (t *Table) Known() Update {
-	return Update{Blocks: t.Holds()}
+	return Update{Blocks: t.Blocks()}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -169,8 +169,8 @@
 	return true
 }
 
-// Holds returns the blocks in force, the earliest first.
-func (t *Table) Holds() (hs []Block) {
+// Blocks returns the blocks in force, the earliest first.
+func (t *Table) Blocks() (hs []Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -107,8 +107,8 @@
 		}
 		w.clock.Advance(settle)
 		w.boxes[0].ToKeep()
-		require.Len(t, w.boxes[0].Holds(), 1)
-		require.Equal(t, s, w.boxes[0].Holds()[0].Subject)
+		require.Len(t, w.boxes[0].Blocks(), 1)
+		require.Equal(t, s, w.boxes[0].Blocks()[0].Subject)
 	})
 	t.Run("count one after another only", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
@@ -231,7 +231,7 @@
 		w.clock.Advance(longHold)
 		w.lose(w.boxes[0], s, "u9", aRun)
 		requireHeld(t, w.boxes[0], s, true)
-		require.Equal(t, lossesToHold+1, w.boxes[0].Holds()[0].Losses)
+		require.Equal(t, lossesToHold+1, w.boxes[0].Blocks()[0].Losses)
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
@@ -247,7 +247,7 @@
 	t.Run("an older word does not bring them back", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
 		w.hold(w.boxes[0], s)
-		h := w.boxes[0].Holds()[0]
+		h := w.boxes[0].Blocks()[0]
 		w.spread()
 		w.clock.Advance(time.Second)
 		require.True(t, w.boxes[1].Lift(s.Fingerprint))
