--- a/core/flow.go
+++ b/core/flow.go
@@ -114,7 +114,7 @@
 	if !l.Granted {
 		return Try{Err: f.held(l)}
 	}
-	defer f.core.lost.Over(f.fingerprint, l)
+	defer f.core.lost.End(f.fingerprint, l)
 	return f.send(ctx, n, left)
 }
 
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -225,6 +225,6 @@
 	for b.Loop() {
 		l := c.lost.Begin(f)
 		c.lost.Answered(f)
-		c.lost.Over(f, l)
+		c.lost.End(f, l)
 	}
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -156,7 +156,7 @@
 		at = p.random.IntN(pool)
 	}
 	if now.Before(p.back[at]) {
-		b.Over(of.Fingerprint, l) // the upstream is down and nothing was sent
+		b.End(of.Fingerprint, l) // the upstream is down and nothing was sent
 		return
 	}
 	s.sent++
@@ -180,7 +180,7 @@
 		}
 		r.stream.served++
 		r.box.Answered(r.subject.Fingerprint)
-		r.box.Over(r.subject.Fingerprint, r.leave)
+		r.box.End(r.subject.Fingerprint, r.leave)
 		return true
 	})
 }
@@ -204,7 +204,7 @@
 		}
 		r.stream.lost++
 		p.lose(r.box, Loss{Subject: r.subject, Upstream: life("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
-		r.box.Over(r.subject.Fingerprint, r.leave)
+		r.box.End(r.subject.Fingerprint, r.leave)
 		if r.tries < r.stream.most {
 			again = append(again, r)
 		}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -100,7 +100,7 @@
 	RetryAfter time.Duration // retry delay if the request is refused
 }
 
-// Begin decides whether a request may be sent to an upstream. [Table.Over] ends the run.
+// Begin decides whether a request may be sent to an upstream. [Table.End] ends the run.
 func (t *Table) Begin(f hollowgrade.Fingerprint) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,8 +124,8 @@
 	return Admission{Granted: true, Trial: true}
 }
 
-// Over ends a run that was admitted.
-func (t *Table) Over(f hollowgrade.Fingerprint, l Admission) {
+// End ends a run that was admitted.
+func (t *Table) End(f hollowgrade.Fingerprint, l Admission) {
 	if !l.Trial {
 		return
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -64,7 +64,7 @@
 	sent := w.clock.Now()
 	w.clock.Advance(took)
 	b.Lost(Loss{Subject: s, Upstream: upstream, Engines: 1, Sent: sent, Lost: w.clock.Now()})
-	b.Over(s.Fingerprint, l)
+	b.End(s.Fingerprint, l)
 	w.clock.Advance(time.Millisecond)
 }
 
@@ -80,7 +80,7 @@
 	b.clock.(*clockwork.FakeClock).Advance(settle)
 	l := b.Begin(s.Fingerprint)
 	require.Equal(t, held, !l.Block.Since.IsZero(), "at %s", b.box)
-	b.Over(s.Fingerprint, l)
+	b.End(s.Fingerprint, l)
 }
 
 func TestThreeLossesInARow(t *testing.T) {
@@ -174,7 +174,7 @@
 			require.Equal(t, usualTrial, o.RetryAfter)
 		}
 		w.boxes[1].Answered(s.Fingerprint)
-		w.boxes[1].Over(s.Fingerprint, l)
+		w.boxes[1].End(s.Fingerprint, l)
 		w.spread()
 		for _, b := range w.boxes {
 			require.True(t, b.Begin(s.Fingerprint).Granted)
@@ -222,7 +222,7 @@
 		require.True(t, l.Trial)
 		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
 		w.boxes[0].Answered(s.Fingerprint)
-		w.boxes[0].Over(s.Fingerprint, l)
+		w.boxes[0].End(s.Fingerprint, l)
 		require.Equal(t, Admission{Granted: true}, w.boxes[0].Begin(s.Fingerprint))
 	})
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
