--- a/core/harm.go
+++ b/core/harm.go
@@ -78,7 +78,7 @@
 func (c *Core) noteLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
 	p := c.probeOnce(u, request)
 	if p.presence == hollowgrade.Absent {
-		c.lost.Lost(l)
+		c.lost.RecordLoss(l)
 		return
 	}
 	c.unproved.add(u, l)
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -89,7 +89,7 @@
 	case p.relays:
 		after = downTime + time.Duration(p.random.Int64N(int64(seenWithin)))
 	default:
-		b.Lost(l)
+		b.RecordLoss(l)
 		return
 	}
 	p.unseen = append(p.unseen, unseen{l, b, l.Lost.Add(after)})
@@ -101,7 +101,7 @@
 		if now.Before(u.seen) {
 			return false
 		}
-		u.box.Lost(u.Loss)
+		u.box.RecordLoss(u.Loss)
 		return true
 	})
 }
@@ -417,7 +417,7 @@
 	for i := 0; b.Loop(); i++ {
 		s := request(i / 3 % mostRecords)
 		now := w.clock.Now()
-		t.Lost(Loss{Subject: s, Upstream: life("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
+		t.RecordLoss(Loss{Subject: s, Upstream: life("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
 		t.Begin(s.Fingerprint)
 		t.Tell()
 		w.clock.Advance(20 * time.Millisecond)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Lost records a run of this process that was lost because its upstream crashed.
-func (t *Table) Lost(l Loss) {
+// RecordLoss records a run of this process that was lost because its upstream crashed.
+func (t *Table) RecordLoss(l Loss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.note(l)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -63,7 +63,7 @@
 	require.True(w.t, l.Granted)
 	sent := w.clock.Now()
 	w.clock.Advance(took)
-	b.Lost(Loss{Subject: s, Upstream: upstream, Engines: 1, Sent: sent, Lost: w.clock.Now()})
+	b.RecordLoss(Loss{Subject: s, Upstream: upstream, Engines: 1, Sent: sent, Lost: w.clock.Now()})
 	b.End(s.Fingerprint, l)
 	w.clock.Advance(time.Millisecond)
 }
@@ -101,7 +101,7 @@
 		for i := range 3 {
 			u := life("u", i)
 			for n := range 9 {
-				w.boxes[0].Lost(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
+				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 			}
 			w.lose(w.boxes[0], s, u, aRun)
 		}
@@ -115,7 +115,7 @@
 		sent := w.clock.Now()
 		w.clock.Advance(aRun)
 		for i := range 10 { // ten copies at once, and a rack that is lost
-			w.boxes[0].Lost(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.boxes[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
 		requireHeld(t, w.boxes[0], s, false)
 	})
@@ -136,7 +136,7 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 2 {
-				w.boxes[0].Lost(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
+				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 				w.clock.Advance(time.Second)
 			}
 			w.lose(w.boxes[0], s, life("u", i), aRun)
@@ -150,7 +150,7 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 5 {
-				w.boxes[0].Lost(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
+				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
 			}
 			w.lose(w.boxes[0], s, life("u", i), aRun)
 			w.clock.Advance(11 * time.Second)
@@ -188,7 +188,7 @@
 		for i := range 3 {
 			require.False(t, w.boxes[0].Begin(s.Fingerprint).Trial)
 			w.clock.Advance(2 * together)
-			w.boxes[0].Lost(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.boxes[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
 		require.True(t, w.boxes[0].Begin(s.Fingerprint).Trial)
 		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
@@ -351,13 +351,13 @@
 	w.hold(b, held)
 	for i := range 3 * mostRecords {
 		now := w.clock.Now()
-		b.Lost(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-aRun), Lost: now})
+		b.RecordLoss(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-aRun), Lost: now})
 		w.clock.Advance(time.Millisecond)
 	}
 	require.LessOrEqual(t, b.Size(), mostRecords)
 	requireHeld(t, b, held, true)
 	require.LessOrEqual(t, len(b.Tell().Losses), mostWords)
 	w.clock.Advance(longHold + memory + sweepEvery)
-	b.Lost(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
+	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
 	require.Equal(t, 1, b.Size())
 }
