--- a/core/harm.go
+++ b/core/harm.go
@@ -49,7 +49,7 @@
 	var x *fault.Error
 	switch {
 	case err == nil, errors.As(err, &x) && x.Code == fault.UpstreamFailed:
-		f.core.lost.Answered(f.fingerprint)
+		f.core.lost.RecordAnswer(f.fingerprint)
 	case connectionLost(err):
 		f.noteLoss(ctx, a, f.core.clock.Now())
 	}
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -224,7 +224,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		l := c.lost.Begin(f)
-		c.lost.Answered(f)
+		c.lost.RecordAnswer(f)
 		c.lost.End(f, l)
 	}
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -179,7 +179,7 @@
 			return false
 		}
 		r.stream.served++
-		r.box.Answered(r.subject.Fingerprint)
+		r.box.RecordAnswer(r.subject.Fingerprint)
 		r.box.End(r.subject.Fingerprint, r.leave)
 		return true
 	})
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -145,9 +145,9 @@
 	t.outbox.add(Update{Losses: []Loss{l}})
 }
 
-// Answered records a run of this process that its upstream answered, which clears the request of
+// RecordAnswer records a run of this process that its upstream answered, which clears the request of
 // earlier losses.
-func (t *Table) Answered(f hollowgrade.Fingerprint) {
+func (t *Table) RecordAnswer(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil && (len(r.marks) > 0 || !r.hold.Since.IsZero()) {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -125,7 +125,7 @@
 			w.lose(w.boxes[0], s, life("u", i), aRun)
 			if i%2 == 1 {
 				w.spread()
-				w.boxes[1].Answered(s.Fingerprint)
+				w.boxes[1].RecordAnswer(s.Fingerprint)
 				w.spread()
 				w.clock.Advance(time.Millisecond)
 			}
@@ -173,7 +173,7 @@
 			require.False(t, o.Granted)
 			require.Equal(t, usualTrial, o.RetryAfter)
 		}
-		w.boxes[1].Answered(s.Fingerprint)
+		w.boxes[1].RecordAnswer(s.Fingerprint)
 		w.boxes[1].End(s.Fingerprint, l)
 		w.spread()
 		for _, b := range w.boxes {
@@ -221,7 +221,7 @@
 		l := w.boxes[0].Begin(s.Fingerprint)
 		require.True(t, l.Trial)
 		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
-		w.boxes[0].Answered(s.Fingerprint)
+		w.boxes[0].RecordAnswer(s.Fingerprint)
 		w.boxes[0].End(s.Fingerprint, l)
 		require.Equal(t, Admission{Granted: true}, w.boxes[0].Begin(s.Fingerprint))
 	})
