--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -50,7 +50,7 @@
 // entry has its time.
 func (t *Taker) suspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.words != nil {
-		t.words.Take(m.Box, decodeWord(m.Suspicions, t.words.Now()))
+		t.words.Receive(m.Box, decodeWord(m.Suspicions, t.words.Now()))
 	}
 }
 
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -74,7 +74,7 @@
 			return
 		}
 		q := quarantine.New()
-		q.Take("b", decodeWord(&m, time.Now()))
+		q.Receive("b", decodeWord(&m, time.Now()))
 		q.ToKeep()
 		for _, h := range q.Blocks() {
 			require.LessOrEqual(t, time.Until(h.Until), 11*time.Minute)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -197,8 +197,8 @@
 	return len(t.records)
 }
 
-// Take applies an update of another gateway, given by its box.
-func (t *Table) Take(box string, w Update) {
+// Receive applies an update of another gateway, given by its box.
+func (t *Table) Receive(box string, w Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range w.Losses {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -45,7 +45,7 @@
 		word := b.Tell()
 		for j, o := range w.boxes {
 			if i != j {
-				o.Take(b.box, word)
+				o.Receive(b.box, word)
 			}
 		}
 	}
@@ -251,7 +251,7 @@
 		w.spread()
 		w.clock.Advance(time.Second)
 		require.True(t, w.boxes[1].Lift(s.Fingerprint))
-		w.boxes[1].Take("box-0", Update{Blocks: []Block{h}})
+		w.boxes[1].Receive("box-0", Update{Blocks: []Block{h}})
 		w.boxes[1].Stored(h)
 		requireHeld(t, w.boxes[1], s, false)
 	})
