--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -144,7 +144,7 @@
 			s.change(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
 		case <-s.suspicions():
-			s.tellWord(s.words.Tell())
+			s.tellWord(s.words.NextUpdate())
 		}
 	}
 }
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -43,8 +43,8 @@
 	return t.outbox.notify
 }
 
-// Tell returns the update pending for other gateways and clears it.
-func (t *Table) Tell() Update {
+// NextUpdate returns the update pending for other gateways and clears it.
+func (t *Table) NextUpdate() Update {
 	o := &t.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -419,7 +419,7 @@
 		now := w.clock.Now()
 		t.RecordLoss(Loss{Subject: s, Upstream: life("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
 		t.Begin(s.Fingerprint)
-		t.Tell()
+		t.NextUpdate()
 		w.clock.Advance(20 * time.Millisecond)
 	}
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -42,7 +42,7 @@
 // spread sends the pending updates of all gateways to the others.
 func (w *world) spread() {
 	for i, b := range w.boxes {
-		word := b.Tell()
+		word := b.NextUpdate()
 		for j, o := range w.boxes {
 			if i != j {
 				o.Receive(b.box, word)
@@ -356,7 +356,7 @@
 	}
 	require.LessOrEqual(t, b.Size(), mostRecords)
 	requireHeld(t, b, held, true)
-	require.LessOrEqual(t, len(b.Tell().Losses), mostWords)
+	require.LessOrEqual(t, len(b.NextUpdate().Losses), mostWords)
 	w.clock.Advance(longHold + memory + sweepEvery)
 	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
 	require.Equal(t, 1, b.Size())
