--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -290,7 +290,7 @@
 	l.pending, l.whole, l.first = cs, true, true
 	l.word, l.begun = quarantine.Update{}, true
 	if s.words != nil {
-		l.word = s.words.Known()
+		l.word = s.words.Snapshot()
 	}
 }
 
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -53,7 +53,7 @@
 	return w
 }
 
-// Known returns the update for a gateway that has no state yet.
-func (t *Table) Known() Update {
+// Snapshot returns the update for a gateway that has no state yet.
+func (t *Table) Snapshot() Update {
 	return Update{Blocks: t.Blocks()}
 }
