--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -106,7 +106,7 @@
 }
 
 // keep tells the store what it has to be told. It stops at the first failure.
-func (s *holdStore) keep(ctx context.Context, todo quarantine.ToKeep) (err error) {
+func (s *holdStore) keep(ctx context.Context, todo quarantine.StoreChanges) (err error) {
 	for _, h := range todo.Save {
 		v, err := encodeHold(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -35,8 +35,8 @@
 	r.due = now.Add(grace + time.Duration(t.chance()*float64(grace)))
 }
 
-// ToKeep is the changes to write to the store.
-type ToKeep struct {
+// StoreChanges is the changes to write to the store.
+type StoreChanges struct {
 	Save []Block
 	Drop []hollowgrade.Fingerprint
 }
@@ -44,7 +44,7 @@
 // ToKeep evaluates losses that have settled and returns what this process has to write to the
 // store: blocks that are missing there, and deletions of those whose request is harmless or that
 // expired long ago.
-func (t *Table) ToKeep() (k ToKeep) {
+func (t *Table) ToKeep() (k StoreChanges) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
