--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -87,7 +87,7 @@
 // run writes what has to be written until ctx ends.
 func (s *holdStore) run(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, s.clock, keepEvery) {
-		todo := s.table.ToKeep()
+		todo := s.table.StoreChanges()
 		if len(todo.Save)+len(todo.Drop) == 0 {
 			continue
 		}
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -75,7 +75,7 @@
 		}
 		q := quarantine.New()
 		q.Receive("b", decodeWord(&m, time.Now()))
-		q.ToKeep()
+		q.StoreChanges()
 		for _, h := range q.Blocks() {
 			require.LessOrEqual(t, time.Until(h.Until), 11*time.Minute)
 		}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -41,10 +41,10 @@
 	Drop []hollowgrade.Fingerprint
 }
 
-// ToKeep evaluates losses that have settled and returns what this process has to write to the
+// StoreChanges evaluates losses that have settled and returns what this process has to write to the
 // store: blocks that are missing there, and deletions of those whose request is harmless or that
 // expired long ago.
-func (t *Table) ToKeep() (k StoreChanges) {
+func (t *Table) StoreChanges() (k StoreChanges) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -106,7 +106,7 @@
 			w.lose(w.boxes[0], s, u, aRun)
 		}
 		w.clock.Advance(settle)
-		w.boxes[0].ToKeep()
+		w.boxes[0].StoreChanges()
 		require.Len(t, w.boxes[0].Blocks(), 1)
 		require.Equal(t, s, w.boxes[0].Blocks()[0].Subject)
 	})
@@ -261,7 +261,7 @@
 type saved map[hollowgrade.Fingerprint]Block
 
 func (s saved) keep(b *Table) (writes int) {
-	k := b.ToKeep()
+	k := b.StoreChanges()
 	for _, h := range k.Save {
 		s[h.Fingerprint] = h
 		b.Stored(h)
