--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -210,14 +210,14 @@
 		}
 	}
 	for _, x := range w.Trials {
-		t.takeTrial(x)
+		t.receiveTrial(x)
 	}
 	for _, h := range w.Blocks {
 		t.takeHold(h, box)
 	}
 }
 
-func (t *Table) takeTrial(x Trial) {
+func (t *Table) receiveTrial(x Trial) {
 	r := t.records[x.Fingerprint]
 	switch {
 	case r == nil || r.running:
