--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -78,7 +78,7 @@
 func (t *Table) Stored(h Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeHold(h, "store")
+	t.receiveBlock(h, "store")
 	r := t.record(h.Subject)
 	r.stored = h.Until
 	if r.hold.Since.IsZero() {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -213,7 +213,7 @@
 		t.receiveTrial(x)
 	}
 	for _, h := range w.Blocks {
-		t.takeHold(h, box)
+		t.receiveBlock(h, box)
 	}
 }
 
@@ -228,8 +228,8 @@
 	}
 }
 
-// takeHold applies a block from another gateway or the store. The lock is held.
-func (t *Table) takeHold(h Block, from string) {
+// receiveBlock applies a block from another gateway or the store. The lock is held.
+func (t *Table) receiveBlock(h Block, from string) {
 	now := t.clock.Now()
 	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of its sender may be off
 	if now.Sub(h.Until) > memory {
