--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -141,7 +141,7 @@
 func (t *Table) RecordLoss(l Loss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.note(l)
+	t.addLoss(l)
 	t.outbox.add(Update{Losses: []Loss{l}})
 }
 
@@ -202,7 +202,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range w.Losses {
-		t.note(l)
+		t.addLoss(l)
 	}
 	for _, h := range w.Harmless {
 		if r := t.records[h.Fingerprint]; r != nil {
@@ -249,8 +249,8 @@
 	}
 }
 
-// note records a loss. The lock is held.
-func (t *Table) note(l Loss) {
+// addLoss records a loss. The lock is held.
+func (t *Table) addLoss(l Loss) {
 	e := t.ends[l.Service]
 	if e == nil {
 		e = &ends{}
