--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -99,6 +99,6 @@
 	r.stored = time.Time{}
 	now := t.clock.Now()
 	if r.held(now) && !was.IsZero() {
-		t.release(r, now, "the store no longer has it", "store")
+		t.clear(r, now, "the store no longer has it", "store")
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -151,7 +151,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil && (len(r.marks) > 0 || !r.hold.Since.IsZero()) {
-		t.release(r, t.clock.Now(), "a run of it was answered", "")
+		t.clear(r, t.clock.Now(), "a run of it was answered", "")
 	}
 }
 
@@ -165,7 +165,7 @@
 	if r == nil || !r.held(now) {
 		return false
 	}
-	t.release(r, now, "an operator lifted it", "")
+	t.clear(r, now, "an operator lifted it", "")
 	return true
 }
 
@@ -206,7 +206,7 @@
 	}
 	for _, h := range w.Harmless {
 		if r := t.records[h.Fingerprint]; r != nil {
-			t.release(r, h.At, "a peer said so", box)
+			t.clear(r, h.At, "a peer said so", box)
 		}
 	}
 	for _, x := range w.Trials {
@@ -274,8 +274,8 @@
 	return r
 }
 
-// release clears a request of losses up to a time and ends its block. The lock is held.
-func (t *Table) release(r *record, at time.Time, why, peer string) {
+// clear clears a request of losses up to a time and ends its block. The lock is held.
+func (t *Table) clear(r *record, at time.Time, why, peer string) {
 	since := r.hold.Since
 	ended := r.clear(at)
 	if peer == "" {
