--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -109,7 +109,7 @@
 		return Admission{Granted: true}
 	}
 	now := t.clock.Now()
-	t.decide(r, now)
+	t.evaluate(r, now)
 	_, losses := r.row()
 	switch {
 	case r.held(now):
@@ -289,8 +289,8 @@
 		"held_ms", at.Sub(since).Milliseconds())
 }
 
-// decide blocks a request if its losses call for it and have settled. The lock is held.
-func (t *Table) decide(r *record, now time.Time) {
+// evaluate blocks a request if its losses call for it and have settled. The lock is held.
+func (t *Table) evaluate(r *record, now time.Time) {
 	if r.held(now) || len(r.marks) == 0 {
 		return
 	}
@@ -318,7 +318,7 @@
 		}
 		delete(t.open, f)
 		if r != nil {
-			t.decide(r, now)
+			t.evaluate(r, now)
 		}
 	}
 }
