--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -48,7 +48,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.decideAll(now)
+	t.evaluateSettled(now)
 	kept := 0
 	for _, r := range t.records {
 		if !r.stored.IsZero() {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -309,8 +309,8 @@
 	t.outbox.add(Update{Blocks: []Block{r.hold}})
 }
 
-// decideAll evaluates all requests with losses that have settled since. The lock is held.
-func (t *Table) decideAll(now time.Time) {
+// evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
+func (t *Table) evaluateSettled(now time.Time) {
 	for f := range t.open {
 		r := t.records[f]
 		if r != nil && !r.settled(now) {
