--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -294,7 +294,7 @@
 	if r.held(now) || len(r.marks) == 0 {
 		return
 	}
-	b := t.weigh(r, now)
+	b := t.updateOdds(r, now)
 	ms, n := r.row()
 	chance := r.odds(ms)
 	d := judge(n, chance)
@@ -323,9 +323,9 @@
 	}
 }
 
-// weigh updates the odds of the losses of a request while crashes around them are kept, and returns
+// updateOdds updates the odds of the losses of a request while crashes around them are kept, and returns
 // the background of the last loss. The lock is held.
-func (t *Table) weigh(r *record, now time.Time) (b background) {
+func (t *Table) updateOdds(r *record, now time.Time) (b background) {
 	held := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
 		return o != nil && o.held(now)
