--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -48,8 +48,8 @@
 	packetShares = 14
 )
 
-// Sharer sends the load shares of this gateway to its peers.
-type Sharer struct {
+// Sender sends the load shares of this gateway to its peers.
+type Sender struct {
 	box   string
 	fleet *core.Fleet
 	peers func() []string
@@ -80,37 +80,37 @@
 }
 
 // Option configures a sender.
-type Option func(*Sharer)
+type Option func(*Sender)
 
 // WithClock sets the clock.
 func WithClock(c hollowgrade.Clock) Option {
-	return func(s *Sharer) { s.clock = c }
+	return func(s *Sender) { s.clock = c }
 }
 
 // WithLogger sets the logger.
 func WithLogger(l *log.Logger) Option {
-	return func(s *Sharer) { s.log = l }
+	return func(s *Sender) { s.log = l }
 }
 
 // WithDialer sets how peers are reached.
 func WithDialer(d peer.Dialer) Option {
-	return func(s *Sharer) { s.dial = d }
+	return func(s *Sender) { s.dial = d }
 }
 
 // WithPackets sends changes in packets, at once; without it they go on streams.
 func WithPackets(p *peer.Packets) Option {
-	return func(s *Sharer) { s.packets = p }
+	return func(s *Sender) { s.packets = p }
 }
 
 // WithQuarantine sends updates on lost requests to peers.
 func WithQuarantine(t *quarantine.Table) Option {
-	return func(s *Sharer) { s.words = t }
+	return func(s *Sender) { s.words = t }
 }
 
 // New returns a sender. Box names one instance of the gateway. Peers returns the addresses of the
 // other gateways; it is called again with each heartbeat.
-func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sharer {
-	s := &Sharer{
+func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sender {
+	s := &Sender{
 		box:   box,
 		fleet: f,
 		peers: peers,
@@ -126,7 +126,7 @@
 }
 
 // Run sends updates to peers until ctx ends.
-func (s *Sharer) Run(ctx context.Context) {
+func (s *Sender) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	defer g.Wait()
 	t := s.clock.NewTimer(core.Heartbeat(0))
@@ -150,7 +150,7 @@
 }
 
 // suspicions returns a channel that receives a value when an update on lost requests is pending.
-func (s *Sharer) suspicions() <-chan struct{} {
+func (s *Sender) suspicions() <-chan struct{} {
 	if s.words == nil {
 		return nil
 	}
@@ -159,7 +159,7 @@
 
 // heartbeat makes each link send what has changed, or the whole view if the last one was too long
 // ago. It returns the time of the last whole view.
-func (s *Sharer) heartbeat(said time.Time) time.Time {
+func (s *Sender) heartbeat(said time.Time) time.Time {
 	whole := s.clock.Since(said) >= wholeEvery
 	s.spread(s.fleet.Changes(whole), whole)
 	if whole {
@@ -169,14 +169,14 @@
 }
 
 // size returns the number of peers.
-func (s *Sharer) size() int {
+func (s *Sender) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.links)
 }
 
 // meet looks for peers often for a while after the start.
-func (s *Sharer) meet(ctx context.Context, g *sync.WaitGroup) {
+func (s *Sender) meet(ctx context.Context, g *sync.WaitGroup) {
 	for range startSyncs {
 		if !hollowgrade.Sleep(ctx, s.clock, pause) {
 			return
@@ -186,7 +186,7 @@
 }
 
 // sync opens and closes links so that there is one for each peer.
-func (s *Sharer) sync(ctx context.Context, g *sync.WaitGroup) {
+func (s *Sender) sync(ctx context.Context, g *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	there := map[string]bool{}
@@ -209,7 +209,7 @@
 }
 
 // packetAddress returns the address of a peer for packets: the same as for connections.
-func (s *Sharer) packetAddress(a string) netip.AddrPort {
+func (s *Sender) packetAddress(a string) netip.AddrPort {
 	p, err := netip.ParseAddrPort(a)
 	if err != nil && s.packets != nil {
 		s.log.Warn("peer gets no packets, only streams", "peer", a, "err", err)
@@ -219,7 +219,7 @@
 
 // change sends changes at once, in packets to the peers that have a stream, and again with the next
 // heartbeat. Without packets they go on streams.
-func (s *Sharer) change(cs map[hollowgrade.Life]core.Share) {
+func (s *Sender) change(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
 		s.spread(cs, false)
 		return
@@ -236,7 +236,7 @@
 }
 
 // frames returns shares as frames that fit into packets.
-func (s *Sharer) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
+func (s *Sender) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
 	part := make(map[hollowgrade.Life]core.Share, packetShares)
 	for id, c := range cs {
 		part[id] = c
@@ -252,7 +252,7 @@
 }
 
 // spread makes each link send shares on its stream.
-func (s *Sharer) spread(cs map[hollowgrade.Life]core.Share, whole bool) {
+func (s *Sender) spread(cs map[hollowgrade.Life]core.Share, whole bool) {
 	s.note(cs, whole)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +266,7 @@
 
 // note adds shares to what each link has to send, and returns the packet addresses of the peers
 // that are connected.
-func (s *Sharer) note(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
+func (s *Sender) note(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -283,7 +283,7 @@
 }
 
 // begin makes a link that has just connected send the whole view.
-func (s *Sharer) begin(l *link) {
+func (s *Sender) begin(l *link) {
 	cs := s.fleet.Shares()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,20 +295,20 @@
 }
 
 // end records that a link is down.
-func (s *Sharer) end(l *link) {
+func (s *Sender) end(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.word, l.begun = quarantine.Update{}, false
 }
 
-func (s *Sharer) setUp(l *link, up bool) {
+func (s *Sender) setUp(l *link, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.up = up
 }
 
 // take returns what is pending for a link as a frame, and clears it.
-func (s *Sharer) take(l *link) *wire.Frame {
+func (s *Sender) take(l *link) *wire.Frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.view(l.pending, l.whole)
@@ -323,7 +323,7 @@
 }
 
 // frame returns a message with shares.
-func (s *Sharer) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
+func (s *Sender) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: s.view(cs, whole)}}
 }
 
@@ -339,7 +339,7 @@
 }
 
 // view returns the body of a message.
-func (s *Sharer) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
+func (s *Sender) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
 	m := &wire.LoadView{Box: s.box, Whole: whole, Sequence: s.sequence.Add(1)}
 	seen := s.fleet.Seen(cs)
 	for id, c := range cs {
@@ -365,7 +365,7 @@
 }
 
 // keep connects to a peer, and again when the connection breaks.
-func (s *Sharer) keep(ctx context.Context, address string, l *link) {
+func (s *Sender) keep(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
 		if err := s.tell(ctx, address, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
@@ -374,8 +374,8 @@
 	}
 }
 
-// rest waits before the next attempt to connect, until [Sharer.Redial] at most.
-func (s *Sharer) rest(ctx context.Context, l *link) {
+// rest waits before the next attempt to connect, until [Sender.Redial] at most.
+func (s *Sender) rest(ctx context.Context, l *link) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.mu.Lock()
@@ -386,7 +386,7 @@
 
 // Redial makes links that are down connect at once. A peer whose stream has just begun has just
 // started or is reachable again, and has no view of ours.
-func (s *Sharer) Redial() {
+func (s *Sender) Redial() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -396,7 +396,7 @@
 	}
 }
 
-func (s *Sharer) tell(ctx context.Context, address string, l *link) (err error) {
+func (s *Sender) tell(ctx context.Context, address string, l *link) (err error) {
 	defer errs.Annotate(&err, "tell peer %s of the load", address)
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -45,7 +45,7 @@
 }
 
 // tellWord sends an update to all peers, in packets at once and with the next heartbeat.
-func (s *Sharer) tellWord(w quarantine.Update) {
+func (s *Sender) tellWord(w quarantine.Update) {
 	to := s.noteWord(w)
 	if s.packets == nil || len(to) == 0 {
 		return
@@ -60,7 +60,7 @@
 
 // noteWord adds an update to what each started link has to send, and returns the packet addresses
 // of these. A link that starts later sends the blocks in force then.
-func (s *Sharer) noteWord(w quarantine.Update) (to []netip.AddrPort) {
+func (s *Sender) noteWord(w quarantine.Update) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
