--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -71,7 +71,7 @@
 	holds     *holdStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
-	taker     *loadview.Taker
+	taker     *loadview.Receiver
 }
 
 // NewGateway opens the listeners and puts a gateway together. Start brings it
@@ -421,7 +421,7 @@
 }
 
 // newPackets returns a service that takes packets of other gateways.
-func newPackets(p *peer.Packets, t *loadview.Taker, g *log.Logger) kernel.Service {
+func newPackets(p *peer.Packets, t *loadview.Receiver, g *log.Logger) kernel.Service {
 	return newRunner(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = p.Close() })
 		defer stop()
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -12,8 +12,8 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// Taker applies the updates of peers to a fleet. It is safe for concurrent use.
-type Taker struct {
+// Receiver applies the updates of peers to a fleet. It is safe for concurrent use.
+type Receiver struct {
 	fleet *core.Fleet
 	words *quarantine.Table // nil if updates on lost requests are ignored
 	begun func()            // called when a peer opens its stream
@@ -30,25 +30,25 @@
 }
 
 // NewTaker returns a receiver for a fleet.
-func NewTaker(f *core.Fleet) *Taker {
-	return &Taker{fleet: f, begun: func() {}, boxes: map[string]*order{}}
+func NewTaker(f *core.Fleet) *Receiver {
+	return &Receiver{fleet: f, begun: func() {}, boxes: map[string]*order{}}
 }
 
 // OnBegin sets the function that is called when a peer opens its stream. It must be called before
 // any peer does.
-func (t *Taker) OnBegin(f func()) {
+func (t *Receiver) OnBegin(f func()) {
 	t.begun = f
 }
 
 // TakeWords sets the table for updates on lost requests. It must be called before any peer
 // connects.
-func (t *Taker) TakeWords(q *quarantine.Table) {
+func (t *Receiver) TakeWords(q *quarantine.Table) {
 	t.words = q
 }
 
 // suspicions applies a peer's update on lost requests. It needs no stream and no order, since each
 // entry has its time.
-func (t *Taker) suspicions(m *wire.LoadView) {
+func (t *Receiver) suspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.words != nil {
 		t.words.Receive(m.Box, decodeWord(m.Suspicions, t.words.Now()))
 	}
@@ -56,7 +56,7 @@
 
 // Stream applies a peer's messages until its stream ends, and drops its view then. It is part of a
 // [peer.Handler].
-func (t *Taker) Stream(s *peer.Stream, first *wire.LoadView) error {
+func (t *Receiver) Stream(s *peer.Stream, first *wire.LoadView) error {
 	o := t.begin(first)
 	defer t.end(first.Box, o)
 	t.suspicions(first)
@@ -76,13 +76,13 @@
 
 // Packet applies a peer's message from a packet. The load in it is ignored while the peer has no
 // stream: nothing would show when it ends.
-func (t *Taker) Packet(m *wire.LoadView) {
+func (t *Receiver) Packet(m *wire.LoadView) {
 	t.take(m)
 }
 
 // begin applies the first message of a stream. The lock is held throughout: if a packet overtook
 // this message, the peer would long not count as one whose whole view is known.
-func (t *Taker) begin(first *wire.LoadView) *order {
+func (t *Receiver) begin(first *wire.LoadView) *order {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := &order{share: map[hollowgrade.Life]uint64{}}
@@ -92,7 +92,7 @@
 }
 
 // end drops a peer's view, unless it has a newer stream.
-func (t *Taker) end(box string, o *order) {
+func (t *Receiver) end(box string, o *order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.boxes[box] != o {
@@ -102,7 +102,7 @@
 	t.fleet.DropView(box)
 }
 
-func (t *Taker) take(m *wire.LoadView) {
+func (t *Receiver) take(m *wire.LoadView) {
 	t.suspicions(m)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // takeLocked applies a message with the lock held.
-func (t *Taker) takeLocked(m *wire.LoadView) {
+func (t *Receiver) takeLocked(m *wire.LoadView) {
 	o := t.boxes[m.Box]
 	if o == nil {
 		return
@@ -138,7 +138,7 @@
 }
 
 // takeWord applies what a peer reports of an upstream itself.
-func (t *Taker) takeWord(box string, c *wire.LoadShare) {
+func (t *Receiver) takeWord(box string, c *wire.LoadShare) {
 	if c.AvoidMillis > 0 {
 		t.fleet.TakeBlame(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
 	}
