--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := NewTaker(f)
+	k := NewReceiver(f)
 	s := peer.NewServer(func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		return k.Stream(s, first.GetLoadView())
 	}, func(net.Addr, error) {})
@@ -157,7 +157,7 @@
 			require.Equal(t, n, f.Others(hollowgrade.Life(fmt.Sprint(i))).Open, "upstream %d", i)
 		}
 	}
-	k := NewTaker(f)
+	k := NewReceiver(f)
 	k.Packet(word(1, false, 7))
 	requireOpen(t, 0, 0)
 	o := k.begin(word(2, true, 1, 1))
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -29,8 +29,8 @@
 	share map[hollowgrade.Life]uint64 // the same for each upstream
 }
 
-// NewTaker returns a receiver for a fleet.
-func NewTaker(f *core.Fleet) *Receiver {
+// NewReceiver returns a receiver for a fleet.
+func NewReceiver(f *core.Fleet) *Receiver {
 	return &Receiver{fleet: f, begun: func() {}, boxes: map[string]*order{}}
 }
 
