--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -121,7 +121,7 @@
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
 	n.taker = loadview.NewReceiver(n.Core.Fleet())
-	n.taker.TakeWords(n.Core.Quarantine())
+	n.taker.SetQuarantine(n.Core.Quarantine())
 	share := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
 	if c.Peers != "" {
 		p, err := peer.ListenPackets(c.Peers)
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -40,9 +40,9 @@
 	t.begun = f
 }
 
-// TakeWords sets the table for updates on lost requests. It must be called before any peer
+// SetQuarantine sets the table for updates on lost requests. It must be called before any peer
 // connects.
-func (t *Receiver) TakeWords(q *quarantine.Table) {
+func (t *Receiver) SetQuarantine(q *quarantine.Table) {
 	t.words = q
 }
 
