--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -132,7 +132,7 @@
 		share = append(share, loadview.WithPackets(p))
 	}
 	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
-	n.taker.OnBegin(sharer.Redial)
+	n.taker.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.holds.run))
 	if err = n.listen(c, shared, g); err != nil {
 		return nil, err
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -34,9 +34,9 @@
 	return &Receiver{fleet: f, begun: func() {}, boxes: map[string]*order{}}
 }
 
-// OnBegin sets the function that is called when a peer opens its stream. It must be called before
+// OnStream sets the function that is called when a peer opens its stream. It must be called before
 // any peer does.
-func (t *Receiver) OnBegin(f func()) {
+func (t *Receiver) OnStream(f func()) {
 	t.begun = f
 }
 
