--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -38,11 +38,11 @@
 	chance    func() float64
 	outbox    outbox
 
-	mu      sync.Mutex
-	records map[hollowgrade.Fingerprint]*record
-	ends    map[string]*ends                 // by service
-	open    map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
-	swept   time.Time
+	mu          sync.Mutex
+	records     map[hollowgrade.Fingerprint]*record
+	ends        map[string]*ends                 // by service
+	unevaluated map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
+	swept       time.Time
 }
 
 // Option configures a table.
@@ -71,13 +71,13 @@
 // New returns an empty table.
 func New(os ...Option) *Table {
 	t := &Table{
-		clock:     hollowgrade.SystemClock(),
-		log:       log.Default(),
-		upstreams: func(string) int { return 1 },
-		chance:    rand.Float64,
-		records:   map[hollowgrade.Fingerprint]*record{},
-		ends:      map[string]*ends{},
-		open:      map[hollowgrade.Fingerprint]bool{},
+		clock:       hollowgrade.SystemClock(),
+		log:         log.Default(),
+		upstreams:   func(string) int { return 1 },
+		chance:      rand.Float64,
+		records:     map[hollowgrade.Fingerprint]*record{},
+		ends:        map[string]*ends{},
+		unevaluated: map[hollowgrade.Fingerprint]bool{},
 	}
 	for _, o := range os {
 		o(t)
@@ -258,7 +258,7 @@
 	}
 	e.add(l)
 	t.record(l.Subject).add(l, t.clock.Now())
-	t.open[l.Fingerprint] = true
+	t.unevaluated[l.Fingerprint] = true
 }
 
 // record returns the record of a request, creating it if there is none. The lock is held.
@@ -311,12 +311,12 @@
 
 // evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
 func (t *Table) evaluateSettled(now time.Time) {
-	for f := range t.open {
+	for f := range t.unevaluated {
 		r := t.records[f]
 		if r != nil && !r.settled(now) {
 			continue
 		}
-		delete(t.open, f)
+		delete(t.unevaluated, f)
 		if r != nil {
 			t.evaluate(r, now)
 		}
