--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -42,7 +42,7 @@
 	records     map[hollowgrade.Fingerprint]*record
 	ends        map[string]*ends                 // by service
 	unevaluated map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
-	swept       time.Time
+	lastSweep   time.Time
 }
 
 // Option configures a table.
@@ -347,10 +347,10 @@
 
 // sweep deletes old records, and evicts some if there are too many. The lock is held.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery && len(t.records) < mostRecords {
+	if now.Sub(t.lastSweep) < sweepEvery && len(t.records) < mostRecords {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for f, r := range t.records {
 		if now.Sub(hollowgrade.Later(r.touched, r.hold.Until)) > memory {
 			delete(t.records, f)
