--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -32,7 +32,7 @@
 
 // plan sets from when on this process updates what the store has of a request. The lock is held.
 func (t *Table) plan(r *record, now time.Time, grace time.Duration) {
-	r.due = now.Add(grace + time.Duration(t.chance()*float64(grace)))
+	r.due = now.Add(grace + time.Duration(t.random()*float64(grace)))
 }
 
 // StoreChanges is the changes to write to the store.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -35,7 +35,7 @@
 	clock     hollowgrade.Clock
 	log       *log.Logger
 	upstreams func(service string) int
-	chance    func() float64
+	random    func() float64
 	outbox    outbox
 
 	mu          sync.Mutex
@@ -74,7 +74,7 @@
 		clock:       hollowgrade.SystemClock(),
 		log:         log.Default(),
 		upstreams:   func(string) int { return 1 },
-		chance:      rand.Float64,
+		random:      rand.Float64,
 		records:     map[hollowgrade.Fingerprint]*record{},
 		ends:        map[string]*ends{},
 		unevaluated: map[hollowgrade.Fingerprint]bool{},
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -35,7 +35,7 @@
 // start returns a gateway with an empty table.
 func (w *world) start(box string) *Table {
 	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return pool }))
-	b.chance = rand.New(rand.NewPCG(1, 2)).Float64
+	b.random = rand.New(rand.NewPCG(1, 2)).Float64
 	return b
 }
 
