--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -30,8 +30,8 @@
 	return saveGrace
 }
 
-// plan sets from when on this process updates what the store has of a request. The lock is held.
-func (t *Table) plan(r *record, now time.Time, grace time.Duration) {
+// scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
+func (t *Table) scheduleStore(r *record, now time.Time, grace time.Duration) {
 	r.due = now.Add(grace + time.Duration(t.random()*float64(grace)))
 }
 
@@ -66,7 +66,7 @@
 		case r.hold.Since.IsZero():
 			k.Drop = append(k.Drop, f)
 		case now.Sub(r.hold.Until) > dropAfter && r.due.Before(r.hold.Until):
-			t.plan(r, now, dropSpread)
+			t.scheduleStore(r, now, dropSpread)
 		case now.Sub(r.hold.Until) > dropAfter:
 			k.Drop = append(k.Drop, f)
 		}
@@ -82,7 +82,7 @@
 	r := t.record(h.Subject)
 	r.stored = h.Until
 	if r.hold.Since.IsZero() {
-		t.plan(r, t.clock.Now(), saveGrace) // the request is harmless, or forgotten everywhere
+		t.scheduleStore(r, t.clock.Now(), saveGrace) // the request is harmless, or forgotten everywhere
 	}
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -242,7 +242,7 @@
 	was := r.held(now)
 	ms, _ := r.row()
 	r.hold, r.earlier = h, max(h.Losses-len(ms), 0)
-	t.plan(r, now, saveGrace)
+	t.scheduleStore(r, now, saveGrace)
 	if !was && r.held(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
@@ -284,7 +284,7 @@
 	if !ended {
 		return
 	}
-	t.plan(r, t.clock.Now(), graceFor(peer))
+	t.scheduleStore(r, t.clock.Now(), graceFor(peer))
 	t.log.Info("request no longer held", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
 		"held_ms", at.Sub(since).Milliseconds())
 }
@@ -302,7 +302,7 @@
 		return
 	}
 	r.hold = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
-	t.plan(r, now, 0)
+	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
