--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -21,9 +21,9 @@
 	mostKept = 1000
 )
 
-// graceFor returns how long this process leaves a change to the peer that made it; the peer is
+// storeDelay returns how long this process leaves a change to the peer that made it; the peer is
 // empty for its own changes.
-func graceFor(peer string) time.Duration {
+func storeDelay(peer string) time.Duration {
 	if peer == "" {
 		return 0
 	}
