--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// saveGrace is how long a gateway that learned of a change waits for the gateway that made it
+	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made it
 	// to write it to the store, plus a random time of up to as long, so that not all write at once.
-	saveGrace = 3 * time.Second
+	peerStoreDelay = 3 * time.Second
 	// clocksDiffer is the difference in the expiry of a block that is put down to clock skew
 	// between gateways, and not written to the store.
 	clocksDiffer = 3 * time.Second
@@ -27,7 +27,7 @@
 	if peer == "" {
 		return 0
 	}
-	return saveGrace
+	return peerStoreDelay
 }
 
 // scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
@@ -82,7 +82,7 @@
 	r := t.record(h.Subject)
 	r.stored = h.Until
 	if r.hold.Since.IsZero() {
-		t.scheduleStore(r, t.clock.Now(), saveGrace) // the request is harmless, or forgotten everywhere
+		t.scheduleStore(r, t.clock.Now(), peerStoreDelay) // the request is harmless, or forgotten everywhere
 	}
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -242,7 +242,7 @@
 	was := r.held(now)
 	ms, _ := r.row()
 	r.hold, r.earlier = h, max(h.Losses-len(ms), 0)
-	t.scheduleStore(r, now, saveGrace)
+	t.scheduleStore(r, now, peerStoreDelay)
 	if !was && r.held(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
