--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -10,9 +10,9 @@
 	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made it
 	// to write it to the store, plus a random time of up to as long, so that not all write at once.
 	peerStoreDelay = 3 * time.Second
-	// clocksDiffer is the difference in the expiry of a block that is put down to clock skew
+	// clockSkewTolerance is the difference in the expiry of a block that is put down to clock skew
 	// between gateways, and not written to the store.
-	clocksDiffer = 3 * time.Second
+	clockSkewTolerance = 3 * time.Second
 	// dropAfter is how long after its expiry a block stays in the store, so that a request which
 	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
 	dropAfter  = memory / 2
@@ -58,7 +58,7 @@
 	for f, r := range t.records {
 		switch {
 		case now.Before(r.due):
-		case r.held(now) && r.hold.Until.Sub(r.stored) > clocksDiffer:
+		case r.held(now) && r.hold.Until.Sub(r.stored) > clockSkewTolerance:
 			if kept++; kept <= mostKept || !r.stored.IsZero() {
 				k.Save = append(k.Save, r.hold)
 			}
