--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -13,10 +13,10 @@
 	// clockSkewTolerance is the difference in the expiry of a block that is put down to clock skew
 	// between gateways, and not written to the store.
 	clockSkewTolerance = 3 * time.Second
-	// dropAfter is how long after its expiry a block stays in the store, so that a request which
+	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
 	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
-	dropAfter  = memory / 2
-	dropSpread = 30 * time.Second
+	expiredBlockRetention = memory / 2
+	dropSpread            = 30 * time.Second
 	// mostKept bounds the blocks in the store, some 400 bytes each.
 	mostKept = 1000
 )
@@ -65,9 +65,9 @@
 		case r.stored.IsZero():
 		case r.hold.Since.IsZero():
 			k.Drop = append(k.Drop, f)
-		case now.Sub(r.hold.Until) > dropAfter && r.due.Before(r.hold.Until):
+		case now.Sub(r.hold.Until) > expiredBlockRetention && r.due.Before(r.hold.Until):
 			t.scheduleStore(r, now, dropSpread)
-		case now.Sub(r.hold.Until) > dropAfter:
+		case now.Sub(r.hold.Until) > expiredBlockRetention:
 			k.Drop = append(k.Drop, f)
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -318,7 +318,7 @@
 		w, s, d := newWorld(t, 1), request(1), saved{}
 		w.hold(w.boxes[0], s)
 		d.keep(w.boxes[0])
-		w.clock.Advance(longHold + dropAfter + time.Second)
+		w.clock.Advance(longHold + expiredBlockRetention + time.Second)
 		d.keep(w.boxes[0])
 		w.clock.Advance(2 * dropSpread)
 		d.keep(w.boxes[0])
