--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -16,7 +16,7 @@
 	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
 	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
 	expiredBlockRetention = memory / 2
-	dropSpread            = 30 * time.Second
+	deletionSpread        = 30 * time.Second
 	// mostKept bounds the blocks in the store, some 400 bytes each.
 	mostKept = 1000
 )
@@ -66,7 +66,7 @@
 		case r.hold.Since.IsZero():
 			k.Drop = append(k.Drop, f)
 		case now.Sub(r.hold.Until) > expiredBlockRetention && r.due.Before(r.hold.Until):
-			t.scheduleStore(r, now, dropSpread)
+			t.scheduleStore(r, now, deletionSpread)
 		case now.Sub(r.hold.Until) > expiredBlockRetention:
 			k.Drop = append(k.Drop, f)
 		}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -320,7 +320,7 @@
 		d.keep(w.boxes[0])
 		w.clock.Advance(longHold + expiredBlockRetention + time.Second)
 		d.keep(w.boxes[0])
-		w.clock.Advance(2 * dropSpread)
+		w.clock.Advance(2 * deletionSpread)
 		d.keep(w.boxes[0])
 		require.Empty(t, d)
 	})
