--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -17,8 +17,8 @@
 	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
 	expiredBlockRetention = memory / 2
 	deletionSpread        = 30 * time.Second
-	// mostKept bounds the blocks in the store, some 400 bytes each.
-	mostKept = 1000
+	// maxStoredBlocks bounds the blocks in the store, some 400 bytes each.
+	maxStoredBlocks = 1000
 )
 
 // storeDelay returns how long this process leaves a change to the peer that made it; the peer is
@@ -59,7 +59,7 @@
 		switch {
 		case now.Before(r.due):
 		case r.held(now) && r.hold.Until.Sub(r.stored) > clockSkewTolerance:
-			if kept++; kept <= mostKept || !r.stored.IsZero() {
+			if kept++; kept <= maxStoredBlocks || !r.stored.IsZero() {
 				k.Save = append(k.Save, r.hold)
 			}
 		case r.stored.IsZero():
