--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -6,9 +6,9 @@
 	"github.com/charmbracelet/log"
 )
 
-// mostWords bounds the pending entries of each kind. After the loss of a hall, each of a hundred
+// maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a hundred
 // gateways reports 14 calls. What exceeds it is dropped with a warning.
-const mostWords = 256
+const maxPendingEntries = 256
 
 // outbox keeps the update that is pending for other gateways.
 type outbox struct {
@@ -25,9 +25,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := o.word.Plus(w)
-	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > mostWords {
+	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
 		if o.dropped++; o.dropped == 1 {
-			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", mostWords)
+			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
