--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -16,7 +16,7 @@
 	log    *log.Logger
 
 	mu      sync.Mutex
-	word    Update
+	pending Update
 	dropped int
 }
 
@@ -24,14 +24,14 @@
 func (o *outbox) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n := o.word.Plus(w)
+	n := o.pending.Plus(w)
 	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
 		if o.dropped++; o.dropped == 1 {
 			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
-	o.word = n
+	o.pending = n
 	select {
 	case o.notify <- struct{}{}:
 	default:
@@ -48,8 +48,8 @@
 	o := &t.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	w := o.word
-	o.word, o.dropped = Update{}, 0
+	w := o.pending
+	o.pending, o.dropped = Update{}, 0
 	return w
 }
 
