--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -15,9 +15,9 @@
 	notify chan struct{}
 	log    *log.Logger
 
-	mu      sync.Mutex
-	pending Update
-	dropped int
+	mu          sync.Mutex
+	pending     Update
+	droppedAdds int
 }
 
 // add adds to the pending update.
@@ -26,7 +26,7 @@
 	defer o.mu.Unlock()
 	n := o.pending.Plus(w)
 	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
-		if o.dropped++; o.dropped == 1 {
+		if o.droppedAdds++; o.droppedAdds == 1 {
 			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
@@ -49,7 +49,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w := o.pending
-	o.pending, o.dropped = Update{}, 0
+	o.pending, o.droppedAdds = Update{}, 0
 	return w
 }
 
