--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,8 +7,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// mostMarks bounds the losses kept per request.
-const mostMarks = 32
+// maxLossesPerRequest bounds the losses kept per request.
+const maxLossesPerRequest = 32
 
 // record is the state of one request that was lost.
 type record struct {
@@ -89,7 +89,7 @@
 	}
 	i, _ := slices.BinarySearchFunc(r.marks, l, func(m mark, l Loss) int { return m.Lost.Compare(l.Lost) })
 	r.marks = slices.Insert(r.marks, i, mark{Loss: l, known: now, odds: 1})
-	if len(r.marks) > mostMarks {
+	if len(r.marks) > maxLossesPerRequest {
 		r.marks = slices.Delete(r.marks, 0, 1)
 	}
 }
