--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -59,8 +59,8 @@
 	leastRun = 10 * time.Millisecond
 )
 
-// mark is a loss that is kept of a request.
-type mark struct {
+// keptLoss is a loss that is kept of a request.
+type keptLoss struct {
 	Loss
 	known time.Time // when this process learned of it
 	odds  float64   // probability that a harmless run is lost like this
@@ -68,13 +68,13 @@
 }
 
 // settled reports whether other crashes of the same event are known by now.
-func (m mark) settled(now time.Time) bool {
+func (m keptLoss) settled(now time.Time) bool {
 	return now.Sub(m.known) >= max(settle, m.known.Sub(m.Lost)/lateShare)
 }
 
 // inRow returns the consecutive losses since a time: each run was sent after the loss before it.
 // The losses are ordered by the time of the loss.
-func inRow(ms []mark, since time.Time) (row []mark) {
+func inRow(ms []keptLoss, since time.Time) (row []keptLoss) {
 	last := since
 	for _, m := range ms {
 		if m.Sent.After(last) {
@@ -86,7 +86,7 @@
 }
 
 // moments returns the number of separate crash events.
-func moments(ms []mark) (n int) {
+func moments(ms []keptLoss) (n int) {
 	var last time.Time
 	for _, m := range ms {
 		if n == 0 || m.Lost.Sub(last) > together {
@@ -97,7 +97,7 @@
 }
 
 // all returns the joint probability of the losses.
-func all(ms []mark) float64 {
+func all(ms []keptLoss) float64 {
 	chance := 1.0
 	for _, m := range ms {
 		chance *= m.odds
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -13,11 +13,11 @@
 // record is the state of one request that was lost.
 type record struct {
 	subject  Subject
-	marks    []mark    // since the last answered run, ordered by the time of the loss
-	harmless time.Time // time up to which the request is cleared of losses
-	earlier  int       // consecutive losses that a block reported and that aren't among the marks
-	hold     Block     // the last one, also after its expiry
-	touched  time.Time // last update
+	marks    []keptLoss // since the last answered run, ordered by the time of the loss
+	harmless time.Time  // time up to which the request is cleared of losses
+	earlier  int        // consecutive losses that a block reported and that aren't among the marks
+	hold     Block      // the last one, also after its expiry
+	touched  time.Time  // last update
 
 	running bool      // whether this process runs a trial
 	trial   time.Time // start of a trial at any gateway; zero if none runs
@@ -33,7 +33,7 @@
 
 // row returns the marks of consecutive losses, and the number of consecutive losses including
 // reported ones.
-func (r *record) row() (ms []mark, losses int) {
+func (r *record) row() (ms []keptLoss, losses int) {
 	ms = inRow(r.marks, r.harmless)
 	return ms, len(ms) + r.earlier
 }
@@ -46,7 +46,7 @@
 
 // odds returns the joint probability of losses for a harmless request, including those that a block
 // reported.
-func (r *record) odds(ms []mark) float64 {
+func (r *record) odds(ms []keptLoss) float64 {
 	if r.earlier > 0 {
 		return r.hold.Odds * all(ms)
 	}
@@ -55,7 +55,7 @@
 
 // settled reports whether all losses have settled.
 func (r *record) settled(now time.Time) bool {
-	return !slices.ContainsFunc(r.marks, func(m mark) bool { return !m.settled(now) })
+	return !slices.ContainsFunc(r.marks, func(m keptLoss) bool { return !m.settled(now) })
 }
 
 // trying reports whether a trial is running.
@@ -87,8 +87,8 @@
 	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.marks, l.is) {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(r.marks, l, func(m mark, l Loss) int { return m.Lost.Compare(l.Lost) })
-	r.marks = slices.Insert(r.marks, i, mark{Loss: l, known: now, odds: 1})
+	i, _ := slices.BinarySearchFunc(r.marks, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
+	r.marks = slices.Insert(r.marks, i, keptLoss{Loss: l, known: now, odds: 1})
 	if len(r.marks) > maxLossesPerRequest {
 		r.marks = slices.Delete(r.marks, 0, 1)
 	}
@@ -99,7 +99,7 @@
 const sameLoss = 200 * time.Millisecond
 
 // is reports whether a mark is of this loss.
-func (l Loss) is(m mark) bool {
+func (l Loss) is(m keptLoss) bool {
 	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLoss && m.Sent.Sub(l.Sent).Abs() < sameLoss
 }
 
@@ -107,7 +107,7 @@
 // losses stay.
 func (r *record) clear(at time.Time) (ends bool) {
 	r.harmless = hollowgrade.Later(r.harmless, at)
-	r.marks = slices.DeleteFunc(r.marks, func(m mark) bool { return !m.Lost.After(at) })
+	r.marks = slices.DeleteFunc(r.marks, func(m keptLoss) bool { return !m.Lost.After(at) })
 	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
 		return false
 	}
