--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -13,7 +13,7 @@
 // record is the state of one request that was lost.
 type record struct {
 	subject  Subject
-	marks    []keptLoss // since the last answered run, ordered by the time of the loss
+	losses   []keptLoss // since the last answered run, ordered by the time of the loss
 	harmless time.Time  // time up to which the request is cleared of losses
 	earlier  int        // consecutive losses that a block reported and that aren't among the marks
 	hold     Block      // the last one, also after its expiry
@@ -34,14 +34,14 @@
 // row returns the marks of consecutive losses, and the number of consecutive losses including
 // reported ones.
 func (r *record) row() (ms []keptLoss, losses int) {
-	ms = inRow(r.marks, r.harmless)
+	ms = inRow(r.losses, r.harmless)
 	return ms, len(ms) + r.earlier
 }
 
 // suspect reports whether runs are admitted one at a time.
 func (r *record) suspect() bool {
 	ms, n := r.row()
-	return (n >= lossesToTry || moments(r.marks) >= momentsToTry) && r.odds(ms) <= tryOdds
+	return (n >= lossesToTry || moments(r.losses) >= momentsToTry) && r.odds(ms) <= tryOdds
 }
 
 // odds returns the joint probability of losses for a harmless request, including those that a block
@@ -55,7 +55,7 @@
 
 // settled reports whether all losses have settled.
 func (r *record) settled(now time.Time) bool {
-	return !slices.ContainsFunc(r.marks, func(m keptLoss) bool { return !m.settled(now) })
+	return !slices.ContainsFunc(r.losses, func(m keptLoss) bool { return !m.settled(now) })
 }
 
 // trying reports whether a trial is running.
@@ -65,7 +65,7 @@
 
 // upstreams returns the upstreams that crashed under the request since it was last cleared.
 func (r *record) upstreams() (us []hollowgrade.Life) {
-	for _, m := range r.marks {
+	for _, m := range r.losses {
 		if !slices.Contains(us, m.Upstream) {
 			us = append(us, m.Upstream)
 		}
@@ -84,13 +84,13 @@
 
 // add adds a loss, unless it is known or the request was cleared after it.
 func (r *record) add(l Loss, now time.Time) {
-	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.marks, l.is) {
+	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.losses, l.is) {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(r.marks, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
-	r.marks = slices.Insert(r.marks, i, keptLoss{Loss: l, known: now, odds: 1})
-	if len(r.marks) > maxLossesPerRequest {
-		r.marks = slices.Delete(r.marks, 0, 1)
+	i, _ := slices.BinarySearchFunc(r.losses, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
+	r.losses = slices.Insert(r.losses, i, keptLoss{Loss: l, known: now, odds: 1})
+	if len(r.losses) > maxLossesPerRequest {
+		r.losses = slices.Delete(r.losses, 0, 1)
 	}
 }
 
@@ -107,7 +107,7 @@
 // losses stay.
 func (r *record) clear(at time.Time) (ends bool) {
 	r.harmless = hollowgrade.Later(r.harmless, at)
-	r.marks = slices.DeleteFunc(r.marks, func(m keptLoss) bool { return !m.Lost.After(at) })
+	r.losses = slices.DeleteFunc(r.losses, func(m keptLoss) bool { return !m.Lost.After(at) })
 	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
 		return false
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -150,7 +150,7 @@
 func (t *Table) RecordAnswer(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.records[f]; r != nil && (len(r.marks) > 0 || !r.hold.Since.IsZero()) {
+	if r := t.records[f]; r != nil && (len(r.losses) > 0 || !r.hold.Since.IsZero()) {
 		t.clear(r, t.clock.Now(), "a run of it was answered", "")
 	}
 }
@@ -291,14 +291,14 @@
 
 // evaluate blocks a request if its losses call for it and have settled. The lock is held.
 func (t *Table) evaluate(r *record, now time.Time) {
-	if r.held(now) || len(r.marks) == 0 {
+	if r.held(now) || len(r.losses) == 0 {
 		return
 	}
 	b := t.updateOdds(r, now)
 	ms, n := r.row()
 	chance := r.odds(ms)
 	d := judge(n, chance)
-	if d == 0 || !r.settled(now) || !r.hold.Until.Before(r.marks[len(r.marks)-1].Lost) {
+	if d == 0 || !r.settled(now) || !r.hold.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
 	r.hold = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
@@ -330,8 +330,8 @@
 		o := t.records[f]
 		return o != nil && o.held(now)
 	}
-	for i := range r.marks {
-		m := &r.marks[i]
+	for i := range r.losses {
+		m := &r.losses[i]
 		if now.Sub(m.Lost) > rateWindow {
 			if !m.sure {
 				m.odds = 1 // crashes around it are no longer kept
