--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -62,14 +62,14 @@
 // keptLoss is a loss that is kept of a request.
 type keptLoss struct {
 	Loss
-	known time.Time // when this process learned of it
-	odds  float64   // probability that a harmless run is lost like this
-	sure  bool      // the odds were computed after the loss had settled
+	learnedAt time.Time // when this process learned of it
+	odds      float64   // probability that a harmless run is lost like this
+	sure      bool      // the odds were computed after the loss had settled
 }
 
 // settled reports whether other crashes of the same event are known by now.
 func (m keptLoss) settled(now time.Time) bool {
-	return now.Sub(m.known) >= max(settle, m.known.Sub(m.Lost)/lateShare)
+	return now.Sub(m.learnedAt) >= max(settle, m.learnedAt.Sub(m.Lost)/lateShare)
 }
 
 // inRow returns the consecutive losses since a time: each run was sent after the loss before it.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -88,7 +88,7 @@
 		return
 	}
 	i, _ := slices.BinarySearchFunc(r.losses, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
-	r.losses = slices.Insert(r.losses, i, keptLoss{Loss: l, known: now, odds: 1})
+	r.losses = slices.Insert(r.losses, i, keptLoss{Loss: l, learnedAt: now, odds: 1})
 	if len(r.losses) > maxLossesPerRequest {
 		r.losses = slices.Delete(r.losses, 0, 1)
 	}
