--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -64,7 +64,7 @@
 	Loss
 	learnedAt time.Time // when this process learned of it
 	odds      float64   // probability that a harmless run is lost like this
-	sure      bool      // the odds were computed after the loss had settled
+	oddsFinal bool      // the odds were computed after the loss had settled
 }
 
 // settled reports whether other crashes of the same event are known by now.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -333,14 +333,14 @@
 	for i := range r.losses {
 		m := &r.losses[i]
 		if now.Sub(m.Lost) > rateWindow {
-			if !m.sure {
+			if !m.oddsFinal {
 				m.odds = 1 // crashes around it are no longer kept
 			}
 			continue
 		}
 		b = t.ends[m.Service].around(m.Loss, held)
 		b.upstreams = t.upstreams(m.Service)
-		m.odds, m.sure = odds(m.Loss, b), m.settled(now)
+		m.odds, m.oddsFinal = odds(m.Loss, b), m.settled(now)
 	}
 	return b
 }
