--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -12,12 +12,12 @@
 
 // record is the state of one request that was lost.
 type record struct {
-	subject  Subject
-	losses   []keptLoss // since the last answered run, ordered by the time of the loss
-	harmless time.Time  // time up to which the request is cleared of losses
-	earlier  int        // consecutive losses that a block reported and that aren't among the marks
-	hold     Block      // the last one, also after its expiry
-	touched  time.Time  // last update
+	subject   Subject
+	losses    []keptLoss // since the last answered run, ordered by the time of the loss
+	clearedAt time.Time  // time up to which the request is cleared of losses
+	earlier   int        // consecutive losses that a block reported and that aren't among the marks
+	hold      Block      // the last one, also after its expiry
+	touched   time.Time  // last update
 
 	running bool      // whether this process runs a trial
 	trial   time.Time // start of a trial at any gateway; zero if none runs
@@ -34,7 +34,7 @@
 // row returns the marks of consecutive losses, and the number of consecutive losses including
 // reported ones.
 func (r *record) row() (ms []keptLoss, losses int) {
-	ms = inRow(r.losses, r.harmless)
+	ms = inRow(r.losses, r.clearedAt)
 	return ms, len(ms) + r.earlier
 }
 
@@ -84,7 +84,7 @@
 
 // add adds a loss, unless it is known or the request was cleared after it.
 func (r *record) add(l Loss, now time.Time) {
-	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.losses, l.is) {
+	if !l.Lost.After(r.clearedAt) || slices.ContainsFunc(r.losses, l.is) {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(r.losses, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
@@ -106,7 +106,7 @@
 // clear clears the request of losses up to a time, and reports whether that ends a block. Later
 // losses stay.
 func (r *record) clear(at time.Time) (ends bool) {
-	r.harmless = hollowgrade.Later(r.harmless, at)
+	r.clearedAt = hollowgrade.Later(r.clearedAt, at)
 	r.losses = slices.DeleteFunc(r.losses, func(m keptLoss) bool { return !m.Lost.After(at) })
 	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
 		return false
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -236,7 +236,7 @@
 		return
 	}
 	r := t.record(h.Subject)
-	if !h.Since.After(r.harmless) || h.Until.Sub(r.hold.Until) < clockSkewTolerance {
+	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.hold.Until) < clockSkewTolerance {
 		return
 	}
 	was := r.held(now)
