--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -12,12 +12,12 @@
 
 // record is the state of one request that was lost.
 type record struct {
-	subject   Subject
-	losses    []keptLoss // since the last answered run, ordered by the time of the loss
-	clearedAt time.Time  // time up to which the request is cleared of losses
-	earlier   int        // consecutive losses that a block reported and that aren't among the marks
-	hold      Block      // the last one, also after its expiry
-	touched   time.Time  // last update
+	subject        Subject
+	losses         []keptLoss // since the last answered run, ordered by the time of the loss
+	clearedAt      time.Time  // time up to which the request is cleared of losses
+	reportedLosses int        // consecutive losses that a block reported and that aren't among the marks
+	hold           Block      // the last one, also after its expiry
+	touched        time.Time  // last update
 
 	running bool      // whether this process runs a trial
 	trial   time.Time // start of a trial at any gateway; zero if none runs
@@ -35,7 +35,7 @@
 // reported ones.
 func (r *record) row() (ms []keptLoss, losses int) {
 	ms = inRow(r.losses, r.clearedAt)
-	return ms, len(ms) + r.earlier
+	return ms, len(ms) + r.reportedLosses
 }
 
 // suspect reports whether runs are admitted one at a time.
@@ -47,7 +47,7 @@
 // odds returns the joint probability of losses for a harmless request, including those that a block
 // reported.
 func (r *record) odds(ms []keptLoss) float64 {
-	if r.earlier > 0 {
+	if r.reportedLosses > 0 {
 		return r.hold.Odds * all(ms)
 	}
 	return all(ms)
@@ -111,7 +111,7 @@
 	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
 		return false
 	}
-	r.hold, r.earlier = Block{}, 0
+	r.hold, r.reportedLosses = Block{}, 0
 	return true
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -241,7 +241,7 @@
 	}
 	was := r.held(now)
 	ms, _ := r.row()
-	r.hold, r.earlier = h, max(h.Losses-len(ms), 0)
+	r.hold, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
 	if !was && r.held(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
