--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,7 +16,7 @@
 	losses         []keptLoss // since the last answered run, ordered by the time of the loss
 	clearedAt      time.Time  // time up to which the request is cleared of losses
 	reportedLosses int        // consecutive losses that a block reported and that aren't among the marks
-	hold           Block      // the last one, also after its expiry
+	block          Block      // the last one, also after its expiry
 	touched        time.Time  // last update
 
 	running bool      // whether this process runs a trial
@@ -28,7 +28,7 @@
 
 // held reports whether the request is blocked.
 func (r *record) held(now time.Time) bool {
-	return now.Before(r.hold.Until)
+	return now.Before(r.block.Until)
 }
 
 // row returns the marks of consecutive losses, and the number of consecutive losses including
@@ -48,7 +48,7 @@
 // reported.
 func (r *record) odds(ms []keptLoss) float64 {
 	if r.reportedLosses > 0 {
-		return r.hold.Odds * all(ms)
+		return r.block.Odds * all(ms)
 	}
 	return all(ms)
 }
@@ -108,10 +108,10 @@
 func (r *record) clear(at time.Time) (ends bool) {
 	r.clearedAt = hollowgrade.Later(r.clearedAt, at)
 	r.losses = slices.DeleteFunc(r.losses, func(m keptLoss) bool { return !m.Lost.After(at) })
-	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
+	if r.block.Since.IsZero() || r.block.Since.After(at) {
 		return false
 	}
-	r.hold, r.reportedLosses = Block{}, 0
+	r.block, r.reportedLosses = Block{}, 0
 	return true
 }
 
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -58,16 +58,16 @@
 	for f, r := range t.records {
 		switch {
 		case now.Before(r.due):
-		case r.held(now) && r.hold.Until.Sub(r.stored) > clockSkewTolerance:
+		case r.held(now) && r.block.Until.Sub(r.stored) > clockSkewTolerance:
 			if kept++; kept <= maxStoredBlocks || !r.stored.IsZero() {
-				k.Save = append(k.Save, r.hold)
+				k.Save = append(k.Save, r.block)
 			}
 		case r.stored.IsZero():
-		case r.hold.Since.IsZero():
+		case r.block.Since.IsZero():
 			k.Drop = append(k.Drop, f)
-		case now.Sub(r.hold.Until) > expiredBlockRetention && r.due.Before(r.hold.Until):
+		case now.Sub(r.block.Until) > expiredBlockRetention && r.due.Before(r.block.Until):
 			t.scheduleStore(r, now, deletionSpread)
-		case now.Sub(r.hold.Until) > expiredBlockRetention:
+		case now.Sub(r.block.Until) > expiredBlockRetention:
 			k.Drop = append(k.Drop, f)
 		}
 	}
@@ -81,7 +81,7 @@
 	t.receiveBlock(h, "store")
 	r := t.record(h.Subject)
 	r.stored = h.Until
-	if r.hold.Since.IsZero() {
+	if r.block.Since.IsZero() {
 		t.scheduleStore(r, t.clock.Now(), peerStoreDelay) // the request is harmless, or forgotten everywhere
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -113,7 +113,7 @@
 	_, losses := r.row()
 	switch {
 	case r.held(now):
-		return Admission{Block: r.hold, RetryAfter: r.hold.Until.Sub(now)}
+		return Admission{Block: r.block, RetryAfter: r.block.Until.Sub(now)}
 	case !r.suspect():
 		return Admission{Granted: true}
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
@@ -150,7 +150,7 @@
 func (t *Table) RecordAnswer(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.records[f]; r != nil && (len(r.losses) > 0 || !r.hold.Since.IsZero()) {
+	if r := t.records[f]; r != nil && (len(r.losses) > 0 || !r.block.Since.IsZero()) {
 		t.clear(r, t.clock.Now(), "a run of it was answered", "")
 	}
 }
@@ -176,7 +176,7 @@
 	now := t.clock.Now()
 	for _, r := range t.records {
 		if r.held(now) {
-			hs = append(hs, r.hold)
+			hs = append(hs, r.block)
 		}
 	}
 	slices.SortFunc(hs, func(a, b Block) int { return a.Since.Compare(b.Since) })
@@ -236,12 +236,12 @@
 		return
 	}
 	r := t.record(h.Subject)
-	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.hold.Until) < clockSkewTolerance {
+	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.block.Until) < clockSkewTolerance {
 		return
 	}
 	was := r.held(now)
 	ms, _ := r.row()
-	r.hold, r.reportedLosses = h, max(h.Losses-len(ms), 0)
+	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
 	if !was && r.held(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
@@ -276,7 +276,7 @@
 
 // clear clears a request of losses up to a time and ends its block. The lock is held.
 func (t *Table) clear(r *record, at time.Time, why, peer string) {
-	since := r.hold.Since
+	since := r.block.Since
 	ended := r.clear(at)
 	if peer == "" {
 		t.outbox.add(Update{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
@@ -298,15 +298,15 @@
 	ms, n := r.row()
 	chance := r.odds(ms)
 	d := judge(n, chance)
-	if d == 0 || !r.settled(now) || !r.hold.Until.Before(r.losses[len(r.losses)-1].Lost) {
+	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
-	r.hold = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
+	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
-		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
+		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Update{Blocks: []Block{r.hold}})
+	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
 
 // evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
@@ -352,7 +352,7 @@
 	}
 	t.lastSweep = now
 	for f, r := range t.records {
-		if now.Sub(hollowgrade.Later(r.touched, r.hold.Until)) > memory {
+		if now.Sub(hollowgrade.Later(r.touched, r.block.Until)) > memory {
 			delete(t.records, f)
 		}
 	}
@@ -366,7 +366,7 @@
 	// A blocked request counts as updated at the expiry of its block.
 	slices.SortFunc(fs, func(a, b hollowgrade.Fingerprint) int {
 		x, y := t.records[a], t.records[b]
-		return hollowgrade.Later(x.touched, x.hold.Until).Compare(hollowgrade.Later(y.touched, y.hold.Until))
+		return hollowgrade.Later(x.touched, x.block.Until).Compare(hollowgrade.Later(y.touched, y.block.Until))
 	})
 	for _, f := range fs[:dropAtOnce] {
 		delete(t.records, f)
