--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -17,7 +17,7 @@
 	clearedAt      time.Time  // time up to which the request is cleared of losses
 	reportedLosses int        // consecutive losses that a block reported and that aren't among the marks
 	block          Block      // the last one, also after its expiry
-	touched        time.Time  // last update
+	updatedAt      time.Time  // last update
 
 	running bool      // whether this process runs a trial
 	trial   time.Time // start of a trial at any gateway; zero if none runs
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -270,7 +270,7 @@
 		r = &record{subject: s}
 		t.records[s.Fingerprint] = r
 	}
-	r.touched = now
+	r.updatedAt = now
 	return r
 }
 
@@ -352,7 +352,7 @@
 	}
 	t.lastSweep = now
 	for f, r := range t.records {
-		if now.Sub(hollowgrade.Later(r.touched, r.block.Until)) > memory {
+		if now.Sub(hollowgrade.Later(r.updatedAt, r.block.Until)) > memory {
 			delete(t.records, f)
 		}
 	}
@@ -366,7 +366,7 @@
 	// A blocked request counts as updated at the expiry of its block.
 	slices.SortFunc(fs, func(a, b hollowgrade.Fingerprint) int {
 		x, y := t.records[a], t.records[b]
-		return hollowgrade.Later(x.touched, x.block.Until).Compare(hollowgrade.Later(y.touched, y.block.Until))
+		return hollowgrade.Later(x.updatedAt, x.block.Until).Compare(hollowgrade.Later(y.updatedAt, y.block.Until))
 	})
 	for _, f := range fs[:dropAtOnce] {
 		delete(t.records, f)
