--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -19,8 +19,8 @@
 	block          Block      // the last one, also after its expiry
 	updatedAt      time.Time  // last update
 
-	running bool      // whether this process runs a trial
-	trial   time.Time // start of a trial at any gateway; zero if none runs
+	localTrial bool      // whether this process runs a trial
+	trial      time.Time // start of a trial at any gateway; zero if none runs
 
 	stored time.Time // expiry of the block in the store; zero if it has none
 	due    time.Time // from when on this process updates the store
@@ -60,7 +60,7 @@
 
 // trying reports whether a trial is running.
 func (r *record) trying(now time.Time) bool {
-	return r.running || !r.trial.IsZero() && now.Sub(r.trial) < trialLasts
+	return r.localTrial || !r.trial.IsZero() && now.Sub(r.trial) < trialLasts
 }
 
 // upstreams returns the upstreams that crashed under the request since it was last cleared.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -119,7 +119,7 @@
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
 		return Admission{RetryAfter: usualTrial}
 	}
-	r.trial, r.running = now, true
+	r.trial, r.localTrial = now, true
 	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
 	return Admission{Granted: true, Trial: true}
 }
@@ -132,7 +132,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
-		r.running, r.trial = false, time.Time{}
+		r.localTrial, r.trial = false, time.Time{}
 		t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
 	}
 }
@@ -220,7 +220,7 @@
 func (t *Table) receiveTrial(x Trial) {
 	r := t.records[x.Fingerprint]
 	switch {
-	case r == nil || r.running:
+	case r == nil || r.localTrial:
 	case !x.Over:
 		r.trial = hollowgrade.Later(r.trial, x.At)
 	case !r.trial.After(x.At):
