--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -20,7 +20,7 @@
 	updatedAt      time.Time  // last update
 
 	localTrial bool      // whether this process runs a trial
-	trial      time.Time // start of a trial at any gateway; zero if none runs
+	trialStart time.Time // start of a trial at any gateway; zero if none runs
 
 	stored time.Time // expiry of the block in the store; zero if it has none
 	due    time.Time // from when on this process updates the store
@@ -60,7 +60,7 @@
 
 // trying reports whether a trial is running.
 func (r *record) trying(now time.Time) bool {
-	return r.localTrial || !r.trial.IsZero() && now.Sub(r.trial) < trialLasts
+	return r.localTrial || !r.trialStart.IsZero() && now.Sub(r.trialStart) < trialLasts
 }
 
 // upstreams returns the upstreams that crashed under the request since it was last cleared.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -119,7 +119,7 @@
 	case r.trying(now), losses >= lossesToHold && !r.settled(now):
 		return Admission{RetryAfter: usualTrial}
 	}
-	r.trial, r.localTrial = now, true
+	r.trialStart, r.localTrial = now, true
 	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
 	return Admission{Granted: true, Trial: true}
 }
@@ -132,7 +132,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
-		r.localTrial, r.trial = false, time.Time{}
+		r.localTrial, r.trialStart = false, time.Time{}
 		t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
 	}
 }
@@ -222,9 +222,9 @@
 	switch {
 	case r == nil || r.localTrial:
 	case !x.Over:
-		r.trial = hollowgrade.Later(r.trial, x.At)
-	case !r.trial.After(x.At):
-		r.trial = time.Time{}
+		r.trialStart = hollowgrade.Later(r.trialStart, x.At)
+	case !r.trialStart.After(x.At):
+		r.trialStart = time.Time{}
 	}
 }
 
