--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -22,8 +22,8 @@
 	localTrial bool      // whether this process runs a trial
 	trialStart time.Time // start of a trial at any gateway; zero if none runs
 
-	stored time.Time // expiry of the block in the store; zero if it has none
-	due    time.Time // from when on this process updates the store
+	storedUntil time.Time // expiry of the block in the store; zero if it has none
+	due         time.Time // from when on this process updates the store
 }
 
 // held reports whether the request is blocked.
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -51,18 +51,18 @@
 	t.evaluateSettled(now)
 	kept := 0
 	for _, r := range t.records {
-		if !r.stored.IsZero() {
+		if !r.storedUntil.IsZero() {
 			kept++
 		}
 	}
 	for f, r := range t.records {
 		switch {
 		case now.Before(r.due):
-		case r.held(now) && r.block.Until.Sub(r.stored) > clockSkewTolerance:
-			if kept++; kept <= maxStoredBlocks || !r.stored.IsZero() {
+		case r.held(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
+			if kept++; kept <= maxStoredBlocks || !r.storedUntil.IsZero() {
 				k.Save = append(k.Save, r.block)
 			}
-		case r.stored.IsZero():
+		case r.storedUntil.IsZero():
 		case r.block.Since.IsZero():
 			k.Drop = append(k.Drop, f)
 		case now.Sub(r.block.Until) > expiredBlockRetention && r.due.Before(r.block.Until):
@@ -80,7 +80,7 @@
 	defer t.mu.Unlock()
 	t.receiveBlock(h, "store")
 	r := t.record(h.Subject)
-	r.stored = h.Until
+	r.storedUntil = h.Until
 	if r.block.Since.IsZero() {
 		t.scheduleStore(r, t.clock.Now(), peerStoreDelay) // the request is harmless, or forgotten everywhere
 	}
@@ -95,8 +95,8 @@
 	if r == nil {
 		return
 	}
-	was := r.stored
-	r.stored = time.Time{}
+	was := r.storedUntil
+	r.storedUntil = time.Time{}
 	now := t.clock.Now()
 	if r.held(now) && !was.IsZero() {
 		t.clear(r, now, "the store no longer has it", "store")
