--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -23,7 +23,7 @@
 	trialStart time.Time // start of a trial at any gateway; zero if none runs
 
 	storedUntil time.Time // expiry of the block in the store; zero if it has none
-	due         time.Time // from when on this process updates the store
+	storeDue    time.Time // from when on this process updates the store
 }
 
 // held reports whether the request is blocked.
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -32,7 +32,7 @@
 
 // scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
 func (t *Table) scheduleStore(r *record, now time.Time, grace time.Duration) {
-	r.due = now.Add(grace + time.Duration(t.random()*float64(grace)))
+	r.storeDue = now.Add(grace + time.Duration(t.random()*float64(grace)))
 }
 
 // StoreChanges is the changes to write to the store.
@@ -57,7 +57,7 @@
 	}
 	for f, r := range t.records {
 		switch {
-		case now.Before(r.due):
+		case now.Before(r.storeDue):
 		case r.held(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
 			if kept++; kept <= maxStoredBlocks || !r.storedUntil.IsZero() {
 				k.Save = append(k.Save, r.block)
@@ -65,7 +65,7 @@
 		case r.storedUntil.IsZero():
 		case r.block.Since.IsZero():
 			k.Drop = append(k.Drop, f)
-		case now.Sub(r.block.Until) > expiredBlockRetention && r.due.Before(r.block.Until):
+		case now.Sub(r.block.Until) > expiredBlockRetention && r.storeDue.Before(r.block.Until):
 			t.scheduleStore(r, now, deletionSpread)
 		case now.Sub(r.block.Until) > expiredBlockRetention:
 			k.Drop = append(k.Drop, f)
