--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -26,8 +26,8 @@
 	storeDue    time.Time // from when on this process updates the store
 }
 
-// held reports whether the request is blocked.
-func (r *record) held(now time.Time) bool {
+// blocked reports whether the request is blocked.
+func (r *record) blocked(now time.Time) bool {
 	return now.Before(r.block.Until)
 }
 
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -58,7 +58,7 @@
 	for f, r := range t.records {
 		switch {
 		case now.Before(r.storeDue):
-		case r.held(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
+		case r.blocked(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
 			if kept++; kept <= maxStoredBlocks || !r.storedUntil.IsZero() {
 				k.Save = append(k.Save, r.block)
 			}
@@ -98,7 +98,7 @@
 	was := r.storedUntil
 	r.storedUntil = time.Time{}
 	now := t.clock.Now()
-	if r.held(now) && !was.IsZero() {
+	if r.blocked(now) && !was.IsZero() {
 		t.clear(r, now, "the store no longer has it", "store")
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -112,7 +112,7 @@
 	t.evaluate(r, now)
 	_, losses := r.row()
 	switch {
-	case r.held(now):
+	case r.blocked(now):
 		return Admission{Block: r.block, RetryAfter: r.block.Until.Sub(now)}
 	case !r.suspect():
 		return Admission{Granted: true}
@@ -162,7 +162,7 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	r := t.records[f]
-	if r == nil || !r.held(now) {
+	if r == nil || !r.blocked(now) {
 		return false
 	}
 	t.clear(r, now, "an operator lifted it", "")
@@ -175,7 +175,7 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for _, r := range t.records {
-		if r.held(now) {
+		if r.blocked(now) {
 			hs = append(hs, r.block)
 		}
 	}
@@ -239,11 +239,11 @@
 	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.block.Until) < clockSkewTolerance {
 		return
 	}
-	was := r.held(now)
+	was := r.blocked(now)
 	ms, _ := r.row()
 	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
-	if !was && r.held(now) {
+	if !was && r.blocked(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
 	}
@@ -291,7 +291,7 @@
 
 // evaluate blocks a request if its losses call for it and have settled. The lock is held.
 func (t *Table) evaluate(r *record, now time.Time) {
-	if r.held(now) || len(r.losses) == 0 {
+	if r.blocked(now) || len(r.losses) == 0 {
 		return
 	}
 	b := t.updateOdds(r, now)
@@ -328,7 +328,7 @@
 func (t *Table) updateOdds(r *record, now time.Time) (b background) {
 	held := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
-		return o != nil && o.held(now)
+		return o != nil && o.blocked(now)
 	}
 	for i := range r.losses {
 		m := &r.losses[i]
