--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -31,16 +31,16 @@
 	return now.Before(r.block.Until)
 }
 
-// row returns the marks of consecutive losses, and the number of consecutive losses including
+// consecutive returns the marks of consecutive losses, and the number of consecutive losses including
 // reported ones.
-func (r *record) row() (ms []keptLoss, losses int) {
+func (r *record) consecutive() (ms []keptLoss, losses int) {
 	ms = inRow(r.losses, r.clearedAt)
 	return ms, len(ms) + r.reportedLosses
 }
 
 // suspect reports whether runs are admitted one at a time.
 func (r *record) suspect() bool {
-	ms, n := r.row()
+	ms, n := r.consecutive()
 	return (n >= lossesToTry || moments(r.losses) >= momentsToTry) && r.odds(ms) <= tryOdds
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -110,7 +110,7 @@
 	}
 	now := t.clock.Now()
 	t.evaluate(r, now)
-	_, losses := r.row()
+	_, losses := r.consecutive()
 	switch {
 	case r.blocked(now):
 		return Admission{Block: r.block, RetryAfter: r.block.Until.Sub(now)}
@@ -240,7 +240,7 @@
 		return
 	}
 	was := r.blocked(now)
-	ms, _ := r.row()
+	ms, _ := r.consecutive()
 	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
 	if !was && r.blocked(now) {
@@ -295,7 +295,7 @@
 		return
 	}
 	b := t.updateOdds(r, now)
-	ms, n := r.row()
+	ms, n := r.consecutive()
 	chance := r.odds(ms)
 	d := judge(n, chance)
 	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
