--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -58,8 +58,8 @@
 	return !slices.ContainsFunc(r.losses, func(m keptLoss) bool { return !m.settled(now) })
 }
 
-// trying reports whether a trial is running.
-func (r *record) trying(now time.Time) bool {
+// trialRunning reports whether a trial is running.
+func (r *record) trialRunning(now time.Time) bool {
 	return r.localTrial || !r.trialStart.IsZero() && now.Sub(r.trialStart) < trialLasts
 }
 
