--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -73,13 +73,13 @@
 	return us
 }
 
-// mostNamed bounds the upstreams that a block names, the latest ones.
-const mostNamed = 8
+// maxNamedUpstreams bounds the upstreams that a block names, the latest ones.
+const maxNamedUpstreams = 8
 
 // named returns the upstreams that a block names.
 func (r *record) named() []hollowgrade.Life {
 	us := r.upstreams()
-	return us[max(len(us)-mostNamed, 0):]
+	return us[max(len(us)-maxNamedUpstreams, 0):]
 }
 
 // add adds a loss, unless it is known or the request was cleared after it.
