--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -76,8 +76,8 @@
 // maxNamedUpstreams bounds the upstreams that a block names, the latest ones.
 const maxNamedUpstreams = 8
 
-// named returns the upstreams that a block names.
-func (r *record) named() []hollowgrade.Life {
+// namedUpstreams returns the upstreams that a block names.
+func (r *record) namedUpstreams() []hollowgrade.Life {
 	us := r.upstreams()
 	return us[max(len(us)-maxNamedUpstreams, 0):]
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -301,7 +301,7 @@
 	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
-	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
+	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.namedUpstreams(), By: t.box}
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
