--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -94,13 +94,13 @@
 	}
 }
 
-// sameLoss is the difference in time up to which two reports are of one loss: each is sent as an
+// sameLossTolerance is the difference in time up to which two reports are of one loss: each is sent as an
 // age, and takes a moment longer in a packet or on a stream.
-const sameLoss = 200 * time.Millisecond
+const sameLossTolerance = 200 * time.Millisecond
 
 // is reports whether a mark is of this loss.
 func (l Loss) is(m keptLoss) bool {
-	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLoss && m.Sent.Sub(l.Sent).Abs() < sameLoss
+	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLossTolerance && m.Sent.Sub(l.Sent).Abs() < sameLossTolerance
 }
 
 // clear clears the request of losses up to a time, and reports whether that ends a block. Later
