--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -84,7 +84,7 @@
 
 // add adds a loss, unless it is known or the request was cleared after it.
 func (r *record) add(l Loss, now time.Time) {
-	if !l.Lost.After(r.clearedAt) || slices.ContainsFunc(r.losses, l.is) {
+	if !l.Lost.After(r.clearedAt) || slices.ContainsFunc(r.losses, l.matches) {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(r.losses, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
@@ -98,8 +98,8 @@
 // age, and takes a moment longer in a packet or on a stream.
 const sameLossTolerance = 200 * time.Millisecond
 
-// is reports whether a mark is of this loss.
-func (l Loss) is(m keptLoss) bool {
+// matches reports whether a mark matches of this loss.
+func (l Loss) matches(m keptLoss) bool {
 	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLossTolerance && m.Sent.Sub(l.Sent).Abs() < sameLossTolerance
 }
 
