--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// lossesToHold is the number of consecutive losses after which a request is blocked. One loss
+	// lossesToBlock is the number of consecutive losses after which a request is blocked. One loss
 	// happens to every call in flight at a crash; two in a row happen to one harmless call in some
 	// hundred while eighteen upstreams have two crashes a second.
-	lossesToHold = 3
+	lossesToBlock = 3
 	// lossesToTry is the number of consecutive losses after which one run is admitted at a time.
 	// This still serves a harmless call that is repeated, and a harmful one crashes one upstream at
 	// a time.
@@ -119,11 +119,11 @@
 // probability; 0 if it isn't.
 func judge(losses int, odds float64) time.Duration {
 	switch {
-	case losses < lossesToHold || odds > fairOdds:
+	case losses < lossesToBlock || odds > fairOdds:
 		return 0
 	case odds <= sureOdds:
 		return longHold
 	default:
-		return min(firstHold<<min(losses-lossesToHold, 10), longHold)
+		return min(firstHold<<min(losses-lossesToBlock, 10), longHold)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -116,7 +116,7 @@
 		return Admission{Block: r.block, RetryAfter: r.block.Until.Sub(now)}
 	case !r.suspect():
 		return Admission{Granted: true}
-	case r.trialRunning(now), losses >= lossesToHold && !r.settled(now):
+	case r.trialRunning(now), losses >= lossesToBlock && !r.settled(now):
 		return Admission{RetryAfter: usualTrial}
 	}
 	r.trialStart, r.localTrial = now, true
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -207,7 +207,7 @@
 
 // hold gets a request blocked at a gateway.
 func (w *world) hold(b *Table, s Subject) {
-	for i := range lossesToHold {
+	for i := range lossesToBlock {
 		w.lose(b, s, life("u", i), aRun)
 	}
 	requireHeld(w.t, b, s, true)
@@ -231,7 +231,7 @@
 		w.clock.Advance(longHold)
 		w.lose(w.boxes[0], s, "u9", aRun)
 		requireHeld(t, w.boxes[0], s, true)
-		require.Equal(t, lossesToHold+1, w.boxes[0].Blocks()[0].Losses)
+		require.Equal(t, lossesToBlock+1, w.boxes[0].Blocks()[0].Losses)
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
