--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -10,10 +10,10 @@
 	// happens to every call in flight at a crash; two in a row happen to one harmless call in some
 	// hundred while eighteen upstreams have two crashes a second.
 	lossesToBlock = 3
-	// lossesToTry is the number of consecutive losses after which one run is admitted at a time.
+	// lossesForTrials is the number of consecutive losses after which one run is admitted at a time.
 	// This still serves a harmless call that is repeated, and a harmful one crashes one upstream at
 	// a time.
-	lossesToTry = 2
+	lossesForTrials = 2
 	// momentsToTry is the number of separate crash events after which the same applies, even if few
 	// of the losses are consecutive: many copies in flight crash many upstreams. The loss of a rack
 	// or a service is one event.
