--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -14,10 +14,10 @@
 	// This still serves a harmless call that is repeated, and a harmful one crashes one upstream at
 	// a time.
 	lossesForTrials = 2
-	// momentsToTry is the number of separate crash events after which the same applies, even if few
+	// eventsForTrials is the number of separate crash events after which the same applies, even if few
 	// of the losses are consecutive: many copies in flight crash many upstreams. The loss of a rack
 	// or a service is one event.
-	momentsToTry = 3
+	eventsForTrials = 3
 	// tryOdds is the largest probability of the losses at which one run is admitted at a time.
 	// While all of a service is lost every 2.5 s, the losses of a request sent 50 times a second
 	// have a probability of nearly 1; trials would refuse four in five of its calls
