--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -18,11 +18,11 @@
 	// of the losses are consecutive: many copies in flight crash many upstreams. The loss of a rack
 	// or a service is one event.
 	eventsForTrials = 3
-	// tryOdds is the largest probability of the losses at which one run is admitted at a time.
+	// maxTrialOdds is the largest probability of the losses at which one run is admitted at a time.
 	// While all of a service is lost every 2.5 s, the losses of a request sent 50 times a second
 	// have a probability of nearly 1; trials would refuse four in five of its calls
 	// (TestPopularRequestsAreNotHeld).
-	tryOdds = 0.2
+	maxTrialOdds = 0.2
 
 	// sureOdds is the largest probability of the losses at which a request is blocked for the long
 	// time. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of them is one
