--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -24,10 +24,10 @@
 	// (TestPopularRequestsAreNotHeld).
 	maxTrialOdds = 0.2
 
-	// sureOdds is the largest probability of the losses at which a request is blocked for the long
+	// maxLongBlockOdds is the largest probability of the losses at which a request is blocked for the long
 	// time. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of them is one
 	// call in 17 minutes.
-	sureOdds = 1e-5
+	maxLongBlockOdds = 1e-5
 	// fairOdds is the same for a short block, which doubles with each further loss. A wrong block
 	// thus lasts seconds and ends with one answered run, and a harmful request runs only three more
 	// times in 35 s, four times in 75 s.
@@ -121,7 +121,7 @@
 	switch {
 	case losses < lossesToBlock || odds > fairOdds:
 		return 0
-	case odds <= sureOdds:
+	case odds <= maxLongBlockOdds:
 		return longHold
 	default:
 		return min(firstHold<<min(losses-lossesToBlock, 10), longHold)
