--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -28,12 +28,12 @@
 	// time. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of them is one
 	// call in 17 minutes.
 	maxLongBlockOdds = 1e-5
-	// fairOdds is the same for a short block, which doubles with each further loss. A wrong block
+	// maxShortBlockOdds is the same for a short block, which doubles with each further loss. A wrong block
 	// thus lasts seconds and ends with one answered run, and a harmful request runs only three more
 	// times in 35 s, four times in 75 s.
-	fairOdds  = 1e-2
-	firstHold = 5 * time.Second
-	longHold  = 10 * time.Minute
+	maxShortBlockOdds = 1e-2
+	firstHold         = 5 * time.Second
+	longHold          = 10 * time.Minute
 
 	// restRate is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
 	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
@@ -119,7 +119,7 @@
 // probability; 0 if it isn't.
 func judge(losses int, odds float64) time.Duration {
 	switch {
-	case losses < lossesToBlock || odds > fairOdds:
+	case losses < lossesToBlock || odds > maxShortBlockOdds:
 		return 0
 	case odds <= maxLongBlockOdds:
 		return longHold
