--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -32,7 +32,7 @@
 	// thus lasts seconds and ends with one answered run, and a harmful request runs only three more
 	// times in 35 s, four times in 75 s.
 	maxShortBlockOdds = 1e-2
-	firstHold         = 5 * time.Second
+	shortBlockTime    = 5 * time.Second
 	longHold          = 10 * time.Minute
 
 	// restRate is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
@@ -124,6 +124,6 @@
 	case odds <= maxLongBlockOdds:
 		return longHold
 	default:
-		return min(firstHold<<min(losses-lossesToBlock, 10), longHold)
+		return min(shortBlockTime<<min(losses-lossesToBlock, 10), longHold)
 	}
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -144,7 +144,7 @@
 		w.clock.Advance(settle)
 		l := w.boxes[0].Begin(s.Fingerprint)
 		require.False(t, l.Granted)
-		require.Equal(t, firstHold, l.RetryAfter.Round(time.Second))
+		require.Equal(t, shortBlockTime, l.RetryAfter.Round(time.Second))
 	})
 	t.Run("hold nobody where a rack is lost again and again", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
