--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -33,7 +33,7 @@
 	// times in 35 s, four times in 75 s.
 	maxShortBlockOdds = 1e-2
 	shortBlockTime    = 5 * time.Second
-	longHold          = 10 * time.Minute
+	longBlockTime     = 10 * time.Minute
 
 	// restRate is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
 	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
@@ -122,8 +122,8 @@
 	case losses < lossesToBlock || odds > maxShortBlockOdds:
 		return 0
 	case odds <= maxLongBlockOdds:
-		return longHold
+		return longBlockTime
 	default:
-		return min(shortBlockTime<<min(losses-lossesToBlock, 10), longHold)
+		return min(shortBlockTime<<min(losses-lossesToBlock, 10), longBlockTime)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -231,7 +231,7 @@
 // receiveBlock applies a block from another gateway or the store. The lock is held.
 func (t *Table) receiveBlock(h Block, from string) {
 	now := t.clock.Now()
-	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of its sender may be off
+	h.Until = earlier(h.Until, now.Add(longBlockTime)) // the clock of its sender may be off
 	if now.Sub(h.Until) > memory {
 		return
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -217,7 +217,7 @@
 	t.Run("by themselves, and one run decides", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		w.hold(w.boxes[0], s)
-		w.clock.Advance(longHold)
+		w.clock.Advance(longBlockTime)
 		l := w.boxes[0].Begin(s.Fingerprint)
 		require.True(t, l.Trial)
 		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
@@ -228,7 +228,7 @@
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		w.hold(w.boxes[0], s)
-		w.clock.Advance(longHold)
+		w.clock.Advance(longBlockTime)
 		w.lose(w.boxes[0], s, "u9", aRun)
 		requireHeld(t, w.boxes[0], s, true)
 		require.Equal(t, lossesToBlock+1, w.boxes[0].Blocks()[0].Losses)
@@ -288,7 +288,7 @@
 		b := w.start("after")
 		d.tell(b)
 		requireHeld(t, b, s, true)
-		w.clock.Advance(longHold)
+		w.clock.Advance(longBlockTime)
 		w.lose(b, s, "u9", aRun)
 		requireHeld(t, b, s, true)
 	})
@@ -318,7 +318,7 @@
 		w, s, d := newWorld(t, 1), request(1), saved{}
 		w.hold(w.boxes[0], s)
 		d.keep(w.boxes[0])
-		w.clock.Advance(longHold + expiredBlockRetention + time.Second)
+		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
 		d.keep(w.boxes[0])
 		w.clock.Advance(2 * deletionSpread)
 		d.keep(w.boxes[0])
@@ -328,7 +328,7 @@
 		w, s, d := newWorld(t, 1), request(1), saved{}
 		w.hold(w.boxes[0], s)
 		d.keep(w.boxes[0])
-		w.clock.Advance(longHold + 2*memory)
+		w.clock.Advance(longBlockTime + 2*memory)
 		b := w.start("after")
 		d.tell(b)
 		requireHeld(t, b, s, false)
@@ -340,7 +340,7 @@
 		w, s := newWorld(t, 1), request(1)
 		now := w.clock.Now()
 		w.boxes[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
-		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).RetryAfter, longHold)
+		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
 	})
 }
 
@@ -357,7 +357,7 @@
 	require.LessOrEqual(t, b.Size(), mostRecords)
 	requireHeld(t, b, held, true)
 	require.LessOrEqual(t, len(b.NextUpdate().Losses), maxPendingEntries)
-	w.clock.Advance(longHold + memory + sweepEvery)
+	w.clock.Advance(longBlockTime + memory + sweepEvery)
 	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
 	require.Equal(t, 1, b.Size())
 }
