--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -35,10 +35,10 @@
 	shortBlockTime    = 5 * time.Second
 	longBlockTime     = 10 * time.Minute
 
-	// restRate is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
+	// minCrashesPerSecond is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
 	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
 	// that this process doesn't see.
-	restRate = 1e-3
+	minCrashesPerSecond = 1e-3
 	// rateWindow is the period over which crashes are counted for the crash rate.
 	rateWindow = 10 * time.Second
 	// together is the period within which crashes count as one event, such as the loss of a rack.
@@ -110,7 +110,7 @@
 // whichever is larger.
 func odds(l Loss, b background) float64 {
 	n := float64(max(b.upstreams, 1))
-	rate := math.Max(float64(b.ends)/(n*rateWindow.Seconds()), restRate)
+	rate := math.Max(float64(b.ends)/(n*rateWindow.Seconds()), minCrashesPerSecond)
 	took := max(l.Lost.Sub(l.Sent), leastRun).Seconds() * float64(max(l.Engines, 1))
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
 }
