--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -52,10 +52,10 @@
 
 // add records a lost run with the crash of its upstream.
 func (e *ends) add(l Loss) {
-	e.list = slices.DeleteFunc(e.list, func(x end) bool { return l.Lost.Sub(x.at) > 2*rateWindow })
+	e.list = slices.DeleteFunc(e.list, func(x end) bool { return l.Lost.Sub(x.at) > 2*crashRateWindow })
 	for i := range e.list {
 		x := &e.list[i]
-		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > rateWindow {
+		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > crashRateWindow {
 			continue
 		}
 		if _, ok := x.of(l.Fingerprint); !ok && len(x.under) < mostUnder {
@@ -76,7 +76,7 @@
 	for i := range e.list {
 		x := &e.list[i]
 		before := l.Lost.Sub(x.at)
-		if before > rateWindow || before < -together || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
+		if before > crashRateWindow || before < -together || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
 			continue
 		}
 		own, with := x.of(l.Fingerprint)
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -39,8 +39,8 @@
 	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
 	// that this process doesn't see.
 	minCrashesPerSecond = 1e-3
-	// rateWindow is the period over which crashes are counted for the crash rate.
-	rateWindow = 10 * time.Second
+	// crashRateWindow is the period over which crashes are counted for the crash rate.
+	crashRateWindow = 10 * time.Second
 	// together is the period within which crashes count as one event, such as the loss of a rack.
 	// The share of upstreams that crash in it is the probability that a harmless call is among the
 	// lost, also if copies of the request ran on the others.
@@ -110,7 +110,7 @@
 // whichever is larger.
 func odds(l Loss, b background) float64 {
 	n := float64(max(b.upstreams, 1))
-	rate := math.Max(float64(b.ends)/(n*rateWindow.Seconds()), minCrashesPerSecond)
+	rate := math.Max(float64(b.ends)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
 	took := max(l.Lost.Sub(l.Sent), leastRun).Seconds() * float64(max(l.Engines, 1))
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -332,7 +332,7 @@
 	}
 	for i := range r.losses {
 		m := &r.losses[i]
-		if now.Sub(m.Lost) > rateWindow {
+		if now.Sub(m.Lost) > crashRateWindow {
 			if !m.oddsFinal {
 				m.odds = 1 // crashes around it are no longer kept
 			}
