--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -76,14 +76,14 @@
 	for i := range e.list {
 		x := &e.list[i]
 		before := l.Lost.Sub(x.at)
-		if before > crashRateWindow || before < -together || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
+		if before > crashRateWindow || before < -sameEventWindow || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
 			continue
 		}
 		own, with := x.of(l.Fingerprint)
 		if !with {
 			b.ends++
 		}
-		if before > together {
+		if before > sameEventWindow {
 			continue
 		}
 		// Consecutive runs of the request, however short, don't crash upstreams at the same time. A
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -41,10 +41,10 @@
 	minCrashesPerSecond = 1e-3
 	// crashRateWindow is the period over which crashes are counted for the crash rate.
 	crashRateWindow = 10 * time.Second
-	// together is the period within which crashes count as one event, such as the loss of a rack.
+	// sameEventWindow is the period within which crashes count as one event, such as the loss of a rack.
 	// The share of upstreams that crash in it is the probability that a harmless call is among the
 	// lost, also if copies of the request ran on the others.
-	together = 250 * time.Millisecond
+	sameEventWindow = 250 * time.Millisecond
 	// settle is how long after a loss it is evaluated: other gateways report crashes of the same
 	// event within 25 ms plus the network delay. Evaluated at once, the loss of all of a service
 	// would look like that of a third of it.
@@ -89,7 +89,7 @@
 func moments(ms []keptLoss) (n int) {
 	var last time.Time
 	for _, m := range ms {
-		if n == 0 || m.Lost.Sub(last) > together {
+		if n == 0 || m.Lost.Sub(last) > sameEventWindow {
 			n, last = n+1, m.Lost
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -187,7 +187,7 @@
 		w.clock.Advance(aRun)
 		for i := range 3 {
 			require.False(t, w.boxes[0].Begin(s.Fingerprint).Trial)
-			w.clock.Advance(2 * together)
+			w.clock.Advance(2 * sameEventWindow)
 			w.boxes[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
 		require.True(t, w.boxes[0].Begin(s.Fingerprint).Trial)
