--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -45,10 +45,10 @@
 	// The share of upstreams that crash in it is the probability that a harmless call is among the
 	// lost, also if copies of the request ran on the others.
 	sameEventWindow = 250 * time.Millisecond
-	// settle is how long after a loss it is evaluated: other gateways report crashes of the same
+	// settleTime is how long after a loss it is evaluated: other gateways report crashes of the same
 	// event within 25 ms plus the network delay. Evaluated at once, the loss of all of a service
 	// would look like that of a third of it.
-	settle = 100 * time.Millisecond
+	settleTime = 100 * time.Millisecond
 	// lateShare divides the detection delay of a loss to give how long its evaluation waits at
 	// least, since crashes of one event aren't detected together: entries show them 1.5 to 1.9 s
 	// later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service would
@@ -69,7 +69,7 @@
 
 // settled reports whether other crashes of the same event are known by now.
 func (m keptLoss) settled(now time.Time) bool {
-	return now.Sub(m.learnedAt) >= max(settle, m.learnedAt.Sub(m.Lost)/lateShare)
+	return now.Sub(m.learnedAt) >= max(settleTime, m.learnedAt.Sub(m.Lost)/lateShare)
 }
 
 // inRow returns the consecutive losses since a time: each run was sent after the loss before it.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -77,7 +77,7 @@
 
 func requireHeld(t *testing.T, b *Table, s Subject, held bool) {
 	t.Helper()
-	b.clock.(*clockwork.FakeClock).Advance(settle)
+	b.clock.(*clockwork.FakeClock).Advance(settleTime)
 	l := b.Begin(s.Fingerprint)
 	require.Equal(t, held, !l.Block.Since.IsZero(), "at %s", b.box)
 	b.End(s.Fingerprint, l)
@@ -105,7 +105,7 @@
 			}
 			w.lose(w.boxes[0], s, u, aRun)
 		}
-		w.clock.Advance(settle)
+		w.clock.Advance(settleTime)
 		w.boxes[0].StoreChanges()
 		require.Len(t, w.boxes[0].Blocks(), 1)
 		require.Equal(t, s, w.boxes[0].Blocks()[0].Subject)
@@ -141,7 +141,7 @@
 			}
 			w.lose(w.boxes[0], s, life("u", i), aRun)
 		}
-		w.clock.Advance(settle)
+		w.clock.Advance(settleTime)
 		l := w.boxes[0].Begin(s.Fingerprint)
 		require.False(t, l.Granted)
 		require.Equal(t, shortBlockTime, l.RetryAfter.Round(time.Second))
