--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -49,11 +49,11 @@
 	// event within 25 ms plus the network delay. Evaluated at once, the loss of all of a service
 	// would look like that of a third of it.
 	settleTime = 100 * time.Millisecond
-	// lateShare divides the detection delay of a loss to give how long its evaluation waits at
+	// detectionDelayDivisor divides the detection delay of a loss to give how long its evaluation waits at
 	// least, since crashes of one event aren't detected together: entries show them 1.5 to 1.9 s
 	// later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service would
 	// have a probability of 0.003 or 0.13 instead of 1.
-	lateShare = 3
+	detectionDelayDivisor = 3
 	// leastRun is the shortest run time assumed: a connection that broke at once doesn't make the
 	// request more suspect.
 	leastRun = 10 * time.Millisecond
@@ -69,7 +69,7 @@
 
 // settled reports whether other crashes of the same event are known by now.
 func (m keptLoss) settled(now time.Time) bool {
-	return now.Sub(m.learnedAt) >= max(settleTime, m.learnedAt.Sub(m.Lost)/lateShare)
+	return now.Sub(m.learnedAt) >= max(settleTime, m.learnedAt.Sub(m.Lost)/detectionDelayDivisor)
 }
 
 // inRow returns the consecutive losses since a time: each run was sent after the loss before it.
