--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -54,9 +54,9 @@
 	// later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service would
 	// have a probability of 0.003 or 0.13 instead of 1.
 	detectionDelayDivisor = 3
-	// leastRun is the shortest run time assumed: a connection that broke at once doesn't make the
+	// minRunTime is the shortest run time assumed: a connection that broke at once doesn't make the
 	// request more suspect.
-	leastRun = 10 * time.Millisecond
+	minRunTime = 10 * time.Millisecond
 )
 
 // keptLoss is a loss that is kept of a request.
@@ -111,7 +111,7 @@
 func odds(l Loss, b background) float64 {
 	n := float64(max(b.upstreams, 1))
 	rate := math.Max(float64(b.ends)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
-	took := max(l.Lost.Sub(l.Sent), leastRun).Seconds() * float64(max(l.Engines, 1))
+	took := max(l.Lost.Sub(l.Sent), minRunTime).Seconds() * float64(max(l.Engines, 1))
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
 }
 
