--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -72,9 +72,9 @@
 	return now.Sub(m.learnedAt) >= max(settleTime, m.learnedAt.Sub(m.Lost)/detectionDelayDivisor)
 }
 
-// inRow returns the consecutive losses since a time: each run was sent after the loss before it.
+// consecutiveLosses returns the consecutive losses since a time: each run was sent after the loss before it.
 // The losses are ordered by the time of the loss.
-func inRow(ms []keptLoss, since time.Time) (row []keptLoss) {
+func consecutiveLosses(ms []keptLoss, since time.Time) (row []keptLoss) {
 	last := since
 	for _, m := range ms {
 		if m.Sent.After(last) {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -34,7 +34,7 @@
 // consecutive returns the marks of consecutive losses, and the number of consecutive losses including
 // reported ones.
 func (r *record) consecutive() (ms []keptLoss, losses int) {
-	ms = inRow(r.losses, r.clearedAt)
+	ms = consecutiveLosses(r.losses, r.clearedAt)
 	return ms, len(ms) + r.reportedLosses
 }
 
