--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -85,8 +85,8 @@
 	return row
 }
 
-// moments returns the number of separate crash events.
-func moments(ms []keptLoss) (n int) {
+// crashEvents returns the number of separate crash events.
+func crashEvents(ms []keptLoss) (n int) {
 	var last time.Time
 	for _, m := range ms {
 		if n == 0 || m.Lost.Sub(last) > sameEventWindow {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -41,7 +41,7 @@
 // suspect reports whether runs are admitted one at a time.
 func (r *record) suspect() bool {
 	ms, n := r.consecutive()
-	return (n >= lossesForTrials || moments(r.losses) >= eventsForTrials) && r.odds(ms) <= maxTrialOdds
+	return (n >= lossesForTrials || crashEvents(r.losses) >= eventsForTrials) && r.odds(ms) <= maxTrialOdds
 }
 
 // odds returns the joint probability of losses for a harmless request, including those that a block
