--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -96,8 +96,8 @@
 	return n
 }
 
-// all returns the joint probability of the losses.
-func all(ms []keptLoss) float64 {
+// jointOdds returns the joint probability of the losses.
+func jointOdds(ms []keptLoss) float64 {
 	chance := 1.0
 	for _, m := range ms {
 		chance *= m.odds
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -48,9 +48,9 @@
 // reported.
 func (r *record) odds(ms []keptLoss) float64 {
 	if r.reportedLosses > 0 {
-		return r.block.Odds * all(ms)
+		return r.block.Odds * jointOdds(ms)
 	}
-	return all(ms)
+	return jointOdds(ms)
 }
 
 // settled reports whether all losses have settled.
