--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -115,9 +115,9 @@
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
 }
 
-// judge returns how long a request is blocked after some consecutive losses with this joint
+// blockTime returns how long a request is blocked after some consecutive losses with this joint
 // probability; 0 if it isn't.
-func judge(losses int, odds float64) time.Duration {
+func blockTime(losses int, odds float64) time.Duration {
 	switch {
 	case losses < lossesToBlock || odds > maxShortBlockOdds:
 		return 0
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -297,7 +297,7 @@
 	b := t.updateOdds(r, now)
 	ms, n := r.consecutive()
 	chance := r.odds(ms)
-	d := judge(n, chance)
+	d := blockTime(n, chance)
 	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
