--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -105,10 +105,10 @@
 	return chance
 }
 
-// odds returns the probability that a harmless run is lost: from the background crash rate over the
+// lossOdds returns the probability that a harmless run is lost: from the background crash rate over the
 // run time of all engines that took part, or the share of upstreams that crashed at the same time,
 // whichever is larger.
-func odds(l Loss, b background) float64 {
+func lossOdds(l Loss, b background) float64 {
 	n := float64(max(b.upstreams, 1))
 	rate := math.Max(float64(b.ends)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
 	took := max(l.Lost.Sub(l.Sent), minRunTime).Seconds() * float64(max(l.Engines, 1))
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -340,7 +340,7 @@
 		}
 		b = t.ends[m.Service].around(m.Loss, held)
 		b.upstreams = t.upstreams(m.Service)
-		m.odds, m.oddsFinal = odds(m.Loss, b), m.settled(now)
+		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
 	return b
 }
