--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -7,9 +7,9 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// mostEnds bounds the crashes kept per service. Each of up to 600 upstreams may crash within the
+// maxCrashesPerService bounds the crashes kept per service. Each of up to 600 upstreams may crash within the
 // window.
-const mostEnds = 1024
+const maxCrashesPerService = 1024
 
 // end is a crash of an upstream, as reported by gateways.
 type end struct {
@@ -63,7 +63,7 @@
 		}
 		return
 	}
-	if len(e.list) >= mostEnds {
+	if len(e.list) >= maxCrashesPerService {
 		e.list = e.list[1:]
 	}
 	e.list = append(e.list, end{upstream: l.Upstream, at: l.Lost, under: []under{{l.Fingerprint, l.Sent}}})
