--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -34,9 +34,9 @@
 	return under{}, false
 }
 
-// mostUnder bounds the lost runs kept per crash. A request beyond it counts as not having run
+// maxLossesPerCrash bounds the lost runs kept per crash. A request beyond it counts as not having run
 // there, which is in its favour.
-const mostUnder = 64
+const maxLossesPerCrash = 64
 
 // background is the crashes of a service's upstreams that a request doesn't explain.
 type background struct {
@@ -58,7 +58,7 @@
 		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > crashRateWindow {
 			continue
 		}
-		if _, ok := x.of(l.Fingerprint); !ok && len(x.under) < mostUnder {
+		if _, ok := x.of(l.Fingerprint); !ok && len(x.under) < maxLossesPerCrash {
 			x.under = append(x.under, under{l.Fingerprint, l.Sent})
 		}
 		return
