--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -40,7 +40,7 @@
 
 	mu          sync.Mutex
 	records     map[hollowgrade.Fingerprint]*record
-	ends        map[string]*ends                 // by service
+	crashes     map[string]*ends                 // by service
 	unevaluated map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
 	lastSweep   time.Time
 }
@@ -76,7 +76,7 @@
 		upstreams:   func(string) int { return 1 },
 		random:      rand.Float64,
 		records:     map[hollowgrade.Fingerprint]*record{},
-		ends:        map[string]*ends{},
+		crashes:     map[string]*ends{},
 		unevaluated: map[hollowgrade.Fingerprint]bool{},
 	}
 	for _, o := range os {
@@ -251,10 +251,10 @@
 
 // addLoss records a loss. The lock is held.
 func (t *Table) addLoss(l Loss) {
-	e := t.ends[l.Service]
+	e := t.crashes[l.Service]
 	if e == nil {
 		e = &ends{}
-		t.ends[l.Service] = e
+		t.crashes[l.Service] = e
 	}
 	e.add(l)
 	t.record(l.Subject).add(l, t.clock.Now())
@@ -338,7 +338,7 @@
 			}
 			continue
 		}
-		b = t.ends[m.Service].around(m.Loss, held)
+		b = t.crashes[m.Service].around(m.Loss, held)
 		b.upstreams = t.upstreams(m.Service)
 		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
