--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -45,13 +45,13 @@
 	atOnce    int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
 }
 
-// ends keeps the crashes of the upstreams of one service.
-type ends struct {
+// crashHistory keeps the crashes of the upstreams of one service.
+type crashHistory struct {
 	list []end // in order of arrival here
 }
 
 // add records a lost run with the crash of its upstream.
-func (e *ends) add(l Loss) {
+func (e *crashHistory) add(l Loss) {
 	e.list = slices.DeleteFunc(e.list, func(x end) bool { return l.Lost.Sub(x.at) > 2*crashRateWindow })
 	for i := range e.list {
 		x := &e.list[i]
@@ -71,7 +71,7 @@
 
 // around counts the crashes around a loss. Those in which a run of a blocked request was lost are
 // attributed to that request.
-func (e *ends) around(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
+func (e *crashHistory) around(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
 	explained := func(u under) bool { return held(u.fingerprint) }
 	for i := range e.list {
 		x := &e.list[i]
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -40,7 +40,7 @@
 
 	mu          sync.Mutex
 	records     map[hollowgrade.Fingerprint]*record
-	crashes     map[string]*ends                 // by service
+	crashes     map[string]*crashHistory         // by service
 	unevaluated map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
 	lastSweep   time.Time
 }
@@ -76,7 +76,7 @@
 		upstreams:   func(string) int { return 1 },
 		random:      rand.Float64,
 		records:     map[hollowgrade.Fingerprint]*record{},
-		crashes:     map[string]*ends{},
+		crashes:     map[string]*crashHistory{},
 		unevaluated: map[hollowgrade.Fingerprint]bool{},
 	}
 	for _, o := range os {
@@ -253,7 +253,7 @@
 func (t *Table) addLoss(l Loss) {
 	e := t.crashes[l.Service]
 	if e == nil {
-		e = &ends{}
+		e = &crashHistory{}
 		t.crashes[l.Service] = e
 	}
 	e.add(l)
