--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -11,8 +11,8 @@
 // window.
 const maxCrashesPerService = 1024
 
-// end is a crash of an upstream, as reported by gateways.
-type end struct {
+// crash is a crash of an upstream, as reported by gateways.
+type crash struct {
 	upstream hollowgrade.Life
 	at       time.Time
 	under    []under // runs that were lost in it
@@ -25,7 +25,7 @@
 }
 
 // of returns the run of a request that was lost in the crash.
-func (e *end) of(f hollowgrade.Fingerprint) (u under, ok bool) {
+func (e *crash) of(f hollowgrade.Fingerprint) (u under, ok bool) {
 	for _, u = range e.under {
 		if u.fingerprint == f {
 			return u, true
@@ -47,12 +47,12 @@
 
 // crashHistory keeps the crashes of the upstreams of one service.
 type crashHistory struct {
-	list []end // in order of arrival here
+	list []crash // in order of arrival here
 }
 
 // add records a lost run with the crash of its upstream.
 func (e *crashHistory) add(l Loss) {
-	e.list = slices.DeleteFunc(e.list, func(x end) bool { return l.Lost.Sub(x.at) > 2*crashRateWindow })
+	e.list = slices.DeleteFunc(e.list, func(x crash) bool { return l.Lost.Sub(x.at) > 2*crashRateWindow })
 	for i := range e.list {
 		x := &e.list[i]
 		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > crashRateWindow {
@@ -66,7 +66,7 @@
 	if len(e.list) >= maxCrashesPerService {
 		e.list = e.list[1:]
 	}
-	e.list = append(e.list, end{upstream: l.Upstream, at: l.Lost, under: []under{{l.Fingerprint, l.Sent}}})
+	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, under: []under{{l.Fingerprint, l.Sent}}})
 }
 
 // around counts the crashes around a loss. Those in which a run of a blocked request was lost are
