--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -24,8 +24,8 @@
 	sent        time.Time
 }
 
-// of returns the run of a request that was lost in the crash.
-func (e *crash) of(f hollowgrade.Fingerprint) (u under, ok bool) {
+// find returns the run find a request that was lost in the crash.
+func (e *crash) find(f hollowgrade.Fingerprint) (u under, ok bool) {
 	for _, u = range e.under {
 		if u.fingerprint == f {
 			return u, true
@@ -58,7 +58,7 @@
 		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > crashRateWindow {
 			continue
 		}
-		if _, ok := x.of(l.Fingerprint); !ok && len(x.under) < maxLossesPerCrash {
+		if _, ok := x.find(l.Fingerprint); !ok && len(x.under) < maxLossesPerCrash {
 			x.under = append(x.under, under{l.Fingerprint, l.Sent})
 		}
 		return
@@ -79,7 +79,7 @@
 		if before > crashRateWindow || before < -sameEventWindow || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
 			continue
 		}
-		own, with := x.of(l.Fingerprint)
+		own, with := x.find(l.Fingerprint)
 		if !with {
 			b.ends++
 		}
