--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -15,7 +15,7 @@
 type crash struct {
 	upstream hollowgrade.Life
 	at       time.Time
-	under    []under // runs that were lost in it
+	lostRuns []under // runs that were lost in it
 }
 
 // under is a run that was lost in a crash.
@@ -26,7 +26,7 @@
 
 // find returns the run find a request that was lost in the crash.
 func (e *crash) find(f hollowgrade.Fingerprint) (u under, ok bool) {
-	for _, u = range e.under {
+	for _, u = range e.lostRuns {
 		if u.fingerprint == f {
 			return u, true
 		}
@@ -58,15 +58,15 @@
 		if x.upstream != l.Upstream || l.Lost.Sub(x.at).Abs() > crashRateWindow {
 			continue
 		}
-		if _, ok := x.find(l.Fingerprint); !ok && len(x.under) < maxLossesPerCrash {
-			x.under = append(x.under, under{l.Fingerprint, l.Sent})
+		if _, ok := x.find(l.Fingerprint); !ok && len(x.lostRuns) < maxLossesPerCrash {
+			x.lostRuns = append(x.lostRuns, under{l.Fingerprint, l.Sent})
 		}
 		return
 	}
 	if len(e.list) >= maxCrashesPerService {
 		e.list = e.list[1:]
 	}
-	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, under: []under{{l.Fingerprint, l.Sent}}})
+	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, lostRuns: []under{{l.Fingerprint, l.Sent}}})
 }
 
 // around counts the crashes around a loss. Those in which a run of a blocked request was lost are
@@ -76,7 +76,7 @@
 	for i := range e.list {
 		x := &e.list[i]
 		before := l.Lost.Sub(x.at)
-		if before > crashRateWindow || before < -sameEventWindow || x.upstream == l.Upstream || slices.ContainsFunc(x.under, explained) {
+		if before > crashRateWindow || before < -sameEventWindow || x.upstream == l.Upstream || slices.ContainsFunc(x.lostRuns, explained) {
 			continue
 		}
 		own, with := x.find(l.Fingerprint)
