--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -15,23 +15,23 @@
 type crash struct {
 	upstream hollowgrade.Life
 	at       time.Time
-	lostRuns []under // runs that were lost in it
+	lostRuns []lostRun // runs that were lost in it
 }
 
-// under is a run that was lost in a crash.
-type under struct {
+// lostRun is a run that was lost in a crash.
+type lostRun struct {
 	fingerprint hollowgrade.Fingerprint
 	sent        time.Time
 }
 
 // find returns the run find a request that was lost in the crash.
-func (e *crash) find(f hollowgrade.Fingerprint) (u under, ok bool) {
+func (e *crash) find(f hollowgrade.Fingerprint) (u lostRun, ok bool) {
 	for _, u = range e.lostRuns {
 		if u.fingerprint == f {
 			return u, true
 		}
 	}
-	return under{}, false
+	return lostRun{}, false
 }
 
 // maxLossesPerCrash bounds the lost runs kept per crash. A request beyond it counts as not having run
@@ -59,20 +59,20 @@
 			continue
 		}
 		if _, ok := x.find(l.Fingerprint); !ok && len(x.lostRuns) < maxLossesPerCrash {
-			x.lostRuns = append(x.lostRuns, under{l.Fingerprint, l.Sent})
+			x.lostRuns = append(x.lostRuns, lostRun{l.Fingerprint, l.Sent})
 		}
 		return
 	}
 	if len(e.list) >= maxCrashesPerService {
 		e.list = e.list[1:]
 	}
-	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, lostRuns: []under{{l.Fingerprint, l.Sent}}})
+	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, lostRuns: []lostRun{{l.Fingerprint, l.Sent}}})
 }
 
 // around counts the crashes around a loss. Those in which a run of a blocked request was lost are
 // attributed to that request.
 func (e *crashHistory) around(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
-	explained := func(u under) bool { return held(u.fingerprint) }
+	explained := func(u lostRun) bool { return held(u.fingerprint) }
 	for i := range e.list {
 		x := &e.list[i]
 		before := l.Lost.Sub(x.at)
