--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -41,7 +41,7 @@
 // background is the crashes of a service's upstreams that a request doesn't explain.
 type background struct {
 	upstreams int // number of upstreams of the service
-	ends      int // without the request, within [rateWindow] before the loss
+	crashes   int // without the request, within [rateWindow] before the loss
 	atOnce    int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
 }
 
@@ -81,7 +81,7 @@
 		}
 		own, with := x.find(l.Fingerprint)
 		if !with {
-			b.ends++
+			b.crashes++
 		}
 		if before > sameEventWindow {
 			continue
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -304,7 +304,7 @@
 	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.namedUpstreams(), By: t.box}
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
-		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
+		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.crashes,
 		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
 	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
