--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -112,7 +112,7 @@
 	n := float64(max(b.upstreams, 1))
 	rate := math.Max(float64(b.crashes)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
 	took := max(l.Lost.Sub(l.Sent), minRunTime).Seconds() * float64(max(l.Engines, 1))
-	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.atOnce)/n), 1)
+	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.simultaneous)/n), 1)
 }
 
 // blockTime returns how long a request is blocked after some consecutive losses with this joint
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -305,7 +305,7 @@
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.crashes,
-		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
+		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
 	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
 
