--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -69,9 +69,9 @@
 	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, lostRuns: []lostRun{{l.Fingerprint, l.Sent}}})
 }
 
-// around counts the crashes around a loss. Those in which a run of a blocked request was lost are
+// backgroundOf counts the crashes backgroundOf a loss. Those in which a run of a blocked request was lost are
 // attributed to that request.
-func (e *crashHistory) around(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
+func (e *crashHistory) backgroundOf(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
 	explained := func(u lostRun) bool { return held(u.fingerprint) }
 	for i := range e.list {
 		x := &e.list[i]
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -338,7 +338,7 @@
 			}
 			continue
 		}
-		b = t.crashes[m.Service].around(m.Loss, held)
+		b = t.crashes[m.Service].backgroundOf(m.Loss, held)
 		b.upstreams = t.upstreams(m.Service)
 		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
