--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -71,8 +71,8 @@
 
 // backgroundOf counts the crashes backgroundOf a loss. Those in which a run of a blocked request was lost are
 // attributed to that request.
-func (e *crashHistory) backgroundOf(l Loss, held func(hollowgrade.Fingerprint) bool) (b background) {
-	explained := func(u lostRun) bool { return held(u.fingerprint) }
+func (e *crashHistory) backgroundOf(l Loss, blocked func(hollowgrade.Fingerprint) bool) (b background) {
+	explained := func(u lostRun) bool { return blocked(u.fingerprint) }
 	for i := range e.list {
 		x := &e.list[i]
 		before := l.Lost.Sub(x.at)
