--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -326,7 +326,7 @@
 // updateOdds updates the odds of the losses of a request while crashes around them are kept, and returns
 // the background of the last loss. The lock is held.
 func (t *Table) updateOdds(r *record, now time.Time) (b background) {
-	held := func(f hollowgrade.Fingerprint) bool {
+	blocked := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
 		return o != nil && o.blocked(now)
 	}
@@ -338,7 +338,7 @@
 			}
 			continue
 		}
-		b = t.crashes[m.Service].backgroundOf(m.Loss, held)
+		b = t.crashes[m.Service].backgroundOf(m.Loss, blocked)
 		b.upstreams = t.upstreams(m.Service)
 		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
