--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -296,15 +296,15 @@
 	}
 	b := t.updateOdds(r, now)
 	ms, n := r.consecutive()
-	chance := r.odds(ms)
-	d := blockTime(n, chance)
+	odds := r.odds(ms)
+	d := blockTime(n, odds)
 	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
-	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.namedUpstreams(), By: t.box}
+	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: odds, Upstreams: r.namedUpstreams(), By: t.box}
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
-		"losses", n, "upstreams", r.block.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.crashes,
+		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreams, "ends_without_it", b.crashes,
 		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
 	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
