--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -239,11 +239,11 @@
 	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.block.Until) < clockSkewTolerance {
 		return
 	}
-	was := r.blocked(now)
+	wasBlocked := r.blocked(now)
 	ms, _ := r.consecutive()
 	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
-	if !was && r.blocked(now) {
+	if !wasBlocked && r.blocked(now) {
 		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
 	}
