--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -15,7 +15,7 @@
 	clockSkewTolerance = 3 * time.Second
 	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
 	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
-	expiredBlockRetention = memory / 2
+	expiredBlockRetention = recordRetention / 2
 	deletionSpread        = 30 * time.Second
 	// maxStoredBlocks bounds the blocks in the store, some 400 bytes each.
 	maxStoredBlocks = 1000
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// memory is how long a request is remembered after its last loss or the expiry of its block.
-	memory = 10 * time.Minute
+	// recordRetention is how long a request is remembered after its last loss or the expiry of its block.
+	recordRetention = 10 * time.Minute
 	// mostRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
 	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
 	// three upstreams for each that is blocked.
@@ -232,7 +232,7 @@
 func (t *Table) receiveBlock(h Block, from string) {
 	now := t.clock.Now()
 	h.Until = earlier(h.Until, now.Add(longBlockTime)) // the clock of its sender may be off
-	if now.Sub(h.Until) > memory {
+	if now.Sub(h.Until) > recordRetention {
 		return
 	}
 	r := t.record(h.Subject)
@@ -352,7 +352,7 @@
 	}
 	t.lastSweep = now
 	for f, r := range t.records {
-		if now.Sub(hollowgrade.Later(r.updatedAt, r.block.Until)) > memory {
+		if now.Sub(hollowgrade.Later(r.updatedAt, r.block.Until)) > recordRetention {
 			delete(t.records, f)
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -328,7 +328,7 @@
 		w, s, d := newWorld(t, 1), request(1), saved{}
 		w.hold(w.boxes[0], s)
 		d.keep(w.boxes[0])
-		w.clock.Advance(longBlockTime + 2*memory)
+		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.start("after")
 		d.tell(b)
 		requireHeld(t, b, s, false)
@@ -357,7 +357,7 @@
 	require.LessOrEqual(t, b.Size(), mostRecords)
 	requireHeld(t, b, held, true)
 	require.LessOrEqual(t, len(b.NextUpdate().Losses), maxPendingEntries)
-	w.clock.Advance(longBlockTime + memory + sweepEvery)
+	w.clock.Advance(longBlockTime + recordRetention + sweepEvery)
 	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
 	require.Equal(t, 1, b.Size())
 }
