--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -415,7 +415,7 @@
 	t := w.boxes[0]
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		s := request(i / 3 % mostRecords)
+		s := request(i / 3 % maxRecords)
 		now := w.clock.Now()
 		t.RecordLoss(Loss{Subject: s, Upstream: life("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
 		t.Begin(s.Fingerprint)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,12 +14,12 @@
 const (
 	// recordRetention is how long a request is remembered after its last loss or the expiry of its block.
 	recordRetention = 10 * time.Minute
-	// mostRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
+	// maxRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
 	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
 	// three upstreams for each that is blocked.
-	mostRecords = 4096
+	maxRecords = 4096
 	// dropAtOnce is the number of records evicted at a time.
-	dropAtOnce = mostRecords / 8
+	dropAtOnce = maxRecords / 8
 	// trialLasts is how long a trial counts as running without a report of its end: its gateway may
 	// have crashed.
 	trialLasts = 10 * time.Second
@@ -347,7 +347,7 @@
 
 // sweep deletes old records, and evicts some if there are too many. The lock is held.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.lastSweep) < sweepEvery && len(t.records) < mostRecords {
+	if now.Sub(t.lastSweep) < sweepEvery && len(t.records) < maxRecords {
 		return
 	}
 	t.lastSweep = now
@@ -356,7 +356,7 @@
 			delete(t.records, f)
 		}
 	}
-	if len(t.records) < mostRecords {
+	if len(t.records) < maxRecords {
 		return
 	}
 	fs := make([]hollowgrade.Fingerprint, 0, len(t.records))
@@ -371,5 +371,5 @@
 	for _, f := range fs[:dropAtOnce] {
 		delete(t.records, f)
 	}
-	t.log.Warn("requests that were lost are forgotten", "forgotten", dropAtOnce, "why", "there are too many", "most", mostRecords)
+	t.log.Warn("requests that were lost are forgotten", "forgotten", dropAtOnce, "why", "there are too many", "most", maxRecords)
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -349,12 +349,12 @@
 	b := w.boxes[0]
 	held := request(0)
 	w.hold(b, held)
-	for i := range 3 * mostRecords {
+	for i := range 3 * maxRecords {
 		now := w.clock.Now()
 		b.RecordLoss(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-aRun), Lost: now})
 		w.clock.Advance(time.Millisecond)
 	}
-	require.LessOrEqual(t, b.Size(), mostRecords)
+	require.LessOrEqual(t, b.Size(), maxRecords)
 	requireHeld(t, b, held, true)
 	require.LessOrEqual(t, len(b.NextUpdate().Losses), maxPendingEntries)
 	w.clock.Advance(longBlockTime + recordRetention + sweepEvery)
