--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -18,8 +18,8 @@
 	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
 	// three upstreams for each that is blocked.
 	maxRecords = 4096
-	// dropAtOnce is the number of records evicted at a time.
-	dropAtOnce = maxRecords / 8
+	// evictionBatch is the number of records evicted at a time.
+	evictionBatch = maxRecords / 8
 	// trialLasts is how long a trial counts as running without a report of its end: its gateway may
 	// have crashed.
 	trialLasts = 10 * time.Second
@@ -368,8 +368,8 @@
 		x, y := t.records[a], t.records[b]
 		return hollowgrade.Later(x.updatedAt, x.block.Until).Compare(hollowgrade.Later(y.updatedAt, y.block.Until))
 	})
-	for _, f := range fs[:dropAtOnce] {
+	for _, f := range fs[:evictionBatch] {
 		delete(t.records, f)
 	}
-	t.log.Warn("requests that were lost are forgotten", "forgotten", dropAtOnce, "why", "there are too many", "most", maxRecords)
+	t.log.Warn("requests that were lost are forgotten", "forgotten", evictionBatch, "why", "there are too many", "most", maxRecords)
 }
