--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -60,7 +60,7 @@
 
 // trialRunning reports whether a trial is running.
 func (r *record) trialRunning(now time.Time) bool {
-	return r.localTrial || !r.trialStart.IsZero() && now.Sub(r.trialStart) < trialLasts
+	return r.localTrial || !r.trialStart.IsZero() && now.Sub(r.trialStart) < trialTimeout
 }
 
 // upstreams returns the upstreams that crashed under the request since it was last cleared.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -20,9 +20,9 @@
 	maxRecords = 4096
 	// evictionBatch is the number of records evicted at a time.
 	evictionBatch = maxRecords / 8
-	// trialLasts is how long a trial counts as running without a report of its end: its gateway may
+	// trialTimeout is how long a trial counts as running without a report of its end: its gateway may
 	// have crashed.
-	trialLasts = 10 * time.Second
+	trialTimeout = 10 * time.Second
 	// usualTrial is the retry delay while a trial is running: most runs end within it.
 	usualTrial = time.Second
 	// sweepEvery is the time between two searches for records to forget.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -200,7 +200,7 @@
 		w.boxes[0].Begin(s.Fingerprint)
 		w.spread()
 		require.False(t, w.boxes[1].Begin(s.Fingerprint).Granted)
-		w.clock.Advance(trialLasts)
+		w.clock.Advance(trialTimeout)
 		require.True(t, w.boxes[1].Begin(s.Fingerprint).Granted)
 	})
 }
