--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -23,8 +23,8 @@
 	// trialTimeout is how long a trial counts as running without a report of its end: its gateway may
 	// have crashed.
 	trialTimeout = 10 * time.Second
-	// usualTrial is the retry delay while a trial is running: most runs end within it.
-	usualTrial = time.Second
+	// trialRetryAfter is the retry delay while a trial is running: most runs end within it.
+	trialRetryAfter = time.Second
 	// sweepEvery is the time between two searches for records to forget.
 	sweepEvery = 10 * time.Second
 )
@@ -117,7 +117,7 @@
 	case !r.suspect():
 		return Admission{Granted: true}
 	case r.trialRunning(now), losses >= lossesToBlock && !r.settled(now):
-		return Admission{RetryAfter: usualTrial}
+		return Admission{RetryAfter: trialRetryAfter}
 	}
 	r.trialStart, r.localTrial = now, true
 	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -171,7 +171,7 @@
 		for _, b := range w.boxes {
 			o := b.Begin(s.Fingerprint)
 			require.False(t, o.Granted)
-			require.Equal(t, usualTrial, o.RetryAfter)
+			require.Equal(t, trialRetryAfter, o.RetryAfter)
 		}
 		w.boxes[1].RecordAnswer(s.Fingerprint)
 		w.boxes[1].End(s.Fingerprint, l)
