--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -25,8 +25,8 @@
 	trialTimeout = 10 * time.Second
 	// trialRetryAfter is the retry delay while a trial is running: most runs end within it.
 	trialRetryAfter = time.Second
-	// sweepEvery is the time between two searches for records to forget.
-	sweepEvery = 10 * time.Second
+	// sweepInterval is the time between two searches for records to forget.
+	sweepInterval = 10 * time.Second
 )
 
 // Table keeps the state of requests that were lost. It is safe for concurrent use.
@@ -347,7 +347,7 @@
 
 // sweep deletes old records, and evicts some if there are too many. The lock is held.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.lastSweep) < sweepEvery && len(t.records) < maxRecords {
+	if now.Sub(t.lastSweep) < sweepInterval && len(t.records) < maxRecords {
 		return
 	}
 	t.lastSweep = now
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -357,7 +357,7 @@
 	require.LessOrEqual(t, b.Size(), maxRecords)
 	requireHeld(t, b, held, true)
 	require.LessOrEqual(t, len(b.NextUpdate().Losses), maxPendingEntries)
-	w.clock.Advance(longBlockTime + recordRetention + sweepEvery)
+	w.clock.Advance(longBlockTime + recordRetention + sweepInterval)
 	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
 	require.Equal(t, 1, b.Size())
 }
