--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -14,9 +14,9 @@
 
 // Receiver applies the updates of peers to a fleet. It is safe for concurrent use.
 type Receiver struct {
-	fleet *core.Fleet
-	words *quarantine.Table // nil if updates on lost requests are ignored
-	begun func()            // called when a peer opens its stream
+	fleet      *core.Fleet
+	quarantine *quarantine.Table // nil if updates on lost requests are ignored
+	begun      func()            // called when a peer opens its stream
 
 	mu    sync.Mutex
 	boxes map[string]*order // peers that have a stream
@@ -43,14 +43,14 @@
 // SetQuarantine sets the table for updates on lost requests. It must be called before any peer
 // connects.
 func (t *Receiver) SetQuarantine(q *quarantine.Table) {
-	t.words = q
+	t.quarantine = q
 }
 
 // suspicions applies a peer's update on lost requests. It needs no stream and no order, since each
 // entry has its time.
 func (t *Receiver) suspicions(m *wire.LoadView) {
-	if m.Suspicions != nil && t.words != nil {
-		t.words.Receive(m.Box, decodeWord(m.Suspicions, t.words.Now()))
+	if m.Suspicions != nil && t.quarantine != nil {
+		t.quarantine.Receive(m.Box, decodeWord(m.Suspicions, t.quarantine.Now()))
 	}
 }
 
