--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -16,7 +16,7 @@
 type Receiver struct {
 	fleet      *core.Fleet
 	quarantine *quarantine.Table // nil if updates on lost requests are ignored
-	begun      func()            // called when a peer opens its stream
+	onStream   func()            // called when a peer opens its stream
 
 	mu    sync.Mutex
 	boxes map[string]*order // peers that have a stream
@@ -31,13 +31,13 @@
 
 // NewReceiver returns a receiver for a fleet.
 func NewReceiver(f *core.Fleet) *Receiver {
-	return &Receiver{fleet: f, begun: func() {}, boxes: map[string]*order{}}
+	return &Receiver{fleet: f, onStream: func() {}, boxes: map[string]*order{}}
 }
 
 // OnStream sets the function that is called when a peer opens its stream. It must be called before
 // any peer does.
 func (t *Receiver) OnStream(f func()) {
-	t.begun = f
+	t.onStream = f
 }
 
 // SetQuarantine sets the table for updates on lost requests. It must be called before any peer
@@ -60,7 +60,7 @@
 	o := t.begin(first)
 	defer t.end(first.Box, o)
 	t.suspicions(first)
-	t.begun()
+	t.onStream()
 	for {
 		n, err := s.Receive()
 		if err != nil {
