--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -19,7 +19,7 @@
 	onStream   func()            // called when a peer opens its stream
 
 	mu    sync.Mutex
-	boxes map[string]*order // peers that have a stream
+	peers map[string]*order // peers that have a stream
 }
 
 // order tracks the messages of one instance of a peer: one that arrives late must not undo later
@@ -31,7 +31,7 @@
 
 // NewReceiver returns a receiver for a fleet.
 func NewReceiver(f *core.Fleet) *Receiver {
-	return &Receiver{fleet: f, onStream: func() {}, boxes: map[string]*order{}}
+	return &Receiver{fleet: f, onStream: func() {}, peers: map[string]*order{}}
 }
 
 // OnStream sets the function that is called when a peer opens its stream. It must be called before
@@ -86,7 +86,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := &order{share: map[hollowgrade.Life]uint64{}}
-	t.boxes[first.Box] = o
+	t.peers[first.Box] = o
 	t.takeLocked(first)
 	return o
 }
@@ -95,10 +95,10 @@
 func (t *Receiver) end(box string, o *order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.boxes[box] != o {
+	if t.peers[box] != o {
 		return
 	}
-	delete(t.boxes, box)
+	delete(t.peers, box)
 	t.fleet.DropView(box)
 }
 
@@ -111,7 +111,7 @@
 
 // takeLocked applies a message with the lock held.
 func (t *Receiver) takeLocked(m *wire.LoadView) {
-	o := t.boxes[m.Box]
+	o := t.peers[m.Box]
 	if o == nil {
 		return
 	}
