--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -19,19 +19,19 @@
 	onStream   func()            // called when a peer opens its stream
 
 	mu    sync.Mutex
-	peers map[string]*order // peers that have a stream
+	peers map[string]*sequences // peers that have a stream
 }
 
-// order tracks the messages of one instance of a peer: one that arrives late must not undo later
+// sequences tracks the messages of one instance of a peer: one that arrives late must not undo later
 // ones.
-type order struct {
+type sequences struct {
 	last  uint64                      // the highest sequence number received
 	share map[hollowgrade.Life]uint64 // the same for each upstream
 }
 
 // NewReceiver returns a receiver for a fleet.
 func NewReceiver(f *core.Fleet) *Receiver {
-	return &Receiver{fleet: f, onStream: func() {}, peers: map[string]*order{}}
+	return &Receiver{fleet: f, onStream: func() {}, peers: map[string]*sequences{}}
 }
 
 // OnStream sets the function that is called when a peer opens its stream. It must be called before
@@ -82,17 +82,17 @@
 
 // begin applies the first message of a stream. The lock is held throughout: if a packet overtook
 // this message, the peer would long not count as one whose whole view is known.
-func (t *Receiver) begin(first *wire.LoadView) *order {
+func (t *Receiver) begin(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := &order{share: map[hollowgrade.Life]uint64{}}
+	o := &sequences{share: map[hollowgrade.Life]uint64{}}
 	t.peers[first.Box] = o
 	t.takeLocked(first)
 	return o
 }
 
 // end drops a peer's view, unless it has a newer stream.
-func (t *Receiver) end(box string, o *order) {
+func (t *Receiver) end(box string, o *sequences) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.peers[box] != o {
