--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -25,8 +25,8 @@
 // sequences tracks the messages of one instance of a peer: one that arrives late must not undo later
 // ones.
 type sequences struct {
-	last  uint64                      // the highest sequence number received
-	share map[hollowgrade.Life]uint64 // the same for each upstream
+	last       uint64                      // the highest sequence number received
+	byUpstream map[hollowgrade.Life]uint64 // the same for each upstream
 }
 
 // NewReceiver returns a receiver for a fleet.
@@ -85,7 +85,7 @@
 func (t *Receiver) begin(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := &sequences{share: map[hollowgrade.Life]uint64{}}
+	o := &sequences{byUpstream: map[hollowgrade.Life]uint64{}}
 	t.peers[first.Box] = o
 	t.takeLocked(first)
 	return o
@@ -117,11 +117,11 @@
 	}
 	ss := shares(m)
 	for id := range ss {
-		if m.Sequence < o.share[id] {
+		if m.Sequence < o.byUpstream[id] {
 			delete(ss, id)
 			continue
 		}
-		o.share[id] = m.Sequence
+		o.byUpstream[id] = m.Sequence
 	}
 	// A whole view that was overtaken lacks what came since.
 	whole := m.Whole && m.Sequence >= o.last
