--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -46,9 +46,9 @@
 	t.quarantine = q
 }
 
-// suspicions applies a peer's update on lost requests. It needs no stream and no order, since each
+// receiveSuspicions applies a peer's update on lost requests. It needs no stream and no order, since each
 // entry has its time.
-func (t *Receiver) suspicions(m *wire.LoadView) {
+func (t *Receiver) receiveSuspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.quarantine != nil {
 		t.quarantine.Receive(m.Box, decodeWord(m.Suspicions, t.quarantine.Now()))
 	}
@@ -59,7 +59,7 @@
 func (t *Receiver) Stream(s *peer.Stream, first *wire.LoadView) error {
 	o := t.begin(first)
 	defer t.end(first.Box, o)
-	t.suspicions(first)
+	t.receiveSuspicions(first)
 	t.onStream()
 	for {
 		n, err := s.Receive()
@@ -103,7 +103,7 @@
 }
 
 func (t *Receiver) take(m *wire.LoadView) {
-	t.suspicions(m)
+	t.receiveSuspicions(m)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.takeLocked(m)
