--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -57,7 +57,7 @@
 // Stream applies a peer's messages until its stream ends, and drops its view then. It is part of a
 // [peer.Handler].
 func (t *Receiver) Stream(s *peer.Stream, first *wire.LoadView) error {
-	o := t.begin(first)
+	o := t.openStream(first)
 	defer t.end(first.Box, o)
 	t.receiveSuspicions(first)
 	t.onStream()
@@ -80,9 +80,9 @@
 	t.take(m)
 }
 
-// begin applies the first message of a stream. The lock is held throughout: if a packet overtook
+// openStream applies the first message of a stream. The lock is held throughout: if a packet overtook
 // this message, the peer would long not count as one whose whole view is known.
-func (t *Receiver) begin(first *wire.LoadView) *sequences {
+func (t *Receiver) openStream(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := &sequences{byUpstream: map[hollowgrade.Life]uint64{}}
