--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -58,7 +58,7 @@
 // [peer.Handler].
 func (t *Receiver) Stream(s *peer.Stream, first *wire.LoadView) error {
 	o := t.openStream(first)
-	defer t.end(first.Box, o)
+	defer t.closeStream(first.Box, o)
 	t.receiveSuspicions(first)
 	t.onStream()
 	for {
@@ -91,8 +91,8 @@
 	return o
 }
 
-// end drops a peer's view, unless it has a newer stream.
-func (t *Receiver) end(box string, o *sequences) {
+// closeStream drops a peer's view, unless it has a newer stream.
+func (t *Receiver) closeStream(box string, o *sequences) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.peers[box] != o {
