--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -70,14 +70,14 @@
 		if m == nil || m.Box != first.Box {
 			return fmt.Errorf("%w: a load of %s was due", peer.ErrBroken, first.Box)
 		}
-		t.take(m)
+		t.receive(m)
 	}
 }
 
 // Packet applies a peer's message from a packet. The load in it is ignored while the peer has no
 // stream: nothing would show when it ends.
 func (t *Receiver) Packet(m *wire.LoadView) {
-	t.take(m)
+	t.receive(m)
 }
 
 // openStream applies the first message of a stream. The lock is held throughout: if a packet overtook
@@ -102,7 +102,7 @@
 	t.fleet.DropView(box)
 }
 
-func (t *Receiver) take(m *wire.LoadView) {
+func (t *Receiver) receive(m *wire.LoadView) {
 	t.receiveSuspicions(m)
 	t.mu.Lock()
 	defer t.mu.Unlock()
