--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -87,7 +87,7 @@
 	defer t.mu.Unlock()
 	o := &sequences{byUpstream: map[hollowgrade.Life]uint64{}}
 	t.peers[first.Box] = o
-	t.takeLocked(first)
+	t.receiveLocked(first)
 	return o
 }
 
@@ -106,11 +106,11 @@
 	t.receiveSuspicions(m)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeLocked(m)
+	t.receiveLocked(m)
 }
 
-// takeLocked applies a message with the lock held.
-func (t *Receiver) takeLocked(m *wire.LoadView) {
+// receiveLocked applies a message with the lock held.
+func (t *Receiver) receiveLocked(m *wire.LoadView) {
 	o := t.peers[m.Box]
 	if o == nil {
 		return
