--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -132,13 +132,13 @@
 	}
 	for _, c := range m.Shares {
 		if _, ok := ss[hollowgrade.Life(c.Upstream)]; ok {
-			t.takeWord(m.Box, c)
+			t.receiveUpstream(m.Box, c)
 		}
 	}
 }
 
-// takeWord applies what a peer reports of an upstream itself.
-func (t *Receiver) takeWord(box string, c *wire.LoadShare) {
+// receiveUpstream applies what a peer reports of an upstream itself.
+func (t *Receiver) receiveUpstream(box string, c *wire.LoadShare) {
 	if c.AvoidMillis > 0 {
 		t.fleet.TakeBlame(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
 	}
