--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -57,9 +57,9 @@
 	clock hollowgrade.Clock
 	log   *log.Logger
 
-	words    *quarantine.Table // nil if no updates on lost requests are sent
-	packets  *peer.Packets     // nil if all goes on streams
-	sequence atomic.Uint64     // of the last message
+	quarantine *quarantine.Table // nil if no updates on lost requests are sent
+	packets    *peer.Packets     // nil if all goes on streams
+	sequence   atomic.Uint64     // of the last message
 
 	mu    sync.Mutex
 	links map[string]*link
@@ -104,7 +104,7 @@
 
 // WithQuarantine sends updates on lost requests to peers.
 func WithQuarantine(t *quarantine.Table) Option {
-	return func(s *Sender) { s.words = t }
+	return func(s *Sender) { s.quarantine = t }
 }
 
 // New returns a sender. Box names one instance of the gateway. Peers returns the addresses of the
@@ -144,17 +144,17 @@
 			s.change(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
 		case <-s.suspicions():
-			s.tellWord(s.words.NextUpdate())
+			s.tellWord(s.quarantine.NextUpdate())
 		}
 	}
 }
 
 // suspicions returns a channel that receives a value when an update on lost requests is pending.
 func (s *Sender) suspicions() <-chan struct{} {
-	if s.words == nil {
+	if s.quarantine == nil {
 		return nil
 	}
-	return s.words.Changed()
+	return s.quarantine.Changed()
 }
 
 // heartbeat makes each link send what has changed, or the whole view if the last one was too long
@@ -289,8 +289,8 @@
 	defer s.mu.Unlock()
 	l.pending, l.whole, l.first = cs, true, true
 	l.word, l.begun = quarantine.Update{}, true
-	if s.words != nil {
-		l.word = s.words.Snapshot()
+	if s.quarantine != nil {
+		l.word = s.quarantine.Snapshot()
 	}
 }
 
