--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -367,7 +367,7 @@
 // keep connects to a peer, and again when the connection breaks.
 func (s *Sender) keep(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
-		if err := s.tell(ctx, address, l); err != nil && ctx.Err() == nil {
+		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
 		}
 		s.rest(ctx, l)
@@ -396,7 +396,7 @@
 	}
 }
 
-func (s *Sender) tell(ctx context.Context, address string, l *link) (err error) {
+func (s *Sender) runStream(ctx context.Context, address string, l *link) (err error) {
 	defer errs.Annotate(&err, "tell peer %s of the load", address)
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
