--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -198,7 +198,7 @@
 		c, cancel := context.WithCancel(ctx)
 		l := &link{packets: s.packetAddress(a), wake: make(chan struct{}, 1), cancel: cancel, pending: map[hollowgrade.Life]core.Share{}}
 		s.links[a] = l
-		g.Go(func() { s.keep(c, a, l) })
+		g.Go(func() { s.keepConnected(c, a, l) })
 	}
 	for a, l := range s.links {
 		if !there[a] {
@@ -364,8 +364,8 @@
 	return m
 }
 
-// keep connects to a peer, and again when the connection breaks.
-func (s *Sender) keep(ctx context.Context, address string, l *link) {
+// keepConnected connects to a peer, and again when the connection breaks.
+func (s *Sender) keepConnected(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
 		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
