--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -370,12 +370,12 @@
 		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
 		}
-		s.rest(ctx, l)
+		s.waitRedial(ctx, l)
 	}
 }
 
-// rest waits before the next attempt to connect, until [Sender.Redial] at most.
-func (s *Sender) rest(ctx context.Context, l *link) {
+// waitRedial waits before the next attempt to connect, until [Sender.Redial] at most.
+func (s *Sender) waitRedial(ctx context.Context, l *link) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.mu.Lock()
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -232,13 +232,13 @@
 		s.links["b"] = l
 		begin := time.Now()
 		var g sync.WaitGroup
-		g.Go(func() { s.rest(context.Background(), l) })
+		g.Go(func() { s.waitRedial(context.Background(), l) })
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
 		require.Zero(t, time.Since(begin))
 		l.up = true
-		g.Go(func() { s.rest(context.Background(), l) })
+		g.Go(func() { s.waitRedial(context.Background(), l) })
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
