--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -282,8 +282,8 @@
 	return to
 }
 
-// begin makes a link that has just connected send the whole view.
-func (s *Sender) begin(l *link) {
+// startLink makes a link that has just connected send the whole view.
+func (s *Sender) startLink(l *link) {
 	cs := s.fleet.Shares()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -407,7 +407,7 @@
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	s.begin(l)
+	s.startLink(l)
 	defer s.end(l)
 	t, err := c.Open(s.take(l))
 	if err != nil {
