--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -294,8 +294,8 @@
 	}
 }
 
-// end records that a link is down.
-func (s *Sender) end(l *link) {
+// stopLink records that a link is down.
+func (s *Sender) stopLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.word, l.begun = quarantine.Update{}, false
@@ -408,7 +408,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	s.startLink(l)
-	defer s.end(l)
+	defer s.stopLink(l)
 	t, err := c.Open(s.take(l))
 	if err != nil {
 		return err
