--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -307,8 +307,8 @@
 	l.up = up
 }
 
-// take returns what is pending for a link as a frame, and clears it.
-func (s *Sender) take(l *link) *wire.Frame {
+// nextFrame returns what is pending for a link as a frame, and clears it.
+func (s *Sender) nextFrame(l *link) *wire.Frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.view(l.pending, l.whole)
@@ -409,7 +409,7 @@
 	defer stop()
 	s.startLink(l)
 	defer s.stopLink(l)
-	t, err := c.Open(s.take(l))
+	t, err := c.Open(s.nextFrame(l))
 	if err != nil {
 		return err
 	}
@@ -423,7 +423,7 @@
 			return fmt.Errorf("connection closed")
 		case <-l.wake:
 		}
-		if err = t.Send(s.take(l)); err != nil {
+		if err = t.Send(s.nextFrame(l)); err != nil {
 			return err
 		}
 	}
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -268,7 +268,7 @@
 		time.Sleep(core.Heartbeat(peers))
 		said = s.heartbeat(said)
 		for _, l := range s.links {
-			bytes += proto.Size(s.take(l))
+			bytes += proto.Size(s.nextFrame(l))
 		}
 	}
 	return float64(bytes) / span.Seconds()
