--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -141,7 +141,7 @@
 			said = s.heartbeat(said)
 			t.Reset(core.Heartbeat(s.size()))
 		case <-s.fleet.Changed():
-			s.change(s.fleet.Changes(false))
+			s.sendChanges(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
 		case <-s.suspicions():
 			s.tellWord(s.quarantine.NextUpdate())
@@ -217,9 +217,9 @@
 	return p
 }
 
-// change sends changes at once, in packets to the peers that have a stream, and again with the next
+// sendChanges sends changes at once, in packets to the peers that have a stream, and again with the next
 // heartbeat. Without packets they go on streams.
-func (s *Sender) change(cs map[hollowgrade.Life]core.Share) {
+func (s *Sender) sendChanges(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
 		s.spread(cs, false)
 		return
