--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -161,7 +161,7 @@
 // ago. It returns the time of the last whole view.
 func (s *Sender) heartbeat(said time.Time) time.Time {
 	whole := s.clock.Since(said) >= wholeEvery
-	s.spread(s.fleet.Changes(whole), whole)
+	s.sendOnStreams(s.fleet.Changes(whole), whole)
 	if whole {
 		return s.clock.Now()
 	}
@@ -221,7 +221,7 @@
 // heartbeat. Without packets they go on streams.
 func (s *Sender) sendChanges(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
-		s.spread(cs, false)
+		s.sendOnStreams(cs, false)
 		return
 	}
 	to := s.note(cs, false)
@@ -251,8 +251,8 @@
 	return fs
 }
 
-// spread makes each link send shares on its stream.
-func (s *Sender) spread(cs map[hollowgrade.Life]core.Share, whole bool) {
+// sendOnStreams makes each link send shares on its stream.
+func (s *Sender) sendOnStreams(cs map[hollowgrade.Life]core.Share, whole bool) {
 	s.note(cs, whole)
 	s.mu.Lock()
 	defer s.mu.Unlock()
