--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -224,7 +224,7 @@
 		s.sendOnStreams(cs, false)
 		return
 	}
-	to := s.note(cs, false)
+	to := s.addShares(cs, false)
 	if len(to) == 0 || len(cs) == 0 {
 		return
 	}
@@ -253,7 +253,7 @@
 
 // sendOnStreams makes each link send shares on its stream.
 func (s *Sender) sendOnStreams(cs map[hollowgrade.Life]core.Share, whole bool) {
-	s.note(cs, whole)
+	s.addShares(cs, whole)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -264,9 +264,9 @@
 	}
 }
 
-// note adds shares to what each link has to send, and returns the packet addresses of the peers
+// addShares adds shares to what each link has to send, and returns the packet addresses of the peers
 // that are connected.
-func (s *Sender) note(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
+func (s *Sender) addShares(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
