--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -46,7 +46,7 @@
 
 // tellWord sends an update to all peers, in packets at once and with the next heartbeat.
 func (s *Sender) tellWord(w quarantine.Update) {
-	to := s.noteWord(w)
+	to := s.addUpdate(w)
 	if s.packets == nil || len(to) == 0 {
 		return
 	}
@@ -58,9 +58,9 @@
 	}
 }
 
-// noteWord adds an update to what each started link has to send, and returns the packet addresses
+// addUpdate adds an update to what each started link has to send, and returns the packet addresses
 // of these. A link that starts later sends the blocks in force then.
-func (s *Sender) noteWord(w quarantine.Update) (to []netip.AddrPort) {
+func (s *Sender) addUpdate(w quarantine.Update) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
