--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -144,7 +144,7 @@
 			s.sendChanges(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
 		case <-s.suspicions():
-			s.tellWord(s.quarantine.NextUpdate())
+			s.sendUpdate(s.quarantine.NextUpdate())
 		}
 	}
 }
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -44,8 +44,8 @@
 	return l[max(len(l)-n, 0):]
 }
 
-// tellWord sends an update to all peers, in packets at once and with the next heartbeat.
-func (s *Sender) tellWord(w quarantine.Update) {
+// sendUpdate sends an update to all peers, in packets at once and with the next heartbeat.
+func (s *Sender) sendUpdate(w quarantine.Update) {
 	to := s.addUpdate(w)
 	if s.packets == nil || len(to) == 0 {
 		return
