--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -132,7 +132,7 @@
 	t := s.clock.NewTimer(core.Heartbeat(0))
 	defer t.Stop()
 	s.sync(ctx, &g)
-	g.Go(func() { s.meet(ctx, &g) })
+	g.Go(func() { s.findPeers(ctx, &g) })
 	for said := s.clock.Now(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
@@ -175,8 +175,8 @@
 	return len(s.links)
 }
 
-// meet looks for peers often for a while after the start.
-func (s *Sender) meet(ctx context.Context, g *sync.WaitGroup) {
+// findPeers looks for peers often for a while after the start.
+func (s *Sender) findPeers(ctx context.Context, g *sync.WaitGroup) {
 	for range startSyncs {
 		if !hollowgrade.Sleep(ctx, s.clock, pause) {
 			return
