--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -131,13 +131,13 @@
 	defer g.Wait()
 	t := s.clock.NewTimer(core.Heartbeat(0))
 	defer t.Stop()
-	s.sync(ctx, &g)
+	s.syncLinks(ctx, &g)
 	g.Go(func() { s.findPeers(ctx, &g) })
 	for said := s.clock.Now(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
 		case <-t.Chan():
-			s.sync(ctx, &g)
+			s.syncLinks(ctx, &g)
 			said = s.heartbeat(said)
 			t.Reset(core.Heartbeat(s.size()))
 		case <-s.fleet.Changed():
@@ -181,12 +181,12 @@
 		if !hollowgrade.Sleep(ctx, s.clock, pause) {
 			return
 		}
-		s.sync(ctx, g)
+		s.syncLinks(ctx, g)
 	}
 }
 
-// sync opens and closes links so that there is one for each peer.
-func (s *Sender) sync(ctx context.Context, g *sync.WaitGroup) {
+// syncLinks opens and closes links so that there is one for each peer.
+func (s *Sender) syncLinks(ctx context.Context, g *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	there := map[string]bool{}
