--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -189,9 +189,9 @@
 func (s *Sender) syncLinks(ctx context.Context, g *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for _, a := range s.peers() {
-		there[a] = true
+		listed[a] = true
 		if s.links[a] != nil {
 			continue
 		}
@@ -201,7 +201,7 @@
 		g.Go(func() { s.keepConnected(c, a, l) })
 	}
 	for a, l := range s.links {
-		if !there[a] {
+		if !listed[a] {
 			l.cancel()
 			delete(s.links, a)
 		}
