--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -139,7 +139,7 @@
 		case <-t.Chan():
 			s.syncLinks(ctx, &g)
 			said = s.heartbeat(said)
-			t.Reset(core.Heartbeat(s.size()))
+			t.Reset(core.Heartbeat(s.peerCount()))
 		case <-s.fleet.Changed():
 			s.sendChanges(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
@@ -168,8 +168,8 @@
 	return said
 }
 
-// size returns the number of peers.
-func (s *Sender) size() int {
+// peerCount returns the number of peers.
+func (s *Sender) peerCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.links)
