--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -143,14 +143,14 @@
 		case <-s.fleet.Changed():
 			s.sendChanges(s.fleet.Changes(false))
 			hollowgrade.Sleep(ctx, s.clock, pause)
-		case <-s.suspicions():
+		case <-s.updatePending():
 			s.sendUpdate(s.quarantine.NextUpdate())
 		}
 	}
 }
 
-// suspicions returns a channel that receives a value when an update on lost requests is pending.
-func (s *Sender) suspicions() <-chan struct{} {
+// updatePending returns a channel that receives a value when an update on lost requests is pending.
+func (s *Sender) updatePending() <-chan struct{} {
 	if s.quarantine == nil {
 		return nil
 	}
