--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -301,7 +301,7 @@
 	l.word, l.begun = quarantine.Update{}, false
 }
 
-func (s *Sender) setUp(l *link, up bool) {
+func (s *Sender) setConnected(l *link, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.up = up
@@ -413,8 +413,8 @@
 	if err != nil {
 		return err
 	}
-	s.setUp(l, true)
-	defer s.setUp(l, false)
+	s.setConnected(l, true)
+	defer s.setConnected(l, false)
 	for {
 		select {
 		case <-ctx.Done():
