--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -67,16 +67,16 @@
 
 // link is the connection to one peer.
 type link struct {
-	pending map[hollowgrade.Life]core.Share
-	whole   bool // whether pending is the whole view
-	first   bool // whether nothing has been sent on the stream yet
-	packets netip.AddrPort
-	word    quarantine.Update
-	begun   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
-	up      bool // whether the peer has a stream, without which it ignores packets
-	wake    chan struct{}
-	cancel  context.CancelFunc
-	redial  context.CancelFunc // ends the pause before the next attempt to connect
+	pending   map[hollowgrade.Life]core.Share
+	whole     bool // whether pending is the whole view
+	first     bool // whether nothing has been sent on the stream yet
+	packets   netip.AddrPort
+	word      quarantine.Update
+	begun     bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
+	connected bool // whether the peer has a stream, without which it ignores packets
+	wake      chan struct{}
+	cancel    context.CancelFunc
+	redial    context.CancelFunc // ends the pause before the next attempt to connect
 }
 
 // Option configures a sender.
@@ -275,7 +275,7 @@
 			l.whole = true
 		}
 		maps.Copy(l.pending, cs)
-		if l.up && l.packets.IsValid() {
+		if l.connected && l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
 	}
@@ -304,7 +304,7 @@
 func (s *Sender) setConnected(l *link, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.up = up
+	l.connected = up
 }
 
 // nextFrame returns what is pending for a link as a frame, and clears it.
@@ -390,7 +390,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		if !l.up && l.redial != nil {
+		if !l.connected && l.redial != nil {
 			l.redial()
 		}
 	}
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -237,7 +237,7 @@
 		s.Redial()
 		g.Wait()
 		require.Zero(t, time.Since(begin))
-		l.up = true
+		l.connected = true
 		g.Go(func() { s.waitRedial(context.Background(), l) })
 		synctest.Wait()
 		s.Redial()
