--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -72,7 +72,7 @@
 	first     bool // whether nothing has been sent on the stream yet
 	packets   netip.AddrPort
 	word      quarantine.Update
-	begun     bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
+	started   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
 	connected bool // whether the peer has a stream, without which it ignores packets
 	wake      chan struct{}
 	cancel    context.CancelFunc
@@ -288,7 +288,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.pending, l.whole, l.first = cs, true, true
-	l.word, l.begun = quarantine.Update{}, true
+	l.word, l.started = quarantine.Update{}, true
 	if s.quarantine != nil {
 		l.word = s.quarantine.Snapshot()
 	}
@@ -298,7 +298,7 @@
 func (s *Sender) stopLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.word, l.begun = quarantine.Update{}, false
+	l.word, l.started = quarantine.Update{}, false
 }
 
 func (s *Sender) setConnected(l *link, up bool) {
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		if !l.begun {
+		if !l.started {
 			continue
 		}
 		l.word = l.word.Plus(w)
