--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -71,7 +71,7 @@
 	whole     bool // whether pending is the whole view
 	first     bool // whether nothing has been sent on the stream yet
 	packets   netip.AddrPort
-	word      quarantine.Update
+	update    quarantine.Update
 	started   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
 	connected bool // whether the peer has a stream, without which it ignores packets
 	wake      chan struct{}
@@ -288,9 +288,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.pending, l.whole, l.first = cs, true, true
-	l.word, l.started = quarantine.Update{}, true
+	l.update, l.started = quarantine.Update{}, true
 	if s.quarantine != nil {
-		l.word = s.quarantine.Snapshot()
+		l.update = s.quarantine.Snapshot()
 	}
 }
 
@@ -298,7 +298,7 @@
 func (s *Sender) stopLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.word, l.started = quarantine.Update{}, false
+	l.update, l.started = quarantine.Update{}, false
 }
 
 func (s *Sender) setConnected(l *link, up bool) {
@@ -315,8 +315,8 @@
 	if l.first {
 		addReadings(m, s.fleet.Readings())
 	}
-	m.Suspicions = encodeWord(l.word, s.clock.Now())
-	l.word = quarantine.Update{}
+	m.Suspicions = encodeWord(l.update, s.clock.Now())
+	l.update = quarantine.Update{}
 	clear(l.pending)
 	l.whole, l.first = false, false
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -67,11 +67,11 @@
 		if !l.started {
 			continue
 		}
-		l.word = l.word.Plus(w)
-		l.word.Losses = newest(l.word.Losses, mostPending)
-		l.word.Harmless = newest(l.word.Harmless, mostPending)
-		l.word.Trials = newest(l.word.Trials, mostPending)
-		l.word.Blocks = newest(l.word.Blocks, mostPending)
+		l.update = l.update.Plus(w)
+		l.update.Losses = newest(l.update.Losses, mostPending)
+		l.update.Harmless = newest(l.update.Harmless, mostPending)
+		l.update.Trials = newest(l.update.Trials, mostPending)
+		l.update.Blocks = newest(l.update.Blocks, mostPending)
 		if l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
