--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -159,13 +159,13 @@
 
 // heartbeat makes each link send what has changed, or the whole view if the last one was too long
 // ago. It returns the time of the last whole view.
-func (s *Sender) heartbeat(said time.Time) time.Time {
-	whole := s.clock.Since(said) >= wholeEvery
+func (s *Sender) heartbeat(lastWhole time.Time) time.Time {
+	whole := s.clock.Since(lastWhole) >= wholeEvery
 	s.sendOnStreams(s.fleet.Changes(whole), whole)
 	if whole {
 		return s.clock.Now()
 	}
-	return said
+	return lastWhole
 }
 
 // peerCount returns the number of peers.
