--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -133,12 +133,12 @@
 	defer t.Stop()
 	s.syncLinks(ctx, &g)
 	g.Go(func() { s.findPeers(ctx, &g) })
-	for said := s.clock.Now(); ctx.Err() == nil; {
+	for lastWhole := s.clock.Now(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
 		case <-t.Chan():
 			s.syncLinks(ctx, &g)
-			said = s.heartbeat(said)
+			lastWhole = s.heartbeat(lastWhole)
 			t.Reset(core.Heartbeat(s.peerCount()))
 		case <-s.fleet.Changed():
 			s.sendChanges(s.fleet.Changes(false))
