--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -429,7 +429,7 @@
 	}
 }
 
-func shares(m *wire.LoadView) map[hollowgrade.Life]core.Share {
+func decodeShares(m *wire.LoadView) map[hollowgrade.Life]core.Share {
 	ss := make(map[hollowgrade.Life]core.Share, len(m.Shares))
 	for _, c := range m.Shares {
 		ss[hollowgrade.Life(c.Upstream)] = core.Share{
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -115,7 +115,7 @@
 	if o == nil {
 		return
 	}
-	ss := shares(m)
+	ss := decodeShares(m)
 	for id := range ss {
 		if m.Sequence < o.byUpstream[id] {
 			delete(ss, id)
