--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -313,7 +313,7 @@
 	defer s.mu.Unlock()
 	m := s.view(l.pending, l.whole)
 	if l.first {
-		addReadings(m, s.fleet.Readings())
+		addPrefillBacklogs(m, s.fleet.Readings())
 	}
 	m.Suspicions = encodeWord(l.update, s.clock.Now())
 	l.update = quarantine.Update{}
@@ -327,8 +327,8 @@
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: s.view(cs, whole)}}
 }
 
-// addReadings adds the prefill backlog of upstreams to a view.
-func addReadings(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
+// addPrefillBacklogs adds the prefill backlog of upstreams to a view.
+func addPrefillBacklogs(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
 	for _, c := range m.Shares {
 		c.ReadingMicros = rs[hollowgrade.Life(c.Upstream)].Microseconds()
 		delete(rs, hollowgrade.Life(c.Upstream))
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -218,7 +218,7 @@
 func TestReadingsOverTheWire(t *testing.T) {
 	rs := map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second}
 	m := &wire.LoadView{Shares: []*wire.LoadShare{{Upstream: "u", Open: 1}, {Upstream: "w"}}}
-	addReadings(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
+	addPrefillBacklogs(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
 	require.Len(t, m.Shares, 3)
 	require.Equal(t, rs, readings(m))
 }
