--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -475,8 +475,8 @@
 	return s
 }
 
-// readings returns the prefill backlogs of upstreams in a peer's view.
-func readings(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
+// decodePrefillBacklogs returns the prefill backlogs of upstreams in a peer's view.
+func decodePrefillBacklogs(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
 	rs := map[hollowgrade.Life]time.Duration{}
 	for _, c := range m.Shares {
 		if c.ReadingMicros > 0 {
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -220,7 +220,7 @@
 	m := &wire.LoadView{Shares: []*wire.LoadShare{{Upstream: "u", Open: 1}, {Upstream: "w"}}}
 	addPrefillBacklogs(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
 	require.Len(t, m.Shares, 3)
-	require.Equal(t, rs, readings(m))
+	require.Equal(t, rs, decodePrefillBacklogs(m))
 }
 
 // A peer that restarts must get the whole view at once, not after the pause between two attempts to
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -127,7 +127,7 @@
 	whole := m.Whole && m.Sequence >= o.last
 	o.last = max(o.last, m.Sequence)
 	t.fleet.TakeView(m.Box, ss, whole)
-	if rs := readings(m); len(rs) > 0 {
+	if rs := decodePrefillBacklogs(m); len(rs) > 0 {
 		t.fleet.TakeReadings(m.Box, rs)
 	}
 	for _, c := range m.Shares {
