--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -20,8 +20,8 @@
 // newest are kept.
 const mostPending = 1024
 
-// packetsOf splits an update into parts that fit into packets.
-func packetsOf(w quarantine.Update) (ps []quarantine.Update) {
+// splitUpdate splits an update into parts that fit into packets.
+func splitUpdate(w quarantine.Update) (ps []quarantine.Update) {
 	for !w.Empty() {
 		var p quarantine.Update
 		p.Losses, w.Losses = cut(w.Losses, wordsOfPacket)
@@ -50,7 +50,7 @@
 	if s.packets == nil || len(to) == 0 {
 		return
 	}
-	for _, p := range packetsOf(w) {
+	for _, p := range splitUpdate(w) {
 		m := &wire.LoadView{Box: s.box, Suspicions: encodeWord(p, s.clock.Now())}
 		if err := s.packets.Send(&wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}, to); err != nil {
 			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -37,7 +37,7 @@
 	})
 	t.Run("fit into packets", func(t *testing.T) {
 		var all quarantine.Update
-		for _, p := range packetsOf(w) {
+		for _, p := range splitUpdate(w) {
 			one := 0
 			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Blocks: p.Blocks}} {
 				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeWord(part, now)}}}
