--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -315,7 +315,7 @@
 	if l.first {
 		addPrefillBacklogs(m, s.fleet.Readings())
 	}
-	m.Suspicions = encodeWord(l.update, s.clock.Now())
+	m.Suspicions = encodeUpdate(l.update, s.clock.Now())
 	l.update = quarantine.Update{}
 	clear(l.pending)
 	l.whole, l.first = false, false
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -51,7 +51,7 @@
 		return
 	}
 	for _, p := range splitUpdate(w) {
-		m := &wire.LoadView{Box: s.box, Suspicions: encodeWord(p, s.clock.Now())}
+		m := &wire.LoadView{Box: s.box, Suspicions: encodeUpdate(p, s.clock.Now())}
 		if err := s.packets.Send(&wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}, to); err != nil {
 			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
 		}
@@ -79,8 +79,8 @@
 	return to
 }
 
-// encodeWord encodes an update. Times are sent as ages, since the clocks of gateways differ.
-func encodeWord(w quarantine.Update, now time.Time) *wire.Suspicions {
+// encodeUpdate encodes an update. Times are sent as ages, since the clocks of gateways differ.
+func encodeUpdate(w quarantine.Update, now time.Time) *wire.Suspicions {
 	if w.Empty() {
 		return nil
 	}
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -33,14 +33,14 @@
 	now := time.Now().Truncate(time.Microsecond)
 	w := someWord(100, now)
 	t.Run("are read as they are told", func(t *testing.T) {
-		require.Equal(t, w, decodeWord(encodeWord(w, now), now))
+		require.Equal(t, w, decodeWord(encodeUpdate(w, now), now))
 	})
 	t.Run("fit into packets", func(t *testing.T) {
 		var all quarantine.Update
 		for _, p := range splitUpdate(w) {
 			one := 0
 			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Blocks: p.Blocks}} {
-				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeWord(part, now)}}}
+				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeUpdate(part, now)}}}
 				require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
 				one += proto.Size(f)
 			}
@@ -49,7 +49,7 @@
 		require.Equal(t, w, all)
 	})
 	t.Run("that are broken are passed over", func(t *testing.T) {
-		m := encodeWord(w, now)
+		m := encodeUpdate(w, now)
 		m.Losses[0].Subject.Fingerprint = []byte("short")
 		m.Answered[0].Fingerprint = nil
 		m.Trials[0].Fingerprint = make([]byte, 17)
@@ -64,7 +64,7 @@
 
 // Any update that decodes must be applied without a panic or a block that lasts too long.
 func FuzzSuspicions(f *testing.F) {
-	b, err := proto.Marshal(encodeWord(someWord(3, time.Now()), time.Now()))
+	b, err := proto.Marshal(encodeUpdate(someWord(3, time.Now()), time.Now()))
 	require.NoError(f, err)
 	f.Add(b)
 	f.Add([]byte{})
@@ -88,9 +88,9 @@
 	now := time.Now()
 	w := someWord(1, now)
 	for b.Loop() {
-		encodeWord(w, now)
+		encodeUpdate(w, now)
 	}
 	for name, p := range map[string]quarantine.Update{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Blocks: w.Blocks}} {
-		b.ReportMetric(float64(proto.Size(encodeWord(p, now))), "B/"+name)
+		b.ReportMetric(float64(proto.Size(encodeUpdate(p, now))), "B/"+name)
 	}
 }
