--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -50,7 +50,7 @@
 // entry has its time.
 func (t *Receiver) receiveSuspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.quarantine != nil {
-		t.quarantine.Receive(m.Box, decodeWord(m.Suspicions, t.quarantine.Now()))
+		t.quarantine.Receive(m.Box, decodeUpdate(m.Suspicions, t.quarantine.Now()))
 	}
 }
 
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -115,9 +115,9 @@
 	return &wire.Subject{Fingerprint: s.Fingerprint[:], Organisation: s.Organisation, Route: s.Route, Service: s.Service}
 }
 
-// decodeWord decodes an update that was received now. Entries without a complete fingerprint are
+// decodeUpdate decodes an update that was received now. Entries without a complete fingerprint are
 // ignored.
-func decodeWord(m *wire.Suspicions, now time.Time) (w quarantine.Update) {
+func decodeUpdate(m *wire.Suspicions, now time.Time) (w quarantine.Update) {
 	at := func(age int64) time.Time { return now.Add(-time.Duration(age) * time.Microsecond) }
 	for _, l := range m.GetLosses() {
 		if s, ok := decodeSubject(l.Subject); ok {
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -33,7 +33,7 @@
 	now := time.Now().Truncate(time.Microsecond)
 	w := someWord(100, now)
 	t.Run("are read as they are told", func(t *testing.T) {
-		require.Equal(t, w, decodeWord(encodeUpdate(w, now), now))
+		require.Equal(t, w, decodeUpdate(encodeUpdate(w, now), now))
 	})
 	t.Run("fit into packets", func(t *testing.T) {
 		var all quarantine.Update
@@ -54,7 +54,7 @@
 		m.Answered[0].Fingerprint = nil
 		m.Trials[0].Fingerprint = make([]byte, 17)
 		m.Holds[0].Subject = nil
-		d := decodeWord(m, now)
+		d := decodeUpdate(m, now)
 		require.Len(t, d.Losses, 99)
 		require.Len(t, d.Harmless, 99)
 		require.Len(t, d.Trials, 99)
@@ -74,7 +74,7 @@
 			return
 		}
 		q := quarantine.New()
-		q.Receive("b", decodeWord(&m, time.Now()))
+		q.Receive("b", decodeUpdate(&m, time.Now()))
 		q.StoreChanges()
 		for _, h := range q.Blocks() {
 			require.LessOrEqual(t, time.Until(h.Until), 11*time.Minute)
