--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -12,8 +12,8 @@
 // Bounds of the entries of each kind in one packet. With names of the usual length a loss takes
 // some 90 bytes and a block 220, and what is sent at a time is mostly of one kind.
 const (
-	wordsOfPacket = 14
-	holdsOfPacket = 5
+	maxEntriesPerPacket = 14
+	holdsOfPacket       = 5
 )
 
 // mostPending bounds the entries of each kind that wait for the next heartbeat to a peer; the
@@ -24,9 +24,9 @@
 func splitUpdate(w quarantine.Update) (ps []quarantine.Update) {
 	for !w.Empty() {
 		var p quarantine.Update
-		p.Losses, w.Losses = cut(w.Losses, wordsOfPacket)
-		p.Harmless, w.Harmless = cut(w.Harmless, wordsOfPacket)
-		p.Trials, w.Trials = cut(w.Trials, wordsOfPacket)
+		p.Losses, w.Losses = cut(w.Losses, maxEntriesPerPacket)
+		p.Harmless, w.Harmless = cut(w.Harmless, maxEntriesPerPacket)
+		p.Trials, w.Trials = cut(w.Trials, maxEntriesPerPacket)
 		p.Blocks, w.Blocks = cut(w.Blocks, holdsOfPacket)
 		ps = append(ps, p)
 	}
