--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -13,7 +13,7 @@
 // some 90 bytes and a block 220, and what is sent at a time is mostly of one kind.
 const (
 	maxEntriesPerPacket = 14
-	holdsOfPacket       = 5
+	maxBlocksPerPacket  = 5
 )
 
 // mostPending bounds the entries of each kind that wait for the next heartbeat to a peer; the
@@ -27,7 +27,7 @@
 		p.Losses, w.Losses = cut(w.Losses, maxEntriesPerPacket)
 		p.Harmless, w.Harmless = cut(w.Harmless, maxEntriesPerPacket)
 		p.Trials, w.Trials = cut(w.Trials, maxEntriesPerPacket)
-		p.Blocks, w.Blocks = cut(w.Blocks, holdsOfPacket)
+		p.Blocks, w.Blocks = cut(w.Blocks, maxBlocksPerPacket)
 		ps = append(ps, p)
 	}
 	return ps
