--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -16,9 +16,9 @@
 	maxBlocksPerPacket  = 5
 )
 
-// mostPending bounds the entries of each kind that wait for the next heartbeat to a peer; the
+// maxPendingEntries bounds the entries of each kind that wait for the next heartbeat to a peer; the
 // newest are kept.
-const mostPending = 1024
+const maxPendingEntries = 1024
 
 // splitUpdate splits an update into parts that fit into packets.
 func splitUpdate(w quarantine.Update) (ps []quarantine.Update) {
@@ -68,10 +68,10 @@
 			continue
 		}
 		l.update = l.update.Plus(w)
-		l.update.Losses = newest(l.update.Losses, mostPending)
-		l.update.Harmless = newest(l.update.Harmless, mostPending)
-		l.update.Trials = newest(l.update.Trials, mostPending)
-		l.update.Blocks = newest(l.update.Blocks, mostPending)
+		l.update.Losses = newest(l.update.Losses, maxPendingEntries)
+		l.update.Harmless = newest(l.update.Harmless, maxPendingEntries)
+		l.update.Trials = newest(l.update.Trials, maxPendingEntries)
+		l.update.Blocks = newest(l.update.Blocks, maxPendingEntries)
 		if l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
