--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -43,9 +43,9 @@
 	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
 	// alone they placed prompts for half a second without views of each other.
 	startSyncs = 40
-	// packetShares bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
+	// maxSharesPerPacket bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
 	// usual length and three pause classes, and a packet holds 1,400 bytes.
-	packetShares = 14
+	maxSharesPerPacket = 14
 )
 
 // Sender sends the load shares of this gateway to its peers.
@@ -237,10 +237,10 @@
 
 // frames returns shares as frames that fit into packets.
 func (s *Sender) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
-	part := make(map[hollowgrade.Life]core.Share, packetShares)
+	part := make(map[hollowgrade.Life]core.Share, maxSharesPerPacket)
 	for id, c := range cs {
 		part[id] = c
-		if len(part) == packetShares {
+		if len(part) == maxSharesPerPacket {
 			fs = append(fs, s.frame(part, false))
 			clear(part)
 		}
