--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	// pause is the least time between two messages to a peer. It bounds the traffic of a busy
+	// minSendInterval is the least time between two messages to a peer. It bounds the traffic of a busy
 	// gateway; a view is out of date by as much.
-	pause = 25 * time.Millisecond
+	minSendInterval = 25 * time.Millisecond
 	// wholeEvery is the time between two whole views, which correct mistakes. A whole view has what
 	// a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of
 	// 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second,
@@ -142,7 +142,7 @@
 			t.Reset(core.Heartbeat(s.peerCount()))
 		case <-s.fleet.Changed():
 			s.sendChanges(s.fleet.Changes(false))
-			hollowgrade.Sleep(ctx, s.clock, pause)
+			hollowgrade.Sleep(ctx, s.clock, minSendInterval)
 		case <-s.updatePending():
 			s.sendUpdate(s.quarantine.NextUpdate())
 		}
@@ -178,7 +178,7 @@
 // findPeers looks for peers often for a while after the start.
 func (s *Sender) findPeers(ctx context.Context, g *sync.WaitGroup) {
 	for range startSyncs {
-		if !hollowgrade.Sleep(ctx, s.clock, pause) {
+		if !hollowgrade.Sleep(ctx, s.clock, minSendInterval) {
 			return
 		}
 		s.syncLinks(ctx, g)
