--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -31,11 +31,11 @@
 	// minSendInterval is the least time between two messages to a peer. It bounds the traffic of a busy
 	// gateway; a view is out of date by as much.
 	minSendInterval = 25 * time.Millisecond
-	// wholeEvery is the time between two whole views, which correct mistakes. A whole view has what
+	// wholeViewInterval is the time between two whole views, which correct mistakes. A whole view has what
 	// a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of
 	// 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second,
 	// with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
-	wholeEvery = 30 * time.Second
+	wholeViewInterval = 30 * time.Second
 	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
 	dialTimeout = 500 * time.Millisecond
 	dialEvery   = time.Second
@@ -160,7 +160,7 @@
 // heartbeat makes each link send what has changed, or the whole view if the last one was too long
 // ago. It returns the time of the last whole view.
 func (s *Sender) heartbeat(lastWhole time.Time) time.Time {
-	whole := s.clock.Since(lastWhole) >= wholeEvery
+	whole := s.clock.Since(lastWhole) >= wholeViewInterval
 	s.sendOnStreams(s.fleet.Changes(whole), whole)
 	if whole {
 		return s.clock.Now()
