--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -37,8 +37,8 @@
 	// with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
 	wholeViewInterval = 30 * time.Second
 	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
-	dialTimeout = 500 * time.Millisecond
-	dialEvery   = time.Second
+	dialTimeout    = 500 * time.Millisecond
+	redialInterval = time.Second
 	// startSyncs is the number of times that peers are looked up after the start, a pause apart:
 	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
 	// alone they placed prompts for half a second without views of each other.
@@ -381,7 +381,7 @@
 	s.mu.Lock()
 	l.redial = cancel
 	s.mu.Unlock()
-	hollowgrade.Sleep(ctx, s.clock, dialEvery)
+	hollowgrade.Sleep(ctx, s.clock, redialInterval)
 }
 
 // Redial makes links that are down connect at once. A peer whose stream has just begun has just
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -242,7 +242,7 @@
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
-		require.Equal(t, dialEvery, time.Since(begin), "a link that is up is left alone")
+		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is left alone")
 	})
 }
 
