--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -39,10 +39,10 @@
 	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
 	dialTimeout    = 500 * time.Millisecond
 	redialInterval = time.Second
-	// startSyncs is the number of times that peers are looked up after the start, a pause apart:
+	// startupSyncs is the number of times that peers are looked up after the start, a pause apart:
 	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
 	// alone they placed prompts for half a second without views of each other.
-	startSyncs = 40
+	startupSyncs = 40
 	// maxSharesPerPacket bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
 	// usual length and three pause classes, and a packet holds 1,400 bytes.
 	maxSharesPerPacket = 14
@@ -177,7 +177,7 @@
 
 // findPeers looks for peers often for a while after the start.
 func (s *Sender) findPeers(ctx context.Context, g *sync.WaitGroup) {
-	for range startSyncs {
+	for range startupSyncs {
 		if !hollowgrade.Sleep(ctx, s.clock, minSendInterval) {
 			return
 		}
