--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,7 +179,7 @@
 
 // sample records a request in both forms.
 func (n *Node) sample(s measure.Sample) {
-	s.Kind = n.recorder.Bound(s.Kind)
+	s.Kind = n.recorder.BoundedKind(s.Kind)
 	n.recorder.Add(s)
 	n.metrics.Add(s)
 }
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -78,7 +78,7 @@
 func TestKindsAreBounded(t *testing.T) {
 	r := recorder("a")
 	for i := range maxKinds {
-		require.NotEqual(t, otherName, r.Bound(string(rune('a'+i))))
+		require.NotEqual(t, otherName, r.BoundedKind(string(rune('a'+i))))
 	}
-	require.Equal(t, otherName, r.Bound("one too many"))
+	require.Equal(t, otherName, r.BoundedKind("one too many"))
 }
--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// Bound returns the kind, or "other" once there are too many: callers choose kinds, and each is a
+// BoundedKind returns the kind, or "other" once there are too many: callers choose kinds, and each is a
 // series of its own.
-func (r *Recorder) Bound(kind string) string {
+func (r *Recorder) BoundedKind(kind string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.kinds[kind] && len(r.kinds) >= maxKinds {
