--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -152,7 +152,7 @@
 
 func objectives() []item {
 	short := config.Objective{
-		Name: "short-first-token", MaxPrompt: measure.ShortTokens,
+		Name: "short-first-token", MaxPrompt: measure.MaxShortPromptTokens,
 		FirstToken: config.Duration(420 * time.Millisecond), Share: 0.95,
 	}
 	finish := config.Objective{Name: "finished", Share: 0.99}
--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -232,7 +232,7 @@
 	return ds
 }
 
-func isShort(o outcome) bool { return o.size <= measure.ShortTokens }
+func isShort(o outcome) bool { return o.size <= measure.MaxShortPromptTokens }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -37,8 +37,8 @@
 	return append(slices.Clone(bucketNames), "over")
 }
 
-// ShortTokens is the longest prompt that counts as short.
-const ShortTokens = 4_400
+// MaxShortPromptTokens is the longest prompt that counts as short.
+const MaxShortPromptTokens = 4_400
 
 // Sample is one request that has ended.
 type Sample struct {
@@ -159,7 +159,7 @@
 		record(v.took, s.Took.Microseconds())
 		record(r.organisation(s.Organisation), s.FirstToken.Microseconds())
 	}
-	if s.Ideal > 0 && s.FirstToken > 0 && s.PromptTokens <= ShortTokens {
+	if s.Ideal > 0 && s.FirstToken > 0 && s.PromptTokens <= MaxShortPromptTokens {
 		record(r.slowdown, int64(100*s.FirstToken/s.Ideal))
 	}
 	for n, o := range r.objectives {
