--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -200,12 +200,12 @@
 	if o.FirstToken > 0 && s.PromptTokens == 0 {
 		return false // a call to a plain service has no first token
 	}
-	return (o.Kind == "" || o.Kind == s.Kind) && (o.MaxPrompt == 0 || s.PromptTokens <= o.MaxPrompt) && !callersFault(s)
+	return (o.Kind == "" || o.Kind == s.Kind) && (o.MaxPrompt == 0 || s.PromptTokens <= o.MaxPrompt) && !isCallerFault(s)
 }
 
-// callersFault reports whether the caller was at fault, so that no service could have answered the
+// isCallerFault reports whether the caller was at fault, so that no service could have answered the
 // request.
-func callersFault(s Sample) bool {
+func isCallerFault(s Sample) bool {
 	return strings.HasPrefix(s.Code, "HG1")
 }
 
