--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -163,7 +163,7 @@
 		record(r.slowdown, int64(100*s.FirstToken/s.Ideal))
 	}
 	for n, o := range r.objectives {
-		if concerns(o, s) {
+		if appliesTo(o, s) {
 			r.count(n, meets(o, s))
 		}
 	}
@@ -196,7 +196,7 @@
 	return h
 }
 
-func concerns(o config.Objective, s Sample) bool {
+func appliesTo(o config.Objective, s Sample) bool {
 	if o.FirstToken > 0 && s.PromptTokens == 0 {
 		return false // a call to a plain service has no first token
 	}
