--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -63,10 +63,10 @@
 )
 
 const (
-	maxKinds         = 32   // further ones are counted as "other"
-	maxOrganisations = 1024 // further ones are counted as "other"
-	otherName        = "other"
-	burnMinutes      = 6 * 60
+	maxKinds           = 32   // further ones are counted as "other"
+	maxOrganisations   = 1024 // further ones are counted as "other"
+	otherName          = "other"
+	burnHistoryMinutes = 6 * 60
 )
 
 // Recorder keeps histograms of the requests of one box since its start. It is
@@ -218,7 +218,7 @@
 	ms := r.burn[objective]
 	if len(ms) == 0 || ms[len(ms)-1].At != at {
 		ms = append(ms, Minute{At: at})
-		ms = ms[max(len(ms)-burnMinutes, 0):]
+		ms = ms[max(len(ms)-burnHistoryMinutes, 0):]
 	}
 	if good {
 		ms[len(ms)-1].Good++
--- a/measure/report.go
+++ b/measure/report.go
@@ -210,7 +210,7 @@
 
 func burnRow(o ObjectiveSnapshot, now time.Time) BurnRow {
 	b := BurnRow{Objective: o.Objective}
-	b.Good, b.Bad = within(o.Minutes, now, burnMinutes*time.Minute)
+	b.Good, b.Bad = within(o.Minutes, now, burnHistoryMinutes*time.Minute)
 	allowed := (1 - o.Objective.Share) * float64(b.Good+b.Bad)
 	if allowed > 0 {
 		b.Budget = 1 - float64(b.Bad)/allowed
