--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -82,7 +82,7 @@
 	slowdown      *hdrhistogram.Histogram
 	organisations map[string]*hdrhistogram.Histogram
 	objectives    map[string]config.Objective
-	burn          map[string][]Minute
+	minutes       map[string][]Minute
 	attempts      int64
 	requests      int64
 	kinds         map[string]bool
@@ -118,7 +118,7 @@
 		outcomes:      map[outcomeKey]int64{},
 		slowdown:      histogram(),
 		organisations: map[string]*hdrhistogram.Histogram{},
-		burn:          map[string][]Minute{},
+		minutes:       map[string][]Minute{},
 		kinds:         map[string]bool{},
 	}
 }
@@ -215,7 +215,7 @@
 
 func (r *Recorder) count(objective string, good bool) {
 	at := r.clock.Now().Unix() / 60
-	ms := r.burn[objective]
+	ms := r.minutes[objective]
 	if len(ms) == 0 || ms[len(ms)-1].At != at {
 		ms = append(ms, Minute{At: at})
 		ms = ms[max(len(ms)-burnHistoryMinutes, 0):]
@@ -225,7 +225,7 @@
 	} else {
 		ms[len(ms)-1].Bad++
 	}
-	r.burn[objective] = ms
+	r.minutes[objective] = ms
 }
 
 // Snapshot is what one box has recorded. Its histograms can be merged with those of others.
@@ -294,7 +294,7 @@
 		s.Organisations = append(s.Organisations, OrganisationDelay{Name: n, First: encode(h)})
 	}
 	for n, o := range r.objectives {
-		s.Objectives = append(s.Objectives, ObjectiveSnapshot{Objective: o, Minutes: slices.Clone(r.burn[n])})
+		s.Objectives = append(s.Objectives, ObjectiveSnapshot{Objective: o, Minutes: slices.Clone(r.minutes[n])})
 	}
 	return s
 }
