--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -57,9 +57,9 @@
 // The range of the histograms. Times are in microseconds, slowdowns in
 // hundredths.
 const (
-	lowest  = 1
-	highest = 3_600_000_000
-	digits  = 2
+	lowest            = 1
+	highest           = 3_600_000_000
+	significantDigits = 2
 )
 
 const (
@@ -136,7 +136,7 @@
 }
 
 func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowest, highest, digits)
+	return hdrhistogram.New(lowest, highest, significantDigits)
 }
 
 // SetObjectives sets the objectives that requests are compared with.
