--- a/measure/report.go
+++ b/measure/report.go
@@ -76,8 +76,8 @@
 // that it lasts.
 var burnWindows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// worstRows is the number of organisations that a report names.
-const worstRows = 5
+// maxWorstOrganisations is the number of organisations that a report names.
+const maxWorstOrganisations = 5
 
 // Merge makes a report from snapshots.
 func Merge(ss []Snapshot) (r Report, err error) {
@@ -201,7 +201,7 @@
 	slices.SortFunc(r.Organisations, func(a, b OrganisationRow) int {
 		return cmp.Or(cmp.Compare(b.P95, a.P95), cmp.Compare(a.Name, b.Name))
 	})
-	r.Organisations = r.Organisations[:min(worstRows, len(r.Organisations))]
+	r.Organisations = r.Organisations[:min(maxWorstOrganisations, len(r.Organisations))]
 	for _, o := range burn {
 		r.Objectives = append(r.Objectives, burnRow(*o, r.Until))
 	}
