--- a/measure/report.go
+++ b/measure/report.go
@@ -88,7 +88,7 @@
 	burn := map[string]*ObjectiveSnapshot{}
 	var attempts int64
 	for _, s := range ss {
-		r.span(s)
+		r.addSpan(s)
 		r.Requests += s.Requests
 		attempts += s.Attempts
 		for _, o := range s.Outcomes {
@@ -113,7 +113,7 @@
 	return r, nil
 }
 
-func (r *Report) span(s Snapshot) {
+func (r *Report) addSpan(s Snapshot) {
 	r.Boxes++
 	if r.Since.IsZero() || s.Began.Before(r.Since) {
 		r.Since = s.Began
