--- a/measure/report.go
+++ b/measure/report.go
@@ -109,7 +109,7 @@
 		r.Attempts = float64(attempts) / float64(r.Requests)
 	}
 	r.Slowdown = quantiles(slow, 100)
-	r.rows(outcomes, orgs, burn)
+	r.addRows(outcomes, orgs, burn)
 	return r, nil
 }
 
@@ -183,7 +183,7 @@
 	}
 }
 
-func (r *Report) rows(outcomes map[outcomeKey]int64, orgs map[string]*hdrhistogram.Histogram, burn map[string]*ObjectiveSnapshot) {
+func (r *Report) addRows(outcomes map[outcomeKey]int64, orgs map[string]*hdrhistogram.Histogram, burn map[string]*ObjectiveSnapshot) {
 	for k, n := range outcomes {
 		r.Outcomes = append(r.Outcomes, OutcomeCount{Kind: k.kind, Outcome: k.outcome, Code: k.code, Count: n})
 	}
