--- a/measure/report.go
+++ b/measure/report.go
@@ -210,19 +210,19 @@
 
 func burnRow(o ObjectiveSnapshot, now time.Time) BurnRow {
 	b := BurnRow{Objective: o.Objective}
-	b.Good, b.Bad = within(o.Minutes, now, burnHistoryMinutes*time.Minute)
+	b.Good, b.Bad = countWithin(o.Minutes, now, burnHistoryMinutes*time.Minute)
 	allowed := (1 - o.Objective.Share) * float64(b.Good+b.Bad)
 	if allowed > 0 {
 		b.Budget = 1 - float64(b.Bad)/allowed
 	}
 	for _, w := range burnWindows {
-		good, bad := within(o.Minutes, now, w)
+		good, bad := countWithin(o.Minutes, now, w)
 		b.Burn = append(b.Burn, Burn{Window: short(w), Rate: rate(good, bad, o.Objective.Share)})
 	}
 	return b
 }
 
-func within(ms []Minute, now time.Time, w time.Duration) (good, bad int64) {
+func countWithin(ms []Minute, now time.Time, w time.Duration) (good, bad int64) {
 	from := now.Add(-w).Unix() / 60
 	for _, m := range ms {
 		if m.At >= from {
