--- a/measure/report.go
+++ b/measure/report.go
@@ -217,7 +217,7 @@
 	}
 	for _, w := range burnWindows {
 		good, bad := countWithin(o.Minutes, now, w)
-		b.Burn = append(b.Burn, Burn{Window: short(w), Rate: rate(good, bad, o.Objective.Share)})
+		b.Burn = append(b.Burn, Burn{Window: formatWindow(w), Rate: rate(good, bad, o.Objective.Share)})
 	}
 	return b
 }
@@ -290,7 +290,7 @@
 	}
 	fmt.Fprint(w, "\nservice levels\nobjective\tmust\tgood\tbad\tbudget left\t")
 	for _, d := range burnWindows {
-		fmt.Fprintf(w, "burn %s\t", short(d))
+		fmt.Fprintf(w, "burn %s\t", formatWindow(d))
 	}
 	fmt.Fprintln(w)
 	for _, o := range r.Objectives {
@@ -302,7 +302,7 @@
 	}
 }
 
-func short(d time.Duration) string {
+func formatWindow(d time.Duration) string {
 	if d < time.Hour {
 		return fmt.Sprintf("%dm", int(d.Minutes()))
 	}
