--- a/measure/html.go
+++ b/measure/html.go
@@ -13,7 +13,7 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"dash":    orDash,
-	"must":    must,
+	"must":    formatTarget,
 	"percent": func(v float64) float64 { return 100 * v },
 	"clock":   func(t time.Time) string { return t.Format("2006-01-02 15:04:05 MST") },
 }).Parse(page))
--- a/measure/report.go
+++ b/measure/report.go
@@ -294,7 +294,7 @@
 	}
 	fmt.Fprintln(w)
 	for _, o := range r.Objectives {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f%%\t", o.Objective.Name, must(o.Objective), o.Good, o.Bad, 100*o.Budget)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f%%\t", o.Objective.Name, formatTarget(o.Objective), o.Good, o.Bad, 100*o.Budget)
 		for _, b := range o.Burn {
 			fmt.Fprintf(w, "%.2f\t", b.Rate)
 		}
@@ -309,7 +309,7 @@
 	return fmt.Sprintf("%dh", int(d.Hours()))
 }
 
-func must(o config.Objective) string {
+func formatTarget(o config.Objective) string {
 	s := fmt.Sprintf("%.4g%%", 100*o.Share)
 	if o.FirstToken > 0 {
 		s += " in " + time.Duration(o.FirstToken).String()
