--- a/measure/html.go
+++ b/measure/html.go
@@ -52,8 +52,8 @@
 	decades     = 6
 )
 
-// level returns the y coordinate of a time in milliseconds.
-func level(ms float64) float64 {
+// yOf returns the y coordinate of a time in milliseconds.
+func yOf(ms float64) float64 {
 	share := math.Log10(max(ms, lowestMs)/lowestMs) / decades
 	return (chartHeight - chartBottom) * (1 - min(share, 1))
 }
@@ -61,7 +61,7 @@
 func (r *Report) chart() chart {
 	c := chart{Width: chartWidth, Height: chartHeight}
 	for d, l := range []string{"1 ms", "10 ms", "0.1 s", "1 s", "10 s", "100 s"} {
-		c.Lines = append(c.Lines, line{Y: level(lowestMs * math.Pow10(d)), Label: l})
+		c.Lines = append(c.Lines, line{Y: yOf(lowestMs * math.Pow10(d)), Label: l})
 	}
 	wide := float64(chartWidth-chartLeft) / float64(max(len(r.FirstToken), 1))
 	for i, l := range r.FirstToken {
@@ -70,7 +70,7 @@
 			name string
 			ms   float64
 		}{{"p50", l.P50}, {"p95", l.P95}, {"p99", l.P99}} {
-			y := level(q.ms)
+			y := yOf(q.ms)
 			g.Bars = append(g.Bars, bar{
 				X: g.Middle + barWidth*(float64(j)-1.5), Y: y, Width: barWidth - 2, Height: chartHeight - chartBottom - y,
 				Class: q.name, Title: q.name,
