--- a/losses/losses.go
+++ b/losses/losses.go
@@ -24,8 +24,8 @@
 	endMessage = "request ended"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // entry is the part of a log line that is read.
 type entry struct {
@@ -83,7 +83,7 @@
 	rows := map[[2]string]*Row{}
 	seconds := map[time.Time]*Second{}
 	l := bufio.NewScanner(r)
-	l.Buffer(nil, maxLine)
+	l.Buffer(nil, maxLineBytes)
 	for l.Scan() {
 		e, ok := parse(l.Text())
 		if !ok {
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -46,6 +46,6 @@
 }
 
 func TestLinesThatAreTooLong(t *testing.T) {
-	_, err := Read(strings.NewReader(strings.Repeat("x", maxLine+1)))
+	_, err := Read(strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	require.ErrorContains(t, err, "read log")
 }
