--- a/losses/losses.go
+++ b/losses/losses.go
@@ -98,7 +98,7 @@
 	if err = l.Err(); err != nil {
 		return p, fmt.Errorf("read log: %w", err)
 	}
-	p.Rows = sorted(rows)
+	p.Rows = sortRows(rows)
 	for _, s := range seconds {
 		if len(s.Reasons) > 0 {
 			p.Seconds = append(p.Seconds, *s)
@@ -141,8 +141,8 @@
 	}
 }
 
-// sorted returns rows ordered by the prompt tokens of their routes, then by calls.
-func sorted(rows map[[2]string]*Row) (ws []Row) {
+// sortRows returns rows ordered by the prompt tokens of their routes, then by calls.
+func sortRows(rows map[[2]string]*Row) (ws []Row) {
 	tokens := map[string]int{}
 	for _, w := range rows {
 		ws = append(ws, *w)
