--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -46,7 +46,7 @@
 
 // play simulates a pool of upstreams with its gateways and callers in steps of time.
 type play struct {
-	*world
+	*cluster
 	random  *rand.Rand
 	streams []*stream
 	runs    []*run
@@ -107,7 +107,7 @@
 }
 
 func newPlay(t *testing.T, seed uint64, crash crashes, ss ...*stream) *play {
-	return &play{world: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
+	return &play{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
 }
 
 // run runs the simulation for some time.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -17,15 +17,15 @@
 // pool is the number of upstreams of the service.
 const pool = 18
 
-// world is a set of gateways that share a fake clock.
-type world struct {
+// cluster is a set of gateways that share a fake clock.
+type cluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	boxes []*Table
 }
 
-func newWorld(t *testing.T, n int) *world {
-	w := &world{t: t, clock: clockwork.NewFakeClock()}
+func newWorld(t *testing.T, n int) *cluster {
+	w := &cluster{t: t, clock: clockwork.NewFakeClock()}
 	for i := range n {
 		w.boxes = append(w.boxes, w.start(fmt.Sprint("box-", i)))
 	}
@@ -33,14 +33,14 @@
 }
 
 // start returns a gateway with an empty table.
-func (w *world) start(box string) *Table {
+func (w *cluster) start(box string) *Table {
 	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return pool }))
 	b.random = rand.New(rand.NewPCG(1, 2)).Float64
 	return b
 }
 
 // spread sends the pending updates of all gateways to the others.
-func (w *world) spread() {
+func (w *cluster) spread() {
 	for i, b := range w.boxes {
 		word := b.NextUpdate()
 		for j, o := range w.boxes {
@@ -57,7 +57,7 @@
 }
 
 // lose runs a request for some time and crashes its upstream.
-func (w *world) lose(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
+func (w *cluster) lose(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
 	w.t.Helper()
 	l := b.Begin(s.Fingerprint)
 	require.True(w.t, l.Granted)
@@ -206,7 +206,7 @@
 }
 
 // hold gets a request blocked at a gateway.
-func (w *world) hold(b *Table, s Subject) {
+func (w *cluster) hold(b *Table, s Subject) {
 	for i := range lossesToBlock {
 		w.lose(b, s, life("u", i), aRun)
 	}
