--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -134,7 +134,7 @@
 
 // send sends a request to an upstream by a random gateway.
 func (p *play) send(s *stream, of Subject, tries int) {
-	p.sendBy(p.boxes[p.random.IntN(len(p.boxes))], s, of, tries)
+	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, of, tries)
 }
 
 // sendBy sends a request to a random upstream by one gateway.
@@ -412,7 +412,7 @@
 // minute crash three upstreams each: 80 us and 1.2 KB, 0.4% of a core at 50 losses a second.
 func BenchmarkTable(b *testing.B) {
 	w := newWorld(nil, 1)
-	t := w.boxes[0]
+	t := w.gateways[0]
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		s := request(i / 3 % maxRecords)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -19,15 +19,15 @@
 
 // cluster is a set of gateways that share a fake clock.
 type cluster struct {
-	t     *testing.T
-	clock *clockwork.FakeClock
-	boxes []*Table
+	t        *testing.T
+	clock    *clockwork.FakeClock
+	gateways []*Table
 }
 
 func newWorld(t *testing.T, n int) *cluster {
 	w := &cluster{t: t, clock: clockwork.NewFakeClock()}
 	for i := range n {
-		w.boxes = append(w.boxes, w.start(fmt.Sprint("box-", i)))
+		w.gateways = append(w.gateways, w.start(fmt.Sprint("box-", i)))
 	}
 	return w
 }
@@ -41,9 +41,9 @@
 
 // spread sends the pending updates of all gateways to the others.
 func (w *cluster) spread() {
-	for i, b := range w.boxes {
+	for i, b := range w.gateways {
 		word := b.NextUpdate()
-		for j, o := range w.boxes {
+		for j, o := range w.gateways {
 			if i != j {
 				o.Receive(b.box, word)
 			}
@@ -87,11 +87,11 @@
 	t.Run("hold a request for long, at all gateways", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
 		for i := range 3 {
-			requireHeld(t, w.boxes[i], s, false)
-			w.lose(w.boxes[i], s, life("u", i), aRun)
+			requireHeld(t, w.gateways[i], s, false)
+			w.lose(w.gateways[i], s, life("u", i), aRun)
 			w.spread()
 		}
-		for _, b := range w.boxes {
+		for _, b := range w.gateways {
 			requireHeld(t, b, s, true)
 			require.Greater(t, b.Begin(s.Fingerprint).RetryAfter, 9*time.Minute)
 		}
@@ -101,48 +101,48 @@
 		for i := range 3 {
 			u := life("u", i)
 			for n := range 9 {
-				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 			}
-			w.lose(w.boxes[0], s, u, aRun)
+			w.lose(w.gateways[0], s, u, aRun)
 		}
 		w.clock.Advance(settleTime)
-		w.boxes[0].StoreChanges()
-		require.Len(t, w.boxes[0].Blocks(), 1)
-		require.Equal(t, s, w.boxes[0].Blocks()[0].Subject)
+		w.gateways[0].StoreChanges()
+		require.Len(t, w.gateways[0].Blocks(), 1)
+		require.Equal(t, s, w.gateways[0].Blocks()[0].Subject)
 	})
 	t.Run("count one after another only", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		sent := w.clock.Now()
 		w.clock.Advance(aRun)
 		for i := range 10 { // ten copies at once, and a rack that is lost
-			w.boxes[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
-		requireHeld(t, w.boxes[0], s, false)
+		requireHeld(t, w.gateways[0], s, false)
 	})
 	t.Run("are none if one was answered between", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
 		for i := range 20 {
-			w.lose(w.boxes[0], s, life("u", i), aRun)
+			w.lose(w.gateways[0], s, life("u", i), aRun)
 			if i%2 == 1 {
 				w.spread()
-				w.boxes[1].RecordAnswer(s.Fingerprint)
+				w.gateways[1].RecordAnswer(s.Fingerprint)
 				w.spread()
 				w.clock.Advance(time.Millisecond)
 			}
-			requireHeld(t, w.boxes[0], s, false)
+			requireHeld(t, w.gateways[0], s, false)
 		}
 	})
 	t.Run("hold for seconds only while as many upstreams end without it", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 2 {
-				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 				w.clock.Advance(time.Second)
 			}
-			w.lose(w.boxes[0], s, life("u", i), aRun)
+			w.lose(w.gateways[0], s, life("u", i), aRun)
 		}
 		w.clock.Advance(settleTime)
-		l := w.boxes[0].Begin(s.Fingerprint)
+		l := w.gateways[0].Begin(s.Fingerprint)
 		require.False(t, l.Granted)
 		require.Equal(t, shortBlockTime, l.RetryAfter.Round(time.Second))
 	})
@@ -150,33 +150,33 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 5 {
-				w.boxes[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
 			}
-			w.lose(w.boxes[0], s, life("u", i), aRun)
+			w.lose(w.gateways[0], s, life("u", i), aRun)
 			w.clock.Advance(11 * time.Second)
 		}
-		requireHeld(t, w.boxes[0], s, false)
+		requireHeld(t, w.gateways[0], s, false)
 	})
 }
 
 func TestSuspectsRunAlone(t *testing.T) {
 	t.Run("after two losses in a row, at all gateways together", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
-		w.lose(w.boxes[0], s, "u0", aRun)
-		w.lose(w.boxes[0], s, "u1", aRun)
+		w.lose(w.gateways[0], s, "u0", aRun)
+		w.lose(w.gateways[0], s, "u1", aRun)
 		w.spread()
-		l := w.boxes[1].Begin(s.Fingerprint)
+		l := w.gateways[1].Begin(s.Fingerprint)
 		require.True(t, l.Granted)
 		w.spread()
-		for _, b := range w.boxes {
+		for _, b := range w.gateways {
 			o := b.Begin(s.Fingerprint)
 			require.False(t, o.Granted)
 			require.Equal(t, trialRetryAfter, o.RetryAfter)
 		}
-		w.boxes[1].RecordAnswer(s.Fingerprint)
-		w.boxes[1].End(s.Fingerprint, l)
+		w.gateways[1].RecordAnswer(s.Fingerprint)
+		w.gateways[1].End(s.Fingerprint, l)
 		w.spread()
-		for _, b := range w.boxes {
+		for _, b := range w.gateways {
 			require.True(t, b.Begin(s.Fingerprint).Granted)
 			require.False(t, b.Begin(s.Fingerprint).Trial, "it is harmless")
 		}
@@ -186,22 +186,22 @@
 		sent := w.clock.Now()
 		w.clock.Advance(aRun)
 		for i := range 3 {
-			require.False(t, w.boxes[0].Begin(s.Fingerprint).Trial)
+			require.False(t, w.gateways[0].Begin(s.Fingerprint).Trial)
 			w.clock.Advance(2 * sameEventWindow)
-			w.boxes[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
-		require.True(t, w.boxes[0].Begin(s.Fingerprint).Trial)
-		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
+		require.True(t, w.gateways[0].Begin(s.Fingerprint).Trial)
+		require.False(t, w.gateways[0].Begin(s.Fingerprint).Granted)
 	})
 	t.Run("not for ever if the gateway that has the run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
-		w.lose(w.boxes[0], s, "u0", aRun)
-		w.lose(w.boxes[0], s, "u1", aRun)
-		w.boxes[0].Begin(s.Fingerprint)
+		w.lose(w.gateways[0], s, "u0", aRun)
+		w.lose(w.gateways[0], s, "u1", aRun)
+		w.gateways[0].Begin(s.Fingerprint)
 		w.spread()
-		require.False(t, w.boxes[1].Begin(s.Fingerprint).Granted)
+		require.False(t, w.gateways[1].Begin(s.Fingerprint).Granted)
 		w.clock.Advance(trialTimeout)
-		require.True(t, w.boxes[1].Begin(s.Fingerprint).Granted)
+		require.True(t, w.gateways[1].Begin(s.Fingerprint).Granted)
 	})
 }
 
@@ -216,44 +216,44 @@
 func TestHoldsEnd(t *testing.T) {
 	t.Run("by themselves, and one run decides", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
-		w.hold(w.boxes[0], s)
+		w.hold(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
-		l := w.boxes[0].Begin(s.Fingerprint)
+		l := w.gateways[0].Begin(s.Fingerprint)
 		require.True(t, l.Trial)
-		require.False(t, w.boxes[0].Begin(s.Fingerprint).Granted)
-		w.boxes[0].RecordAnswer(s.Fingerprint)
-		w.boxes[0].End(s.Fingerprint, l)
-		require.Equal(t, Admission{Granted: true}, w.boxes[0].Begin(s.Fingerprint))
+		require.False(t, w.gateways[0].Begin(s.Fingerprint).Granted)
+		w.gateways[0].RecordAnswer(s.Fingerprint)
+		w.gateways[0].End(s.Fingerprint, l)
+		require.Equal(t, Admission{Granted: true}, w.gateways[0].Begin(s.Fingerprint))
 	})
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
-		w.hold(w.boxes[0], s)
+		w.hold(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
-		w.lose(w.boxes[0], s, "u9", aRun)
-		requireHeld(t, w.boxes[0], s, true)
-		require.Equal(t, lossesToBlock+1, w.boxes[0].Blocks()[0].Losses)
+		w.lose(w.gateways[0], s, "u9", aRun)
+		requireHeld(t, w.gateways[0], s, true)
+		require.Equal(t, lossesToBlock+1, w.gateways[0].Blocks()[0].Losses)
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
-		w.hold(w.boxes[0], s)
+		w.hold(w.gateways[0], s)
 		w.spread()
-		require.True(t, w.boxes[2].Lift(s.Fingerprint))
+		require.True(t, w.gateways[2].Lift(s.Fingerprint))
 		w.spread()
-		for _, b := range w.boxes {
+		for _, b := range w.gateways {
 			require.Equal(t, Admission{Granted: true}, b.Begin(s.Fingerprint))
 		}
-		require.False(t, w.boxes[2].Lift(s.Fingerprint))
+		require.False(t, w.gateways[2].Lift(s.Fingerprint))
 	})
 	t.Run("an older word does not bring them back", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
-		w.hold(w.boxes[0], s)
-		h := w.boxes[0].Blocks()[0]
+		w.hold(w.gateways[0], s)
+		h := w.gateways[0].Blocks()[0]
 		w.spread()
 		w.clock.Advance(time.Second)
-		require.True(t, w.boxes[1].Lift(s.Fingerprint))
-		w.boxes[1].Receive("box-0", Update{Blocks: []Block{h}})
-		w.boxes[1].Stored(h)
-		requireHeld(t, w.boxes[1], s, false)
+		require.True(t, w.gateways[1].Lift(s.Fingerprint))
+		w.gateways[1].Receive("box-0", Update{Blocks: []Block{h}})
+		w.gateways[1].Stored(h)
+		requireHeld(t, w.gateways[1], s, false)
 	})
 }
 
@@ -282,9 +282,9 @@
 func TestTheStoreKeepsHolds(t *testing.T) {
 	t.Run("over the loss of all gateways", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), saved{}
-		w.hold(w.boxes[0], s)
-		require.Equal(t, 1, d.keep(w.boxes[0]))
-		require.Zero(t, d.keep(w.boxes[0]), "once is enough")
+		w.hold(w.gateways[0], s)
+		require.Equal(t, 1, d.keep(w.gateways[0]))
+		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
 		b := w.start("after")
 		d.tell(b)
 		requireHeld(t, b, s, true)
@@ -294,40 +294,40 @@
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
 		w, s, d := newWorld(t, 3), request(1), saved{}
-		w.hold(w.boxes[0], s)
+		w.hold(w.gateways[0], s)
 		w.spread()
-		require.Zero(t, d.keep(w.boxes[1]))
+		require.Zero(t, d.keep(w.gateways[1]))
 		w.clock.Advance(2 * peerStoreDelay)
-		require.Equal(t, 1, d.keep(w.boxes[1]))
-		d.tell(w.boxes[2])
-		require.Zero(t, d.keep(w.boxes[2]))
+		require.Equal(t, 1, d.keep(w.gateways[1]))
+		d.tell(w.gateways[2])
+		require.Zero(t, d.keep(w.gateways[2]))
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), saved{}
-		w.hold(w.boxes[0], s)
-		d.keep(w.boxes[0])
+		w.hold(w.gateways[0], s)
+		d.keep(w.gateways[0])
 		w.spread()
-		d.tell(w.boxes[1])
-		require.True(t, w.boxes[1].Lift(s.Fingerprint))
-		require.Equal(t, 1, d.keep(w.boxes[1]))
+		d.tell(w.gateways[1])
+		require.True(t, w.gateways[1].Lift(s.Fingerprint))
+		require.Equal(t, 1, d.keep(w.gateways[1]))
 		require.Empty(t, d)
-		w.boxes[0].Dropped(s.Fingerprint) // its peer's update was lost
-		requireHeld(t, w.boxes[0], s, false)
+		w.gateways[0].Dropped(s.Fingerprint) // its peer's update was lost
+		requireHeld(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), saved{}
-		w.hold(w.boxes[0], s)
-		d.keep(w.boxes[0])
+		w.hold(w.gateways[0], s)
+		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
-		d.keep(w.boxes[0])
+		d.keep(w.gateways[0])
 		w.clock.Advance(2 * deletionSpread)
-		d.keep(w.boxes[0])
+		d.keep(w.gateways[0])
 		require.Empty(t, d)
 	})
 	t.Run("also if nobody remembers it", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), saved{}
-		w.hold(w.boxes[0], s)
-		d.keep(w.boxes[0])
+		w.hold(w.gateways[0], s)
+		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.start("after")
 		d.tell(b)
@@ -339,14 +339,14 @@
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		now := w.clock.Now()
-		w.boxes[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
-		require.LessOrEqual(t, w.boxes[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
+		w.gateways[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
+		require.LessOrEqual(t, w.gateways[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
 	})
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	w := newWorld(t, 1)
-	b := w.boxes[0]
+	b := w.gateways[0]
 	held := request(0)
 	w.hold(b, held)
 	for i := range 3 * maxRecords {
