--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -27,13 +27,13 @@
 func newWorld(t *testing.T, n int) *cluster {
 	w := &cluster{t: t, clock: clockwork.NewFakeClock()}
 	for i := range n {
-		w.gateways = append(w.gateways, w.start(fmt.Sprint("box-", i)))
+		w.gateways = append(w.gateways, w.newGateway(fmt.Sprint("box-", i)))
 	}
 	return w
 }
 
-// start returns a gateway with an empty table.
-func (w *cluster) start(box string) *Table {
+// newGateway returns a gateway with an empty table.
+func (w *cluster) newGateway(box string) *Table {
 	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return pool }))
 	b.random = rand.New(rand.NewPCG(1, 2)).Float64
 	return b
@@ -285,7 +285,7 @@
 		w.hold(w.gateways[0], s)
 		require.Equal(t, 1, d.keep(w.gateways[0]))
 		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
-		b := w.start("after")
+		b := w.newGateway("after")
 		d.tell(b)
 		requireHeld(t, b, s, true)
 		w.clock.Advance(longBlockTime)
@@ -329,7 +329,7 @@
 		w.hold(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
-		b := w.start("after")
+		b := w.newGateway("after")
 		d.tell(b)
 		requireHeld(t, b, s, false)
 		w.clock.Advance(2 * peerStoreDelay)
