--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -126,7 +126,7 @@
 		p.again(now)
 		p.see(now)
 		if now.Sub(p.spoke) >= wordTime {
-			p.spread()
+			p.exchange()
 			p.spoke = now
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -39,8 +39,8 @@
 	return b
 }
 
-// spread sends the pending updates of all gateways to the others.
-func (w *cluster) spread() {
+// exchange sends the pending updates of all gateways to the others.
+func (w *cluster) exchange() {
 	for i, b := range w.gateways {
 		word := b.NextUpdate()
 		for j, o := range w.gateways {
@@ -89,7 +89,7 @@
 		for i := range 3 {
 			requireHeld(t, w.gateways[i], s, false)
 			w.lose(w.gateways[i], s, life("u", i), aRun)
-			w.spread()
+			w.exchange()
 		}
 		for _, b := range w.gateways {
 			requireHeld(t, b, s, true)
@@ -124,9 +124,9 @@
 		for i := range 20 {
 			w.lose(w.gateways[0], s, life("u", i), aRun)
 			if i%2 == 1 {
-				w.spread()
+				w.exchange()
 				w.gateways[1].RecordAnswer(s.Fingerprint)
-				w.spread()
+				w.exchange()
 				w.clock.Advance(time.Millisecond)
 			}
 			requireHeld(t, w.gateways[0], s, false)
@@ -164,10 +164,10 @@
 		w, s := newWorld(t, 3), request(1)
 		w.lose(w.gateways[0], s, "u0", aRun)
 		w.lose(w.gateways[0], s, "u1", aRun)
-		w.spread()
+		w.exchange()
 		l := w.gateways[1].Begin(s.Fingerprint)
 		require.True(t, l.Granted)
-		w.spread()
+		w.exchange()
 		for _, b := range w.gateways {
 			o := b.Begin(s.Fingerprint)
 			require.False(t, o.Granted)
@@ -175,7 +175,7 @@
 		}
 		w.gateways[1].RecordAnswer(s.Fingerprint)
 		w.gateways[1].End(s.Fingerprint, l)
-		w.spread()
+		w.exchange()
 		for _, b := range w.gateways {
 			require.True(t, b.Begin(s.Fingerprint).Granted)
 			require.False(t, b.Begin(s.Fingerprint).Trial, "it is harmless")
@@ -198,7 +198,7 @@
 		w.lose(w.gateways[0], s, "u0", aRun)
 		w.lose(w.gateways[0], s, "u1", aRun)
 		w.gateways[0].Begin(s.Fingerprint)
-		w.spread()
+		w.exchange()
 		require.False(t, w.gateways[1].Begin(s.Fingerprint).Granted)
 		w.clock.Advance(trialTimeout)
 		require.True(t, w.gateways[1].Begin(s.Fingerprint).Granted)
@@ -236,9 +236,9 @@
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
 		w.hold(w.gateways[0], s)
-		w.spread()
+		w.exchange()
 		require.True(t, w.gateways[2].Lift(s.Fingerprint))
-		w.spread()
+		w.exchange()
 		for _, b := range w.gateways {
 			require.Equal(t, Admission{Granted: true}, b.Begin(s.Fingerprint))
 		}
@@ -248,7 +248,7 @@
 		w, s := newWorld(t, 2), request(1)
 		w.hold(w.gateways[0], s)
 		h := w.gateways[0].Blocks()[0]
-		w.spread()
+		w.exchange()
 		w.clock.Advance(time.Second)
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		w.gateways[1].Receive("box-0", Update{Blocks: []Block{h}})
@@ -295,7 +295,7 @@
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
 		w, s, d := newWorld(t, 3), request(1), saved{}
 		w.hold(w.gateways[0], s)
-		w.spread()
+		w.exchange()
 		require.Zero(t, d.keep(w.gateways[1]))
 		w.clock.Advance(2 * peerStoreDelay)
 		require.Equal(t, 1, d.keep(w.gateways[1]))
@@ -306,7 +306,7 @@
 		w, s, d := newWorld(t, 2), request(1), saved{}
 		w.hold(w.gateways[0], s)
 		d.keep(w.gateways[0])
-		w.spread()
+		w.exchange()
 		d.tell(w.gateways[1])
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		require.Equal(t, 1, d.keep(w.gateways[1]))
