--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -42,10 +42,10 @@
 // exchange sends the pending updates of all gateways to the others.
 func (w *cluster) exchange() {
 	for i, b := range w.gateways {
-		word := b.NextUpdate()
+		update := b.NextUpdate()
 		for j, o := range w.gateways {
 			if i != j {
-				o.Receive(b.box, word)
+				o.Receive(b.box, update)
 			}
 		}
 	}
