--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -56,8 +56,8 @@
 	return Subject{Fingerprint: hollowgrade.NewFingerprint("o", c), Organisation: "o", Route: "r", Service: "s"}
 }
 
-// lose runs a request for some time and crashes its upstream.
-func (w *cluster) lose(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
+// loseRun runs a request for some time and crashes its upstream.
+func (w *cluster) loseRun(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
 	w.t.Helper()
 	l := b.Begin(s.Fingerprint)
 	require.True(w.t, l.Granted)
@@ -88,7 +88,7 @@
 		w, s := newWorld(t, 3), request(1)
 		for i := range 3 {
 			requireHeld(t, w.gateways[i], s, false)
-			w.lose(w.gateways[i], s, life("u", i), aRun)
+			w.loseRun(w.gateways[i], s, life("u", i), aRun)
 			w.exchange()
 		}
 		for _, b := range w.gateways {
@@ -103,7 +103,7 @@
 			for n := range 9 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 			}
-			w.lose(w.gateways[0], s, u, aRun)
+			w.loseRun(w.gateways[0], s, u, aRun)
 		}
 		w.clock.Advance(settleTime)
 		w.gateways[0].StoreChanges()
@@ -122,7 +122,7 @@
 	t.Run("are none if one was answered between", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
 		for i := range 20 {
-			w.lose(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), aRun)
 			if i%2 == 1 {
 				w.exchange()
 				w.gateways[1].RecordAnswer(s.Fingerprint)
@@ -139,7 +139,7 @@
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 				w.clock.Advance(time.Second)
 			}
-			w.lose(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), aRun)
 		}
 		w.clock.Advance(settleTime)
 		l := w.gateways[0].Begin(s.Fingerprint)
@@ -152,7 +152,7 @@
 			for n := range 5 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
 			}
-			w.lose(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), aRun)
 			w.clock.Advance(11 * time.Second)
 		}
 		requireHeld(t, w.gateways[0], s, false)
@@ -162,8 +162,8 @@
 func TestSuspectsRunAlone(t *testing.T) {
 	t.Run("after two losses in a row, at all gateways together", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
-		w.lose(w.gateways[0], s, "u0", aRun)
-		w.lose(w.gateways[0], s, "u1", aRun)
+		w.loseRun(w.gateways[0], s, "u0", aRun)
+		w.loseRun(w.gateways[0], s, "u1", aRun)
 		w.exchange()
 		l := w.gateways[1].Begin(s.Fingerprint)
 		require.True(t, l.Granted)
@@ -195,8 +195,8 @@
 	})
 	t.Run("not for ever if the gateway that has the run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
-		w.lose(w.gateways[0], s, "u0", aRun)
-		w.lose(w.gateways[0], s, "u1", aRun)
+		w.loseRun(w.gateways[0], s, "u0", aRun)
+		w.loseRun(w.gateways[0], s, "u1", aRun)
 		w.gateways[0].Begin(s.Fingerprint)
 		w.exchange()
 		require.False(t, w.gateways[1].Begin(s.Fingerprint).Granted)
@@ -208,7 +208,7 @@
 // hold gets a request blocked at a gateway.
 func (w *cluster) hold(b *Table, s Subject) {
 	for i := range lossesToBlock {
-		w.lose(b, s, life("u", i), aRun)
+		w.loseRun(b, s, life("u", i), aRun)
 	}
 	requireHeld(w.t, b, s, true)
 }
@@ -229,7 +229,7 @@
 		w, s := newWorld(t, 1), request(1)
 		w.hold(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
-		w.lose(w.gateways[0], s, "u9", aRun)
+		w.loseRun(w.gateways[0], s, "u9", aRun)
 		requireHeld(t, w.gateways[0], s, true)
 		require.Equal(t, lossesToBlock+1, w.gateways[0].Blocks()[0].Losses)
 	})
@@ -289,7 +289,7 @@
 		d.tell(b)
 		requireHeld(t, b, s, true)
 		w.clock.Advance(longBlockTime)
-		w.lose(b, s, "u9", aRun)
+		w.loseRun(b, s, "u9", aRun)
 		requireHeld(t, b, s, true)
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
