--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -205,8 +205,8 @@
 	})
 }
 
-// hold gets a request blocked at a gateway.
-func (w *cluster) hold(b *Table, s Subject) {
+// block gets a request blocked at a gateway.
+func (w *cluster) block(b *Table, s Subject) {
 	for i := range lossesToBlock {
 		w.loseRun(b, s, life("u", i), aRun)
 	}
@@ -216,7 +216,7 @@
 func TestHoldsEnd(t *testing.T) {
 	t.Run("by themselves, and one run decides", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
 		l := w.gateways[0].Begin(s.Fingerprint)
 		require.True(t, l.Trial)
@@ -227,7 +227,7 @@
 	})
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
 		w.loseRun(w.gateways[0], s, "u9", aRun)
 		requireHeld(t, w.gateways[0], s, true)
@@ -235,7 +235,7 @@
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		w.exchange()
 		require.True(t, w.gateways[2].Lift(s.Fingerprint))
 		w.exchange()
@@ -246,7 +246,7 @@
 	})
 	t.Run("an older word does not bring them back", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		h := w.gateways[0].Blocks()[0]
 		w.exchange()
 		w.clock.Advance(time.Second)
@@ -282,7 +282,7 @@
 func TestTheStoreKeepsHolds(t *testing.T) {
 	t.Run("over the loss of all gateways", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), saved{}
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		require.Equal(t, 1, d.keep(w.gateways[0]))
 		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
 		b := w.newGateway("after")
@@ -294,7 +294,7 @@
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
 		w, s, d := newWorld(t, 3), request(1), saved{}
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		w.exchange()
 		require.Zero(t, d.keep(w.gateways[1]))
 		w.clock.Advance(2 * peerStoreDelay)
@@ -304,7 +304,7 @@
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), saved{}
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.exchange()
 		d.tell(w.gateways[1])
@@ -316,7 +316,7 @@
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), saved{}
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
 		d.keep(w.gateways[0])
@@ -326,7 +326,7 @@
 	})
 	t.Run("also if nobody remembers it", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), saved{}
-		w.hold(w.gateways[0], s)
+		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.newGateway("after")
@@ -348,7 +348,7 @@
 	w := newWorld(t, 1)
 	b := w.gateways[0]
 	held := request(0)
-	w.hold(b, held)
+	w.block(b, held)
 	for i := range 3 * maxRecords {
 		now := w.clock.Now()
 		b.RecordLoss(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-aRun), Lost: now})
