--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -75,7 +75,7 @@
 
 const aRun = 200 * time.Millisecond
 
-func requireHeld(t *testing.T, b *Table, s Subject, held bool) {
+func requireBlocked(t *testing.T, b *Table, s Subject, held bool) {
 	t.Helper()
 	b.clock.(*clockwork.FakeClock).Advance(settleTime)
 	l := b.Begin(s.Fingerprint)
@@ -87,12 +87,12 @@
 	t.Run("hold a request for long, at all gateways", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
 		for i := range 3 {
-			requireHeld(t, w.gateways[i], s, false)
+			requireBlocked(t, w.gateways[i], s, false)
 			w.loseRun(w.gateways[i], s, life("u", i), aRun)
 			w.exchange()
 		}
 		for _, b := range w.gateways {
-			requireHeld(t, b, s, true)
+			requireBlocked(t, b, s, true)
 			require.Greater(t, b.Begin(s.Fingerprint).RetryAfter, 9*time.Minute)
 		}
 	})
@@ -117,7 +117,7 @@
 		for i := range 10 { // ten copies at once, and a rack that is lost
 			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
-		requireHeld(t, w.gateways[0], s, false)
+		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("are none if one was answered between", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
@@ -129,7 +129,7 @@
 				w.exchange()
 				w.clock.Advance(time.Millisecond)
 			}
-			requireHeld(t, w.gateways[0], s, false)
+			requireBlocked(t, w.gateways[0], s, false)
 		}
 	})
 	t.Run("hold for seconds only while as many upstreams end without it", func(t *testing.T) {
@@ -155,7 +155,7 @@
 			w.loseRun(w.gateways[0], s, life("u", i), aRun)
 			w.clock.Advance(11 * time.Second)
 		}
-		requireHeld(t, w.gateways[0], s, false)
+		requireBlocked(t, w.gateways[0], s, false)
 	})
 }
 
@@ -210,7 +210,7 @@
 	for i := range lossesToBlock {
 		w.loseRun(b, s, life("u", i), aRun)
 	}
-	requireHeld(w.t, b, s, true)
+	requireBlocked(w.t, b, s, true)
 }
 
 func TestHoldsEnd(t *testing.T) {
@@ -230,7 +230,7 @@
 		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
 		w.loseRun(w.gateways[0], s, "u9", aRun)
-		requireHeld(t, w.gateways[0], s, true)
+		requireBlocked(t, w.gateways[0], s, true)
 		require.Equal(t, lossesToBlock+1, w.gateways[0].Blocks()[0].Losses)
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
@@ -253,7 +253,7 @@
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		w.gateways[1].Receive("box-0", Update{Blocks: []Block{h}})
 		w.gateways[1].Stored(h)
-		requireHeld(t, w.gateways[1], s, false)
+		requireBlocked(t, w.gateways[1], s, false)
 	})
 }
 
@@ -287,10 +287,10 @@
 		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
 		b := w.newGateway("after")
 		d.tell(b)
-		requireHeld(t, b, s, true)
+		requireBlocked(t, b, s, true)
 		w.clock.Advance(longBlockTime)
 		w.loseRun(b, s, "u9", aRun)
-		requireHeld(t, b, s, true)
+		requireBlocked(t, b, s, true)
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
 		w, s, d := newWorld(t, 3), request(1), saved{}
@@ -312,7 +312,7 @@
 		require.Equal(t, 1, d.keep(w.gateways[1]))
 		require.Empty(t, d)
 		w.gateways[0].Dropped(s.Fingerprint) // its peer's update was lost
-		requireHeld(t, w.gateways[0], s, false)
+		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), saved{}
@@ -331,7 +331,7 @@
 		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.newGateway("after")
 		d.tell(b)
-		requireHeld(t, b, s, false)
+		requireBlocked(t, b, s, false)
 		w.clock.Advance(2 * peerStoreDelay)
 		d.keep(b)
 		require.Empty(t, d)
@@ -355,7 +355,7 @@
 		w.clock.Advance(time.Millisecond)
 	}
 	require.LessOrEqual(t, b.Size(), maxRecords)
-	requireHeld(t, b, held, true)
+	requireBlocked(t, b, held, true)
 	require.LessOrEqual(t, len(b.NextUpdate().Losses), maxPendingEntries)
 	w.clock.Advance(longBlockTime + recordRetention + sweepInterval)
 	b.RecordLoss(Loss{Subject: request(1), Upstream: "u", Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now()})
