--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -75,11 +75,11 @@
 
 const aRun = 200 * time.Millisecond
 
-func requireBlocked(t *testing.T, b *Table, s Subject, held bool) {
+func requireBlocked(t *testing.T, b *Table, s Subject, blocked bool) {
 	t.Helper()
 	b.clock.(*clockwork.FakeClock).Advance(settleTime)
 	l := b.Begin(s.Fingerprint)
-	require.Equal(t, held, !l.Block.Since.IsZero(), "at %s", b.box)
+	require.Equal(t, blocked, !l.Block.Since.IsZero(), "at %s", b.box)
 	b.End(s.Fingerprint, l)
 }
 
