--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -257,10 +257,10 @@
 	})
 }
 
-// saved is the store: it keeps the blocks that gateways write, for others to read.
-type saved map[hollowgrade.Fingerprint]Block
+// fakeStore is the store: it keeps the blocks that gateways write, for others to read.
+type fakeStore map[hollowgrade.Fingerprint]Block
 
-func (s saved) keep(b *Table) (writes int) {
+func (s fakeStore) keep(b *Table) (writes int) {
 	k := b.StoreChanges()
 	for _, h := range k.Save {
 		s[h.Fingerprint] = h
@@ -273,7 +273,7 @@
 	return len(k.Save) + len(k.Drop)
 }
 
-func (s saved) tell(b *Table) {
+func (s fakeStore) tell(b *Table) {
 	for _, h := range s {
 		b.Stored(h)
 	}
@@ -281,7 +281,7 @@
 
 func TestTheStoreKeepsHolds(t *testing.T) {
 	t.Run("over the loss of all gateways", func(t *testing.T) {
-		w, s, d := newWorld(t, 2), request(1), saved{}
+		w, s, d := newWorld(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		require.Equal(t, 1, d.keep(w.gateways[0]))
 		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
@@ -293,7 +293,7 @@
 		requireBlocked(t, b, s, true)
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
-		w, s, d := newWorld(t, 3), request(1), saved{}
+		w, s, d := newWorld(t, 3), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		w.exchange()
 		require.Zero(t, d.keep(w.gateways[1]))
@@ -303,7 +303,7 @@
 		require.Zero(t, d.keep(w.gateways[2]))
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
-		w, s, d := newWorld(t, 2), request(1), saved{}
+		w, s, d := newWorld(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.exchange()
@@ -315,7 +315,7 @@
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
-		w, s, d := newWorld(t, 1), request(1), saved{}
+		w, s, d := newWorld(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
@@ -325,7 +325,7 @@
 		require.Empty(t, d)
 	})
 	t.Run("also if nobody remembers it", func(t *testing.T) {
-		w, s, d := newWorld(t, 1), request(1), saved{}
+		w, s, d := newWorld(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.keep(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
