--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -260,7 +260,7 @@
 // fakeStore is the store: it keeps the blocks that gateways write, for others to read.
 type fakeStore map[hollowgrade.Fingerprint]Block
 
-func (s fakeStore) keep(b *Table) (writes int) {
+func (s fakeStore) write(b *Table) (writes int) {
 	k := b.StoreChanges()
 	for _, h := range k.Save {
 		s[h.Fingerprint] = h
@@ -283,8 +283,8 @@
 	t.Run("over the loss of all gateways", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
-		require.Equal(t, 1, d.keep(w.gateways[0]))
-		require.Zero(t, d.keep(w.gateways[0]), "once is enough")
+		require.Equal(t, 1, d.write(w.gateways[0]))
+		require.Zero(t, d.write(w.gateways[0]), "once is enough")
 		b := w.newGateway("after")
 		d.tell(b)
 		requireBlocked(t, b, s, true)
@@ -296,20 +296,20 @@
 		w, s, d := newWorld(t, 3), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		w.exchange()
-		require.Zero(t, d.keep(w.gateways[1]))
+		require.Zero(t, d.write(w.gateways[1]))
 		w.clock.Advance(2 * peerStoreDelay)
-		require.Equal(t, 1, d.keep(w.gateways[1]))
+		require.Equal(t, 1, d.write(w.gateways[1]))
 		d.tell(w.gateways[2])
-		require.Zero(t, d.keep(w.gateways[2]))
+		require.Zero(t, d.write(w.gateways[2]))
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
 		w, s, d := newWorld(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
-		d.keep(w.gateways[0])
+		d.write(w.gateways[0])
 		w.exchange()
 		d.tell(w.gateways[1])
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
-		require.Equal(t, 1, d.keep(w.gateways[1]))
+		require.Equal(t, 1, d.write(w.gateways[1]))
 		require.Empty(t, d)
 		w.gateways[0].Dropped(s.Fingerprint) // its peer's update was lost
 		requireBlocked(t, w.gateways[0], s, false)
@@ -317,23 +317,23 @@
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
-		d.keep(w.gateways[0])
+		d.write(w.gateways[0])
 		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
-		d.keep(w.gateways[0])
+		d.write(w.gateways[0])
 		w.clock.Advance(2 * deletionSpread)
-		d.keep(w.gateways[0])
+		d.write(w.gateways[0])
 		require.Empty(t, d)
 	})
 	t.Run("also if nobody remembers it", func(t *testing.T) {
 		w, s, d := newWorld(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
-		d.keep(w.gateways[0])
+		d.write(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.newGateway("after")
 		d.tell(b)
 		requireBlocked(t, b, s, false)
 		w.clock.Advance(2 * peerStoreDelay)
-		d.keep(b)
+		d.write(b)
 		require.Empty(t, d)
 	})
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
