--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -273,7 +273,7 @@
 	return len(k.Save) + len(k.Drop)
 }
 
-func (s fakeStore) tell(b *Table) {
+func (s fakeStore) read(b *Table) {
 	for _, h := range s {
 		b.Stored(h)
 	}
@@ -286,7 +286,7 @@
 		require.Equal(t, 1, d.write(w.gateways[0]))
 		require.Zero(t, d.write(w.gateways[0]), "once is enough")
 		b := w.newGateway("after")
-		d.tell(b)
+		d.read(b)
 		requireBlocked(t, b, s, true)
 		w.clock.Advance(longBlockTime)
 		w.loseRun(b, s, "u9", aRun)
@@ -299,7 +299,7 @@
 		require.Zero(t, d.write(w.gateways[1]))
 		w.clock.Advance(2 * peerStoreDelay)
 		require.Equal(t, 1, d.write(w.gateways[1]))
-		d.tell(w.gateways[2])
+		d.read(w.gateways[2])
 		require.Zero(t, d.write(w.gateways[2]))
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
@@ -307,7 +307,7 @@
 		w.block(w.gateways[0], s)
 		d.write(w.gateways[0])
 		w.exchange()
-		d.tell(w.gateways[1])
+		d.read(w.gateways[1])
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		require.Equal(t, 1, d.write(w.gateways[1]))
 		require.Empty(t, d)
@@ -330,7 +330,7 @@
 		d.write(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
 		b := w.newGateway("after")
-		d.tell(b)
+		d.read(b)
 		requireBlocked(t, b, s, false)
 		w.clock.Advance(2 * peerStoreDelay)
 		d.write(b)
