--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -73,7 +73,7 @@
 	return hollowgrade.Life(fmt.Sprint(parts...))
 }
 
-const aRun = 200 * time.Millisecond
+const runTime = 200 * time.Millisecond
 
 func requireBlocked(t *testing.T, b *Table, s Subject, blocked bool) {
 	t.Helper()
@@ -88,7 +88,7 @@
 		w, s := newWorld(t, 3), request(1)
 		for i := range 3 {
 			requireBlocked(t, w.gateways[i], s, false)
-			w.loseRun(w.gateways[i], s, life("u", i), aRun)
+			w.loseRun(w.gateways[i], s, life("u", i), runTime)
 			w.exchange()
 		}
 		for _, b := range w.gateways {
@@ -103,7 +103,7 @@
 			for n := range 9 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 			}
-			w.loseRun(w.gateways[0], s, u, aRun)
+			w.loseRun(w.gateways[0], s, u, runTime)
 		}
 		w.clock.Advance(settleTime)
 		w.gateways[0].StoreChanges()
@@ -113,7 +113,7 @@
 	t.Run("count one after another only", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		sent := w.clock.Now()
-		w.clock.Advance(aRun)
+		w.clock.Advance(runTime)
 		for i := range 10 { // ten copies at once, and a rack that is lost
 			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
@@ -122,7 +122,7 @@
 	t.Run("are none if one was answered between", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
 		for i := range 20 {
-			w.loseRun(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), runTime)
 			if i%2 == 1 {
 				w.exchange()
 				w.gateways[1].RecordAnswer(s.Fingerprint)
@@ -139,7 +139,7 @@
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 				w.clock.Advance(time.Second)
 			}
-			w.loseRun(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), runTime)
 		}
 		w.clock.Advance(settleTime)
 		l := w.gateways[0].Begin(s.Fingerprint)
@@ -150,9 +150,9 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 5 {
-				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(aRun)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(runTime)})
 			}
-			w.loseRun(w.gateways[0], s, life("u", i), aRun)
+			w.loseRun(w.gateways[0], s, life("u", i), runTime)
 			w.clock.Advance(11 * time.Second)
 		}
 		requireBlocked(t, w.gateways[0], s, false)
@@ -162,8 +162,8 @@
 func TestSuspectsRunAlone(t *testing.T) {
 	t.Run("after two losses in a row, at all gateways together", func(t *testing.T) {
 		w, s := newWorld(t, 3), request(1)
-		w.loseRun(w.gateways[0], s, "u0", aRun)
-		w.loseRun(w.gateways[0], s, "u1", aRun)
+		w.loseRun(w.gateways[0], s, "u0", runTime)
+		w.loseRun(w.gateways[0], s, "u1", runTime)
 		w.exchange()
 		l := w.gateways[1].Begin(s.Fingerprint)
 		require.True(t, l.Granted)
@@ -184,7 +184,7 @@
 	t.Run("once upstreams ended at three moments under copies of it", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		sent := w.clock.Now()
-		w.clock.Advance(aRun)
+		w.clock.Advance(runTime)
 		for i := range 3 {
 			require.False(t, w.gateways[0].Begin(s.Fingerprint).Trial)
 			w.clock.Advance(2 * sameEventWindow)
@@ -195,8 +195,8 @@
 	})
 	t.Run("not for ever if the gateway that has the run is lost", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
-		w.loseRun(w.gateways[0], s, "u0", aRun)
-		w.loseRun(w.gateways[0], s, "u1", aRun)
+		w.loseRun(w.gateways[0], s, "u0", runTime)
+		w.loseRun(w.gateways[0], s, "u1", runTime)
 		w.gateways[0].Begin(s.Fingerprint)
 		w.exchange()
 		require.False(t, w.gateways[1].Begin(s.Fingerprint).Granted)
@@ -208,7 +208,7 @@
 // block gets a request blocked at a gateway.
 func (w *cluster) block(b *Table, s Subject) {
 	for i := range lossesToBlock {
-		w.loseRun(b, s, life("u", i), aRun)
+		w.loseRun(b, s, life("u", i), runTime)
 	}
 	requireBlocked(w.t, b, s, true)
 }
@@ -229,7 +229,7 @@
 		w, s := newWorld(t, 1), request(1)
 		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
-		w.loseRun(w.gateways[0], s, "u9", aRun)
+		w.loseRun(w.gateways[0], s, "u9", runTime)
 		requireBlocked(t, w.gateways[0], s, true)
 		require.Equal(t, lossesToBlock+1, w.gateways[0].Blocks()[0].Losses)
 	})
@@ -289,7 +289,7 @@
 		d.read(b)
 		requireBlocked(t, b, s, true)
 		w.clock.Advance(longBlockTime)
-		w.loseRun(b, s, "u9", aRun)
+		w.loseRun(b, s, "u9", runTime)
 		requireBlocked(t, b, s, true)
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
@@ -351,7 +351,7 @@
 	w.block(b, held)
 	for i := range 3 * maxRecords {
 		now := w.clock.Now()
-		b.RecordLoss(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-aRun), Lost: now})
+		b.RecordLoss(Loss{Subject: request(i + 1), Upstream: "u", Engines: 1, Sent: now.Add(-runTime), Lost: now})
 		w.clock.Advance(time.Millisecond)
 	}
 	require.LessOrEqual(t, b.Size(), maxRecords)
