--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -50,9 +50,9 @@
 	random  *rand.Rand
 	streams []*stream
 	runs    []*run
-	later   []*run          // attempts to be retried
-	back    [pool]time.Time // when upstreams that crashed are up again
-	lives   [pool]int
+	later   []*run              // attempts to be retried
+	back    [poolSize]time.Time // when upstreams that crashed are up again
+	lives   [poolSize]int
 	ended   []time.Time
 	spoke   time.Time
 	crash   crashes
@@ -151,9 +151,9 @@
 		}
 		return
 	}
-	at := p.random.IntN(pool)
+	at := p.random.IntN(poolSize)
 	for p.reaches && now.Before(p.back[at]) && slices.ContainsFunc(p.back[:], func(t time.Time) bool { return !now.Before(t) }) {
-		at = p.random.IntN(pool)
+		at = p.random.IntN(poolSize)
 	}
 	if now.Before(p.back[at]) {
 		b.End(of.Fingerprint, l) // the upstream is down and nothing was sent
@@ -256,7 +256,7 @@
 func each(d time.Duration) crashes {
 	return func(p *play) []int {
 		if p.random.Float64() < step.Seconds()/d.Seconds() {
-			return []int{p.random.IntN(pool)}
+			return []int{p.random.IntN(poolSize)}
 		}
 		return nil
 	}
@@ -270,7 +270,7 @@
 			return nil
 		}
 		last = p.clock.Now()
-		return p.random.Perm(pool)[:n]
+		return p.random.Perm(poolSize)[:n]
 	}
 }
 
@@ -282,9 +282,9 @@
 		"one upstream each 0.4 s":       func() crashes { return each(400 * time.Millisecond) },
 		"a rack each 5 s":               func() crashes { return many(5, 5*time.Second) },
 		"a data hall each 10 s":         func() crashes { return many(6, 10*time.Second) },
-		"all of a service each 10 s":    func() crashes { return many(pool, 10*time.Second) },
-		"all of a service each 2.5 s":   func() crashes { return many(pool, 2500*time.Millisecond) },
-		"a third of a service each 2 s": func() crashes { return many(pool/3, 2*time.Second) },
+		"all of a service each 10 s":    func() crashes { return many(poolSize, 10*time.Second) },
+		"all of a service each 2.5 s":   func() crashes { return many(poolSize, 2500*time.Millisecond) },
+		"a third of a service each 2 s": func() crashes { return many(poolSize/3, 2*time.Second) },
 	} {
 		for _, rate := range []float64{0.5, 2, 10, 50} {
 			for how, change := range map[string]func(p *play){
@@ -317,7 +317,7 @@
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
 			popular := &stream{rate: x.rate, subject: same(1), most: 2}
-			p := newPlay(t, x.seed, many(pool, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), most: 2})
+			p := newPlay(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), most: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.held)
@@ -333,7 +333,7 @@
 		"alone":                               func() crashes { return none },
 		"while one upstream ends each 0.8 s":  func() crashes { return each(800 * time.Millisecond) },
 		"while a rack is lost each 5 s":       func() crashes { return many(5, 5*time.Second) },
-		"while a service is lost each 10 s":   func() crashes { return many(pool, 10*time.Second) },
+		"while a service is lost each 10 s":   func() crashes { return many(poolSize, 10*time.Second) },
 		"while one upstream ends each 0.25 s": func() crashes { return each(250 * time.Millisecond) },
 	} {
 		for _, rate := range []float64{1, 10, 50} {
@@ -387,7 +387,7 @@
 			p.run(30 * time.Second)
 			t.Logf("%d sent at once, %d later; %d upstreams ended; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.ended), others.lost, others.served)
 			require.LessOrEqual(t, harmful.sent-atOnce, copies+25, "with the second attempt of each call")
-			require.LessOrEqual(t, len(p.ended), pool+7)
+			require.LessOrEqual(t, len(p.ended), poolSize+7)
 		})
 	}
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// pool is the number of upstreams of the service.
-const pool = 18
+// poolSize is the number of upstreams of the service.
+const poolSize = 18
 
 // cluster is a set of gateways that share a fake clock.
 type cluster struct {
@@ -34,7 +34,7 @@
 
 // newGateway returns a gateway with an empty table.
 func (w *cluster) newGateway(box string) *Table {
-	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return pool }))
+	b := New(WithBox(box), WithClock(w.clock), WithLogger(log.New(io.Discard)), WithUpstreams(func(string) int { return poolSize }))
 	b.random = rand.New(rand.NewPCG(1, 2)).Float64
 	return b
 }
