--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -203,7 +203,7 @@
 			continue
 		}
 		r.stream.lost++
-		p.lose(r.box, Loss{Subject: r.subject, Upstream: life("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
+		p.lose(r.box, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.box.End(r.subject.Fingerprint, r.leave)
 		if r.tries < r.stream.most {
 			again = append(again, r)
@@ -417,7 +417,7 @@
 	for i := 0; b.Loop(); i++ {
 		s := request(i / 3 % maxRecords)
 		now := w.clock.Now()
-		t.RecordLoss(Loss{Subject: s, Upstream: life("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
+		t.RecordLoss(Loss{Subject: s, Upstream: instance("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
 		t.Begin(s.Fingerprint)
 		t.NextUpdate()
 		w.clock.Advance(20 * time.Millisecond)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -68,8 +68,8 @@
 	w.clock.Advance(time.Millisecond)
 }
 
-// life returns the instance of an upstream.
-func life(parts ...any) hollowgrade.Life {
+// instance returns the instance of an upstream.
+func instance(parts ...any) hollowgrade.Life {
 	return hollowgrade.Life(fmt.Sprint(parts...))
 }
 
@@ -88,7 +88,7 @@
 		w, s := newWorld(t, 3), request(1)
 		for i := range 3 {
 			requireBlocked(t, w.gateways[i], s, false)
-			w.loseRun(w.gateways[i], s, life("u", i), runTime)
+			w.loseRun(w.gateways[i], s, instance("u", i), runTime)
 			w.exchange()
 		}
 		for _, b := range w.gateways {
@@ -99,7 +99,7 @@
 	t.Run("say nothing of its neighbours", func(t *testing.T) {
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
-			u := life("u", i)
+			u := instance("u", i)
 			for n := range 9 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: u, Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 			}
@@ -115,14 +115,14 @@
 		sent := w.clock.Now()
 		w.clock.Advance(runTime)
 		for i := range 10 { // ten copies at once, and a rack that is lost
-			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: instance("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("are none if one was answered between", func(t *testing.T) {
 		w, s := newWorld(t, 2), request(1)
 		for i := range 20 {
-			w.loseRun(w.gateways[0], s, life("u", i), runTime)
+			w.loseRun(w.gateways[0], s, instance("u", i), runTime)
 			if i%2 == 1 {
 				w.exchange()
 				w.gateways[1].RecordAnswer(s.Fingerprint)
@@ -136,10 +136,10 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 2 {
-				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: instance("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
 				w.clock.Advance(time.Second)
 			}
-			w.loseRun(w.gateways[0], s, life("u", i), runTime)
+			w.loseRun(w.gateways[0], s, instance("u", i), runTime)
 		}
 		w.clock.Advance(settleTime)
 		l := w.gateways[0].Begin(s.Fingerprint)
@@ -150,9 +150,9 @@
 		w, s := newWorld(t, 1), request(1)
 		for i := range 3 {
 			for n := range 5 {
-				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: life("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(runTime)})
+				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: instance("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(runTime)})
 			}
-			w.loseRun(w.gateways[0], s, life("u", i), runTime)
+			w.loseRun(w.gateways[0], s, instance("u", i), runTime)
 			w.clock.Advance(11 * time.Second)
 		}
 		requireBlocked(t, w.gateways[0], s, false)
@@ -188,7 +188,7 @@
 		for i := range 3 {
 			require.False(t, w.gateways[0].Begin(s.Fingerprint).Trial)
 			w.clock.Advance(2 * sameEventWindow)
-			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: life("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
+			w.gateways[0].RecordLoss(Loss{Subject: s, Upstream: instance("u", i), Engines: 1, Sent: sent, Lost: w.clock.Now()})
 		}
 		require.True(t, w.gateways[0].Begin(s.Fingerprint).Trial)
 		require.False(t, w.gateways[0].Begin(s.Fingerprint).Granted)
@@ -208,7 +208,7 @@
 // block gets a request blocked at a gateway.
 func (w *cluster) block(b *Table, s Subject) {
 	for i := range lossesToBlock {
-		w.loseRun(b, s, life("u", i), runTime)
+		w.loseRun(b, s, instance("u", i), runTime)
 	}
 	requireBlocked(w.t, b, s, true)
 }
