--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -44,8 +44,8 @@
 	tries   int
 }
 
-// play simulates a pool of upstreams with its gateways and callers in steps of time.
-type play struct {
+// simulation simulates a pool of upstreams with its gateways and callers in steps of time.
+type simulation struct {
 	*cluster
 	random  *rand.Rand
 	streams []*stream
@@ -81,7 +81,7 @@
 )
 
 // lose reports a loss to a gateway, at once or when its crash is detected.
-func (p *play) lose(b *Table, l Loss) {
+func (p *simulation) lose(b *Table, l Loss) {
 	var after time.Duration
 	switch {
 	case p.probed:
@@ -96,7 +96,7 @@
 }
 
 // see reports the losses that are detected by now.
-func (p *play) see(now time.Time) {
+func (p *simulation) see(now time.Time) {
 	p.unseen = slices.DeleteFunc(p.unseen, func(u unseen) bool {
 		if now.Before(u.seen) {
 			return false
@@ -106,12 +106,12 @@
 	})
 }
 
-func newPlay(t *testing.T, seed uint64, crash crashes, ss ...*stream) *play {
-	return &play{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
+func newPlay(t *testing.T, seed uint64, crash crashes, ss ...*stream) *simulation {
+	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
 }
 
 // run runs the simulation for some time.
-func (p *play) run(d time.Duration) {
+func (p *simulation) run(d time.Duration) {
 	for end := p.clock.Now().Add(d); p.clock.Now().Before(end); p.clock.Advance(step) {
 		now := p.clock.Now()
 		for _, i := range p.crash(p) {
@@ -133,12 +133,12 @@
 }
 
 // send sends a request to an upstream by a random gateway.
-func (p *play) send(s *stream, of Subject, tries int) {
+func (p *simulation) send(s *stream, of Subject, tries int) {
 	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, of, tries)
 }
 
 // sendBy sends a request to a random upstream by one gateway.
-func (p *play) sendBy(b *Table, s *stream, of Subject, tries int) {
+func (p *simulation) sendBy(b *Table, s *stream, of Subject, tries int) {
 	now := p.clock.Now()
 	if tries == 1 {
 		s.calls++
@@ -168,7 +168,7 @@
 }
 
 // finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
-func (p *play) finish(now time.Time) {
+func (p *simulation) finish(now time.Time) {
 	for _, r := range slices.Clone(p.runs) {
 		if r.stream.harmful && !now.Before(r.ends) {
 			p.end(r.at)
@@ -186,7 +186,7 @@
 }
 
 // end crashes an upstream with all runs there.
-func (p *play) end(at int) {
+func (p *simulation) end(at int) {
 	now := p.clock.Now()
 	if now.Before(p.back[at]) {
 		return
@@ -223,7 +223,7 @@
 const retryPause = 20 * time.Millisecond
 
 // again retries calls whose pause is over.
-func (p *play) again(now time.Time) {
+func (p *simulation) again(now time.Time) {
 	rs := p.later
 	p.later = nil
 	for _, r := range rs {
@@ -247,14 +247,14 @@
 }
 
 // crashes returns the upstreams that crash by themselves in a step.
-type crashes func(p *play) (at []int)
+type crashes func(p *simulation) (at []int)
 
 // none crashes no upstream.
-func none(*play) []int { return nil }
+func none(*simulation) []int { return nil }
 
 // each crashes a random upstream at a mean interval.
 func each(d time.Duration) crashes {
-	return func(p *play) []int {
+	return func(p *simulation) []int {
 		if p.random.Float64() < step.Seconds()/d.Seconds() {
 			return []int{p.random.IntN(poolSize)}
 		}
@@ -265,7 +265,7 @@
 // many crashes some upstreams at the same time, at an interval.
 func many(n int, d time.Duration) crashes {
 	var last time.Time
-	return func(p *play) []int {
+	return func(p *simulation) []int {
 		if p.clock.Now().Sub(last) < d {
 			return nil
 		}
@@ -287,10 +287,10 @@
 		"a third of a service each 2 s": func() crashes { return many(poolSize/3, 2*time.Second) },
 	} {
 		for _, rate := range []float64{0.5, 2, 10, 50} {
-			for how, change := range map[string]func(p *play){
-				"known at once":         func(*play) {},
-				"behind relays":         func(p *play) { p.relays = true },
-				"behind relays, probed": func(p *play) { p.probed = true },
+			for how, change := range map[string]func(p *simulation){
+				"known at once":         func(*simulation) {},
+				"behind relays":         func(p *simulation) { p.relays = true },
+				"behind relays, probed": func(p *simulation) { p.probed = true },
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
 					popular := &stream{rate: rate, subject: same(1), most: 2}
