--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-func newPlay(t *testing.T, seed uint64, crash crashes, ss ...*stream) *simulation {
+func newSimulation(t *testing.T, seed uint64, crash crashes, ss ...*stream) *simulation {
 	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
 }
 
@@ -294,7 +294,7 @@
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
 					popular := &stream{rate: rate, subject: same(1), most: 2}
-					p := newPlay(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), most: 2})
+					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), most: 2})
 					change(p)
 					p.run(120 * time.Second)
 					t.Logf("sent %d, lost %d, served %d, refused %d, of these held %d", popular.sent, popular.lost, popular.served, popular.refused, popular.held)
@@ -317,7 +317,7 @@
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
 			popular := &stream{rate: x.rate, subject: same(1), most: 2}
-			p := newPlay(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), most: 2})
+			p := newSimulation(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), most: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.held)
@@ -340,7 +340,7 @@
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
 				harmful := &stream{rate: rate, subject: same(1), most: 2, harmful: true}
 				others := &stream{rate: 40, subject: distinct(), most: 2}
-				p := newPlay(t, uint64(rate), c(), harmful, others)
+				p := newSimulation(t, uint64(rate), c(), harmful, others)
 				p.run(60 * time.Second)
 				t.Logf("sent %d, lost %d; of the others %d lost, %d served", harmful.sent, harmful.lost, others.lost, others.served)
 				require.LessOrEqual(t, harmful.sent, 10+int(0.4*rate))
@@ -358,7 +358,7 @@
 		ss = append(ss, &stream{rate: 1, subject: same(i), most: 2, harmful: true})
 	}
 	others := &stream{rate: 40, subject: distinct(), most: 2}
-	p := newPlay(t, 1, none, append(ss, others)...)
+	p := newSimulation(t, 1, none, append(ss, others)...)
 	p.run(60 * time.Second)
 	sent := 0
 	for _, s := range ss {
@@ -377,7 +377,7 @@
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
 			harmful := &stream{rate: 20, subject: same(1), most: 2, harmful: true}
 			others := &stream{rate: 40, subject: distinct(), most: 2}
-			p := newPlay(t, uint64(copies), none, others)
+			p := newSimulation(t, uint64(copies), none, others)
 			p.run(time.Second)
 			for range copies {
 				p.send(harmful, harmful.subject(), 1)
@@ -399,7 +399,7 @@
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
 			harmful := &stream{rate: rate, subject: same(1), most: 2, harmful: true}
 			others := &stream{rate: 150, subject: distinct(), most: 4}
-			p := newPlay(t, uint64(rate), none, harmful, others)
+			p := newSimulation(t, uint64(rate), none, harmful, others)
 			p.run(20 * time.Second)
 			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.ended), others.lost, others.served, others.refused, others.held)
 			require.Zero(t, others.held)
