--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -30,12 +30,12 @@
 func TestBodiesThatAreMadeUp(t *testing.T) {
 	for _, rate := range []float64{1, 5, 20} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
-			same := &stream{rate: 5, subject: madeBy("k", 200_000), most: 3}
-			others := &stream{rate: 100, subject: madeBy("o", 300_000), most: 3}
+			same := &stream{rate: 5, subject: madeBy("k", 200_000), maxAttempts: 3}
+			others := &stream{rate: 100, subject: madeBy("o", 300_000), maxAttempts: 3}
 			p := newSimulation(t, uint64(rate), none, same, others)
 			p.reaches, p.pauses = true, true
 			p.run(10 * time.Second)
-			p.streams = append(p.streams, &stream{rate: rate, subject: madeBy("k", 100_000), most: 3, harmful: true})
+			p.streams = append(p.streams, &stream{rate: rate, subject: madeBy("k", 100_000), maxAttempts: 3, harmful: true})
 			p.run(30 * time.Second)
 			t.Logf("%d upstreams ended; served %.3f of the others, %.3f of the other calls of the same organisation", len(p.ended), others.share(), same.share())
 			require.GreaterOrEqual(t, others.share(), servedBeside)
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -19,10 +19,10 @@
 
 // stream is requests that are sent at a rate.
 type stream struct {
-	rate    float64 // a second
-	subject func() Subject
-	harmful bool
-	most    int // attempts per call
+	rate        float64 // a second
+	subject     func() Subject
+	harmful     bool
+	maxAttempts int // attempts per call
 
 	calls, sent, lost, served, refused, held int
 }
@@ -205,7 +205,7 @@
 		r.stream.lost++
 		p.lose(r.box, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.box.End(r.subject.Fingerprint, r.leave)
-		if r.tries < r.stream.most {
+		if r.tries < r.stream.maxAttempts {
 			again = append(again, r)
 		}
 	}
@@ -293,8 +293,8 @@
 				"behind relays, probed": func(p *simulation) { p.probed = true },
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
-					popular := &stream{rate: rate, subject: same(1), most: 2}
-					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), most: 2})
+					popular := &stream{rate: rate, subject: same(1), maxAttempts: 2}
+					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
 					change(p)
 					p.run(120 * time.Second)
 					t.Logf("sent %d, lost %d, served %d, refused %d, of these held %d", popular.sent, popular.lost, popular.served, popular.refused, popular.held)
@@ -316,8 +316,8 @@
 		relays bool
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
-			popular := &stream{rate: x.rate, subject: same(1), most: 2}
-			p := newSimulation(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), most: 2})
+			popular := &stream{rate: x.rate, subject: same(1), maxAttempts: 2}
+			p := newSimulation(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.held)
@@ -338,8 +338,8 @@
 	} {
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
-				harmful := &stream{rate: rate, subject: same(1), most: 2, harmful: true}
-				others := &stream{rate: 40, subject: distinct(), most: 2}
+				harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
+				others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
 				p := newSimulation(t, uint64(rate), c(), harmful, others)
 				p.run(60 * time.Second)
 				t.Logf("sent %d, lost %d; of the others %d lost, %d served", harmful.sent, harmful.lost, others.lost, others.served)
@@ -355,9 +355,9 @@
 func TestManyHarmfulRequestsAreHeld(t *testing.T) {
 	var ss []*stream
 	for i := range 20 {
-		ss = append(ss, &stream{rate: 1, subject: same(i), most: 2, harmful: true})
+		ss = append(ss, &stream{rate: 1, subject: same(i), maxAttempts: 2, harmful: true})
 	}
-	others := &stream{rate: 40, subject: distinct(), most: 2}
+	others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
 	p := newSimulation(t, 1, none, append(ss, others)...)
 	p.run(60 * time.Second)
 	sent := 0
@@ -375,8 +375,8 @@
 func TestManyCopiesAtOnce(t *testing.T) {
 	for _, copies := range []int{5, 20, 200} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
-			harmful := &stream{rate: 20, subject: same(1), most: 2, harmful: true}
-			others := &stream{rate: 40, subject: distinct(), most: 2}
+			harmful := &stream{rate: 20, subject: same(1), maxAttempts: 2, harmful: true}
+			others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
 			p := newSimulation(t, uint64(copies), none, others)
 			p.run(time.Second)
 			for range copies {
@@ -397,8 +397,8 @@
 func TestNeighboursAreServed(t *testing.T) {
 	for _, rate := range []float64{1, 10} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
-			harmful := &stream{rate: rate, subject: same(1), most: 2, harmful: true}
-			others := &stream{rate: 150, subject: distinct(), most: 4}
+			harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
+			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), none, harmful, others)
 			p.run(20 * time.Second)
 			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.ended), others.lost, others.served, others.refused, others.held)
