--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -27,8 +27,8 @@
 	calls, sent, lost, served, refused, blocked int
 }
 
-// share returns the part of the calls that were served.
-func (s *stream) share() float64 {
+// servedShare returns the part of the calls that were served.
+func (s *stream) servedShare() float64 {
 	return float64(s.served) / float64(max(s.calls, 1))
 }
 
