--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -34,14 +34,14 @@
 
 // run is an attempt that is running, or that waits to be retried.
 type run struct {
-	stream  *stream
-	subject Subject
-	box     *Table
-	leave   Admission
-	at      int // index of the upstream
-	sent    time.Time
-	ends    time.Time
-	tries   int
+	stream   *stream
+	subject  Subject
+	box      *Table
+	leave    Admission
+	upstream int // index of the upstream
+	sent     time.Time
+	ends     time.Time
+	tries    int
 }
 
 // simulation simulates a pool of upstreams with its gateways and callers in steps of time.
@@ -171,7 +171,7 @@
 func (p *simulation) finish(now time.Time) {
 	for _, r := range slices.Clone(p.runs) {
 		if r.stream.harmful && !now.Before(r.ends) {
-			p.end(r.at)
+			p.end(r.upstream)
 		}
 	}
 	p.runs = slices.DeleteFunc(p.runs, func(r *run) bool {
@@ -198,7 +198,7 @@
 	p.runs = nil
 	var again []*run
 	for _, r := range rs {
-		if r.at != at {
+		if r.upstream != at {
 			p.runs = append(p.runs, r)
 			continue
 		}
