--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -34,14 +34,14 @@
 
 // run is an attempt that is running, or that waits to be retried.
 type run struct {
-	stream   *stream
-	subject  Subject
-	box      *Table
-	leave    Admission
-	upstream int // index of the upstream
-	sent     time.Time
-	ends     time.Time
-	tries    int
+	stream    *stream
+	subject   Subject
+	box       *Table
+	admission Admission
+	upstream  int // index of the upstream
+	sent      time.Time
+	ends      time.Time
+	tries     int
 }
 
 // simulation simulates a pool of upstreams with its gateways and callers in steps of time.
@@ -180,7 +180,7 @@
 		}
 		r.stream.served++
 		r.box.RecordAnswer(r.subject.Fingerprint)
-		r.box.End(r.subject.Fingerprint, r.leave)
+		r.box.End(r.subject.Fingerprint, r.admission)
 		return true
 	})
 }
@@ -204,7 +204,7 @@
 		}
 		r.stream.lost++
 		p.lose(r.box, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
-		r.box.End(r.subject.Fingerprint, r.leave)
+		r.box.End(r.subject.Fingerprint, r.admission)
 		if r.tries < r.stream.maxAttempts {
 			again = append(again, r)
 		}
