--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -40,7 +40,7 @@
 	admission Admission
 	upstream  int // index of the upstream
 	sent      time.Time
-	ends      time.Time
+	endsAt    time.Time
 	tries     int
 }
 
@@ -170,12 +170,12 @@
 // finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
 func (p *simulation) finish(now time.Time) {
 	for _, r := range slices.Clone(p.runs) {
-		if r.stream.harmful && !now.Before(r.ends) {
+		if r.stream.harmful && !now.Before(r.endsAt) {
 			p.end(r.upstream)
 		}
 	}
 	p.runs = slices.DeleteFunc(p.runs, func(r *run) bool {
-		if now.Before(r.ends) {
+		if now.Before(r.endsAt) {
 			return false
 		}
 		r.stream.served++
@@ -211,7 +211,7 @@
 	}
 	for _, r := range again {
 		if p.pauses {
-			r.ends = now.Add(retryPause)
+			r.endsAt = now.Add(retryPause)
 			p.later = append(p.later, r)
 			continue
 		}
@@ -227,7 +227,7 @@
 	rs := p.later
 	p.later = nil
 	for _, r := range rs {
-		if now.Before(r.ends) {
+		if now.Before(r.endsAt) {
 			p.later = append(p.later, r)
 			continue
 		}
