--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -41,7 +41,7 @@
 	upstream  int // index of the upstream
 	sent      time.Time
 	endsAt    time.Time
-	tries     int
+	attempt   int
 }
 
 // simulation simulates a pool of upstreams with its gateways and callers in steps of time.
@@ -205,7 +205,7 @@
 		r.stream.lost++
 		p.lose(r.box, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.box.End(r.subject.Fingerprint, r.admission)
-		if r.tries < r.stream.maxAttempts {
+		if r.attempt < r.stream.maxAttempts {
 			again = append(again, r)
 		}
 	}
@@ -215,7 +215,7 @@
 			p.later = append(p.later, r)
 			continue
 		}
-		p.send(r.stream, r.subject, r.tries+1)
+		p.send(r.stream, r.subject, r.attempt+1)
 	}
 }
 
@@ -231,7 +231,7 @@
 			p.later = append(p.later, r)
 			continue
 		}
-		p.sendBy(r.box, r.stream, r.subject, r.tries+1)
+		p.sendBy(r.box, r.stream, r.subject, r.attempt+1)
 	}
 }
 
