--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -36,7 +36,7 @@
 type run struct {
 	stream    *stream
 	subject   Subject
-	box       *Table
+	gateway   *Table
 	admission Admission
 	upstream  int // index of the upstream
 	sent      time.Time
@@ -179,8 +179,8 @@
 			return false
 		}
 		r.stream.served++
-		r.box.RecordAnswer(r.subject.Fingerprint)
-		r.box.End(r.subject.Fingerprint, r.admission)
+		r.gateway.RecordAnswer(r.subject.Fingerprint)
+		r.gateway.End(r.subject.Fingerprint, r.admission)
 		return true
 	})
 }
@@ -203,8 +203,8 @@
 			continue
 		}
 		r.stream.lost++
-		p.lose(r.box, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
-		r.box.End(r.subject.Fingerprint, r.admission)
+		p.lose(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
+		r.gateway.End(r.subject.Fingerprint, r.admission)
 		if r.attempt < r.stream.maxAttempts {
 			again = append(again, r)
 		}
@@ -231,7 +231,7 @@
 			p.later = append(p.later, r)
 			continue
 		}
-		p.sendBy(r.box, r.stream, r.subject, r.attempt+1)
+		p.sendBy(r.gateway, r.stream, r.subject, r.attempt+1)
 	}
 }
 
