--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -50,7 +50,7 @@
 	random  *rand.Rand
 	streams []*stream
 	runs    []*run
-	later   []*run              // attempts to be retried
+	retries []*run              // attempts to be retried
 	back    [poolSize]time.Time // when upstreams that crashed are up again
 	lives   [poolSize]int
 	ended   []time.Time
@@ -212,7 +212,7 @@
 	for _, r := range again {
 		if p.pauses {
 			r.endsAt = now.Add(retryPause)
-			p.later = append(p.later, r)
+			p.retries = append(p.retries, r)
 			continue
 		}
 		p.send(r.stream, r.subject, r.attempt+1)
@@ -224,11 +224,11 @@
 
 // again retries calls whose pause is over.
 func (p *simulation) again(now time.Time) {
-	rs := p.later
-	p.later = nil
+	rs := p.retries
+	p.retries = nil
 	for _, r := range rs {
 		if now.Before(r.endsAt) {
-			p.later = append(p.later, r)
+			p.retries = append(p.retries, r)
 			continue
 		}
 		p.sendBy(r.gateway, r.stream, r.subject, r.attempt+1)
