--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -51,7 +51,7 @@
 	streams []*stream
 	runs    []*run
 	retries []*run              // attempts to be retried
-	back    [poolSize]time.Time // when upstreams that crashed are up again
+	upAt    [poolSize]time.Time // when upstreams that crashed are up again
 	lives   [poolSize]int
 	ended   []time.Time
 	spoke   time.Time
@@ -152,10 +152,10 @@
 		return
 	}
 	at := p.random.IntN(poolSize)
-	for p.reaches && now.Before(p.back[at]) && slices.ContainsFunc(p.back[:], func(t time.Time) bool { return !now.Before(t) }) {
+	for p.reaches && now.Before(p.upAt[at]) && slices.ContainsFunc(p.upAt[:], func(t time.Time) bool { return !now.Before(t) }) {
 		at = p.random.IntN(poolSize)
 	}
-	if now.Before(p.back[at]) {
+	if now.Before(p.upAt[at]) {
 		b.End(of.Fingerprint, l) // the upstream is down and nothing was sent
 		return
 	}
@@ -188,10 +188,10 @@
 // end crashes an upstream with all runs there.
 func (p *simulation) end(at int) {
 	now := p.clock.Now()
-	if now.Before(p.back[at]) {
+	if now.Before(p.upAt[at]) {
 		return
 	}
-	p.back[at] = now.Add(downTime)
+	p.upAt[at] = now.Add(downTime)
 	p.lives[at]++
 	p.ended = append(p.ended, now)
 	rs := p.runs
