--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -47,20 +47,20 @@
 // simulation simulates a pool of upstreams with its gateways and callers in steps of time.
 type simulation struct {
 	*cluster
-	random  *rand.Rand
-	streams []*stream
-	runs    []*run
-	retries []*run              // attempts to be retried
-	upAt    [poolSize]time.Time // when upstreams that crashed are up again
-	lives   [poolSize]int
-	ended   []time.Time
-	spoke   time.Time
-	crash   crashes
-	pauses  bool // the same gateway retries a call after a pause
-	reaches bool // an attempt that finds its upstream down goes to another one at once
-	relays  bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
-	probed  bool // the same, but the second probe that is closed shows the crash
-	unseen  []unseen
+	random      *rand.Rand
+	streams     []*stream
+	runs        []*run
+	retries     []*run              // attempts to be retried
+	upAt        [poolSize]time.Time // when upstreams that crashed are up again
+	crashCounts [poolSize]int
+	ended       []time.Time
+	spoke       time.Time
+	crash       crashes
+	pauses      bool // the same gateway retries a call after a pause
+	reaches     bool // an attempt that finds its upstream down goes to another one at once
+	relays      bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
+	probed      bool // the same, but the second probe that is closed shows the crash
+	unseen      []unseen
 }
 
 // unseen is a loss that isn't detected yet.
@@ -192,7 +192,7 @@
 		return
 	}
 	p.upAt[at] = now.Add(downTime)
-	p.lives[at]++
+	p.crashCounts[at]++
 	p.ended = append(p.ended, now)
 	rs := p.runs
 	p.runs = nil
@@ -203,7 +203,7 @@
 			continue
 		}
 		r.stream.lost++
-		p.lose(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.lives[at]), Engines: 1, Sent: r.sent, Lost: now})
+		p.lose(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.crashCounts[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.gateway.End(r.subject.Fingerprint, r.admission)
 		if r.attempt < r.stream.maxAttempts {
 			again = append(again, r)
