--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -37,7 +37,7 @@
 			p.run(10 * time.Second)
 			p.streams = append(p.streams, &stream{rate: rate, subject: madeBy("k", 100_000), maxAttempts: 3, harmful: true})
 			p.run(30 * time.Second)
-			t.Logf("%d upstreams ended; served %.3f of the others, %.3f of the other calls of the same organisation", len(p.ended), others.servedShare(), same.servedShare())
+			t.Logf("%d upstreams ended; served %.3f of the others, %.3f of the other calls of the same organisation", len(p.crashTimes), others.servedShare(), same.servedShare())
 			require.GreaterOrEqual(t, others.servedShare(), servedBeside)
 		})
 	}
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -53,7 +53,7 @@
 	retries     []*run              // attempts to be retried
 	upAt        [poolSize]time.Time // when upstreams that crashed are up again
 	crashCounts [poolSize]int
-	ended       []time.Time
+	crashTimes  []time.Time
 	spoke       time.Time
 	crash       crashes
 	pauses      bool // the same gateway retries a call after a pause
@@ -193,7 +193,7 @@
 	}
 	p.upAt[at] = now.Add(downTime)
 	p.crashCounts[at]++
-	p.ended = append(p.ended, now)
+	p.crashTimes = append(p.crashTimes, now)
 	rs := p.runs
 	p.runs = nil
 	var again []*run
@@ -385,9 +385,9 @@
 			atOnce := harmful.sent
 			p.streams = append(p.streams, harmful)
 			p.run(30 * time.Second)
-			t.Logf("%d sent at once, %d later; %d upstreams ended; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.ended), others.lost, others.served)
+			t.Logf("%d sent at once, %d later; %d upstreams ended; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.crashTimes), others.lost, others.served)
 			require.LessOrEqual(t, harmful.sent-atOnce, copies+25, "with the second attempt of each call")
-			require.LessOrEqual(t, len(p.ended), poolSize+7)
+			require.LessOrEqual(t, len(p.crashTimes), poolSize+7)
 		})
 	}
 }
@@ -401,7 +401,7 @@
 			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), none, harmful, others)
 			p.run(20 * time.Second)
-			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.ended), others.lost, others.served, others.refused, others.blocked)
+			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
 			require.Zero(t, others.blocked)
 			require.LessOrEqual(t, float64(others.refused), 0.01*float64(others.served))
 		})
