--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -47,20 +47,20 @@
 // simulation simulates a pool of upstreams with its gateways and callers in steps of time.
 type simulation struct {
 	*cluster
-	random      *rand.Rand
-	streams     []*stream
-	runs        []*run
-	retries     []*run              // attempts to be retried
-	upAt        [poolSize]time.Time // when upstreams that crashed are up again
-	crashCounts [poolSize]int
-	crashTimes  []time.Time
-	spoke       time.Time
-	crash       crashes
-	pauses      bool // the same gateway retries a call after a pause
-	reaches     bool // an attempt that finds its upstream down goes to another one at once
-	relays      bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
-	probed      bool // the same, but the second probe that is closed shows the crash
-	unseen      []unseen
+	random       *rand.Rand
+	streams      []*stream
+	runs         []*run
+	retries      []*run              // attempts to be retried
+	upAt         [poolSize]time.Time // when upstreams that crashed are up again
+	crashCounts  [poolSize]int
+	crashTimes   []time.Time
+	lastExchange time.Time
+	crash        crashes
+	pauses       bool // the same gateway retries a call after a pause
+	reaches      bool // an attempt that finds its upstream down goes to another one at once
+	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
+	probed       bool // the same, but the second probe that is closed shows the crash
+	unseen       []unseen
 }
 
 // unseen is a loss that isn't detected yet.
@@ -125,9 +125,9 @@
 		p.finish(now)
 		p.again(now)
 		p.see(now)
-		if now.Sub(p.spoke) >= wordTime {
+		if now.Sub(p.lastExchange) >= wordTime {
 			p.exchange()
-			p.spoke = now
+			p.lastExchange = now
 		}
 	}
 }
