--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -55,7 +55,7 @@
 	crashCounts  [poolSize]int
 	crashTimes   []time.Time
 	lastExchange time.Time
-	crash        crashes
+	crash        crashPattern
 	pauses       bool // the same gateway retries a call after a pause
 	reaches      bool // an attempt that finds its upstream down goes to another one at once
 	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
@@ -106,7 +106,7 @@
 	})
 }
 
-func newSimulation(t *testing.T, seed uint64, crash crashes, ss ...*stream) *simulation {
+func newSimulation(t *testing.T, seed uint64, crash crashPattern, ss ...*stream) *simulation {
 	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
 }
 
@@ -246,14 +246,14 @@
 	return func() Subject { return request(n) }
 }
 
-// crashes returns the upstreams that crash by themselves in a step.
-type crashes func(p *simulation) (at []int)
+// crashPattern returns the upstreams that crash by themselves in a step.
+type crashPattern func(p *simulation) (at []int)
 
 // none crashes no upstream.
 func none(*simulation) []int { return nil }
 
 // each crashes a random upstream at a mean interval.
-func each(d time.Duration) crashes {
+func each(d time.Duration) crashPattern {
 	return func(p *simulation) []int {
 		if p.random.Float64() < step.Seconds()/d.Seconds() {
 			return []int{p.random.IntN(poolSize)}
@@ -263,7 +263,7 @@
 }
 
 // many crashes some upstreams at the same time, at an interval.
-func many(n int, d time.Duration) crashes {
+func many(n int, d time.Duration) crashPattern {
 	var last time.Time
 	return func(p *simulation) []int {
 		if p.clock.Now().Sub(last) < d {
@@ -278,13 +278,13 @@
 // runs that are answered have to clear it. Trials may refuse few of its calls: at most about one in
 // twenty-five, while all of a service is lost every 2.5 s and three in four runs with it.
 func TestPopularRequestsAreNotHeld(t *testing.T) {
-	for name, c := range map[string]func() crashes{
-		"one upstream each 0.4 s":       func() crashes { return each(400 * time.Millisecond) },
-		"a rack each 5 s":               func() crashes { return many(5, 5*time.Second) },
-		"a data hall each 10 s":         func() crashes { return many(6, 10*time.Second) },
-		"all of a service each 10 s":    func() crashes { return many(poolSize, 10*time.Second) },
-		"all of a service each 2.5 s":   func() crashes { return many(poolSize, 2500*time.Millisecond) },
-		"a third of a service each 2 s": func() crashes { return many(poolSize/3, 2*time.Second) },
+	for name, c := range map[string]func() crashPattern{
+		"one upstream each 0.4 s":       func() crashPattern { return each(400 * time.Millisecond) },
+		"a rack each 5 s":               func() crashPattern { return many(5, 5*time.Second) },
+		"a data hall each 10 s":         func() crashPattern { return many(6, 10*time.Second) },
+		"all of a service each 10 s":    func() crashPattern { return many(poolSize, 10*time.Second) },
+		"all of a service each 2.5 s":   func() crashPattern { return many(poolSize, 2500*time.Millisecond) },
+		"a third of a service each 2 s": func() crashPattern { return many(poolSize/3, 2*time.Second) },
 	} {
 		for _, rate := range []float64{0.5, 2, 10, 50} {
 			for how, change := range map[string]func(p *simulation){
@@ -329,12 +329,12 @@
 // in a minute, and at 50 calls a second with two attempts each those that run before the first
 // crash is known.
 func TestHarmfulRequestsAreHeld(t *testing.T) {
-	for name, c := range map[string]func() crashes{
-		"alone":                               func() crashes { return none },
-		"while one upstream ends each 0.8 s":  func() crashes { return each(800 * time.Millisecond) },
-		"while a rack is lost each 5 s":       func() crashes { return many(5, 5*time.Second) },
-		"while a service is lost each 10 s":   func() crashes { return many(poolSize, 10*time.Second) },
-		"while one upstream ends each 0.25 s": func() crashes { return each(250 * time.Millisecond) },
+	for name, c := range map[string]func() crashPattern{
+		"alone":                               func() crashPattern { return none },
+		"while one upstream ends each 0.8 s":  func() crashPattern { return each(800 * time.Millisecond) },
+		"while a rack is lost each 5 s":       func() crashPattern { return many(5, 5*time.Second) },
+		"while a service is lost each 10 s":   func() crashPattern { return many(poolSize, 10*time.Second) },
+		"while one upstream ends each 0.25 s": func() crashPattern { return each(250 * time.Millisecond) },
 	} {
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
