--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -55,7 +55,7 @@
 	crashCounts  [poolSize]int
 	crashTimes   []time.Time
 	lastExchange time.Time
-	crash        crashPattern
+	crashPattern crashPattern
 	pauses       bool // the same gateway retries a call after a pause
 	reaches      bool // an attempt that finds its upstream down goes to another one at once
 	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
@@ -107,14 +107,14 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, crash crashPattern, ss ...*stream) *simulation {
-	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crash: crash}
+	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crashPattern: crash}
 }
 
 // run runs the simulation for some time.
 func (p *simulation) run(d time.Duration) {
 	for end := p.clock.Now().Add(d); p.clock.Now().Before(end); p.clock.Advance(step) {
 		now := p.clock.Now()
-		for _, i := range p.crash(p) {
+		for _, i := range p.crashPattern(p) {
 			p.end(i)
 		}
 		for _, s := range p.streams {
