--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -56,7 +56,7 @@
 	crashTimes   []time.Time
 	lastExchange time.Time
 	crashPattern crashPattern
-	pauses       bool // the same gateway retries a call after a pause
+	retryPauses  bool // the same gateway retries a call after a pause
 	reaches      bool // an attempt that finds its upstream down goes to another one at once
 	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
 	probed       bool // the same, but the second probe that is closed shows the crash
@@ -210,7 +210,7 @@
 		}
 	}
 	for _, r := range again {
-		if p.pauses {
+		if p.retryPauses {
 			r.endsAt = now.Add(retryPause)
 			p.retries = append(p.retries, r)
 			continue
