--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -57,7 +57,7 @@
 	lastExchange time.Time
 	crashPattern crashPattern
 	retryPauses  bool // the same gateway retries a call after a pause
-	reaches      bool // an attempt that finds its upstream down goes to another one at once
+	reroutes     bool // an attempt that finds its upstream down goes to another one at once
 	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
 	probed       bool // the same, but the second probe that is closed shows the crash
 	unseen       []unseen
@@ -152,7 +152,7 @@
 		return
 	}
 	at := p.random.IntN(poolSize)
-	for p.reaches && now.Before(p.upAt[at]) && slices.ContainsFunc(p.upAt[:], func(t time.Time) bool { return !now.Before(t) }) {
+	for p.reroutes && now.Before(p.upAt[at]) && slices.ContainsFunc(p.upAt[:], func(t time.Time) bool { return !now.Before(t) }) {
 		at = p.random.IntN(poolSize)
 	}
 	if now.Before(p.upAt[at]) {
