--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -60,11 +60,11 @@
 	reroutes     bool // an attempt that finds its upstream down goes to another one at once
 	relays       bool // a relay in front of an upstream goes on accepting after a crash; the upstream's next instance shows the crash
 	probed       bool // the same, but the second probe that is closed shows the crash
-	undetected   []unseen
+	undetected   []undetectedLoss
 }
 
-// unseen is a loss that isn't detected yet.
-type unseen struct {
+// undetectedLoss is a loss that isn't detected yet.
+type undetectedLoss struct {
 	Loss
 	box  *Table
 	seen time.Time
@@ -92,12 +92,12 @@
 		b.RecordLoss(l)
 		return
 	}
-	p.undetected = append(p.undetected, unseen{l, b, l.Lost.Add(after)})
+	p.undetected = append(p.undetected, undetectedLoss{l, b, l.Lost.Add(after)})
 }
 
 // see reports the losses that are detected by now.
 func (p *simulation) see(now time.Time) {
-	p.undetected = slices.DeleteFunc(p.undetected, func(u unseen) bool {
+	p.undetected = slices.DeleteFunc(p.undetected, func(u undetectedLoss) bool {
 		if now.Before(u.seen) {
 			return false
 		}
