--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -66,8 +66,8 @@
 // undetectedLoss is a loss that isn't detected yet.
 type undetectedLoss struct {
 	Loss
-	box  *Table
-	seen time.Time
+	box        *Table
+	detectedAt time.Time
 }
 
 // seenWithin is the time after an upstream is up again within which all gateways read its entry.
@@ -98,7 +98,7 @@
 // see reports the losses that are detected by now.
 func (p *simulation) see(now time.Time) {
 	p.undetected = slices.DeleteFunc(p.undetected, func(u undetectedLoss) bool {
-		if now.Before(u.seen) {
+		if now.Before(u.detectedAt) {
 			return false
 		}
 		u.box.RecordLoss(u.Loss)
