--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -66,7 +66,7 @@
 // undetectedLoss is a loss that isn't detected yet.
 type undetectedLoss struct {
 	Loss
-	box        *Table
+	gateway    *Table
 	detectedAt time.Time
 }
 
@@ -101,7 +101,7 @@
 		if now.Before(u.detectedAt) {
 			return false
 		}
-		u.box.RecordLoss(u.Loss)
+		u.gateway.RecordLoss(u.Loss)
 		return true
 	})
 }
