--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -70,8 +70,8 @@
 	detectedAt time.Time
 }
 
-// seenWithin is the time after an upstream is up again within which all gateways read its entry.
-const seenWithin = 400 * time.Millisecond
+// entryReadSpread is the time after an upstream is up again within which all gateways read its entry.
+const entryReadSpread = 400 * time.Millisecond
 
 // probesTake is how long after a crash the second probe of its upstream is closed, and probesDiffer
 // is by how much that varies.
@@ -87,7 +87,7 @@
 	case p.probed:
 		after = probesTake + time.Duration(p.random.Int64N(int64(probesDiffer)))
 	case p.relays:
-		after = downTime + time.Duration(p.random.Int64N(int64(seenWithin)))
+		after = downTime + time.Duration(p.random.Int64N(int64(entryReadSpread)))
 	default:
 		b.RecordLoss(l)
 		return
