--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -73,10 +73,10 @@
 // entryReadSpread is the time after an upstream is up again within which all gateways read its entry.
 const entryReadSpread = 400 * time.Millisecond
 
-// probesTake is how long after a crash the second probe of its upstream is closed, and probesDiffer
+// probeDelay is how long after a crash the second probe of its upstream is closed, and probesDiffer
 // is by how much that varies.
 const (
-	probesTake   = 250 * time.Millisecond
+	probeDelay   = 250 * time.Millisecond
 	probesDiffer = 50 * time.Millisecond
 )
 
@@ -85,7 +85,7 @@
 	var after time.Duration
 	switch {
 	case p.probed:
-		after = probesTake + time.Duration(p.random.Int64N(int64(probesDiffer)))
+		after = probeDelay + time.Duration(p.random.Int64N(int64(probesDiffer)))
 	case p.relays:
 		after = downTime + time.Duration(p.random.Int64N(int64(entryReadSpread)))
 	default:
