--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -73,11 +73,11 @@
 // entryReadSpread is the time after an upstream is up again within which all gateways read its entry.
 const entryReadSpread = 400 * time.Millisecond
 
-// probeDelay is how long after a crash the second probe of its upstream is closed, and probesDiffer
+// probeDelay is how long after a crash the second probe of its upstream is closed, and probeSpread
 // is by how much that varies.
 const (
-	probeDelay   = 250 * time.Millisecond
-	probesDiffer = 50 * time.Millisecond
+	probeDelay  = 250 * time.Millisecond
+	probeSpread = 50 * time.Millisecond
 )
 
 // lose reports a loss to a gateway, at once or when its crash is detected.
@@ -85,7 +85,7 @@
 	var after time.Duration
 	switch {
 	case p.probed:
-		after = probeDelay + time.Duration(p.random.Int64N(int64(probesDiffer)))
+		after = probeDelay + time.Duration(p.random.Int64N(int64(probeSpread)))
 	case p.relays:
 		after = downTime + time.Duration(p.random.Int64N(int64(entryReadSpread)))
 	default:
