--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -80,8 +80,8 @@
 	probeSpread = 50 * time.Millisecond
 )
 
-// lose reports a loss to a gateway, at once or when its crash is detected.
-func (p *simulation) lose(b *Table, l Loss) {
+// reportLoss reports a loss to a gateway, at once or when its crash is detected.
+func (p *simulation) reportLoss(b *Table, l Loss) {
 	var after time.Duration
 	switch {
 	case p.probed:
@@ -203,7 +203,7 @@
 			continue
 		}
 		r.stream.lost++
-		p.lose(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.crashCounts[at]), Engines: 1, Sent: r.sent, Lost: now})
+		p.reportLoss(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.crashCounts[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.gateway.End(r.subject.Fingerprint, r.admission)
 		if r.attempt < r.stream.maxAttempts {
 			again = append(again, r)
