--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -95,8 +95,8 @@
 	p.undetected = append(p.undetected, undetectedLoss{l, b, l.Lost.Add(after)})
 }
 
-// see reports the losses that are detected by now.
-func (p *simulation) see(now time.Time) {
+// reportDetected reports the losses that are detected by now.
+func (p *simulation) reportDetected(now time.Time) {
 	p.undetected = slices.DeleteFunc(p.undetected, func(u undetectedLoss) bool {
 		if now.Before(u.detectedAt) {
 			return false
@@ -124,7 +124,7 @@
 		}
 		p.finish(now)
 		p.again(now)
-		p.see(now)
+		p.reportDetected(now)
 		if now.Sub(p.lastExchange) >= wordTime {
 			p.exchange()
 			p.lastExchange = now
