--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -123,7 +123,7 @@
 			}
 		}
 		p.finish(now)
-		p.again(now)
+		p.retry(now)
 		p.reportDetected(now)
 		if now.Sub(p.lastExchange) >= wordTime {
 			p.exchange()
@@ -222,8 +222,8 @@
 // retryPause is the pause before the same gateway retries a call.
 const retryPause = 20 * time.Millisecond
 
-// again retries calls whose pause is over.
-func (p *simulation) again(now time.Time) {
+// retry retries calls whose pause is over.
+func (p *simulation) retry(now time.Time) {
 	rs := p.retries
 	p.retries = nil
 	for _, r := range rs {
