--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -115,7 +115,7 @@
 	for end := p.clock.Now().Add(d); p.clock.Now().Before(end); p.clock.Advance(step) {
 		now := p.clock.Now()
 		for _, i := range p.crashPattern(p) {
-			p.end(i)
+			p.crashUpstream(i)
 		}
 		for _, s := range p.streams {
 			for n := s.rate * step.Seconds(); n > 0 && p.random.Float64() < n; n-- {
@@ -171,7 +171,7 @@
 func (p *simulation) finish(now time.Time) {
 	for _, r := range slices.Clone(p.runs) {
 		if r.stream.harmful && !now.Before(r.endsAt) {
-			p.end(r.upstream)
+			p.crashUpstream(r.upstream)
 		}
 	}
 	p.runs = slices.DeleteFunc(p.runs, func(r *run) bool {
@@ -185,8 +185,8 @@
 	})
 }
 
-// end crashes an upstream with all runs there.
-func (p *simulation) end(at int) {
+// crashUpstream crashes an upstream with all runs there.
+func (p *simulation) crashUpstream(at int) {
 	now := p.clock.Now()
 	if now.Before(p.upAt[at]) {
 		return
