--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	step     = 5 * time.Millisecond
-	wordTime = 25 * time.Millisecond // between two exchanges of updates by gateways
-	downTime = 1500 * time.Millisecond
-	killTime = 100 * time.Millisecond // until a harmful request crashes its upstream
+	step             = 5 * time.Millisecond
+	exchangeInterval = 25 * time.Millisecond // between two exchanges of updates by gateways
+	downTime         = 1500 * time.Millisecond
+	killTime         = 100 * time.Millisecond // until a harmful request crashes its upstream
 )
 
 // stream is requests that are sent at a rate.
@@ -125,7 +125,7 @@
 		p.finish(now)
 		p.retry(now)
 		p.reportDetected(now)
-		if now.Sub(p.lastExchange) >= wordTime {
+		if now.Sub(p.lastExchange) >= exchangeInterval {
 			p.exchange()
 			p.lastExchange = now
 		}
