--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -14,7 +14,7 @@
 	step             = 5 * time.Millisecond
 	exchangeInterval = 25 * time.Millisecond // between two exchanges of updates by gateways
 	downTime         = 1500 * time.Millisecond
-	killTime         = 100 * time.Millisecond // until a harmful request crashes its upstream
+	crashDelay       = 100 * time.Millisecond // until a harmful request crashes its upstream
 )
 
 // stream is requests that are sent at a rate.
@@ -162,7 +162,7 @@
 	s.sent++
 	took := 200*time.Millisecond + time.Duration(p.random.IntN(1000))*time.Millisecond
 	if s.harmful {
-		took = killTime
+		took = crashDelay
 	}
 	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), tries})
 }
@@ -417,7 +417,7 @@
 	for i := 0; b.Loop(); i++ {
 		s := request(i / 3 % maxRecords)
 		now := w.clock.Now()
-		t.RecordLoss(Loss{Subject: s, Upstream: instance("u", i%600), Engines: 1, Sent: now.Add(-killTime), Lost: now})
+		t.RecordLoss(Loss{Subject: s, Upstream: instance("u", i%600), Engines: 1, Sent: now.Add(-crashDelay), Lost: now})
 		t.Begin(s.Fingerprint)
 		t.NextUpdate()
 		w.clock.Advance(20 * time.Millisecond)
