--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -32,7 +32,7 @@
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
 			same := &stream{rate: 5, subject: madeBy("k", 200_000), maxAttempts: 3}
 			others := &stream{rate: 100, subject: madeBy("o", 300_000), maxAttempts: 3}
-			p := newSimulation(t, uint64(rate), none, same, others)
+			p := newSimulation(t, uint64(rate), noCrashes, same, others)
 			p.reroutes, p.retryPauses = true, true
 			p.run(10 * time.Second)
 			p.streams = append(p.streams, &stream{rate: rate, subject: madeBy("k", 100_000), maxAttempts: 3, harmful: true})
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -249,8 +249,8 @@
 // crashPattern returns the upstreams that crash by themselves in a step.
 type crashPattern func(p *simulation) (at []int)
 
-// none crashes no upstream.
-func none(*simulation) []int { return nil }
+// noCrashes crashes no upstream.
+func noCrashes(*simulation) []int { return nil }
 
 // each crashes a random upstream at a mean interval.
 func each(d time.Duration) crashPattern {
@@ -330,7 +330,7 @@
 // crash is known.
 func TestHarmfulRequestsAreHeld(t *testing.T) {
 	for name, c := range map[string]func() crashPattern{
-		"alone":                               func() crashPattern { return none },
+		"alone":                               func() crashPattern { return noCrashes },
 		"while one upstream ends each 0.8 s":  func() crashPattern { return each(800 * time.Millisecond) },
 		"while a rack is lost each 5 s":       func() crashPattern { return many(5, 5*time.Second) },
 		"while a service is lost each 10 s":   func() crashPattern { return many(poolSize, 10*time.Second) },
@@ -358,7 +358,7 @@
 		ss = append(ss, &stream{rate: 1, subject: same(i), maxAttempts: 2, harmful: true})
 	}
 	others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
-	p := newSimulation(t, 1, none, append(ss, others)...)
+	p := newSimulation(t, 1, noCrashes, append(ss, others)...)
 	p.run(60 * time.Second)
 	sent := 0
 	for _, s := range ss {
@@ -377,7 +377,7 @@
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
 			harmful := &stream{rate: 20, subject: same(1), maxAttempts: 2, harmful: true}
 			others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
-			p := newSimulation(t, uint64(copies), none, others)
+			p := newSimulation(t, uint64(copies), noCrashes, others)
 			p.run(time.Second)
 			for range copies {
 				p.send(harmful, harmful.subject(), 1)
@@ -399,7 +399,7 @@
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
 			harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
 			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
-			p := newSimulation(t, uint64(rate), none, harmful, others)
+			p := newSimulation(t, uint64(rate), noCrashes, harmful, others)
 			p.run(20 * time.Second)
 			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
 			require.Zero(t, others.blocked)
