--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -252,8 +252,8 @@
 // noCrashes crashes no upstream.
 func noCrashes(*simulation) []int { return nil }
 
-// each crashes a random upstream at a mean interval.
-func each(d time.Duration) crashPattern {
+// crashOne crashes a random upstream at a mean interval.
+func crashOne(d time.Duration) crashPattern {
 	return func(p *simulation) []int {
 		if p.random.Float64() < step.Seconds()/d.Seconds() {
 			return []int{p.random.IntN(poolSize)}
@@ -279,7 +279,7 @@
 // twenty-five, while all of a service is lost every 2.5 s and three in four runs with it.
 func TestPopularRequestsAreNotHeld(t *testing.T) {
 	for name, c := range map[string]func() crashPattern{
-		"one upstream each 0.4 s":       func() crashPattern { return each(400 * time.Millisecond) },
+		"one upstream each 0.4 s":       func() crashPattern { return crashOne(400 * time.Millisecond) },
 		"a rack each 5 s":               func() crashPattern { return many(5, 5*time.Second) },
 		"a data hall each 10 s":         func() crashPattern { return many(6, 10*time.Second) },
 		"all of a service each 10 s":    func() crashPattern { return many(poolSize, 10*time.Second) },
@@ -331,10 +331,10 @@
 func TestHarmfulRequestsAreHeld(t *testing.T) {
 	for name, c := range map[string]func() crashPattern{
 		"alone":                               func() crashPattern { return noCrashes },
-		"while one upstream ends each 0.8 s":  func() crashPattern { return each(800 * time.Millisecond) },
+		"while one upstream ends each 0.8 s":  func() crashPattern { return crashOne(800 * time.Millisecond) },
 		"while a rack is lost each 5 s":       func() crashPattern { return many(5, 5*time.Second) },
 		"while a service is lost each 10 s":   func() crashPattern { return many(poolSize, 10*time.Second) },
-		"while one upstream ends each 0.25 s": func() crashPattern { return each(250 * time.Millisecond) },
+		"while one upstream ends each 0.25 s": func() crashPattern { return crashOne(250 * time.Millisecond) },
 	} {
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
