--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// many crashes some upstreams at the same time, at an interval.
-func many(n int, d time.Duration) crashPattern {
+// crashMany crashes some upstreams at the same time, at an interval.
+func crashMany(n int, d time.Duration) crashPattern {
 	var last time.Time
 	return func(p *simulation) []int {
 		if p.clock.Now().Sub(last) < d {
@@ -280,11 +280,11 @@
 func TestPopularRequestsAreNotHeld(t *testing.T) {
 	for name, c := range map[string]func() crashPattern{
 		"one upstream each 0.4 s":       func() crashPattern { return crashOne(400 * time.Millisecond) },
-		"a rack each 5 s":               func() crashPattern { return many(5, 5*time.Second) },
-		"a data hall each 10 s":         func() crashPattern { return many(6, 10*time.Second) },
-		"all of a service each 10 s":    func() crashPattern { return many(poolSize, 10*time.Second) },
-		"all of a service each 2.5 s":   func() crashPattern { return many(poolSize, 2500*time.Millisecond) },
-		"a third of a service each 2 s": func() crashPattern { return many(poolSize/3, 2*time.Second) },
+		"a rack each 5 s":               func() crashPattern { return crashMany(5, 5*time.Second) },
+		"a data hall each 10 s":         func() crashPattern { return crashMany(6, 10*time.Second) },
+		"all of a service each 10 s":    func() crashPattern { return crashMany(poolSize, 10*time.Second) },
+		"all of a service each 2.5 s":   func() crashPattern { return crashMany(poolSize, 2500*time.Millisecond) },
+		"a third of a service each 2 s": func() crashPattern { return crashMany(poolSize/3, 2*time.Second) },
 	} {
 		for _, rate := range []float64{0.5, 2, 10, 50} {
 			for how, change := range map[string]func(p *simulation){
@@ -317,7 +317,7 @@
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
 			popular := &stream{rate: x.rate, subject: same(1), maxAttempts: 2}
-			p := newSimulation(t, x.seed, many(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
+			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.blocked)
@@ -332,8 +332,8 @@
 	for name, c := range map[string]func() crashPattern{
 		"alone":                               func() crashPattern { return noCrashes },
 		"while one upstream ends each 0.8 s":  func() crashPattern { return crashOne(800 * time.Millisecond) },
-		"while a rack is lost each 5 s":       func() crashPattern { return many(5, 5*time.Second) },
-		"while a service is lost each 10 s":   func() crashPattern { return many(poolSize, 10*time.Second) },
+		"while a rack is lost each 5 s":       func() crashPattern { return crashMany(5, 5*time.Second) },
+		"while a service is lost each 10 s":   func() crashPattern { return crashMany(poolSize, 10*time.Second) },
 		"while one upstream ends each 0.25 s": func() crashPattern { return crashOne(250 * time.Millisecond) },
 	} {
 		for _, rate := range []float64{1, 10, 50} {
