--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -11,9 +11,9 @@
 // servedBeside is the least part of the calls of others that has to be served.
 const servedBeside = 0.95
 
-// madeBy returns a source of distinct requests of an organisation, also distinct from those of
+// uniqueRequests returns a source of distinct requests of an organisation, also distinct from those of
 // others.
-func madeBy(organisation string, from int) func() Subject {
+func uniqueRequests(organisation string, from int) func() Subject {
 	return func() Subject {
 		from++
 		s := request(from)
@@ -30,12 +30,12 @@
 func TestBodiesThatAreMadeUp(t *testing.T) {
 	for _, rate := range []float64{1, 5, 20} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
-			same := &stream{rate: 5, subject: madeBy("k", 200_000), maxAttempts: 3}
-			others := &stream{rate: 100, subject: madeBy("o", 300_000), maxAttempts: 3}
+			same := &stream{rate: 5, subject: uniqueRequests("k", 200_000), maxAttempts: 3}
+			others := &stream{rate: 100, subject: uniqueRequests("o", 300_000), maxAttempts: 3}
 			p := newSimulation(t, uint64(rate), noCrashes, same, others)
 			p.reroutes, p.retryPauses = true, true
 			p.run(10 * time.Second)
-			p.streams = append(p.streams, &stream{rate: rate, subject: madeBy("k", 100_000), maxAttempts: 3, harmful: true})
+			p.streams = append(p.streams, &stream{rate: rate, subject: uniqueRequests("k", 100_000), maxAttempts: 3, harmful: true})
 			p.run(30 * time.Second)
 			t.Logf("%d upstreams ended; served %.3f of the others, %.3f of the other calls of the same organisation", len(p.crashTimes), others.servedShare(), same.servedShare())
 			require.GreaterOrEqual(t, others.servedShare(), servedBeside)
