--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// servedBeside is the least part of the calls of others that has to be served.
-const servedBeside = 0.95
+// minServedShare is the least part of the calls of others that has to be served.
+const minServedShare = 0.95
 
 // uniqueRequests returns a source of distinct requests of an organisation, also distinct from those of
 // others.
@@ -38,7 +38,7 @@
 			p.streams = append(p.streams, &stream{rate: rate, subject: uniqueRequests("k", 100_000), maxAttempts: 3, harmful: true})
 			p.run(30 * time.Second)
 			t.Logf("%d upstreams ended; served %.3f of the others, %.3f of the other calls of the same organisation", len(p.crashTimes), others.servedShare(), same.servedShare())
-			require.GreaterOrEqual(t, others.servedShare(), servedBeside)
+			require.GreaterOrEqual(t, others.servedShare(), minServedShare)
 		})
 	}
 }
