--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -136,7 +136,7 @@
 	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "classes of a newer peer are passed over")
 }
 
-func word(sequence uint64, whole bool, open ...int32) *wire.LoadView {
+func loadView(sequence uint64, whole bool, open ...int32) *wire.LoadView {
 	m := &wire.LoadView{Box: "b", Sequence: sequence, Whole: whole}
 	for i, n := range open {
 		if n >= 0 {
@@ -158,31 +158,31 @@
 		}
 	}
 	k := NewReceiver(f)
-	k.Packet(word(1, false, 7))
+	k.Packet(loadView(1, false, 7))
 	requireOpen(t, 0, 0)
-	o := k.openStream(word(2, true, 1, 1))
+	o := k.openStream(loadView(2, true, 1, 1))
 	requireOpen(t, 1, 1)
 	require.Equal(t, 1, f.Heard())
-	k.receive(word(5, false, 3))
-	k.receive(word(4, false, 2, 2))
+	k.receive(loadView(5, false, 3))
+	k.receive(loadView(4, false, 2, 2))
 	requireOpen(t, 3, 2)
-	k.receive(word(3, true))
+	k.receive(loadView(3, true))
 	requireOpen(t, 3, 2)
-	k.receive(word(6, true, -1, 2))
+	k.receive(loadView(6, true, -1, 2))
 	requireOpen(t, 0, 2)
-	m := word(7, false, 0)
+	m := loadView(7, false, 0)
 	m.Shares[0].AvoidMillis = 1000
 	k.receive(m)
 	p, ok := f.Plan(service, route, hollowgrade.Call{PromptTokens: 100, MaxTokens: 5}, time.Hour)
 	require.True(t, ok)
 	require.Equal(t, "1", p.Upstream, "the other one is at fault")
 	f.Done(p, true)
-	newer := k.openStream(word(9, true, -1, 2))
+	newer := k.openStream(loadView(9, true, -1, 2))
 	k.closeStream("b", o)
 	requireOpen(t, 0, 2)
 	k.closeStream("b", newer)
 	requireOpen(t, 0, 0)
-	k.Packet(word(10, false, 1))
+	k.Packet(loadView(10, false, 1))
 	requireOpen(t, 0, 0)
 }
 
