--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -97,18 +97,18 @@
 }
 
 func TestLoadIsToldAndForgotten(t *testing.T) {
-	t.Run("on streams", func(t *testing.T) { requireTold(t) })
-	t.Run("in packets", func(t *testing.T) { requireTold(t, WithPackets(packets(t, "127.0.0.1:0"))) })
+	t.Run("on streams", func(t *testing.T) { requireLoadSent(t) })
+	t.Run("in packets", func(t *testing.T) { requireLoadSent(t, WithPackets(packets(t, "127.0.0.1:0"))) })
 	t.Run("in packets that are all lost", func(t *testing.T) {
 		p := packets(t, "127.0.0.1:0")
 		require.NoError(t, p.Close())
-		requireTold(t, WithPackets(p))
+		requireLoadSent(t, WithPackets(p))
 	})
 }
 
-// requireTold checks that a fleet receives what another one sends to upstreams, until that one
+// requireLoadSent checks that a fleet receives what another one sends to upstreams, until that one
 // stops.
-func requireTold(t *testing.T, os ...Option) {
+func requireLoadSent(t *testing.T, os ...Option) {
 	t.Helper()
 	a, b := newFleet(), newFleet()
 	first := plan(t, a) // before they are connected
