--- a/loadview/bench_test.go
+++ b/loadview/bench_test.go
@@ -27,12 +27,12 @@
 // together; docs/CAPACITY.md has results.
 func BenchmarkTell(b *testing.B) {
 	for _, n := range []int{4, 27, 83} {
-		b.Run(fmt.Sprintf("streams/%d", n), func(b *testing.B) { tell(b, n) })
-		b.Run(fmt.Sprintf("packets/%d", n), func(b *testing.B) { tell(b, n, WithPackets(packets(b, "127.0.0.1:0"))) })
+		b.Run(fmt.Sprintf("streams/%d", n), func(b *testing.B) { benchmarkSend(b, n) })
+		b.Run(fmt.Sprintf("packets/%d", n), func(b *testing.B) { benchmarkSend(b, n, WithPackets(packets(b, "127.0.0.1:0"))) })
 	}
 }
 
-func tell(b *testing.B, n int, os ...Option) {
+func benchmarkSend(b *testing.B, n int, os ...Option) {
 	b.Helper()
 	a := newFleet()
 	var fs []*core.Fleet
