--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// someWord returns an update with n entries of each kind, with names of the usual length.
-func someWord(n int, now time.Time) (w quarantine.Update) {
+// sampleUpdate returns an update with n entries of each kind, with names of the usual length.
+func sampleUpdate(n int, now time.Time) (w quarantine.Update) {
 	for i := range n {
 		f := hollowgrade.NewFingerprint("o", hollowgrade.Call{Target: fmt.Sprint(i)})
 		s := quarantine.Subject{Fingerprint: f, Organisation: "organisation-12", Route: "r-umqqzgd", Service: "draft-llm"}
@@ -31,7 +31,7 @@
 
 func TestWordsOnLostRequests(t *testing.T) {
 	now := time.Now().Truncate(time.Microsecond)
-	w := someWord(100, now)
+	w := sampleUpdate(100, now)
 	t.Run("are read as they are told", func(t *testing.T) {
 		require.Equal(t, w, decodeUpdate(encodeUpdate(w, now), now))
 	})
@@ -64,7 +64,7 @@
 
 // Any update that decodes must be applied without a panic or a block that lasts too long.
 func FuzzSuspicions(f *testing.F) {
-	b, err := proto.Marshal(encodeUpdate(someWord(3, time.Now()), time.Now()))
+	b, err := proto.Marshal(encodeUpdate(sampleUpdate(3, time.Now()), time.Now()))
 	require.NoError(f, err)
 	f.Add(b)
 	f.Add([]byte{})
@@ -86,7 +86,7 @@
 // run, 22 for a trial, 178 for a block that names three upstreams.
 func BenchmarkWords(b *testing.B) {
 	now := time.Now()
-	w := someWord(1, now)
+	w := sampleUpdate(1, now)
 	for b.Loop() {
 		encodeUpdate(w, now)
 	}
