--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -192,12 +192,12 @@
 		cs[hollowgrade.Life(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Given: 24 * time.Hour, Tokens: 1 << 24}
 	}
 	s := New("box-of-a-long-name-in-a-data-hall/incarnation", newFleet(), func() []string { return nil })
-	told := 0
+	sent := 0
 	for _, f := range s.frames(cs) {
 		require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
-		told += len(f.GetLoadView().Shares)
+		sent += len(f.GetLoadView().Shares)
 	}
-	require.Equal(t, len(cs), told)
+	require.Equal(t, len(cs), sent)
 }
 
 // A gateway that restarts must learn the prefill backlogs of engines. Otherwise it sends prompts to
