--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -107,7 +107,7 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, crash crashPattern, ss ...*stream) *simulation {
-	return &simulation{cluster: newWorld(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crashPattern: crash}
+	return &simulation{cluster: newCluster(t, 5), random: rand.New(rand.NewPCG(seed, 1)), streams: ss, crashPattern: crash}
 }
 
 // run runs the simulation for some time.
@@ -411,7 +411,7 @@
 // BenchmarkTable measures the cost of one loss for a gateway while a thousand harmful requests a
 // minute crash three upstreams each: 80 us and 1.2 KB, 0.4% of a core at 50 losses a second.
 func BenchmarkTable(b *testing.B) {
-	w := newWorld(nil, 1)
+	w := newCluster(nil, 1)
 	t := w.gateways[0]
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -24,7 +24,7 @@
 	gateways []*Table
 }
 
-func newWorld(t *testing.T, n int) *cluster {
+func newCluster(t *testing.T, n int) *cluster {
 	w := &cluster{t: t, clock: clockwork.NewFakeClock()}
 	for i := range n {
 		w.gateways = append(w.gateways, w.newGateway(fmt.Sprint("box-", i)))
@@ -85,7 +85,7 @@
 
 func TestThreeLossesInARow(t *testing.T) {
 	t.Run("hold a request for long, at all gateways", func(t *testing.T) {
-		w, s := newWorld(t, 3), request(1)
+		w, s := newCluster(t, 3), request(1)
 		for i := range 3 {
 			requireBlocked(t, w.gateways[i], s, false)
 			w.loseRun(w.gateways[i], s, instance("u", i), runTime)
@@ -97,7 +97,7 @@
 		}
 	})
 	t.Run("say nothing of its neighbours", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		for i := range 3 {
 			u := instance("u", i)
 			for n := range 9 {
@@ -111,7 +111,7 @@
 		require.Equal(t, s, w.gateways[0].Blocks()[0].Subject)
 	})
 	t.Run("count one after another only", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		sent := w.clock.Now()
 		w.clock.Advance(runTime)
 		for i := range 10 { // ten copies at once, and a rack that is lost
@@ -120,7 +120,7 @@
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("are none if one was answered between", func(t *testing.T) {
-		w, s := newWorld(t, 2), request(1)
+		w, s := newCluster(t, 2), request(1)
 		for i := range 20 {
 			w.loseRun(w.gateways[0], s, instance("u", i), runTime)
 			if i%2 == 1 {
@@ -133,7 +133,7 @@
 		}
 	})
 	t.Run("hold for seconds only while as many upstreams end without it", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		for i := range 3 {
 			for n := range 2 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: instance("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(time.Millisecond)})
@@ -147,7 +147,7 @@
 		require.Equal(t, shortBlockTime, l.RetryAfter.Round(time.Second))
 	})
 	t.Run("hold nobody where a rack is lost again and again", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		for i := range 3 {
 			for n := range 5 {
 				w.gateways[0].RecordLoss(Loss{Subject: request(100*i + n + 2), Upstream: instance("other", i, n), Engines: 1, Sent: w.clock.Now(), Lost: w.clock.Now().Add(runTime)})
@@ -161,7 +161,7 @@
 
 func TestSuspectsRunAlone(t *testing.T) {
 	t.Run("after two losses in a row, at all gateways together", func(t *testing.T) {
-		w, s := newWorld(t, 3), request(1)
+		w, s := newCluster(t, 3), request(1)
 		w.loseRun(w.gateways[0], s, "u0", runTime)
 		w.loseRun(w.gateways[0], s, "u1", runTime)
 		w.exchange()
@@ -182,7 +182,7 @@
 		}
 	})
 	t.Run("once upstreams ended at three moments under copies of it", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		sent := w.clock.Now()
 		w.clock.Advance(runTime)
 		for i := range 3 {
@@ -194,7 +194,7 @@
 		require.False(t, w.gateways[0].Begin(s.Fingerprint).Granted)
 	})
 	t.Run("not for ever if the gateway that has the run is lost", func(t *testing.T) {
-		w, s := newWorld(t, 2), request(1)
+		w, s := newCluster(t, 2), request(1)
 		w.loseRun(w.gateways[0], s, "u0", runTime)
 		w.loseRun(w.gateways[0], s, "u1", runTime)
 		w.gateways[0].Begin(s.Fingerprint)
@@ -215,7 +215,7 @@
 
 func TestHoldsEnd(t *testing.T) {
 	t.Run("by themselves, and one run decides", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
 		l := w.gateways[0].Begin(s.Fingerprint)
@@ -226,7 +226,7 @@
 		require.Equal(t, Admission{Granted: true}, w.gateways[0].Begin(s.Fingerprint))
 	})
 	t.Run("and begin again if that run is lost", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		w.block(w.gateways[0], s)
 		w.clock.Advance(longBlockTime)
 		w.loseRun(w.gateways[0], s, "u9", runTime)
@@ -234,7 +234,7 @@
 		require.Equal(t, lossesToBlock+1, w.gateways[0].Blocks()[0].Losses)
 	})
 	t.Run("when an operator lifts them, everywhere", func(t *testing.T) {
-		w, s := newWorld(t, 3), request(1)
+		w, s := newCluster(t, 3), request(1)
 		w.block(w.gateways[0], s)
 		w.exchange()
 		require.True(t, w.gateways[2].Lift(s.Fingerprint))
@@ -245,7 +245,7 @@
 		require.False(t, w.gateways[2].Lift(s.Fingerprint))
 	})
 	t.Run("an older word does not bring them back", func(t *testing.T) {
-		w, s := newWorld(t, 2), request(1)
+		w, s := newCluster(t, 2), request(1)
 		w.block(w.gateways[0], s)
 		h := w.gateways[0].Blocks()[0]
 		w.exchange()
@@ -281,7 +281,7 @@
 
 func TestTheStoreKeepsHolds(t *testing.T) {
 	t.Run("over the loss of all gateways", func(t *testing.T) {
-		w, s, d := newWorld(t, 2), request(1), fakeStore{}
+		w, s, d := newCluster(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		require.Equal(t, 1, d.write(w.gateways[0]))
 		require.Zero(t, d.write(w.gateways[0]), "once is enough")
@@ -293,7 +293,7 @@
 		requireBlocked(t, b, s, true)
 	})
 	t.Run("written by others if the one that reached the verdict is lost, and by few of them", func(t *testing.T) {
-		w, s, d := newWorld(t, 3), request(1), fakeStore{}
+		w, s, d := newCluster(t, 3), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		w.exchange()
 		require.Zero(t, d.write(w.gateways[1]))
@@ -303,7 +303,7 @@
 		require.Zero(t, d.write(w.gateways[2]))
 	})
 	t.Run("no longer once the request is harmless", func(t *testing.T) {
-		w, s, d := newWorld(t, 2), request(1), fakeStore{}
+		w, s, d := newCluster(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.write(w.gateways[0])
 		w.exchange()
@@ -315,7 +315,7 @@
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
-		w, s, d := newWorld(t, 1), request(1), fakeStore{}
+		w, s, d := newCluster(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.write(w.gateways[0])
 		w.clock.Advance(longBlockTime + expiredBlockRetention + time.Second)
@@ -325,7 +325,7 @@
 		require.Empty(t, d)
 	})
 	t.Run("also if nobody remembers it", func(t *testing.T) {
-		w, s, d := newWorld(t, 1), request(1), fakeStore{}
+		w, s, d := newCluster(t, 1), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		d.write(w.gateways[0])
 		w.clock.Advance(longBlockTime + 2*recordRetention)
@@ -337,7 +337,7 @@
 		require.Empty(t, d)
 	})
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
-		w, s := newWorld(t, 1), request(1)
+		w, s := newCluster(t, 1), request(1)
 		now := w.clock.Now()
 		w.gateways[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
 		require.LessOrEqual(t, w.gateways[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
@@ -345,7 +345,7 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	b := w.gateways[0]
 	held := request(0)
 	w.block(b, held)
