--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -138,9 +138,9 @@
 }
 
 // sendBy sends a request to a random upstream by one gateway.
-func (p *simulation) sendBy(b *Table, s *stream, of Subject, tries int) {
+func (p *simulation) sendBy(b *Table, s *stream, of Subject, attempt int) {
 	now := p.clock.Now()
-	if tries == 1 {
+	if attempt == 1 {
 		s.calls++
 	}
 	l := b.Begin(of.Fingerprint)
@@ -164,7 +164,7 @@
 	if s.harmful {
 		took = crashDelay
 	}
-	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), tries})
+	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), attempt})
 }
 
 // finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
