--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -196,7 +196,7 @@
 	p.crashTimes = append(p.crashTimes, now)
 	rs := p.runs
 	p.runs = nil
-	var again []*run
+	var retries []*run
 	for _, r := range rs {
 		if r.upstream != at {
 			p.runs = append(p.runs, r)
@@ -206,10 +206,10 @@
 		p.reportLoss(r.gateway, Loss{Subject: r.subject, Upstream: instance("u", at, ".", p.crashCounts[at]), Engines: 1, Sent: r.sent, Lost: now})
 		r.gateway.End(r.subject.Fingerprint, r.admission)
 		if r.attempt < r.stream.maxAttempts {
-			again = append(again, r)
+			retries = append(retries, r)
 		}
 	}
-	for _, r := range again {
+	for _, r := range retries {
 		if p.retryPauses {
 			r.endsAt = now.Add(retryPause)
 			p.retries = append(p.retries, r)
