--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -31,8 +31,8 @@
 }
 
 // scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
-func (t *Table) scheduleStore(r *record, now time.Time, grace time.Duration) {
-	r.storeDue = now.Add(grace + time.Duration(t.random()*float64(grace)))
+func (t *Table) scheduleStore(r *record, now time.Time, delay time.Duration) {
+	r.storeDue = now.Add(delay + time.Duration(t.random()*float64(delay)))
 }
 
 // StoreChanges is the changes to write to the store.
