--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -49,17 +49,17 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	t.evaluateSettled(now)
-	kept := 0
+	stored := 0
 	for _, r := range t.records {
 		if !r.storedUntil.IsZero() {
-			kept++
+			stored++
 		}
 	}
 	for f, r := range t.records {
 		switch {
 		case now.Before(r.storeDue):
 		case r.blocked(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
-			if kept++; kept <= maxStoredBlocks || !r.storedUntil.IsZero() {
+			if stored++; stored <= maxStoredBlocks || !r.storedUntil.IsZero() {
 				k.Save = append(k.Save, r.block)
 			}
 		case r.storedUntil.IsZero():
