--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -98,11 +98,11 @@
 
 // jointOdds returns the joint probability of the losses.
 func jointOdds(ms []keptLoss) float64 {
-	chance := 1.0
+	odds := 1.0
 	for _, m := range ms {
-		chance *= m.odds
+		odds *= m.odds
 	}
-	return chance
+	return odds
 }
 
 // lossOdds returns the probability that a harmless run is lost: from the background crash rate over the
