--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -40,9 +40,9 @@
 
 // background is the crashes of a service's upstreams that a request doesn't explain.
 type background struct {
-	upstreams    int // number of upstreams of the service
-	crashes      int // without the request, within [rateWindow] before the loss
-	simultaneous int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
+	upstreamCount int // number of upstreams of the service
+	crashes       int // without the request, within [rateWindow] before the loss
+	simultaneous  int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
 }
 
 // crashHistory keeps the crashes of the upstreams of one service.
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -109,7 +109,7 @@
 // run time of all engines that took part, or the share of upstreams that crashed at the same time,
 // whichever is larger.
 func lossOdds(l Loss, b background) float64 {
-	n := float64(max(b.upstreams, 1))
+	n := float64(max(b.upstreamCount, 1))
 	rate := math.Max(float64(b.crashes)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
 	took := max(l.Lost.Sub(l.Sent), minRunTime).Seconds() * float64(max(l.Engines, 1))
 	return math.Min(math.Max(1-math.Exp(-rate*took), float64(b.simultaneous)/n), 1)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -304,7 +304,7 @@
 	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: odds, Upstreams: r.namedUpstreams(), By: t.box}
 	t.scheduleStore(r, now, 0)
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
-		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreams, "ends_without_it", b.crashes,
+		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreamCount, "ends_without_it", b.crashes,
 		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
 	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
@@ -339,7 +339,7 @@
 			continue
 		}
 		b = t.crashes[m.Service].backgroundOf(m.Loss, blocked)
-		b.upstreams = t.upstreams(m.Service)
+		b.upstreamCount = t.upstreams(m.Service)
 		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
 	return b
