--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -285,7 +285,7 @@
 		return
 	}
 	t.scheduleStore(r, t.clock.Now(), storeDelay(peer))
-	t.log.Info("request no longer held", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
+	t.log.Info("request no longer blocked", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
 		"held_ms", at.Sub(since).Milliseconds())
 }
 
