--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -27,7 +27,7 @@
 	n := o.pending.Plus(w)
 	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
 		if o.droppedAdds++; o.droppedAdds == 1 {
-			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", maxPendingEntries)
+			o.log.Warn("update not sent to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
