--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -371,5 +371,5 @@
 	for _, f := range fs[:evictionBatch] {
 		delete(t.records, f)
 	}
-	t.log.Warn("requests that were lost are forgotten", "forgotten", evictionBatch, "why", "there are too many", "most", maxRecords)
+	t.log.Warn("records of lost requests evicted", "forgotten", evictionBatch, "why", "there are too many", "most", maxRecords)
 }
