--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -206,7 +206,7 @@
 	}
 	for _, h := range w.Harmless {
 		if r := t.records[h.Fingerprint]; r != nil {
-			t.clear(r, h.At, "a peer said so", box)
+			t.clear(r, h.At, "a peer cleared it", box)
 		}
 	}
 	for _, x := range w.Trials {
