--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -368,7 +368,7 @@
 func (s *Sender) keepConnected(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
 		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
-			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
+			s.log.Debug("load not sent to peer", "peer", address, "err", err)
 		}
 		s.waitRedial(ctx, l)
 	}
