--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -230,7 +230,7 @@
 	}
 	for _, f := range s.frames(cs) {
 		if err := s.packets.Send(f, to); err != nil {
-			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
+			s.log.Debug("packet not sent; the next heartbeat has the same update", "err", err)
 		}
 	}
 }
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -53,7 +53,7 @@
 	for _, p := range splitUpdate(w) {
 		m := &wire.LoadView{Box: s.box, Suspicions: encodeUpdate(p, s.clock.Now())}
 		if err := s.packets.Send(&wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}, to); err != nil {
-			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
+			s.log.Debug("packet not sent; the next heartbeat has the same update", "err", err)
 		}
 	}
 }
