--- a/core/harm.go
+++ b/core/harm.go
@@ -20,14 +20,14 @@
 // cannot be seen at once is seen by their next life (core/unproved.go), or as they go on closing connections (core/closing.go).
 
 // held is the answer to a call whose request is held, or under way alone.
-func (f *flow) held(l quarantine.Leave) *fault.Error {
-	if l.Hold.Since.IsZero() {
+func (f *flow) held(l quarantine.Admission) *fault.Error {
+	if l.Block.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
-			WithRetryAfter(l.Wait)
+			WithRetryAfter(l.RetryAfter)
 	}
 	return fault.New(fault.Quarantined, "%d upstreams ended one after another under this request, the last was %s; it is sent to none for another %s",
-		l.Hold.Losses, last(l.Hold.Upstreams), l.Wait.Round(time.Second)).
-		WithRetryAfter(l.Wait)
+		l.Block.Losses, last(l.Block.Upstreams), l.RetryAfter.Round(time.Second)).
+		WithRetryAfter(l.RetryAfter)
 }
 
 func last(us []hollowgrade.Life) hollowgrade.Life {
@@ -49,7 +49,7 @@
 	var x *fault.Error
 	switch {
 	case err == nil, errors.As(err, &x) && x.Code == fault.UpstreamFailed:
-		f.core.lost.Answered(f.fingerprint)
+		f.core.lost.RecordAnswer(f.fingerprint)
 	case connectionLost(err):
 		f.noteLoss(ctx, a, f.core.clock.Now())
 	}
@@ -78,7 +78,7 @@
 func (c *Core) noteLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
 	p := c.probeOnce(u, request)
 	if p.presence == hollowgrade.Absent {
-		c.lost.Lost(l)
+		c.lost.RecordLoss(l)
 		return
 	}
 	c.unproved.add(u, l)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -71,7 +71,7 @@
 	holds     *holdStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
-	taker     *loadview.Taker
+	taker     *loadview.Receiver
 }
 
 // NewGateway opens the listeners and puts a gateway together. Start brings it
@@ -120,8 +120,8 @@
 	n.held.Watch(n.holds.take)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
-	n.taker = loadview.NewTaker(n.Core.Fleet())
-	n.taker.TakeWords(n.Core.Quarantine())
+	n.taker = loadview.NewReceiver(n.Core.Fleet())
+	n.taker.SetQuarantine(n.Core.Quarantine())
 	share := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
 	if c.Peers != "" {
 		p, err := peer.ListenPackets(c.Peers)
@@ -132,7 +132,7 @@
 		share = append(share, loadview.WithPackets(p))
 	}
 	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
-	n.taker.OnBegin(sharer.Redial)
+	n.taker.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.holds.run))
 	if err = n.listen(c, shared, g); err != nil {
 		return nil, err
@@ -348,7 +348,7 @@
 			return float64(n.unused.Load())
 		}),
 		n.metrics.Gauge("hollowgrade.requests_held", "Requests that are sent to no upstream, since upstreams ended under them.", func() float64 {
-			return float64(len(n.Core.Quarantine().Holds()))
+			return float64(len(n.Core.Quarantine().Blocks()))
 		}),
 		n.metrics.Gauge("hollowgrade.requests_lost", "Requests that are remembered since an upstream was lost under them.", func() float64 {
 			return float64(n.Core.Quarantine().Size())
@@ -421,7 +421,7 @@
 }
 
 // newPackets returns a service that takes packets of other gateways.
-func newPackets(p *peer.Packets, t *loadview.Taker, g *log.Logger) kernel.Service {
+func newPackets(p *peer.Packets, t *loadview.Receiver, g *log.Logger) kernel.Service {
 	return newRunner(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = p.Close() })
 		defer stop()
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -1,10 +1,10 @@
-// Package loadview tells other gateways what this one has given to upstreams,
-// and takes their word on the same. Each upstream is used by many gateways at
-// once; what it says of itself lags, and does not tell what it has yet to read.
+// Package loadview exchanges between gateways what load each has placed on upstreams. Each upstream
+// is used by many gateways at once; what it reports itself lags, and leaves out prompts that it has
+// yet to prefill.
 //
-// A change goes to each peer at once in a packet, which may get lost. What changed
-// since the last heartbeat goes with the next one, on a stream, and all there is
-// with some of them. So a view is wrong for a heartbeat at the most.
+// A change goes to each peer at once in a packet, which may get lost. What changed since the last
+// heartbeat goes with the next one on a stream, and the whole view with some of them, so that a view
+// is wrong for one heartbeat at most.
 package loadview
 
 import (
@@ -28,30 +28,28 @@
 )
 
 const (
-	// pause is the least time between two messages to a peer. It bounds what a
-	// busy gateway sends; a view is that much out of date.
-	pause = 25 * time.Millisecond
-	// wholeEvery is how often a gateway says all anew, so that a mistake does not last.
-	// All is what it has given to each upstream since it started: on the large fleet 4.5 KB
-	// to each of 102 peers: with heartbeats of 0.5 s, each tenth of which said all, 68 KB a second,
-	// 14 KB now (TestHeartbeatsOfManyGatewaysAreSmall).
-	wholeEvery = 30 * time.Second
-	// dialTimeout and dialEvery bound the tries to reach a peer.
-	dialTimeout = 500 * time.Millisecond
-	dialEvery   = time.Second
-	// startSyncs is how often it is looked for peers after a start, a pause apart:
-	// others that start at the same moment are listed within a second. With each
-	// heartbeat only, gateways that start together placed prompts for half a second
-	// without hearing of each other.
-	startSyncs = 40
-	// packetShares is how many upstreams one packet tells of: a share takes some
-	// 65 bytes where ids are of a usual length and calls bear three pauses, a packet
-	// 1,400.
-	packetShares = 14
+	// minSendInterval is the least time between two messages to a peer. It bounds the traffic of a busy
+	// gateway; a view is out of date by as much.
+	minSendInterval = 25 * time.Millisecond
+	// wholeViewInterval is the time between two whole views, which correct mistakes. A whole view has what
+	// a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of
+	// 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second,
+	// with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
+	wholeViewInterval = 30 * time.Second
+	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
+	dialTimeout    = 500 * time.Millisecond
+	redialInterval = time.Second
+	// startupSyncs is the number of times that peers are looked up after the start, a pause apart:
+	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
+	// alone they placed prompts for half a second without views of each other.
+	startupSyncs = 40
+	// maxSharesPerPacket bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
+	// usual length and three pause classes, and a packet holds 1,400 bytes.
+	maxSharesPerPacket = 14
 )
 
-// Sharer tells peers of a fleet's own shares.
-type Sharer struct {
+// Sender sends the load shares of this gateway to its peers.
+type Sender struct {
 	box   string
 	fleet *core.Fleet
 	peers func() []string
@@ -59,60 +57,60 @@
 	clock hollowgrade.Clock
 	log   *log.Logger
 
-	words    *quarantine.Table // nil if nothing is told of requests that were lost
-	packets  *peer.Packets     // nil if all goes on streams
-	sequence atomic.Uint64     // of the last message
+	quarantine *quarantine.Table // nil if no updates on lost requests are sent
+	packets    *peer.Packets     // nil if all goes on streams
+	sequence   atomic.Uint64     // of the last message
 
 	mu    sync.Mutex
 	links map[string]*link
 }
 
-// link is the way to one peer.
+// link is the connection to one peer.
 type link struct {
-	pending map[hollowgrade.Life]core.Share
-	whole   bool // whether pending is all there is to say
-	first   bool // whether nothing has been said on the stream yet
-	packets netip.AddrPort
-	word    quarantine.Word
-	begun   bool // whether the peer has been told what is held, and hears what is new from then on
-	up      bool // whether the peer has a stream, and so takes packets
-	wake    chan struct{}
-	cancel  context.CancelFunc
-	redial  context.CancelFunc // ends the pause before the next try to connect
+	pending   map[hollowgrade.Life]core.Share
+	whole     bool // whether pending is the whole view
+	first     bool // whether nothing has been sent on the stream yet
+	packets   netip.AddrPort
+	update    quarantine.Update
+	started   bool // whether the stream has begun with the blocks in force, so that later updates are queued for it
+	connected bool // whether the peer has a stream, without which it ignores packets
+	wake      chan struct{}
+	cancel    context.CancelFunc
+	redial    context.CancelFunc // ends the pause before the next attempt to connect
 }
 
-// Option changes a sharer as it is made.
-type Option func(*Sharer)
+// Option configures a sender.
+type Option func(*Sender)
 
 // WithClock sets the clock.
 func WithClock(c hollowgrade.Clock) Option {
-	return func(s *Sharer) { s.clock = c }
+	return func(s *Sender) { s.clock = c }
 }
 
 // WithLogger sets the logger.
 func WithLogger(l *log.Logger) Option {
-	return func(s *Sharer) { s.log = l }
+	return func(s *Sender) { s.log = l }
 }
 
 // WithDialer sets how peers are reached.
 func WithDialer(d peer.Dialer) Option {
-	return func(s *Sharer) { s.dial = d }
+	return func(s *Sender) { s.dial = d }
 }
 
-// WithPackets lets changes go in packets, at once; without it they go on streams.
+// WithPackets sends changes in packets, at once; without it they go on streams.
 func WithPackets(p *peer.Packets) Option {
-	return func(s *Sharer) { s.packets = p }
+	return func(s *Sender) { s.packets = p }
 }
 
-// WithQuarantine lets peers be told of requests that were lost.
+// WithQuarantine sends updates on lost requests to peers.
 func WithQuarantine(t *quarantine.Table) Option {
-	return func(s *Sharer) { s.words = t }
+	return func(s *Sender) { s.quarantine = t }
 }
 
-// New returns a sharer. Box names one life of the gateway. Peers returns the addresses of the
-// other gateways; it is asked anew each second.
-func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sharer {
-	s := &Sharer{
+// New returns a sender. Box names one instance of the gateway. Peers returns the addresses of the
+// other gateways; it is called again with each heartbeat.
+func New(box string, f *core.Fleet, peers func() []string, os ...Option) *Sender {
+	s := &Sender{
 		box:   box,
 		fleet: f,
 		peers: peers,
@@ -127,92 +125,91 @@
 	return s
 }
 
-// Run tells peers until ctx ends.
-func (s *Sharer) Run(ctx context.Context) {
+// Run sends updates to peers until ctx ends.
+func (s *Sender) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	defer g.Wait()
 	t := s.clock.NewTimer(core.Heartbeat(0))
 	defer t.Stop()
-	s.sync(ctx, &g)
-	g.Go(func() { s.meet(ctx, &g) })
-	for said := s.clock.Now(); ctx.Err() == nil; {
+	s.syncLinks(ctx, &g)
+	g.Go(func() { s.findPeers(ctx, &g) })
+	for lastWhole := s.clock.Now(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
 		case <-t.Chan():
-			s.sync(ctx, &g)
-			said = s.heartbeat(said)
-			t.Reset(core.Heartbeat(s.size()))
+			s.syncLinks(ctx, &g)
+			lastWhole = s.heartbeat(lastWhole)
+			t.Reset(core.Heartbeat(s.peerCount()))
 		case <-s.fleet.Changed():
-			s.change(s.fleet.Changes(false))
-			hollowgrade.Sleep(ctx, s.clock, pause)
-		case <-s.suspicions():
-			s.tellWord(s.words.Tell())
+			s.sendChanges(s.fleet.Changes(false))
+			hollowgrade.Sleep(ctx, s.clock, minSendInterval)
+		case <-s.updatePending():
+			s.sendUpdate(s.quarantine.NextUpdate())
 		}
 	}
 }
 
-// suspicions returns a channel that gets a value when there is a word on requests that were lost.
-func (s *Sharer) suspicions() <-chan struct{} {
-	if s.words == nil {
+// updatePending returns a channel that receives a value when an update on lost requests is pending.
+func (s *Sender) updatePending() <-chan struct{} {
+	if s.quarantine == nil {
 		return nil
 	}
-	return s.words.Changed()
+	return s.quarantine.Changed()
 }
 
-// heartbeat lets each link say what has changed, or all there is if that was said last too
-// long ago. It returns when all was said last.
-func (s *Sharer) heartbeat(said time.Time) time.Time {
-	whole := s.clock.Since(said) >= wholeEvery
-	s.spread(s.fleet.Changes(whole), whole)
+// heartbeat makes each link send what has changed, or the whole view if the last one was too long
+// ago. It returns the time of the last whole view.
+func (s *Sender) heartbeat(lastWhole time.Time) time.Time {
+	whole := s.clock.Since(lastWhole) >= wholeViewInterval
+	s.sendOnStreams(s.fleet.Changes(whole), whole)
 	if whole {
 		return s.clock.Now()
 	}
-	return said
+	return lastWhole
 }
 
-// size returns how many peers there are.
-func (s *Sharer) size() int {
+// peerCount returns the number of peers.
+func (s *Sender) peerCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.links)
 }
 
-// meet looks for peers often for a while after the start.
-func (s *Sharer) meet(ctx context.Context, g *sync.WaitGroup) {
-	for range startSyncs {
-		if !hollowgrade.Sleep(ctx, s.clock, pause) {
+// findPeers looks for peers often for a while after the start.
+func (s *Sender) findPeers(ctx context.Context, g *sync.WaitGroup) {
+	for range startupSyncs {
+		if !hollowgrade.Sleep(ctx, s.clock, minSendInterval) {
 			return
 		}
-		s.sync(ctx, g)
+		s.syncLinks(ctx, g)
 	}
 }
 
-// sync keeps a link for each peer there is.
-func (s *Sharer) sync(ctx context.Context, g *sync.WaitGroup) {
+// syncLinks opens and closes links so that there is one for each peer.
+func (s *Sender) syncLinks(ctx context.Context, g *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for _, a := range s.peers() {
-		there[a] = true
+		listed[a] = true
 		if s.links[a] != nil {
 			continue
 		}
 		c, cancel := context.WithCancel(ctx)
 		l := &link{packets: s.packetAddress(a), wake: make(chan struct{}, 1), cancel: cancel, pending: map[hollowgrade.Life]core.Share{}}
 		s.links[a] = l
-		g.Go(func() { s.keep(c, a, l) })
+		g.Go(func() { s.keepConnected(c, a, l) })
 	}
 	for a, l := range s.links {
-		if !there[a] {
+		if !listed[a] {
 			l.cancel()
 			delete(s.links, a)
 		}
 	}
 }
 
-// packetAddress returns where a peer takes packets: at the same address as
-// connections.
-func (s *Sharer) packetAddress(a string) netip.AddrPort {
+// packetAddress returns the address of a peer for packets: the same as for connections.
+func (s *Sender) packetAddress(a string) netip.AddrPort {
 	p, err := netip.ParseAddrPort(a)
 	if err != nil && s.packets != nil {
 		s.log.Warn("peer gets no packets, only streams", "peer", a, "err", err)
@@ -220,30 +217,30 @@
 	return p
 }
 
-// change tells of changes at once: in packets to those that take them, and with
-// the next heartbeat in any case.
-func (s *Sharer) change(cs map[hollowgrade.Life]core.Share) {
+// sendChanges sends changes at once, in packets to the peers that have a stream, and again with the next
+// heartbeat. Without packets they go on streams.
+func (s *Sender) sendChanges(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
-		s.spread(cs, false)
+		s.sendOnStreams(cs, false)
 		return
 	}
-	to := s.note(cs, false)
+	to := s.addShares(cs, false)
 	if len(to) == 0 || len(cs) == 0 {
 		return
 	}
 	for _, f := range s.frames(cs) {
 		if err := s.packets.Send(f, to); err != nil {
-			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
+			s.log.Debug("packet not sent; the next heartbeat has the same update", "err", err)
 		}
 	}
 }
 
 // frames returns shares as frames that fit into packets.
-func (s *Sharer) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
-	part := make(map[hollowgrade.Life]core.Share, packetShares)
+func (s *Sender) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
+	part := make(map[hollowgrade.Life]core.Share, maxSharesPerPacket)
 	for id, c := range cs {
 		part[id] = c
-		if len(part) == packetShares {
+		if len(part) == maxSharesPerPacket {
 			fs = append(fs, s.frame(part, false))
 			clear(part)
 		}
@@ -254,9 +251,9 @@
 	return fs
 }
 
-// spread lets each link say what there is to say.
-func (s *Sharer) spread(cs map[hollowgrade.Life]core.Share, whole bool) {
-	s.note(cs, whole)
+// sendOnStreams makes each link send shares on its stream.
+func (s *Sender) sendOnStreams(cs map[hollowgrade.Life]core.Share, whole bool) {
+	s.addShares(cs, whole)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -267,9 +264,9 @@
 	}
 }
 
-// note keeps for each link what it has to say the next time, and returns where
-// packets can tell it earlier.
-func (s *Sharer) note(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
+// addShares adds shares to what each link has to send, and returns the packet addresses of the peers
+// that are connected.
+func (s *Sender) addShares(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -278,60 +275,60 @@
 			l.whole = true
 		}
 		maps.Copy(l.pending, cs)
-		if l.up && l.packets.IsValid() {
+		if l.connected && l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
 	}
 	return to
 }
 
-// begin lets a link that has just been connected say all there is.
-func (s *Sharer) begin(l *link) {
+// startLink makes a link that has just connected send the whole view.
+func (s *Sender) startLink(l *link) {
 	cs := s.fleet.Shares()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.pending, l.whole, l.first = cs, true, true
-	l.word, l.begun = quarantine.Word{}, true
-	if s.words != nil {
-		l.word = s.words.Known()
+	l.update, l.started = quarantine.Update{}, true
+	if s.quarantine != nil {
+		l.update = s.quarantine.Snapshot()
 	}
 }
 
-// end notes that a link is down.
-func (s *Sharer) end(l *link) {
+// stopLink records that a link is down.
+func (s *Sender) stopLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.word, l.begun = quarantine.Word{}, false
+	l.update, l.started = quarantine.Update{}, false
 }
 
-func (s *Sharer) setUp(l *link, up bool) {
+func (s *Sender) setConnected(l *link, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.up = up
+	l.connected = up
 }
 
-// take returns what a link has to say, as a frame.
-func (s *Sharer) take(l *link) *wire.Frame {
+// nextFrame returns what is pending for a link as a frame, and clears it.
+func (s *Sender) nextFrame(l *link) *wire.Frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.view(l.pending, l.whole)
 	if l.first {
-		addReadings(m, s.fleet.Readings())
+		addPrefillBacklogs(m, s.fleet.Readings())
 	}
-	m.Suspicions = encodeWord(l.word, s.clock.Now())
-	l.word = quarantine.Word{}
+	m.Suspicions = encodeUpdate(l.update, s.clock.Now())
+	l.update = quarantine.Update{}
 	clear(l.pending)
 	l.whole, l.first = false, false
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}
 }
 
-// frame returns a message.
-func (s *Sharer) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
+// frame returns a message with shares.
+func (s *Sender) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: s.view(cs, whole)}}
 }
 
-// addReadings adds what upstreams have still to read to a view.
-func addReadings(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
+// addPrefillBacklogs adds the prefill backlog of upstreams to a view.
+func addPrefillBacklogs(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
 	for _, c := range m.Shares {
 		c.ReadingMicros = rs[hollowgrade.Life(c.Upstream)].Microseconds()
 		delete(rs, hollowgrade.Life(c.Upstream))
@@ -342,7 +339,7 @@
 }
 
 // view returns the body of a message.
-func (s *Sharer) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
+func (s *Sender) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
 	m := &wire.LoadView{Box: s.box, Whole: whole, Sequence: s.sequence.Add(1)}
 	seen := s.fleet.Seen(cs)
 	for id, c := range cs {
@@ -367,39 +364,39 @@
 	return m
 }
 
-// keep holds a connection to a peer and opens it again when it breaks.
-func (s *Sharer) keep(ctx context.Context, address string, l *link) {
+// keepConnected connects to a peer, and again when the connection breaks.
+func (s *Sender) keepConnected(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
-		if err := s.tell(ctx, address, l); err != nil && ctx.Err() == nil {
-			s.log.Debug("peer does not hear of our load", "peer", address, "err", err)
+		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
+			s.log.Debug("load not sent to peer", "peer", address, "err", err)
 		}
-		s.rest(ctx, l)
+		s.waitRedial(ctx, l)
 	}
 }
 
-// rest waits before the next try to connect, until [Sharer.Redial] at the most.
-func (s *Sharer) rest(ctx context.Context, l *link) {
+// waitRedial waits before the next attempt to connect, until [Sender.Redial] at most.
+func (s *Sender) waitRedial(ctx context.Context, l *link) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.mu.Lock()
 	l.redial = cancel
 	s.mu.Unlock()
-	hollowgrade.Sleep(ctx, s.clock, dialEvery)
+	hollowgrade.Sleep(ctx, s.clock, redialInterval)
 }
 
-// Redial lets links that are down connect at once. A peer that has just begun to
-// tell its load has just started, or is reached again, and knows nothing of ours.
-func (s *Sharer) Redial() {
+// Redial makes links that are down connect at once. A peer whose stream has just begun has just
+// started or is reachable again, and has no view of ours.
+func (s *Sender) Redial() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		if !l.up && l.redial != nil {
+		if !l.connected && l.redial != nil {
 			l.redial()
 		}
 	}
 }
 
-func (s *Sharer) tell(ctx context.Context, address string, l *link) (err error) {
+func (s *Sender) runStream(ctx context.Context, address string, l *link) (err error) {
 	defer errs.Annotate(&err, "tell peer %s of the load", address)
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -410,14 +407,14 @@
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	s.begin(l)
-	defer s.end(l)
-	t, err := c.Open(s.take(l))
+	s.startLink(l)
+	defer s.stopLink(l)
+	t, err := c.Open(s.nextFrame(l))
 	if err != nil {
 		return err
 	}
-	s.setUp(l, true)
-	defer s.setUp(l, false)
+	s.setConnected(l, true)
+	defer s.setConnected(l, false)
 	for {
 		select {
 		case <-ctx.Done():
@@ -426,13 +423,13 @@
 			return fmt.Errorf("connection closed")
 		case <-l.wake:
 		}
-		if err = t.Send(s.take(l)); err != nil {
+		if err = t.Send(s.nextFrame(l)); err != nil {
 			return err
 		}
 	}
 }
 
-func shares(m *wire.LoadView) map[hollowgrade.Life]core.Share {
+func decodeShares(m *wire.LoadView) map[hollowgrade.Life]core.Share {
 	ss := make(map[hollowgrade.Life]core.Share, len(m.Shares))
 	for _, c := range m.Shares {
 		ss[hollowgrade.Life(c.Upstream)] = core.Share{
@@ -447,7 +444,7 @@
 	return ss
 }
 
-// encodeLimit returns what is told of the limit of an upstream, nil if there is nothing.
+// encodeLimit returns the rate limit of an upstream, nil if there is none.
 func encodeLimit(s core.Seen) *wire.RateLimit {
 	if !s.HasLimit {
 		return nil
@@ -455,10 +452,10 @@
 	return &wire.RateLimit{Named: s.Limit.Named, PerSecond: s.Limit.PerSecond, AgeMillis: s.Limit.Age.Milliseconds(), Relayed: s.Limit.Relayed}
 }
 
-// paceUnit is how the speed of an engine goes into a message: in thousandths.
+// paceUnit is the factor of an engine's pace in messages, which state it in thousandths.
 const paceUnit = 1000
 
-// encodeStakes leaves out the classes in which nothing is at stake.
+// encodeStakes leaves out classes without a stake.
 func encodeStakes(s placement.Stakes) (ws []*wire.Stake) {
 	for i, n := range s {
 		if n != 0 {
@@ -468,7 +465,7 @@
 	return ws
 }
 
-// decodeStakes passes over classes that are not known here.
+// decodeStakes ignores classes that are unknown here.
 func decodeStakes(ws []*wire.Stake) (s placement.Stakes) {
 	for _, w := range ws {
 		if w.PauseClass >= 0 && int(w.PauseClass) < len(s) {
@@ -478,8 +475,8 @@
 	return s
 }
 
-// readings returns what upstreams have still to read by the word of a peer.
-func readings(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
+// decodePrefillBacklogs returns the prefill backlogs of upstreams in a peer's view.
+func decodePrefillBacklogs(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
 	rs := map[hollowgrade.Life]time.Duration{}
 	for _, c := range m.Shares {
 		if c.ReadingMicros > 0 {
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -37,12 +37,12 @@
 	return p
 }
 
-// serve lets a fleet take views of others, and returns its address.
+// serve receives the views of others for a fleet, and returns its address.
 func serve(t testing.TB, f *core.Fleet) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := NewTaker(f)
+	k := NewReceiver(f)
 	s := peer.NewServer(func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		return k.Stream(s, first.GetLoadView())
 	}, func(net.Addr, error) {})
@@ -63,7 +63,7 @@
 	return l.Addr().String()
 }
 
-// run lets a fleet tell others, until the function that it returns is called.
+// run sends the load of a fleet to others until the returned function is called.
 func run(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -97,18 +97,18 @@
 }
 
 func TestLoadIsToldAndForgotten(t *testing.T) {
-	t.Run("on streams", func(t *testing.T) { requireTold(t) })
-	t.Run("in packets", func(t *testing.T) { requireTold(t, WithPackets(packets(t, "127.0.0.1:0"))) })
+	t.Run("on streams", func(t *testing.T) { requireLoadSent(t) })
+	t.Run("in packets", func(t *testing.T) { requireLoadSent(t, WithPackets(packets(t, "127.0.0.1:0"))) })
 	t.Run("in packets that are all lost", func(t *testing.T) {
 		p := packets(t, "127.0.0.1:0")
 		require.NoError(t, p.Close())
-		requireTold(t, WithPackets(p))
+		requireLoadSent(t, WithPackets(p))
 	})
 }
 
-// requireTold shows that a fleet hears what another one gives to upstreams, until
-// that ends.
-func requireTold(t *testing.T, os ...Option) {
+// requireLoadSent checks that a fleet receives what another one sends to upstreams, until that one
+// stops.
+func requireLoadSent(t *testing.T, os ...Option) {
 	t.Helper()
 	a, b := newFleet(), newFleet()
 	first := plan(t, a) // before they are connected
@@ -136,7 +136,7 @@
 	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "classes of a newer peer are passed over")
 }
 
-func word(sequence uint64, whole bool, open ...int32) *wire.LoadView {
+func loadView(sequence uint64, whole bool, open ...int32) *wire.LoadView {
 	m := &wire.LoadView{Box: "b", Sequence: sequence, Whole: whole}
 	for i, n := range open {
 		if n >= 0 {
@@ -157,32 +157,32 @@
 			require.Equal(t, n, f.Others(hollowgrade.Life(fmt.Sprint(i))).Open, "upstream %d", i)
 		}
 	}
-	k := NewTaker(f)
-	k.Packet(word(1, false, 7))
+	k := NewReceiver(f)
+	k.Packet(loadView(1, false, 7))
 	requireOpen(t, 0, 0)
-	o := k.begin(word(2, true, 1, 1))
+	o := k.openStream(loadView(2, true, 1, 1))
 	requireOpen(t, 1, 1)
 	require.Equal(t, 1, f.Heard())
-	k.take(word(5, false, 3))
-	k.take(word(4, false, 2, 2))
+	k.receive(loadView(5, false, 3))
+	k.receive(loadView(4, false, 2, 2))
 	requireOpen(t, 3, 2)
-	k.take(word(3, true))
+	k.receive(loadView(3, true))
 	requireOpen(t, 3, 2)
-	k.take(word(6, true, -1, 2))
+	k.receive(loadView(6, true, -1, 2))
 	requireOpen(t, 0, 2)
-	m := word(7, false, 0)
+	m := loadView(7, false, 0)
 	m.Shares[0].AvoidMillis = 1000
-	k.take(m)
+	k.receive(m)
 	p, ok := f.Plan(service, route, hollowgrade.Call{PromptTokens: 100, MaxTokens: 5}, time.Hour)
 	require.True(t, ok)
 	require.Equal(t, "1", p.Upstream, "the other one is at fault")
 	f.Done(p, true)
-	newer := k.begin(word(9, true, -1, 2))
-	k.end("b", o)
+	newer := k.openStream(loadView(9, true, -1, 2))
+	k.closeStream("b", o)
 	requireOpen(t, 0, 2)
-	k.end("b", newer)
+	k.closeStream("b", newer)
 	requireOpen(t, 0, 0)
-	k.Packet(word(10, false, 1))
+	k.Packet(loadView(10, false, 1))
 	requireOpen(t, 0, 0)
 }
 
@@ -192,16 +192,17 @@
 		cs[hollowgrade.Life(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Given: 24 * time.Hour, Tokens: 1 << 24}
 	}
 	s := New("box-of-a-long-name-in-a-data-hall/incarnation", newFleet(), func() []string { return nil })
-	told := 0
+	sent := 0
 	for _, f := range s.frames(cs) {
 		require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
-		told += len(f.GetLoadView().Shares)
+		sent += len(f.GetLoadView().Shares)
 	}
-	require.Equal(t, len(cs), told)
+	require.Equal(t, len(cs), sent)
 }
 
-// Found on scale-1 of ampct-valico: a gateway that came back gave 0.9 s of reading to
-// each of six engines that were still reading what others had given to them before.
+// A gateway that restarts must learn the prefill backlogs of engines. Otherwise it sends prompts to
+// engines that are still busy with those of other gateways, such as 0.9 s of prefill to each of
+// six.
 func TestAProcessThatStartsLearnsWhatUpstreamsHaveToRead(t *testing.T) {
 	a := newFleet()
 	plan(t, a)
@@ -217,12 +218,13 @@
 func TestReadingsOverTheWire(t *testing.T) {
 	rs := map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second}
 	m := &wire.LoadView{Shares: []*wire.LoadShare{{Upstream: "u", Open: 1}, {Upstream: "w"}}}
-	addReadings(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
+	addPrefillBacklogs(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
 	require.Len(t, m.Shares, 3)
-	require.Equal(t, rs, readings(m))
+	require.Equal(t, rs, decodePrefillBacklogs(m))
 }
 
-// A peer that starts again is told at once, not after the pause between two tries.
+// A peer that restarts must get the whole view at once, not after the pause between two attempts to
+// connect.
 func TestRedialEndsThePause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New("a", newFleet(), func() []string { return nil }, WithLogger(log.New(io.Discard)))
@@ -230,22 +232,22 @@
 		s.links["b"] = l
 		begin := time.Now()
 		var g sync.WaitGroup
-		g.Go(func() { s.rest(context.Background(), l) })
+		g.Go(func() { s.waitRedial(context.Background(), l) })
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
 		require.Zero(t, time.Since(begin))
-		l.up = true
-		g.Go(func() { s.rest(context.Background(), l) })
+		l.connected = true
+		g.Go(func() { s.waitRedial(context.Background(), l) })
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
-		require.Equal(t, dialEvery, time.Since(begin), "a link that is up is left alone")
+		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is left alone")
 	})
 }
 
-// bytesToPeers returns how many bytes a second heartbeats take that a gateway with so many
-// peers sends, in which nothing changes beside what it has given to each upstream.
+// bytesToPeers returns the bytes a second of the heartbeats of a gateway with so many peers while
+// its load doesn't change.
 func bytesToPeers(t *testing.T, peers, upstreams int) float64 {
 	t.Helper()
 	const span = time.Minute
@@ -266,14 +268,14 @@
 		time.Sleep(core.Heartbeat(peers))
 		said = s.heartbeat(said)
 		for _, l := range s.links {
-			bytes += proto.Size(s.take(l))
+			bytes += proto.Size(s.nextFrame(l))
 		}
 	}
 	return float64(bytes) / span.Seconds()
 }
 
-// 103 gateways told each other 0.45 GB from hall to hall on a quiet day of 48 s, 91 KB a second
-// each: heartbeats of half a second, of which each tenth had all that was ever given.
+// Whole views have every upstream that was ever used. With one in every tenth heartbeat of 0.5 s,
+// each of 103 idle gateways sent 91 KB a second, 0.45 GB between halls in 48 s.
 func TestHeartbeatsOfManyGatewaysAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		few, many := bytesToPeers(t, 27, 60), bytesToPeers(t, 102, 150)
@@ -283,8 +285,8 @@
 	})
 }
 
-// requirePredicted waits until a fleet predicts the first event of a call after that many times
-// as long as an idle one does.
+// requirePredicted waits until a fleet predicts the first event of a call after a multiple of the
+// time on an idle fleet.
 func requirePredicted(t *testing.T, f *core.Fleet, times float64) {
 	t.Helper()
 	idle := plan(t, newFleet()).Predict
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -9,68 +9,69 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// How many words of each kind one packet has: where names are of a usual length a loss takes some 90 bytes
-// and a hold 220, and what comes at a time is mostly of one kind.
+// Bounds of the entries of each kind in one packet. With names of the usual length a loss takes
+// some 90 bytes and a block 220, and what is sent at a time is mostly of one kind.
 const (
-	wordsOfPacket = 14
-	holdsOfPacket = 5
+	maxEntriesPerPacket = 14
+	maxBlocksPerPacket  = 5
 )
 
-// mostPending bounds the losses and holds that wait for the next heartbeat to a peer; the newest are kept.
-const mostPending = 1024
+// maxPendingEntries bounds the entries of each kind that wait for the next heartbeat to a peer; the
+// newest are kept.
+const maxPendingEntries = 1024
 
-// packetsOf returns a word in parts that fit into packets.
-func packetsOf(w quarantine.Word) (ps []quarantine.Word) {
+// splitUpdate splits an update into parts that fit into packets.
+func splitUpdate(w quarantine.Update) (ps []quarantine.Update) {
 	for !w.Empty() {
-		var p quarantine.Word
-		p.Losses, w.Losses = cut(w.Losses, wordsOfPacket)
-		p.Harmless, w.Harmless = cut(w.Harmless, wordsOfPacket)
-		p.Trials, w.Trials = cut(w.Trials, wordsOfPacket)
-		p.Holds, w.Holds = cut(w.Holds, holdsOfPacket)
+		var p quarantine.Update
+		p.Losses, w.Losses = cut(w.Losses, maxEntriesPerPacket)
+		p.Harmless, w.Harmless = cut(w.Harmless, maxEntriesPerPacket)
+		p.Trials, w.Trials = cut(w.Trials, maxEntriesPerPacket)
+		p.Blocks, w.Blocks = cut(w.Blocks, maxBlocksPerPacket)
 		ps = append(ps, p)
 	}
 	return ps
 }
 
-// cut splits off the first n at the most.
+// cut splits off at most the first n.
 func cut[T any](l []T, n int) (first, rest []T) {
 	n = min(len(l), n)
 	return l[:n], l[n:]
 }
 
-// newest returns the last n at the most.
+// newest returns at most the last n.
 func newest[T any](l []T, n int) []T {
 	return l[max(len(l)-n, 0):]
 }
 
-// tellWord tells all peers a word: in packets at once, and with the next heartbeat.
-func (s *Sharer) tellWord(w quarantine.Word) {
-	to := s.noteWord(w)
+// sendUpdate sends an update to all peers, in packets at once and with the next heartbeat.
+func (s *Sender) sendUpdate(w quarantine.Update) {
+	to := s.addUpdate(w)
 	if s.packets == nil || len(to) == 0 {
 		return
 	}
-	for _, p := range packetsOf(w) {
-		m := &wire.LoadView{Box: s.box, Suspicions: encodeWord(p, s.clock.Now())}
+	for _, p := range splitUpdate(w) {
+		m := &wire.LoadView{Box: s.box, Suspicions: encodeUpdate(p, s.clock.Now())}
 		if err := s.packets.Send(&wire.Frame{Body: &wire.Frame_LoadView{LoadView: m}}, to); err != nil {
-			s.log.Debug("packet not sent, the next heartbeat tells the same", "err", err)
+			s.log.Debug("packet not sent; the next heartbeat has the same update", "err", err)
 		}
 	}
 }
 
-// noteWord keeps a word for each link that has begun, and returns where packets can tell it earlier.
-// A link that begins later is told what is held then.
-func (s *Sharer) noteWord(w quarantine.Word) (to []netip.AddrPort) {
+// addUpdate adds an update to what each started link has to send, and returns the packet addresses
+// of these. A link that starts later sends the blocks in force then.
+func (s *Sender) addUpdate(w quarantine.Update) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		if !l.begun {
+		if !l.started {
 			continue
 		}
-		l.word = l.word.Plus(w)
-		l.word.Losses = newest(l.word.Losses, mostPending)
-		l.word.Harmless = newest(l.word.Harmless, mostPending)
-		l.word.Trials = newest(l.word.Trials, mostPending)
-		l.word.Holds = newest(l.word.Holds, mostPending)
+		l.update = l.update.Plus(w)
+		l.update.Losses = newest(l.update.Losses, maxPendingEntries)
+		l.update.Harmless = newest(l.update.Harmless, maxPendingEntries)
+		l.update.Trials = newest(l.update.Trials, maxPendingEntries)
+		l.update.Blocks = newest(l.update.Blocks, maxPendingEntries)
 		if l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
@@ -78,8 +79,8 @@
 	return to
 }
 
-// encodeWord encodes a word. Moments go as ages: clocks of gateways differ.
-func encodeWord(w quarantine.Word, now time.Time) *wire.Suspicions {
+// encodeUpdate encodes an update. Times are sent as ages, since the clocks of gateways differ.
+func encodeUpdate(w quarantine.Update, now time.Time) *wire.Suspicions {
 	if w.Empty() {
 		return nil
 	}
@@ -95,14 +96,14 @@
 	for _, x := range w.Trials {
 		m.Trials = append(m.Trials, &wire.RunAlone{Fingerprint: x.Fingerprint[:], AgeMicros: age(x.At), Over: x.Over})
 	}
-	for _, h := range w.Holds {
+	for _, h := range w.Blocks {
 		m.Holds = append(m.Holds, &wire.RequestHeld{Subject: encodeSubject(h.Subject), AgeMicros: age(h.Since), LeftMicros: -age(h.Until),
 			Losses: int32(h.Losses), Odds: h.Odds, Upstreams: convert[string](h.Upstreams), By: h.By})
 	}
 	return m
 }
 
-// convert returns the same names as another type.
+// convert converts strings to another string type.
 func convert[T, F ~string](l []F) (c []T) {
 	for _, x := range l {
 		c = append(c, T(x))
@@ -114,8 +115,9 @@
 	return &wire.Subject{Fingerprint: s.Fingerprint[:], Organisation: s.Organisation, Route: s.Route, Service: s.Service}
 }
 
-// decodeWord decodes a word that has just come. What has no whole fingerprint is passed over.
-func decodeWord(m *wire.Suspicions, now time.Time) (w quarantine.Word) {
+// decodeUpdate decodes an update that was received now. Entries without a complete fingerprint are
+// ignored.
+func decodeUpdate(m *wire.Suspicions, now time.Time) (w quarantine.Update) {
 	at := func(age int64) time.Time { return now.Add(-time.Duration(age) * time.Microsecond) }
 	for _, l := range m.GetLosses() {
 		if s, ok := decodeSubject(l.Subject); ok {
@@ -135,7 +137,7 @@
 	}
 	for _, h := range m.GetHolds() {
 		if s, ok := decodeSubject(h.Subject); ok {
-			w.Holds = append(w.Holds, quarantine.Hold{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
+			w.Blocks = append(w.Blocks, quarantine.Block{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
 				Losses: int(h.Losses), Odds: h.Odds, Upstreams: convert[hollowgrade.Life](h.Upstreams), By: h.By})
 		}
 	}
--- a/loadview/suspicions_test.go
+++ b/loadview/suspicions_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// someWord returns a word with n of each kind, with names of a usual length.
-func someWord(n int, now time.Time) (w quarantine.Word) {
+// sampleUpdate returns an update with n entries of each kind, with names of the usual length.
+func sampleUpdate(n int, now time.Time) (w quarantine.Update) {
 	for i := range n {
 		f := hollowgrade.NewFingerprint("o", hollowgrade.Call{Target: fmt.Sprint(i)})
 		s := quarantine.Subject{Fingerprint: f, Organisation: "organisation-12", Route: "r-umqqzgd", Service: "draft-llm"}
@@ -23,7 +23,7 @@
 		w.Losses = append(w.Losses, quarantine.Loss{Subject: s, Upstream: u, Engines: 17, Sent: now.Add(-3 * time.Second), Lost: now.Add(-time.Second)})
 		w.Harmless = append(w.Harmless, quarantine.Harmless{Fingerprint: f, At: now})
 		w.Trials = append(w.Trials, quarantine.Trial{Fingerprint: f, At: now, Over: i%2 == 0})
-		w.Holds = append(w.Holds, quarantine.Hold{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
+		w.Blocks = append(w.Blocks, quarantine.Block{Subject: s, Since: now.Add(-time.Minute), Until: now.Add(9 * time.Minute), Losses: 3, Odds: 1e-9,
 			Upstreams: []hollowgrade.Life{u, u, u}, By: "edge-hcm-quang-trung-17"})
 	}
 	return w
@@ -31,16 +31,16 @@
 
 func TestWordsOnLostRequests(t *testing.T) {
 	now := time.Now().Truncate(time.Microsecond)
-	w := someWord(100, now)
+	w := sampleUpdate(100, now)
 	t.Run("are read as they are told", func(t *testing.T) {
-		require.Equal(t, w, decodeWord(encodeWord(w, now), now))
+		require.Equal(t, w, decodeUpdate(encodeUpdate(w, now), now))
 	})
 	t.Run("fit into packets", func(t *testing.T) {
-		var all quarantine.Word
-		for _, p := range packetsOf(w) {
+		var all quarantine.Update
+		for _, p := range splitUpdate(w) {
 			one := 0
-			for _, part := range []quarantine.Word{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Holds: p.Holds}} {
-				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeWord(part, now)}}}
+			for _, part := range []quarantine.Update{{Losses: p.Losses}, {Harmless: p.Harmless}, {Trials: p.Trials}, {Blocks: p.Blocks}} {
+				f := &wire.Frame{Body: &wire.Frame_LoadView{LoadView: &wire.LoadView{Box: "edge-hcm-quang-trung-17/0a1b2c3d", Suspicions: encodeUpdate(part, now)}}}
 				require.LessOrEqual(t, proto.Size(f), peer.MaxPacket)
 				one += proto.Size(f)
 			}
@@ -49,22 +49,22 @@
 		require.Equal(t, w, all)
 	})
 	t.Run("that are broken are passed over", func(t *testing.T) {
-		m := encodeWord(w, now)
+		m := encodeUpdate(w, now)
 		m.Losses[0].Subject.Fingerprint = []byte("short")
 		m.Answered[0].Fingerprint = nil
 		m.Trials[0].Fingerprint = make([]byte, 17)
 		m.Holds[0].Subject = nil
-		d := decodeWord(m, now)
+		d := decodeUpdate(m, now)
 		require.Len(t, d.Losses, 99)
 		require.Len(t, d.Harmless, 99)
 		require.Len(t, d.Trials, 99)
-		require.Len(t, d.Holds, 99)
+		require.Len(t, d.Blocks, 99)
 	})
 }
 
-// Words of any kind are taken without harm.
+// Any update that decodes must be applied without a panic or a block that lasts too long.
 func FuzzSuspicions(f *testing.F) {
-	b, err := proto.Marshal(encodeWord(someWord(3, time.Now()), time.Now()))
+	b, err := proto.Marshal(encodeUpdate(sampleUpdate(3, time.Now()), time.Now()))
 	require.NoError(f, err)
 	f.Add(b)
 	f.Add([]byte{})
@@ -74,23 +74,23 @@
 			return
 		}
 		q := quarantine.New()
-		q.Take("b", decodeWord(&m, time.Now()))
-		q.ToKeep()
-		for _, h := range q.Holds() {
+		q.Receive("b", decodeUpdate(&m, time.Now()))
+		q.StoreChanges()
+		for _, h := range q.Blocks() {
 			require.LessOrEqual(t, time.Until(h.Until), 11*time.Minute)
 		}
 	})
 }
 
-// BenchmarkWords measures the bytes of one word to one peer: 95 for a loss, 20 for a run that was answered, 22
-// for a trial, 178 for a hold that names three upstreams.
+// BenchmarkWords measures the bytes of one entry for one peer: 95 for a loss, 20 for an answered
+// run, 22 for a trial, 178 for a block that names three upstreams.
 func BenchmarkWords(b *testing.B) {
 	now := time.Now()
-	w := someWord(1, now)
+	w := sampleUpdate(1, now)
 	for b.Loop() {
-		encodeWord(w, now)
+		encodeUpdate(w, now)
 	}
-	for name, p := range map[string]quarantine.Word{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Holds: w.Holds}} {
-		b.ReportMetric(float64(proto.Size(encodeWord(p, now))), "B/"+name)
+	for name, p := range map[string]quarantine.Update{"loss": {Losses: w.Losses}, "answered": {Harmless: w.Harmless}, "trial": {Trials: w.Trials}, "hold": {Blocks: w.Blocks}} {
+		b.ReportMetric(float64(proto.Size(encodeUpdate(p, now))), "B/"+name)
 	}
 }
--- a/measure/html.go
+++ b/measure/html.go
@@ -13,12 +13,12 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"dash":    orDash,
-	"must":    must,
+	"must":    formatTarget,
 	"percent": func(v float64) float64 { return 100 * v },
 	"clock":   func(t time.Time) string { return t.Format("2006-01-02 15:04:05 MST") },
 }).Parse(page))
 
-// chart is a plot of quantiles by prompt length on a logarithmic scale of time.
+// chart is a plot of time quantiles by prompt length, with a logarithmic time axis.
 type chart struct {
 	Width, Height int
 	Groups        []group
@@ -41,7 +41,7 @@
 	Label string
 }
 
-// The measures of the chart, in the units of its view box.
+// Sizes of the chart, in the units of its view box.
 const (
 	chartWidth  = 720
 	chartHeight = 300
@@ -52,8 +52,8 @@
 	decades     = 6
 )
 
-// level returns the height at which a time in milliseconds is drawn.
-func level(ms float64) float64 {
+// yOf returns the y coordinate of a time in milliseconds.
+func yOf(ms float64) float64 {
 	share := math.Log10(max(ms, lowestMs)/lowestMs) / decades
 	return (chartHeight - chartBottom) * (1 - min(share, 1))
 }
@@ -61,7 +61,7 @@
 func (r *Report) chart() chart {
 	c := chart{Width: chartWidth, Height: chartHeight}
 	for d, l := range []string{"1 ms", "10 ms", "0.1 s", "1 s", "10 s", "100 s"} {
-		c.Lines = append(c.Lines, line{Y: level(lowestMs * math.Pow10(d)), Label: l})
+		c.Lines = append(c.Lines, line{Y: yOf(lowestMs * math.Pow10(d)), Label: l})
 	}
 	wide := float64(chartWidth-chartLeft) / float64(max(len(r.FirstToken), 1))
 	for i, l := range r.FirstToken {
@@ -70,7 +70,7 @@
 			name string
 			ms   float64
 		}{{"p50", l.P50}, {"p95", l.P95}, {"p99", l.P99}} {
-			y := level(q.ms)
+			y := yOf(q.ms)
 			g.Bars = append(g.Bars, bar{
 				X: g.Middle + barWidth*(float64(j)-1.5), Y: y, Width: barWidth - 2, Height: chartHeight - chartBottom - y,
 				Class: q.name, Title: q.name,
@@ -81,7 +81,7 @@
 	return c
 }
 
-// WriteHTML writes the report as one page that needs nothing beside it.
+// WriteHTML writes the report as a self-contained page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	return pageTemplate.Execute(w, struct {
 		*Report
--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -1,5 +1,5 @@
-// Package measure records what became of requests, as OpenTelemetry metrics for
-// the platform's own collectors and as mergeable histograms for the report.
+// Package measure records the outcomes of requests, as OpenTelemetry metrics for the platform's
+// collectors and as mergeable histograms for the report.
 package measure
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/hollowgrade/hollowgrade/config"
 )
 
-// Buckets are the upper bounds, in tokens, of the prompt lengths that are told
-// apart. The last one has none.
+// Buckets are the upper bounds, in tokens, of the buckets of prompt lengths. The last bucket has
+// none.
 var Buckets = []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}
 
 var bucketNames = []string{"1k", "4k", "16k", "64k", "256k", "1M"}
 
-// Bucket returns the name of the length bucket of a prompt. A bound is meant
-// generously, as 1k tokens are sometimes 1,024.
+// Bucket returns the name of the length bucket of a prompt. The bounds are 10% higher than named,
+// since 1k tokens are sometimes 1,024.
 func Bucket(tokens int) string {
 	for i, b := range Buckets {
 		if tokens <= b+b/10 {
@@ -37,8 +37,8 @@
 	return append(slices.Clone(bucketNames), "over")
 }
 
-// ShortTokens is the longest prompt that counts as short.
-const ShortTokens = 4_400
+// MaxShortPromptTokens is the longest prompt that counts as short.
+const MaxShortPromptTokens = 4_400
 
 // Sample is one request that has ended.
 type Sample struct {
@@ -48,25 +48,25 @@
 	Code         string
 	PromptTokens int
 	FirstToken   time.Duration // zero if none was sent
-	Ideal        time.Duration // the time to first token that an idle fleet would give, zero if not known
+	Ideal        time.Duration // time to first token on an idle fleet, zero if unknown
 	Took         time.Duration
 	Attempts     int
-	Predicted    time.Duration // time to first token as predicted when it was placed, zero if it was not
+	Predicted    time.Duration // time to first token predicted at placement, zero if it was not placed
 }
 
 // The range of the histograms. Times are in microseconds, slowdowns in
 // hundredths.
 const (
-	lowest  = 1
-	highest = 3_600_000_000
-	digits  = 2
+	lowest            = 1
+	highest           = 3_600_000_000
+	significantDigits = 2
 )
 
 const (
-	maxKinds         = 32   // beyond them, "other" stands for the rest
-	maxOrganisations = 1024 // beyond them, "other" stands for the rest
-	otherName        = "other"
-	burnMinutes      = 6 * 60
+	maxKinds           = 32   // further ones are counted as "other"
+	maxOrganisations   = 1024 // further ones are counted as "other"
+	otherName          = "other"
+	burnHistoryMinutes = 6 * 60
 )
 
 // Recorder keeps histograms of the requests of one box since its start. It is
@@ -82,7 +82,7 @@
 	slowdown      *hdrhistogram.Histogram
 	organisations map[string]*hdrhistogram.Histogram
 	objectives    map[string]config.Objective
-	burn          map[string][]Minute
+	minutes       map[string][]Minute
 	attempts      int64
 	requests      int64
 	kinds         map[string]bool
@@ -103,7 +103,7 @@
 // Minute counts the requests of one minute that met an objective and those
 // that missed it.
 type Minute struct {
-	At   int64 `json:"at"` // Unix time of its beginning, in minutes
+	At   int64 `json:"at"` // Unix time of its start, in minutes
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
 }
@@ -118,14 +118,14 @@
 		outcomes:      map[outcomeKey]int64{},
 		slowdown:      histogram(),
 		organisations: map[string]*hdrhistogram.Histogram{},
-		burn:          map[string][]Minute{},
+		minutes:       map[string][]Minute{},
 		kinds:         map[string]bool{},
 	}
 }
 
-// Bound returns the kind, or "other" once too many kinds have been seen:
-// callers choose them, and each makes a series of its own.
-func (r *Recorder) Bound(kind string) string {
+// BoundedKind returns the kind, or "other" once there are too many: callers choose kinds, and each is a
+// series of its own.
+func (r *Recorder) BoundedKind(kind string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.kinds[kind] && len(r.kinds) >= maxKinds {
@@ -136,10 +136,10 @@
 }
 
 func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowest, highest, digits)
+	return hdrhistogram.New(lowest, highest, significantDigits)
 }
 
-// SetObjectives sets the objectives that requests are held against.
+// SetObjectives sets the objectives that requests are compared with.
 func (r *Recorder) SetObjectives(os map[string]config.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,17 +159,17 @@
 		record(v.took, s.Took.Microseconds())
 		record(r.organisation(s.Organisation), s.FirstToken.Microseconds())
 	}
-	if s.Ideal > 0 && s.FirstToken > 0 && s.PromptTokens <= ShortTokens {
+	if s.Ideal > 0 && s.FirstToken > 0 && s.PromptTokens <= MaxShortPromptTokens {
 		record(r.slowdown, int64(100*s.FirstToken/s.Ideal))
 	}
 	for n, o := range r.objectives {
-		if concerns(o, s) {
+		if appliesTo(o, s) {
 			r.count(n, meets(o, s))
 		}
 	}
 }
 
-// record adds a value, moved into the histogram's range.
+// record adds a value, clamped to the range of the histogram.
 func record(h *hdrhistogram.Histogram, v int64) {
 	_ = h.RecordValue(min(max(v, lowest), highest))
 }
@@ -196,15 +196,16 @@
 	return h
 }
 
-func concerns(o config.Objective, s Sample) bool {
+func appliesTo(o config.Objective, s Sample) bool {
 	if o.FirstToken > 0 && s.PromptTokens == 0 {
 		return false // a call to a plain service has no first token
 	}
-	return (o.Kind == "" || o.Kind == s.Kind) && (o.MaxPrompt == 0 || s.PromptTokens <= o.MaxPrompt) && !callersFault(s)
+	return (o.Kind == "" || o.Kind == s.Kind) && (o.MaxPrompt == 0 || s.PromptTokens <= o.MaxPrompt) && !isCallerFault(s)
 }
 
-// callersFault tells requests that no service could have answered.
-func callersFault(s Sample) bool {
+// isCallerFault reports whether the caller was at fault, so that no service could have answered the
+// request.
+func isCallerFault(s Sample) bool {
 	return strings.HasPrefix(s.Code, "HG1")
 }
 
@@ -214,21 +215,20 @@
 
 func (r *Recorder) count(objective string, good bool) {
 	at := r.clock.Now().Unix() / 60
-	ms := r.burn[objective]
+	ms := r.minutes[objective]
 	if len(ms) == 0 || ms[len(ms)-1].At != at {
 		ms = append(ms, Minute{At: at})
-		ms = ms[max(len(ms)-burnMinutes, 0):]
+		ms = ms[max(len(ms)-burnHistoryMinutes, 0):]
 	}
 	if good {
 		ms[len(ms)-1].Good++
 	} else {
 		ms[len(ms)-1].Bad++
 	}
-	r.burn[objective] = ms
+	r.minutes[objective] = ms
 }
 
-// Snapshot is what one box has recorded. Its histograms merge with those of
-// others.
+// Snapshot is what one box has recorded. Its histograms can be merged with those of others.
 type Snapshot struct {
 	Box           string              `json:"box"`
 	Began         time.Time           `json:"began"`
@@ -251,7 +251,7 @@
 	Took   string `json:"took"`
 }
 
-// OutcomeCount counts the requests of a kind that ended in one way.
+// OutcomeCount counts the requests of a kind with one outcome and code.
 type OutcomeCount struct {
 	Kind    string              `json:"kind"`
 	Outcome hollowgrade.Outcome `json:"outcome"`
@@ -266,7 +266,7 @@
 	First string `json:"first_token"`
 }
 
-// ObjectiveSnapshot holds an objective and how it was met, minute by minute.
+// ObjectiveSnapshot holds an objective and the requests that met or missed it, by minute.
 type ObjectiveSnapshot struct {
 	Objective config.Objective `json:"objective"`
 	Minutes   []Minute         `json:"minutes"`
@@ -294,7 +294,7 @@
 		s.Organisations = append(s.Organisations, OrganisationDelay{Name: n, First: encode(h)})
 	}
 	for n, o := range r.objectives {
-		s.Objectives = append(s.Objectives, ObjectiveSnapshot{Objective: o, Minutes: slices.Clone(r.burn[n])})
+		s.Objectives = append(s.Objectives, ObjectiveSnapshot{Objective: o, Minutes: slices.Clone(r.minutes[n])})
 	}
 	return s
 }
--- a/measure/report.go
+++ b/measure/report.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/config"
 )
 
-// Report sums up the snapshots of several boxes. Boxes keep nothing: it covers
-// the time since each box began, and what a lost box had recorded is missing.
+// Report merges the snapshots of several boxes. Boxes store nothing: it covers the time since the
+// start of each box, and lacks what a lost box had recorded.
 type Report struct {
 	Boxes         int                 `json:"boxes"`
-	Since         time.Time           `json:"since"` // beginning of the box that has been up longest
+	Since         time.Time           `json:"since"` // start of the box that has been up longest
 	AllSince      time.Time           `json:"all_since"`
 	Until         time.Time           `json:"until"`
 	Requests      int64               `json:"requests"`
@@ -35,8 +35,8 @@
 	first *hdrhistogram.Histogram
 }
 
-// Quantiles are those of a distribution: milliseconds for times, a plain ratio
-// for slowdowns.
+// Quantiles are quantiles of a distribution, in milliseconds for times and as a ratio for
+// slowdowns.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -56,13 +56,13 @@
 	Quantiles
 }
 
-// BurnRow says how an objective stands. A burn rate of 1 uses up the budget of
-// allowed failures exactly in the period of the objective.
+// BurnRow is the state of an objective. A burn rate of 1 uses up the budget of allowed failures
+// exactly in the period of the objective.
 type BurnRow struct {
 	Objective config.Objective `json:"objective"`
 	Good      int64            `json:"good"`
 	Bad       int64            `json:"bad"`
-	Budget    float64          `json:"budget_left"` // part of the allowed failures that is left, below 0 if overdrawn
+	Budget    float64          `json:"budget_left"` // part of the allowed failures that is left, below 0 if there were more
 	Burn      []Burn           `json:"burn"`
 }
 
@@ -72,12 +72,12 @@
 	Rate   float64 `json:"rate"`
 }
 
-// burnWindows are the windows over which burn rates are given: a short one to
-// see it begin, long ones to see that it lasts.
+// burnWindows are the windows of burn rates: a short one shows the start of a problem, long ones
+// that it lasts.
 var burnWindows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// worstRows is the number of organisations that a report names.
-const worstRows = 5
+// maxWorstOrganisations is the number of organisations that a report names.
+const maxWorstOrganisations = 5
 
 // Merge makes a report from snapshots.
 func Merge(ss []Snapshot) (r Report, err error) {
@@ -88,7 +88,7 @@
 	burn := map[string]*ObjectiveSnapshot{}
 	var attempts int64
 	for _, s := range ss {
-		r.span(s)
+		r.addSpan(s)
 		r.Requests += s.Requests
 		attempts += s.Attempts
 		for _, o := range s.Outcomes {
@@ -109,11 +109,11 @@
 		r.Attempts = float64(attempts) / float64(r.Requests)
 	}
 	r.Slowdown = quantiles(slow, 100)
-	r.rows(outcomes, orgs, burn)
+	r.addRows(outcomes, orgs, burn)
 	return r, nil
 }
 
-func (r *Report) span(s Snapshot) {
+func (r *Report) addSpan(s Snapshot) {
 	r.Boxes++
 	if r.Since.IsZero() || s.Began.Before(r.Since) {
 		r.Since = s.Began
@@ -183,7 +183,7 @@
 	}
 }
 
-func (r *Report) rows(outcomes map[outcomeKey]int64, orgs map[string]*hdrhistogram.Histogram, burn map[string]*ObjectiveSnapshot) {
+func (r *Report) addRows(outcomes map[outcomeKey]int64, orgs map[string]*hdrhistogram.Histogram, burn map[string]*ObjectiveSnapshot) {
 	for k, n := range outcomes {
 		r.Outcomes = append(r.Outcomes, OutcomeCount{Kind: k.kind, Outcome: k.outcome, Code: k.code, Count: n})
 	}
@@ -201,7 +201,7 @@
 	slices.SortFunc(r.Organisations, func(a, b OrganisationRow) int {
 		return cmp.Or(cmp.Compare(b.P95, a.P95), cmp.Compare(a.Name, b.Name))
 	})
-	r.Organisations = r.Organisations[:min(worstRows, len(r.Organisations))]
+	r.Organisations = r.Organisations[:min(maxWorstOrganisations, len(r.Organisations))]
 	for _, o := range burn {
 		r.Objectives = append(r.Objectives, burnRow(*o, r.Until))
 	}
@@ -210,19 +210,19 @@
 
 func burnRow(o ObjectiveSnapshot, now time.Time) BurnRow {
 	b := BurnRow{Objective: o.Objective}
-	b.Good, b.Bad = within(o.Minutes, now, burnMinutes*time.Minute)
+	b.Good, b.Bad = countWithin(o.Minutes, now, burnHistoryMinutes*time.Minute)
 	allowed := (1 - o.Objective.Share) * float64(b.Good+b.Bad)
 	if allowed > 0 {
 		b.Budget = 1 - float64(b.Bad)/allowed
 	}
 	for _, w := range burnWindows {
-		good, bad := within(o.Minutes, now, w)
-		b.Burn = append(b.Burn, Burn{Window: short(w), Rate: rate(good, bad, o.Objective.Share)})
+		good, bad := countWithin(o.Minutes, now, w)
+		b.Burn = append(b.Burn, Burn{Window: formatWindow(w), Rate: rate(good, bad, o.Objective.Share)})
 	}
 	return b
 }
 
-func within(ms []Minute, now time.Time, w time.Duration) (good, bad int64) {
+func countWithin(ms []Minute, now time.Time, w time.Duration) (good, bad int64) {
 	from := now.Add(-w).Unix() / 60
 	for _, m := range ms {
 		if m.At >= from {
@@ -290,11 +290,11 @@
 	}
 	fmt.Fprint(w, "\nservice levels\nobjective\tmust\tgood\tbad\tbudget left\t")
 	for _, d := range burnWindows {
-		fmt.Fprintf(w, "burn %s\t", short(d))
+		fmt.Fprintf(w, "burn %s\t", formatWindow(d))
 	}
 	fmt.Fprintln(w)
 	for _, o := range r.Objectives {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f%%\t", o.Objective.Name, must(o.Objective), o.Good, o.Bad, 100*o.Budget)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f%%\t", o.Objective.Name, formatTarget(o.Objective), o.Good, o.Bad, 100*o.Budget)
 		for _, b := range o.Burn {
 			fmt.Fprintf(w, "%.2f\t", b.Rate)
 		}
@@ -302,14 +302,14 @@
 	}
 }
 
-func short(d time.Duration) string {
+func formatWindow(d time.Duration) string {
 	if d < time.Hour {
 		return fmt.Sprintf("%dm", int(d.Minutes()))
 	}
 	return fmt.Sprintf("%dh", int(d.Hours()))
 }
 
-func must(o config.Objective) string {
+func formatTarget(o config.Objective) string {
 	s := fmt.Sprintf("%.4g%%", 100*o.Share)
 	if o.FirstToken > 0 {
 		s += " in " + time.Duration(o.FirstToken).String()
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -6,54 +6,54 @@
 	"github.com/charmbracelet/log"
 )
 
-// mostWords bounds what is kept to be told of each kind. After the loss of a hall gateways tell of
-// 14 calls each on a fleet of a hundred gateways. What is beyond it is not told, with a line in the log.
-const mostWords = 256
+// maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a hundred
+// gateways reports 14 calls. What exceeds it is dropped with a warning.
+const maxPendingEntries = 256
 
-// outbox keeps what other gateways are to be told.
+// outbox keeps the update that is pending for other gateways.
 type outbox struct {
 	notify chan struct{}
 	log    *log.Logger
 
-	mu      sync.Mutex
-	word    Word
-	dropped int
+	mu          sync.Mutex
+	pending     Update
+	droppedAdds int
 }
 
-// add keeps a word to be told.
-func (o *outbox) add(w Word) {
+// add adds to the pending update.
+func (o *outbox) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n := o.word.Plus(w)
-	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Holds)) > mostWords {
-		if o.dropped++; o.dropped == 1 {
-			o.log.Warn("losses not told to other gateways", "why", "too many at a time", "most", mostWords)
+	n := o.pending.Plus(w)
+	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
+		if o.droppedAdds++; o.droppedAdds == 1 {
+			o.log.Warn("update not sent to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
-	o.word = n
+	o.pending = n
 	select {
 	case o.notify <- struct{}{}:
 	default:
 	}
 }
 
-// Changed returns a channel that gets a value when there is something to tell.
+// Changed returns a channel that receives a value when an update is pending.
 func (t *Table) Changed() <-chan struct{} {
 	return t.outbox.notify
 }
 
-// Tell returns what others are to be told since the last call.
-func (t *Table) Tell() Word {
+// NextUpdate returns the update pending for other gateways and clears it.
+func (t *Table) NextUpdate() Update {
 	o := &t.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	w := o.word
-	o.word, o.dropped = Word{}, 0
+	w := o.pending
+	o.pending, o.droppedAdds = Update{}, 0
 	return w
 }
 
-// Known returns what a gateway is to be told that knows nothing yet.
-func (t *Table) Known() Word {
-	return Word{Holds: t.Holds()}
+// Snapshot returns the update for a gateway that has no state yet.
+func (t *Table) Snapshot() Update {
+	return Update{Blocks: t.Blocks()}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,63 +7,65 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// mostMarks bounds the losses that are kept of one request.
-const mostMarks = 32
+// maxLossesPerRequest bounds the losses kept per request.
+const maxLossesPerRequest = 32
 
-// record is what is known of one request that was lost.
+// record is the state of one request that was lost.
 type record struct {
-	subject  Subject
-	marks    []mark    // since the last harmless run, by when they were lost
-	harmless time.Time // when a run of it was answered last
-	earlier  int       // losses in a row that a hold told of and that are not among the marks
-	hold     Hold      // the last one, also when it is over
-	touched  time.Time // when there was word of it
-
-	running bool      // whether this process has a trial under way
-	trial   time.Time // when a trial began that is under way anywhere; zero if none is
-
-	stored time.Time // until when the store has it held; zero if it has nothing
-	due    time.Time // from when on this process puts right what the store has
+	subject        Subject
+	losses         []keptLoss // since the last answered run, ordered by the time of the loss
+	clearedAt      time.Time  // time up to which the request is cleared of losses
+	reportedLosses int        // consecutive losses that a block reported and that aren't among the marks
+	block          Block      // the last one, also after its expiry
+	updatedAt      time.Time  // last update
+
+	localTrial bool      // whether this process runs a trial
+	trialStart time.Time // start of a trial at any gateway; zero if none runs
+
+	storedUntil time.Time // expiry of the block in the store; zero if it has none
+	storeDue    time.Time // from when on this process updates the store
 }
 
-// held reports whether the request is held.
-func (r *record) held(now time.Time) bool {
-	return now.Before(r.hold.Until)
+// blocked reports whether the request is blocked.
+func (r *record) blocked(now time.Time) bool {
+	return now.Before(r.block.Until)
 }
 
-// row returns the marks in a row, and how many losses in a row that makes.
-func (r *record) row() (ms []mark, losses int) {
-	ms = inRow(r.marks, r.harmless)
-	return ms, len(ms) + r.earlier
+// consecutive returns the marks of consecutive losses, and the number of consecutive losses including
+// reported ones.
+func (r *record) consecutive() (ms []keptLoss, losses int) {
+	ms = consecutiveLosses(r.losses, r.clearedAt)
+	return ms, len(ms) + r.reportedLosses
 }
 
-// suspect reports whether runs are let through one at a time.
+// suspect reports whether runs are admitted one at a time.
 func (r *record) suspect() bool {
-	ms, n := r.row()
-	return (n >= lossesToTry || moments(r.marks) >= momentsToTry) && r.odds(ms) <= tryOdds
+	ms, n := r.consecutive()
+	return (n >= lossesForTrials || crashEvents(r.losses) >= eventsForTrials) && r.odds(ms) <= maxTrialOdds
 }
 
-// odds returns the chance of losses in a row for a harmless request, with those that a hold told of.
-func (r *record) odds(ms []mark) float64 {
-	if r.earlier > 0 {
-		return r.hold.Odds * all(ms)
+// odds returns the joint probability of losses for a harmless request, including those that a block
+// reported.
+func (r *record) odds(ms []keptLoss) float64 {
+	if r.reportedLosses > 0 {
+		return r.block.Odds * jointOdds(ms)
 	}
-	return all(ms)
+	return jointOdds(ms)
 }
 
-// settled reports whether it is known how upstreams ended around its losses.
+// settled reports whether all losses have settled.
 func (r *record) settled(now time.Time) bool {
-	return !slices.ContainsFunc(r.marks, func(m mark) bool { return !m.settled(now) })
+	return !slices.ContainsFunc(r.losses, func(m keptLoss) bool { return !m.settled(now) })
 }
 
-// trying reports whether a trial is under way.
-func (r *record) trying(now time.Time) bool {
-	return r.running || !r.trial.IsZero() && now.Sub(r.trial) < trialLasts
+// trialRunning reports whether a trial is running.
+func (r *record) trialRunning(now time.Time) bool {
+	return r.localTrial || !r.trialStart.IsZero() && now.Sub(r.trialStart) < trialTimeout
 }
 
-// upstreams returns those that ended under the request since it was harmless.
+// upstreams returns the upstreams that crashed under the request since it was last cleared.
 func (r *record) upstreams() (us []hollowgrade.Life) {
-	for _, m := range r.marks {
+	for _, m := range r.losses {
 		if !slices.Contains(us, m.Upstream) {
 			us = append(us, m.Upstream)
 		}
@@ -71,45 +73,45 @@
 	return us
 }
 
-// mostNamed bounds the upstreams that a hold names, the latest ones.
-const mostNamed = 8
+// maxNamedUpstreams bounds the upstreams that a block names, the latest ones.
+const maxNamedUpstreams = 8
 
-// named returns the upstreams that a hold names.
-func (r *record) named() []hollowgrade.Life {
+// namedUpstreams returns the upstreams that a block names.
+func (r *record) namedUpstreams() []hollowgrade.Life {
 	us := r.upstreams()
-	return us[max(len(us)-mostNamed, 0):]
+	return us[max(len(us)-maxNamedUpstreams, 0):]
 }
 
-// add keeps a loss, unless it is known or a harmless run came after it.
+// add adds a loss, unless it is known or the request was cleared after it.
 func (r *record) add(l Loss, now time.Time) {
-	if !l.Lost.After(r.harmless) || slices.ContainsFunc(r.marks, l.is) {
+	if !l.Lost.After(r.clearedAt) || slices.ContainsFunc(r.losses, l.matches) {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(r.marks, l, func(m mark, l Loss) int { return m.Lost.Compare(l.Lost) })
-	r.marks = slices.Insert(r.marks, i, mark{Loss: l, known: now, odds: 1})
-	if len(r.marks) > mostMarks {
-		r.marks = slices.Delete(r.marks, 0, 1)
+	i, _ := slices.BinarySearchFunc(r.losses, l, func(m keptLoss, l Loss) int { return m.Lost.Compare(l.Lost) })
+	r.losses = slices.Insert(r.losses, i, keptLoss{Loss: l, learnedAt: now, odds: 1})
+	if len(r.losses) > maxLossesPerRequest {
+		r.losses = slices.Delete(r.losses, 0, 1)
 	}
 }
 
-// sameLoss is by how much two words on one loss may differ in time: each is told with its age, and
-// comes a moment later in a packet or on a stream.
-const sameLoss = 200 * time.Millisecond
+// sameLossTolerance is the difference in time up to which two reports are of one loss: each is sent as an
+// age, and takes a moment longer in a packet or on a stream.
+const sameLossTolerance = 200 * time.Millisecond
 
-// is reports whether a mark is of this loss.
-func (l Loss) is(m mark) bool {
-	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLoss && m.Sent.Sub(l.Sent).Abs() < sameLoss
+// matches reports whether a mark matches of this loss.
+func (l Loss) matches(m keptLoss) bool {
+	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLossTolerance && m.Sent.Sub(l.Sent).Abs() < sameLossTolerance
 }
 
-// clear takes the request as harmless up to a moment, and reports whether that ends a hold. Losses
-// after it stay.
+// clear clears the request of losses up to a time, and reports whether that ends a block. Later
+// losses stay.
 func (r *record) clear(at time.Time) (ends bool) {
-	r.harmless = hollowgrade.Later(r.harmless, at)
-	r.marks = slices.DeleteFunc(r.marks, func(m mark) bool { return !m.Lost.After(at) })
-	if r.hold.Since.IsZero() || r.hold.Since.After(at) {
+	r.clearedAt = hollowgrade.Later(r.clearedAt, at)
+	r.losses = slices.DeleteFunc(r.losses, func(m keptLoss) bool { return !m.Lost.After(at) })
+	if r.block.Since.IsZero() || r.block.Since.After(at) {
 		return false
 	}
-	r.hold, r.earlier = Hold{}, 0
+	r.block, r.reportedLosses = Block{}, 0
 	return true
 }
 
--- /dev/null
+++ b/quarantine/store.go
@@ -0,0 +1,104 @@
+package quarantine
+
+import (
+	"time"
+
+	"github.com/hollowgrade/hollowgrade"
+)
+
+const (
+	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made it
+	// to write it to the store, plus a random time of up to as long, so that not all write at once.
+	peerStoreDelay = 3 * time.Second
+	// clockSkewTolerance is the difference in the expiry of a block that is put down to clock skew
+	// between gateways, and not written to the store.
+	clockSkewTolerance = 3 * time.Second
+	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
+	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
+	expiredBlockRetention = recordRetention / 2
+	deletionSpread        = 30 * time.Second
+	// maxStoredBlocks bounds the blocks in the store, some 400 bytes each.
+	maxStoredBlocks = 1000
+)
+
+// storeDelay returns how long this process leaves a change to the peer that made it; the peer is
+// empty for its own changes.
+func storeDelay(peer string) time.Duration {
+	if peer == "" {
+		return 0
+	}
+	return peerStoreDelay
+}
+
+// scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
+func (t *Table) scheduleStore(r *record, now time.Time, delay time.Duration) {
+	r.storeDue = now.Add(delay + time.Duration(t.random()*float64(delay)))
+}
+
+// StoreChanges is the changes to write to the store.
+type StoreChanges struct {
+	Save []Block
+	Drop []hollowgrade.Fingerprint
+}
+
+// StoreChanges evaluates losses that have settled and returns what this process has to write to the
+// store: blocks that are missing there, and deletions of those whose request is harmless or that
+// expired long ago.
+func (t *Table) StoreChanges() (k StoreChanges) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	t.evaluateSettled(now)
+	stored := 0
+	for _, r := range t.records {
+		if !r.storedUntil.IsZero() {
+			stored++
+		}
+	}
+	for f, r := range t.records {
+		switch {
+		case now.Before(r.storeDue):
+		case r.blocked(now) && r.block.Until.Sub(r.storedUntil) > clockSkewTolerance:
+			if stored++; stored <= maxStoredBlocks || !r.storedUntil.IsZero() {
+				k.Save = append(k.Save, r.block)
+			}
+		case r.storedUntil.IsZero():
+		case r.block.Since.IsZero():
+			k.Drop = append(k.Drop, f)
+		case now.Sub(r.block.Until) > expiredBlockRetention && r.storeDue.Before(r.block.Until):
+			t.scheduleStore(r, now, deletionSpread)
+		case now.Sub(r.block.Until) > expiredBlockRetention:
+			k.Drop = append(k.Drop, f)
+		}
+	}
+	return k
+}
+
+// Stored records that the store has a block, which may be new to this process.
+func (t *Table) Stored(h Block) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.receiveBlock(h, "store")
+	r := t.record(h.Subject)
+	r.storedUntil = h.Until
+	if r.block.Since.IsZero() {
+		t.scheduleStore(r, t.clock.Now(), peerStoreDelay) // the request is harmless, or forgotten everywhere
+	}
+}
+
+// Dropped records that the store no longer has a block of a request. If it hasn't expired, another
+// process has found the request harmless.
+func (t *Table) Dropped(f hollowgrade.Fingerprint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[f]
+	if r == nil {
+		return
+	}
+	was := r.storedUntil
+	r.storedUntil = time.Time{}
+	now := t.clock.Now()
+	if r.blocked(now) && !was.IsZero() {
+		t.clear(r, now, "the store no longer has it", "store")
+	}
+}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	// memory is for how long a request is remembered after its last loss or the end of its hold.
-	memory = 10 * time.Minute
-	// mostRecords bounds the requests that are remembered, 2 KB each at the most; those lost longest ago
-	// go first, held ones last. A caller that makes up bodies has to end three upstreams for
-	// each that is held.
-	mostRecords = 4096
-	// dropAtOnce is how many are forgotten at a time then.
-	dropAtOnce = mostRecords / 8
-	// trialLasts is for how long a trial counts as under way without word of its end: the gateway
-	// that has it may have been lost.
-	trialLasts = 10 * time.Second
-	// usualTrial is when to come back while a trial is under way: most runs are over by then.
-	usualTrial = time.Second
-	// sweepEvery is how often records are looked through for those that may be forgotten.
-	sweepEvery = 10 * time.Second
+	// recordRetention is how long a request is remembered after its last loss or the expiry of its block.
+	recordRetention = 10 * time.Minute
+	// maxRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
+	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
+	// three upstreams for each that is blocked.
+	maxRecords = 4096
+	// evictionBatch is the number of records evicted at a time.
+	evictionBatch = maxRecords / 8
+	// trialTimeout is how long a trial counts as running without a report of its end: its gateway may
+	// have crashed.
+	trialTimeout = 10 * time.Second
+	// trialRetryAfter is the retry delay while a trial is running: most runs end within it.
+	trialRetryAfter = time.Second
+	// sweepInterval is the time between two searches for records to forget.
+	sweepInterval = 10 * time.Second
 )
 
-// Table keeps what is known of requests that were lost. It is safe for concurrent use.
+// Table keeps the state of requests that were lost. It is safe for concurrent use.
 type Table struct {
 	box       string
 	clock     hollowgrade.Clock
 	log       *log.Logger
 	upstreams func(service string) int
-	chance    func() float64
+	random    func() float64
 	outbox    outbox
 
-	mu      sync.Mutex
-	records map[hollowgrade.Fingerprint]*record
-	ends    map[string]*ends                 // by service
-	open    map[hollowgrade.Fingerprint]bool // with losses that are not judged yet
-	swept   time.Time
+	mu          sync.Mutex
+	records     map[hollowgrade.Fingerprint]*record
+	crashes     map[string]*crashHistory         // by service
+	unevaluated map[hollowgrade.Fingerprint]bool // requests with losses that aren't evaluated yet
+	lastSweep   time.Time
 }
 
-// Option changes a table as it is made.
+// Option configures a table.
 type Option func(*Table)
 
 // WithBox sets the name of this gateway.
@@ -63,7 +63,7 @@
 	return func(t *Table) { t.log = l }
 }
 
-// WithUpstreams sets how the number of upstreams of a service is known.
+// WithUpstreams sets the function that returns the number of upstreams of a service.
 func WithUpstreams(f func(service string) int) Option {
 	return func(t *Table) { t.upstreams = f }
 }
@@ -71,13 +71,13 @@
 // New returns an empty table.
 func New(os ...Option) *Table {
 	t := &Table{
-		clock:     hollowgrade.SystemClock(),
-		log:       log.Default(),
-		upstreams: func(string) int { return 1 },
-		chance:    rand.Float64,
-		records:   map[hollowgrade.Fingerprint]*record{},
-		ends:      map[string]*ends{},
-		open:      map[hollowgrade.Fingerprint]bool{},
+		clock:       hollowgrade.SystemClock(),
+		log:         log.Default(),
+		upstreams:   func(string) int { return 1 },
+		random:      rand.Float64,
+		records:     map[hollowgrade.Fingerprint]*record{},
+		crashes:     map[string]*crashHistory{},
+		unevaluated: map[hollowgrade.Fingerprint]bool{},
 	}
 	for _, o := range os {
 		o(t)
@@ -92,94 +92,94 @@
 	return t.clock.Now()
 }
 
-// Leave says whether a request may be sent to an upstream.
-type Leave struct {
-	Granted bool
-	Trial   bool          // it is the one run that is let through
-	Hold    Hold          // for which it is not granted; zero if another trial is under way
-	Wait    time.Duration // after which it may be asked again, if it is not granted
+// Admission is the decision whether a request may be sent to an upstream.
+type Admission struct {
+	Granted    bool
+	Trial      bool          // it is the one run that is admitted
+	Block      Block         // that refuses the request; zero if another trial is running
+	RetryAfter time.Duration // retry delay if the request is refused
 }
 
-// Begin asks for leave to send a request to an upstream. [Table.Over] ends it.
-func (t *Table) Begin(f hollowgrade.Fingerprint) Leave {
+// Begin decides whether a request may be sent to an upstream. [Table.End] ends the run.
+func (t *Table) Begin(f hollowgrade.Fingerprint) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
 	if r == nil {
-		return Leave{Granted: true}
+		return Admission{Granted: true}
 	}
 	now := t.clock.Now()
-	t.decide(r, now)
-	_, losses := r.row()
+	t.evaluate(r, now)
+	_, losses := r.consecutive()
 	switch {
-	case r.held(now):
-		return Leave{Hold: r.hold, Wait: r.hold.Until.Sub(now)}
+	case r.blocked(now):
+		return Admission{Block: r.block, RetryAfter: r.block.Until.Sub(now)}
 	case !r.suspect():
-		return Leave{Granted: true}
-	case r.trying(now), losses >= lossesToHold && !r.settled(now):
-		return Leave{Wait: usualTrial}
+		return Admission{Granted: true}
+	case r.trialRunning(now), losses >= lossesToBlock && !r.settled(now):
+		return Admission{RetryAfter: trialRetryAfter}
 	}
-	r.trial, r.running = now, true
-	t.outbox.add(Word{Trials: []Trial{{Fingerprint: f, At: now}}})
-	return Leave{Granted: true, Trial: true}
+	r.trialStart, r.localTrial = now, true
+	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
+	return Admission{Granted: true, Trial: true}
 }
 
-// Over ends what was granted.
-func (t *Table) Over(f hollowgrade.Fingerprint, l Leave) {
+// End ends a run that was admitted.
+func (t *Table) End(f hollowgrade.Fingerprint, l Admission) {
 	if !l.Trial {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
-		r.running, r.trial = false, time.Time{}
-		t.outbox.add(Word{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
+		r.localTrial, r.trialStart = false, time.Time{}
+		t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
 	}
 }
 
-// Lost notes a run of this process that ended with the connection to its upstream.
-func (t *Table) Lost(l Loss) {
+// RecordLoss records a run of this process that was lost because its upstream crashed.
+func (t *Table) RecordLoss(l Loss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.note(l)
-	t.outbox.add(Word{Losses: []Loss{l}})
+	t.addLoss(l)
+	t.outbox.add(Update{Losses: []Loss{l}})
 }
 
-// Answered notes a run of this process after which its upstream still answered, which clears the
-// request of all losses before it.
-func (t *Table) Answered(f hollowgrade.Fingerprint) {
+// RecordAnswer records a run of this process that its upstream answered, which clears the request of
+// earlier losses.
+func (t *Table) RecordAnswer(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.records[f]; r != nil && (len(r.marks) > 0 || !r.hold.Since.IsZero()) {
-		t.release(r, t.clock.Now(), "a run of it was answered", "")
+	if r := t.records[f]; r != nil && (len(r.losses) > 0 || !r.block.Since.IsZero()) {
+		t.clear(r, t.clock.Now(), "a run of it was answered", "")
 	}
 }
 
-// Lift ends the hold of a request, as an operator asks for it, and forgets its losses. It reports
-// whether it was held.
+// Lift ends the block on a request for an operator and clears its losses. It reports whether the
+// request was blocked.
 func (t *Table) Lift(f hollowgrade.Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	r := t.records[f]
-	if r == nil || !r.held(now) {
+	if r == nil || !r.blocked(now) {
 		return false
 	}
-	t.release(r, now, "an operator lifted it", "")
+	t.clear(r, now, "an operator lifted it", "")
 	return true
 }
 
-// Holds returns the requests that are held, the earliest first.
-func (t *Table) Holds() (hs []Hold) {
+// Blocks returns the blocks in force, the earliest first.
+func (t *Table) Blocks() (hs []Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for _, r := range t.records {
-		if r.held(now) {
-			hs = append(hs, r.hold)
+		if r.blocked(now) {
+			hs = append(hs, r.block)
 		}
 	}
-	slices.SortFunc(hs, func(a, b Hold) int { return a.Since.Compare(b.Since) })
+	slices.SortFunc(hs, func(a, b Block) int { return a.Since.Compare(b.Since) })
 	return hs
 }
 
@@ -197,71 +197,71 @@
 	return len(t.records)
 }
 
-// Take takes the word of another gateway, by its box.
-func (t *Table) Take(box string, w Word) {
+// Receive applies an update of another gateway, given by its box.
+func (t *Table) Receive(box string, w Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range w.Losses {
-		t.note(l)
+		t.addLoss(l)
 	}
 	for _, h := range w.Harmless {
 		if r := t.records[h.Fingerprint]; r != nil {
-			t.release(r, h.At, "a peer said so", box)
+			t.clear(r, h.At, "a peer cleared it", box)
 		}
 	}
 	for _, x := range w.Trials {
-		t.takeTrial(x)
+		t.receiveTrial(x)
 	}
-	for _, h := range w.Holds {
-		t.takeHold(h, box)
+	for _, h := range w.Blocks {
+		t.receiveBlock(h, box)
 	}
 }
 
-func (t *Table) takeTrial(x Trial) {
+func (t *Table) receiveTrial(x Trial) {
 	r := t.records[x.Fingerprint]
 	switch {
-	case r == nil || r.running:
+	case r == nil || r.localTrial:
 	case !x.Over:
-		r.trial = hollowgrade.Later(r.trial, x.At)
-	case !r.trial.After(x.At):
-		r.trial = time.Time{}
+		r.trialStart = hollowgrade.Later(r.trialStart, x.At)
+	case !r.trialStart.After(x.At):
+		r.trialStart = time.Time{}
 	}
 }
 
-// takeHold takes a hold that another gateway or the store told. The lock is held.
-func (t *Table) takeHold(h Hold, from string) {
+// receiveBlock applies a block from another gateway or the store. The lock is held.
+func (t *Table) receiveBlock(h Block, from string) {
 	now := t.clock.Now()
-	h.Until = earlier(h.Until, now.Add(longHold)) // the clock of who wrote it may be off
-	if now.Sub(h.Until) > memory {
+	h.Until = earlier(h.Until, now.Add(longBlockTime)) // the clock of its sender may be off
+	if now.Sub(h.Until) > recordRetention {
 		return
 	}
 	r := t.record(h.Subject)
-	if !h.Since.After(r.harmless) || h.Until.Sub(r.hold.Until) < clocksDiffer {
+	if !h.Since.After(r.clearedAt) || h.Until.Sub(r.block.Until) < clockSkewTolerance {
 		return
 	}
-	was := r.held(now)
-	ms, _ := r.row()
-	r.hold, r.earlier = h, max(h.Losses-len(ms), 0)
-	t.plan(r, now, saveGrace)
-	if !was && r.held(now) {
-		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
+	wasBlocked := r.blocked(now)
+	ms, _ := r.consecutive()
+	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
+	t.scheduleStore(r, now, peerStoreDelay)
+	if !wasBlocked && r.blocked(now) {
+		t.log.Warn("request blocked", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
 	}
 }
 
-// note takes a loss. The lock is held.
-func (t *Table) note(l Loss) {
-	e := t.ends[l.Service]
+// addLoss records a loss. The lock is held.
+func (t *Table) addLoss(l Loss) {
+	e := t.crashes[l.Service]
 	if e == nil {
-		e = &ends{}
-		t.ends[l.Service] = e
+		e = &crashHistory{}
+		t.crashes[l.Service] = e
 	}
 	e.add(l)
 	t.record(l.Subject).add(l, t.clock.Now())
-	t.open[l.Fingerprint] = true
+	t.unevaluated[l.Fingerprint] = true
 }
 
-// record returns the record of a request, which it makes if there is none. The lock is held.
+// record returns the record of a request, creating it if there is none. The lock is held.
 func (t *Table) record(s Subject) *record {
 	now := t.clock.Now()
 	t.sweep(now)
@@ -270,107 +270,106 @@
 		r = &record{subject: s}
 		t.records[s.Fingerprint] = r
 	}
-	r.touched = now
+	r.updatedAt = now
 	return r
 }
 
-// release takes a request as harmless up to a moment. The lock is held.
-func (t *Table) release(r *record, at time.Time, why, peer string) {
-	since := r.hold.Since
+// clear clears a request of losses up to a time and ends its block. The lock is held.
+func (t *Table) clear(r *record, at time.Time, why, peer string) {
+	since := r.block.Since
 	ended := r.clear(at)
 	if peer == "" {
-		t.outbox.add(Word{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
+		t.outbox.add(Update{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
 	}
 	if !ended {
 		return
 	}
-	t.plan(r, t.clock.Now(), graceFor(peer))
-	t.log.Info("request no longer held", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
+	t.scheduleStore(r, t.clock.Now(), storeDelay(peer))
+	t.log.Info("request no longer blocked", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
 		"held_ms", at.Sub(since).Milliseconds())
 }
 
-// decide holds a request if what is known of it asks for that, once that has settled. The lock is
-// held.
-func (t *Table) decide(r *record, now time.Time) {
-	if r.held(now) || len(r.marks) == 0 {
+// evaluate blocks a request if its losses call for it and have settled. The lock is held.
+func (t *Table) evaluate(r *record, now time.Time) {
+	if r.blocked(now) || len(r.losses) == 0 {
 		return
 	}
-	b := t.weigh(r, now)
-	ms, n := r.row()
-	chance := r.odds(ms)
-	d := judge(n, chance)
-	if d == 0 || !r.settled(now) || !r.hold.Until.Before(r.marks[len(r.marks)-1].Lost) {
+	b := t.updateOdds(r, now)
+	ms, n := r.consecutive()
+	odds := r.odds(ms)
+	d := blockTime(n, odds)
+	if d == 0 || !r.settled(now) || !r.block.Until.Before(r.losses[len(r.losses)-1].Lost) {
 		return
 	}
-	r.hold = Hold{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: chance, Upstreams: r.named(), By: t.box}
-	t.plan(r, now, 0)
-	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
-		"losses", n, "upstreams", r.hold.Upstreams, "odds", chance, "upstreams_in_all", b.upstreams, "ends_without_it", b.ends,
-		"at_once", b.atOnce, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Word{Holds: []Hold{r.hold}})
+	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: odds, Upstreams: r.namedUpstreams(), By: t.box}
+	t.scheduleStore(r, now, 0)
+	t.log.Warn("request blocked", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
+		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreamCount, "ends_without_it", b.crashes,
+		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
+	t.outbox.add(Update{Blocks: []Block{r.block}})
 }
 
-// decideAll decides on all requests whose losses are not judged yet and have settled. The lock is held.
-func (t *Table) decideAll(now time.Time) {
-	for f := range t.open {
+// evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
+func (t *Table) evaluateSettled(now time.Time) {
+	for f := range t.unevaluated {
 		r := t.records[f]
 		if r != nil && !r.settled(now) {
 			continue
 		}
-		delete(t.open, f)
+		delete(t.unevaluated, f)
 		if r != nil {
-			t.decide(r, now)
+			t.evaluate(r, now)
 		}
 	}
 }
 
-// weigh works out the odds of the losses of a request, as long as it is known how upstreams ended
-// around them, and returns that for the last one. The lock is held.
-func (t *Table) weigh(r *record, now time.Time) (b background) {
-	held := func(f hollowgrade.Fingerprint) bool {
+// updateOdds updates the odds of the losses of a request while crashes around them are kept, and returns
+// the background of the last loss. The lock is held.
+func (t *Table) updateOdds(r *record, now time.Time) (b background) {
+	blocked := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
-		return o != nil && o.held(now)
+		return o != nil && o.blocked(now)
 	}
-	for i := range r.marks {
-		m := &r.marks[i]
-		if now.Sub(m.Lost) > rateWindow {
-			if !m.sure {
-				m.odds = 1 // what ended beside it is no longer known
+	for i := range r.losses {
+		m := &r.losses[i]
+		if now.Sub(m.Lost) > crashRateWindow {
+			if !m.oddsFinal {
+				m.odds = 1 // crashes around it are no longer kept
 			}
 			continue
 		}
-		b = t.ends[m.Service].around(m.Loss, held)
-		b.upstreams = t.upstreams(m.Service)
-		m.odds, m.sure = odds(m.Loss, b), m.settled(now)
+		b = t.crashes[m.Service].backgroundOf(m.Loss, blocked)
+		b.upstreamCount = t.upstreams(m.Service)
+		m.odds, m.oddsFinal = lossOdds(m.Loss, b), m.settled(now)
 	}
 	return b
 }
 
-// sweep forgets what is old, and what is too much. The lock is held.
+// sweep deletes old records, and evicts some if there are too many. The lock is held.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery && len(t.records) < mostRecords {
+	if now.Sub(t.lastSweep) < sweepInterval && len(t.records) < maxRecords {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for f, r := range t.records {
-		if now.Sub(hollowgrade.Later(r.touched, r.hold.Until)) > memory {
+		if now.Sub(hollowgrade.Later(r.updatedAt, r.block.Until)) > recordRetention {
 			delete(t.records, f)
 		}
 	}
-	if len(t.records) < mostRecords {
+	if len(t.records) < maxRecords {
 		return
 	}
 	fs := make([]hollowgrade.Fingerprint, 0, len(t.records))
 	for f := range t.records {
 		fs = append(fs, f)
 	}
-	// A held one counts as touched at the end of its hold.
+	// A blocked request counts as updated at the expiry of its block.
 	slices.SortFunc(fs, func(a, b hollowgrade.Fingerprint) int {
 		x, y := t.records[a], t.records[b]
-		return hollowgrade.Later(x.touched, x.hold.Until).Compare(hollowgrade.Later(y.touched, y.hold.Until))
+		return hollowgrade.Later(x.updatedAt, x.block.Until).Compare(hollowgrade.Later(y.updatedAt, y.block.Until))
 	})
-	for _, f := range fs[:dropAtOnce] {
+	for _, f := range fs[:evictionBatch] {
 		delete(t.records, f)
 	}
-	t.log.Warn("requests that were lost are forgotten", "forgotten", dropAtOnce, "why", "there are too many", "most", mostRecords)
+	t.log.Warn("records of lost requests evicted", "forgotten", evictionBatch, "why", "there are too many", "most", maxRecords)
 }
