--- a/core/harm.go
+++ b/core/harm.go
@@ -10,16 +10,18 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// Attempts at one call are bounded, and so are all repeats together; neither bounds what a request
-// does that ends the upstreams which run it and comes again. Each attempt therefore asks for leave by the
-// request's fingerprint, and says how it ended. With three gateways before 24 upstreams, each of them down for
-// 1.5 s, one such request ten times a second ended 100 of them in 8 s and left 0.520 of fifty other
-// calls a second served (TestRequestThatEndsUpstreams).
+// The bounds on attempts and retries don't protect from a request that crashes the upstreams which
+// run it and is sent again by its caller. With 3 gateways and 24 upstreams, each down for 1.5 s
+// after a crash, one such request sent ten times a second crashed upstreams 100 times in 8 s and
+// left 0.520 of the other calls served (TestRequestThatEndsUpstreams). So each attempt asks the
+// quarantine for admission by the request's fingerprint, and reports its outcome.
 
-// Only upstreams that ended count: connections break for other reasons as well (core/ending.go). What
-// cannot be seen at once is seen by their next life (core/unproved.go), or as they go on closing connections (core/closing.go).
+// Only crashes of upstreams count, since connections break for other reasons as well (see
+// probeOnce). A crash that a probe doesn't show at once is confirmed by the next instance (see
+// unconfirmedLosses) or by continued closing of connections (see watch).
 
-// held is the answer to a call whose request is held, or under way alone.
+// quarantinedError returns the error of a call whose request is blocked, or is already running while
+// only one run at a time is admitted.
 func (f *flow) held(l quarantine.Leave) *fault.Error {
 	if l.Hold.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
@@ -37,14 +39,14 @@
 	return us[len(us)-1]
 }
 
-// subject returns what others are told of the call's request.
+// subject returns what peers are told about the call's request.
 func (f *flow) subject() quarantine.Subject {
 	return quarantine.Subject{Fingerprint: f.fingerprint, Organisation: f.organisation.Name, Route: f.route.Name, Service: f.service.Name}
 }
 
-// noteRun tells what an attempt that was sent says of its request: that its upstream was lost under
-// it, or that the upstream answered. What ends otherwise, as by a caller that leaves or by
-// an upstream that is silent, says nothing.
+// recordOutcome reports to the quarantine that the upstream of a sent attempt answered, or was lost.
+// Other outcomes, such as a caller that leaves or a silent upstream, are no evidence about the
+// request.
 func (f *flow) noteRun(ctx context.Context, a *attempt, err error) {
 	var x *fault.Error
 	switch {
@@ -55,8 +57,8 @@
 	}
 }
 
-// noteLoss tells that a run was lost if its upstream has ended. A request that was lost before waits for
-// that, so that no further run of it begins meanwhile, unless the time of its caller runs out.
+// recordLoss reports a lost run if its upstream has crashed. For a request that was lost before it
+// waits until that is known or ctx ends, so that no other run of it begins meanwhile.
 func (f *flow) noteLoss(ctx context.Context, a *attempt, at time.Time) {
 	u := a.pick.upstream()
 	l := quarantine.Loss{Subject: f.subject(), Upstream: u.Life(), Engines: 1 + len(a.pick.helpers), Sent: a.sent, Lost: at}
@@ -74,7 +76,8 @@
 	}
 }
 
-// noteLoss notes a run that was lost at an upstream, once it is known what a look at that shows.
+// recordLoss reports a run that was lost at an upstream once a probe shows whether the upstream has
+// crashed.
 func (c *Core) noteLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
 	p := c.probeOnce(u, request)
 	if p.presence == hollowgrade.Absent {
@@ -87,8 +90,8 @@
 	}
 }
 
-// connectionLost reports whether an attempt ended since the connection to its upstream did, as when
-// the upstream ends.
+// connectionLost reports whether an attempt failed because the connection to its upstream broke, as
+// it does when the upstream crashes.
 func connectionLost(err error) bool {
 	var x *fault.Error
 	if errors.As(err, &x) {
--- a/core/unproved.go
+++ b/core/unproved.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// provedWithin is how long after a run was lost a new life of its upstream says that the one before ended
-	// then: it is down for a second or two, and its entry is read up to three seconds later. An upstream that is
-	// replaced some time after a connection broke there has nothing to do with that.
+	// confirmWindow is how long after a loss a new instance of the upstream counts as proof that the
+	// one before crashed: a restart takes one or two seconds, and its entry is read up to three
+	// seconds later. A later replacement is unrelated to the broken connection.
 	provedWithin = 5 * time.Second
-	// mostUnproved bounds the losses that are kept of one upstream: the calls that it serves at a time.
+	// maxUnconfirmedPerUpstream is the number of calls that one upstream serves at a time.
 	mostUnproved = 64
 )
 
-// unproved keeps runs that were lost at upstreams whose address goes on accepting. Most of them broke a single
-// connection and went on; of others something in front goes on accepting, and that they ended shows by their
-// next life. Without it a request that ended upstreams behind such a relay was sent on 39 to 47 times later than 3 s
-// after the third, at ten a second (TestRequestThatEndsUpstreamsBehindRelays).
+// unconfirmedLosses holds runs that were lost at upstreams whose address still accepts connections.
+// Most of these only broke a single connection. But a relay in front may accept while the upstream
+// is down, so that only the next instance proves the crash. Without this, a request that crashed
+// upstreams behind relays was still sent 39 to 47 times later than 3 s after its third loss
+// (TestRequestThatEndsUpstreamsBehindRelays).
 type unproved struct {
 	clock hollowgrade.Clock
 
 	mu     sync.Mutex
-	losses map[string][]unprovedLoss // by the upstream's id
+	losses map[string][]unprovedLoss // by upstream id
 }
 
-// unprovedLoss is a run that was lost in a life of an upstream.
+// unconfirmedLoss is a run that was lost at an instance of an upstream.
 type unprovedLoss struct {
 	quarantine.Loss
-	born int64 // Unix ms of the start of that life
+	born int64 // start time of that instance in Unix ms
 }
 
-// add keeps a loss at an upstream.
+// add stores a loss at an upstream.
 func (p *unproved) add(u hollowgrade.Upstream, l quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,14 +53,14 @@
 	}
 }
 
-// take takes the losses that a life of an upstream shows to have been under the end of the one before. One that
-// does not tell its lives shows none.
+// takeConfirmed removes and returns the losses that a new instance of an upstream confirms as caused
+// by a crash. An upstream that doesn't report start times confirms none.
 func (p *unproved) take(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
 	return p.takeIf(u.ID, func(l unprovedLoss) bool { return l.born != 0 && l.born < u.Born && now.Sub(l.Lost) <= provedWithin })
 }
 
-// takeIf takes the losses at an upstream that are shown to have been under its end.
+// takeIf removes and returns the losses at an upstream that are confirmed as caused by a crash.
 func (p *unproved) takeIf(id string, shown func(l unprovedLoss) bool) (ls []quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,14 +77,15 @@
 	return ls
 }
 
-// begun takes word that an upstream has begun a life. It does not wait: the fleet's lock is held.
+// instanceStarted is called when an instance of an upstream starts. It doesn't block, because the
+// caller holds the fleet's lock.
 func (c *Core) begun(u hollowgrade.Upstream) {
 	if ls := c.unproved.take(u); len(ls) > 0 {
 		go c.proved(u, ls)
 	}
 }
 
-// proved notes losses at an upstream whose next life shows that it had ended.
+// confirmLosses reports losses at an upstream whose next instance shows that it crashed.
 func (c *Core) proved(u hollowgrade.Upstream, ls []quarantine.Loss) {
 	for _, l := range ls {
 		c.log.Info("upstream had ended, its next life shows", "upstream", l.Upstream, "next", u.Life(), "fingerprint", l.Fingerprint,
