--- a/core/fleet.go
+++ b/core/fleet.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// lapseGrace is for how long an upstream whose entry went while the store
-	// was away is kept: live ones are listed again within two seconds.
+	// unlistedGrace is how long an upstream is kept whose entry expired while the store was
+	// unavailable: running upstreams are listed again within two seconds.
 	lapseGrace = 2 * time.Second
-	// The time for which an upstream is avoided after a failure doubles with
-	// each one in a row: a crash lasts seconds, a lost connection less.
+	// The time for which an upstream is avoided doubles with each failure in a row, within these
+	// bounds: a crash lasts some seconds, a lost connection less.
 	firstAvoid = 500 * time.Millisecond
 	lastAvoid  = 4 * time.Second
 )
 
-// Share is the part of an upstream's load that one process has given to it.
+// Share is the part of an upstream's load that one process has assigned to it.
 type Share struct {
-	Open   int              // requests that are not over
-	Stakes placement.Stakes // what would be lost by pauses that are too long for them
-	Given  time.Duration    // reading of prompts given to it since the process started
-	Tokens int              // memory that its requests hold
-	Sent   int              // requests sent to it while it named a limit, since the process started
-	Wanted int              // the same with those that the limit left no room for
+	Open   int              // requests in progress
+	Stakes placement.Stakes // cost of pauses that are too long for these requests
+	Given  time.Duration    // prefill time assigned since the process started
+	Tokens int              // memory that its requests occupy, in tokens
+	Sent   int              // requests sent while the upstream had a rate limit, since the process started
+	Wanted int              // like Sent, plus the requests that the limit didn't admit
 }
 
 // Plus returns the sum of two shares.
@@ -45,44 +45,43 @@
 	return Share{s.Open - o.Open, s.Stakes.Minus(o.Stakes), s.Given - o.Given, s.Tokens - o.Tokens, s.Sent - o.Sent, s.Wanted - o.Wanted}
 }
 
-// member is an upstream and what this process knows of it.
+// member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	life     hollowgrade.Life // of Upstream; it is asked for at each candidate of each pick
-	own      Share            // given by this process
-	others   Share            // given by others, by their own word
-	busy     time.Time        // until when it reads what all processes have given to it
-	parts    []time.Time      // until when it holds parts of prompts that other engines answer
+	life     hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
+	own      Share            // assigned by this process
+	others   Share            // assigned by peers, as they report it
+	busy     time.Time        // when the prefill that all processes have assigned will be done
+	parts    []time.Time      // when the parts of prompts that other engines answer will be done
 	load     hollowgrade.UpstreamLoad
 	loadAt   time.Time
-	paceWord paceWord  // what it said of its speed
-	asked    time.Time // when this process asked it for that
-	failures int       // that it was avoided for, in a row
-	errors   int       // failures of its own, in a row
+	paceWord paceWord  // last reported speed
+	asked    time.Time // when this process last requested a speed report
+	failures int       // consecutive failures for which it was avoided
+	errors   int       // consecutive error answers of its own
 	avoid    time.Time
-	heard    time.Time // when it said something to this process last: a head or an event
-	told     time.Time // when it said itself that this life had begun; zero if the registry did
-	blamed   time.Time // until when others are told to avoid it too
-	// avoidedByAll is until when all processes avoid it, by the word of this one or of another.
+	heard    time.Time // when this process last received a head or an event from it
+	told     time.Time // when it reported the start of this instance itself; zero if the registry did
+	blamed   time.Time // until when peers are told to avoid it too
+	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAll time.Time
 	limit        rateLimit
 	rest         rest
-	leaving      bool      // by its own word, whatever the registry says
-	lapses       time.Time // until when it is used although its entry went; zero while it is listed
+	leaving      bool      // by its own signal, whatever the registry says
+	lapses       time.Time // when a member without an entry is removed; zero while it is listed
 }
 
-// total is the load that all processes have given to the upstream, as far as
-// this one knows.
+// total returns the load that all processes have assigned to the upstream, as far as known here.
 func (m *member) total() Share {
 	return m.own.Plus(m.others)
 }
 
-// reading returns how much the upstream has still to read.
+// prefillBacklog returns how much prefill the upstream has still to do.
 func (m *member) reading(now time.Time) time.Duration {
 	return max(m.busy.Sub(now), 0)
 }
 
-// give adds reading, as long as it takes by the published figures, to what the upstream has to do.
+// addPrefill adds d, a time at the published speed, to the upstream's prefill backlog.
 func (m *member) give(now time.Time, d time.Duration) {
 	if m.busy.Before(now) {
 		m.busy = now
@@ -90,7 +89,7 @@
 	m.busy = m.busy.Add(time.Duration(m.pace(now) * float64(d)))
 }
 
-// lapsed reports whether the upstream's entry went and did not come back in time.
+// expired reports whether the upstream lost its entry and wasn't listed again in time.
 func (m *member) lapsed(now time.Time) bool {
 	return !m.lapses.IsZero() && !now.Before(m.lapses)
 }
@@ -103,34 +102,34 @@
 
 	mu         sync.Mutex
 	members    map[hollowgrade.Life]*member
-	lives      map[string]hollowgrade.Life // the present life of each upstream, by id
+	lives      map[string]hollowgrade.Life // current instance of each upstream, by id
 	services   map[string][]*member
-	outdated   bool                           // whether services is to be made anew
-	unlisted   map[hollowgrade.Life]time.Time // until when upstreams read that are not listed here yet
-	told       map[hollowgrade.Life]toldWord  // what others have told of upstreams that are not listed here yet
-	promised   map[string]time.Time           // until when callers have been told to come back for room in limits, by service
-	views      map[string]*view               // what other processes have given to upstreams, by box
-	placed     map[string]rate                // calls that other processes have placed, by service
-	changed    map[hollowgrade.Life]bool      // upstreams whose own share changed since [Fleet.Changes]
+	outdated   bool                           // whether services must be rebuilt
+	unlisted   map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
+	told       map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
+	promised   map[string]time.Time           // latest retry time given to a caller refused because of limits, by service
+	views      map[string]*view               // load that peers have assigned to upstreams, by box
+	placed     map[string]rate                // rates of the calls that peers place, by service
+	changed    map[hollowgrade.Life]bool      // upstreams whose own share changed since the last call of [Fleet.Changes]
 	notify     chan struct{}
-	peers      func() int           // other processes that give work to the same upstreams
-	surveyed   map[string]time.Time // when upstreams of a service were asked last since one was found to be slow
-	ask        func(us []hollowgrade.Upstream, why string)
-	begun      func(u hollowgrade.Upstream) // is told of each life that begins; it must not use the fleet
-	chance     func() float64               // from 0 to 1
-	demands    map[string]*demand           // by service
-	candidates []placement.Candidate        // of the last decision, kept to be filled anew
+	peers      func() int                                  // number of other processes that use the same upstreams
+	surveyed   map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
+	ask        func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
+	begun      func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
+	chance     func() float64                              // random number from 0 to 1
+	demands    map[string]*demand                          // by service
+	candidates []placement.Candidate                       // of the last decision; the memory is reused
 }
 
-// FleetOption changes a table as it is made.
+// FleetOption configures a [Fleet].
 type FleetOption func(*Fleet)
 
-// WithPolicy sets what decides where calls go.
+// WithPolicy sets the placement policy.
 func WithPolicy(p *placement.Policy) FleetOption {
 	return func(f *Fleet) { f.policy = p }
 }
 
-// NewFleet returns an empty table.
+// NewFleet returns an empty fleet.
 func NewFleet(c hollowgrade.Clock, l *log.Logger, os ...FleetOption) *Fleet {
 	f := &Fleet{
 		clock:    c,
@@ -159,32 +158,32 @@
 	return f
 }
 
-// SetPeers sets how the number of other processes is known that give work to the
-// same upstreams. Those of which nothing is heard are allowed for.
+// SetPeers sets the function that returns the number of other processes that use the same upstreams.
+// Decisions allow for the load of peers whose reports haven't arrived.
 func (f *Fleet) SetPeers(peers func() int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.peers = peers
 }
 
-// SetBegun sets what is told of each life of an upstream that begins. It must not use the fleet.
+// SetOnInstanceStart sets the function that is called for each instance of an upstream that starts.
+// It is called with the lock held and must not use the fleet.
 func (f *Fleet) SetBegun(begun func(u hollowgrade.Upstream)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = begun
 }
 
-// SetChance replaces the random numbers from 0 to 1 that decide among equals, so
-// that a run can be repeated.
+// SetChance replaces the source of random numbers from 0 to 1 for tie-breaking and jitter, so that a
+// run can be repeated.
 func (f *Fleet) SetChance(chance func() float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.chance = chance
 }
 
-// Put adds an upstream or takes over what the registry now says of it. A life that the registry
-// names ends what is known of any other under the id, also of one that seems to be later: its clock may have
-// been ahead.
+// Put adds an upstream or updates it from its registry entry. An entry of another instance replaces
+// the known one even if that seems to have started later, because its clock may have been ahead.
 func (f *Fleet) Put(u hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,9 +208,9 @@
 	}
 }
 
-// Drop removes an upstream whose entry has gone. When the entry may have gone
-// for want of a heartbeat while the store was away, the upstream is kept for a
-// little longer, until mayReturn at the most.
+// Drop removes an upstream whose entry is gone. A non-zero mayReturn means that the entry may have
+// expired because the store was unavailable: the upstream is then kept for [unlistedGrace], until
+// mayReturn at the most.
 func (f *Fleet) Drop(id string, mayReturn time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,8 +229,8 @@
 	f.endLife(id)
 }
 
-// beginLife makes the member for a life of an upstream, in place of any other life that is known of
-// it. The lock is held.
+// startInstance adds the member for an instance of an upstream and replaces any other instance. The
+// lock is held.
 func (f *Fleet) beginLife(id string, l hollowgrade.Life) *member {
 	f.endLife(id)
 	m := &member{life: l, busy: f.unlisted[l]}
@@ -243,8 +242,8 @@
 	return m
 }
 
-// endLife forgets the present life of an upstream. Calls that are under way keep their accounts of it, which
-// nobody looks at any more. The lock is held.
+// endInstance removes the current instance of an upstream. Calls in progress keep their reference to
+// the member, which nothing else reads any more. The lock is held.
 func (f *Fleet) endLife(id string) {
 	l, ok := f.lives[id]
 	if !ok {
@@ -255,19 +254,20 @@
 	f.outdated = true
 }
 
-// entryLag is for how long after an upstream has told of its life itself an entry may still be of the one
-// before: it is written each second or so, and read some time later.
+// entryLag is how long after an upstream reported its start itself an entry may still be of the
+// instance before: entries are written about each second and read some time later.
 const entryLag = 3 * time.Second
 
-// outrun reports whether an entry is of an earlier life than the upstream has told of itself just
-// now. The lock is held.
+// entryOutdated reports whether an entry is of an earlier instance than the upstream itself has just
+// reported. The lock is held.
 func (f *Fleet) outrun(u hollowgrade.Upstream) bool {
 	m := f.members[f.lives[u.ID]]
 	return m != nil && u.Born < m.Born && !m.told.IsZero() && f.clock.Since(m.told) < entryLag
 }
 
-// Born takes the word of an upstream that its present life began at a moment, in Unix ms. If that
-// is later than the life that is known, it has started again, and the registry is about to say so.
+// InstanceStarted records the start time, in Unix ms, that an upstream reports of its current
+// instance. A later one than known means that the upstream has restarted and that the registry entry
+// will follow.
 func (f *Fleet) Born(id string, born int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -283,9 +283,9 @@
 	f.log.Info("upstream started again", "upstream", n.life, "service", u.Service, "before", m.life, "why", "it says so")
 }
 
-// of returns the upstreams of a service, by their ids. Lists are made anew when
-// they are looked at, not with each change: after its start a process hears of
-// thousands of upstreams at once. The lock is held.
+// membersOf returns the upstreams of a service, sorted by instance. The lists are rebuilt on read
+// instead of on each change, because a process learns of thousands of upstreams at once when it
+// starts. The lock is held.
 func (f *Fleet) of(service string) []*member {
 	if f.outdated {
 		f.rebuild()
@@ -293,8 +293,7 @@
 	return f.services[service]
 }
 
-// rebuild makes the lists by service anew, without upstreams that lapsed. The
-// lock is held.
+// rebuild rebuilds the lists by service and removes expired upstreams. The lock is held.
 func (f *Fleet) rebuild() {
 	f.outdated = false
 	f.services = map[string][]*member{}
@@ -327,13 +326,13 @@
 	return len(f.of(service))
 }
 
-// usable reports whether a member may be given new work. The lock is held.
+// usable reports whether a member may get new calls. The lock is held.
 func (f *Fleet) usable(m *member, now time.Time) bool {
 	return !m.Draining && !m.leaving && !m.lapsed(now) && m.rest.over(now)
 }
 
-// stillUsable reports whether a pick that was made a while ago may still be
-// given the call. Limits that have become known since are charged for it.
+// stillUsable reports whether the members of an earlier pick may still get the call. It charges the
+// call to limits that became known since the pick.
 func (f *Fleet) stillUsable(p *pick) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -342,8 +341,7 @@
 	return !unusable(p.member) && !slices.ContainsFunc(p.helpers, unusable) && f.meterLate(p, now)
 }
 
-// another reports whether a service has an upstream beside those that were
-// tried.
+// hasUntried reports whether a service has a usable upstream that hasn't been tried.
 func (f *Fleet) another(service string, tried map[hollowgrade.Life]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -351,15 +349,14 @@
 	return slices.ContainsFunc(f.of(service), func(m *member) bool { return !tried[m.life] && f.usable(m, now) })
 }
 
-// failed notes that an upstream failed a call, so that others are preferred for
-// a while.
+// failed records that an upstream failed a call, so that others are preferred for a while.
 func (f *Fleet) failed(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
 }
 
-// avoid is failed with the lock held.
+// avoid is like failed, but the lock is held.
 func (f *Fleet) avoid(m *member, id, why string) {
 	d := min(firstAvoid<<min(m.failures, 3), lastAvoid)
 	m.failures++
@@ -368,8 +365,8 @@
 		"failures", m.failures, "for_ms", d.Milliseconds())
 }
 
-// blame notes that an engine named a member as at fault for not taking a call.
-// That holds for every process, so others are told.
+// markAtFault records that an engine named a member as at fault for not taking a call. This concerns
+// every process, so peers are told.
 func (f *Fleet) blame(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -378,17 +375,19 @@
 	f.change(m)
 }
 
-// Seen is what this process has seen of an upstream itself, beside what it gave to it.
+// UpstreamState is what this process knows of an upstream at first hand, besides the load that it
+// assigned.
 type Seen struct {
-	Avoid time.Duration // for how long yet it is to be avoided, since an engine named it as at fault; 0 if none did
-	Pace  PaceTold      // its word on its speed; zero if it didn't tell this process, or its word no longer holds
-	// Limit is its newest word on its limit, whoever was told it; HasLimit is false if there is none to tell.
+	Avoid time.Duration // how long it is still to be avoided because an engine named it as at fault; 0 if none did
+	Pace  PaceTold      // its speed as reported to this process; zero if it reported none or the report has expired
+	// Limit is its newest rate limit, whichever process received it; HasLimit is false if there is
+	// none to report.
 	Limit    RateLimit
 	HasLimit bool
-	Leaving  bool // by its own word, whoever was told it
+	Leaving  bool // by its own signal, whichever process received it
 }
 
-// Seen returns what this process has seen itself of the upstreams of some shares.
+// UpstreamStates returns the states of the upstreams that have an entry in shares.
 func (f *Fleet) Seen(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]Seen {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -405,8 +404,8 @@
 	return ss
 }
 
-// TakeBlame takes the word of another process, by its box, that an upstream is
-// at fault, unless too many of its service are avoided already.
+// ReceiveAtFault applies a peer's report that an upstream is at fault, unless too many of its
+// service are avoided already.
 func (f *Fleet) TakeBlame(box string, id hollowgrade.Life, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -420,22 +419,22 @@
 	if !until.After(m.avoid) || !now.Before(m.avoid) && !f.takesWord(m.Service, now) {
 		return
 	}
-	// The process that was told by an engine has a line of it; here there would be one for each peer.
+	// The gateway that received the engine's answer logs this at Info; here it would be one line per
+	// peer.
 	f.log.Debug("upstream avoided", "upstream", id, "service", m.Service, "why", "named as at fault to another gateway",
 		"peer", box, "for_ms", d.Milliseconds())
 	m.avoid = until
 }
 
-// An upstream that fails each call is never busy, so that ever more would go to
-// it. Plain services fail now and then by themselves, on the users' sheets one
-// call in seven; engines do not.
+// An upstream that fails each call is never busy and would attract ever more calls. Plain services
+// fail now and then without a lasting fault (one call in seven in the users' data), engines don't.
 const (
 	engineErrors = 1
 	plainErrors  = 3
 )
 
-// answered notes that an upstream gave an answer to a call that was sent at some moment, and what it says of
-// itself. After some failures of its own in a row it is avoided.
+// answered records the head of an upstream's answer to a call that was sent at the given time. An
+// upstream is avoided after some consecutive error answers.
 func (f *Fleet) answered(m *member, id string, engine bool, sent time.Time, h hollowgrade.Head) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
