--- a/core/core.go
+++ b/core/core.go
@@ -15,49 +15,49 @@
 	"github.com/hollowgrade/hollowgrade/retry"
 )
 
-// Bounds are the promises of a deployment that the path has to keep.
+// Bounds are the limits that a deployment guarantees to its callers.
 type Bounds struct {
-	KeyFreshness time.Duration // longest time for which a key may be taken as good without word of the configuration
-	KeyOutage    time.Duration // further time for which a key that was good is, while the configuration cannot be confirmed
-	Freshness    time.Duration // longest time for which a missing route or key is taken as gone
-	RetryRatio   float64       // repeats for each first send, over all processes and each window
-	RetrySlack   float64       // further repeats in each window, over all processes
+	KeyFreshness time.Duration // how long a key is accepted without the configuration being confirmed
+	KeyOutage    time.Duration // further time for which a known key is accepted while the configuration cannot be confirmed
+	Freshness    time.Duration // greatest age of the configuration at which a missing route or key is reported as missing
+	RetryRatio   float64       // retries for each first attempt, over all processes and each window
+	RetrySlack   float64       // additional retries in each window, over all processes
 	RetryWindow  time.Duration
 }
 
-// keyAge returns the age of the configuration up to which its keys are good.
+// keyAge returns the age of the configuration up to which its keys are accepted.
 func (b *Bounds) keyAge() time.Duration {
 	return b.KeyFreshness + b.KeyOutage
 }
 
-// freshnessMargin is taken off the age up to which keys are good for clocks that differ in
-// speed and for the time between a caller's send and the check.
+// freshnessMargin is subtracted from keyAge to allow for clock drift and for the time between a
+// caller's send and the check.
 const freshnessMargin = 300 * time.Millisecond
 
-// outdatedMargin is taken off the time within which a change has to be in force: a
-// gateway hears of it from a reader up to that much after it is confirmed.
+// outdatedMargin is subtracted from the time within which a change must be in force: a gateway
+// learns of it up to that much after it is confirmed.
 const outdatedMargin = time.Second
 
-// assumedProcesses share the retry budget at the least: the list of processes
-// may not be known yet.
+// minProcesses is the least number of processes that the retry budget is divided by, because the
+// list of processes may not be known yet.
 const assumedProcesses = 8
 
-// budgetShare is the part of the retry budget that is used. The rest is for
-// windows of processes that do not begin at the same moment.
+// budgetShare is the used part of the retry budget. The rest allows for windows of processes that
+// don't start at the same time.
 const budgetShare = 0.9
 
-// answerGrace is how much longer than an upstream the path waits at the end of
-// the allowed time, so that the upstream's own last word arrives. A caller has
-// to have its answer within half a second after the route's timeout.
+// answerGrace is how long the path waits beyond the allowed time, so that the upstream's own timeout
+// answer still arrives. A caller has to get its answer within half a second after the route's
+// timeout.
 const answerGrace = 150 * time.Millisecond
 
-// Core is the path of calls to upstreams. It is safe for concurrent use.
+// Core routes calls to upstreams. It is safe for concurrent use.
 type Core struct {
 	exchanger hollowgrade.Exchanger
 	reserver  hollowgrade.Reserver
-	prober    hollowgrade.Prober   // nil if each connection that breaks counts as the end of its upstream
-	reporter  hollowgrade.Reporter // nil if upstreams are not asked how fast they are
-	asks      atomic.Int32         // that are under way
+	prober    hollowgrade.Prober   // if nil, each broken connection counts as a crash of its upstream
+	reporter  hollowgrade.Reporter // if nil, upstreams are not asked for their speed
+	asks      atomic.Int32         // requests for speed reports in progress
 	clock     hollowgrade.Clock
 	log       *log.Logger
 	bounds    atomic.Pointer[Bounds]
@@ -67,7 +67,7 @@
 	processes func() int
 	fleet     *Fleet
 	box       string
-	lost      *quarantine.Table // requests that were lost with upstreams
+	lost      *quarantine.Table // requests that were lost in crashes of upstreams
 	unproved  *unproved
 	catalog   atomic.Pointer[Catalog]
 
@@ -80,7 +80,7 @@
 	watched map[hollowgrade.Life]chan struct{} // upstreams that close connections; see watch
 }
 
-// Observation is one call that has ended, for metrics.
+// Observation is a call that has ended, for metrics.
 type Observation struct {
 	Organisation string
 	Route        string
@@ -88,14 +88,14 @@
 	Outcome      hollowgrade.Outcome
 	Code         fault.Code
 	PromptTokens int
-	First        time.Duration // until the first part of the answer; zero if none came
-	Predicted    time.Duration // the same as predicted when it was placed; zero for plain services
+	First        time.Duration // until the first part of the answer; zero if there was none
+	Predicted    time.Duration // the prediction of First at placement; zero for plain services
 	Took         time.Duration
 	Attempts     int
 	Events       int
 }
 
-// Option changes a core as it is made.
+// Option configures a [Core].
 type Option func(*Core)
 
 // WithClock sets the clock.
@@ -108,53 +108,52 @@
 	return func(c *Core) { c.log = l }
 }
 
-// WithBounds sets what the path has to keep.
+// WithBounds sets the bounds that calls have to meet.
 func WithBounds(b Bounds) Option {
 	return func(c *Core) { c.bounds.Store(&b) }
 }
 
-// WithObserver sets who is told of each call that has ended.
+// WithObserver sets the function that is called for each call that has ended.
 func WithObserver(f func(Observation)) Option {
 	return func(c *Core) { c.observe = f }
 }
 
-// WithAge sets how the age of the configuration is known. Without it the
-// configuration counts as fresh.
+// WithAge sets the function that returns the age of the configuration, and whether it is known.
+// Without it the configuration counts as fresh.
 func WithAge(f func() (time.Duration, bool)) Option {
 	return func(c *Core) { c.age = f }
 }
 
-// WithOutdated sets how it is known for how long the configuration in force has been
-// older than the newest one; 0 while that is not known to be so. Without it the
-// configuration counts as the newest.
+// WithOutdated sets the function that returns for how long the configuration in force has been older
+// than the newest one, 0 if that isn't known. Without it the configuration counts as the newest.
 func WithOutdated(f func() time.Duration) Option {
 	return func(c *Core) { c.outdated = f }
 }
 
-// WithReporter lets upstreams that seem to be slow be asked how fast they are.
+// WithReporter sets how upstreams that seem slow are asked for their speed.
 func WithReporter(r hollowgrade.Reporter) Option {
 	return func(c *Core) { c.reporter = r }
 }
 
-// WithProber lets upstreams be looked at whose connections broke. Without it each of these counts as the
-// end of its upstream.
+// WithProber sets how upstreams are probed after a broken connection. Without it each broken
+// connection counts as a crash of its upstream.
 func WithProber(p hollowgrade.Prober) Option {
 	return func(c *Core) { c.prober = p }
 }
 
-// WithProcesses sets how the number of processes is known that share the
-// upstreams and the retry budget, this one among them.
+// WithProcesses sets the function that returns the number of processes that share the upstreams and
+// the retry budget, including this one.
 func WithProcesses(f func() int) Option {
 	return func(c *Core) { c.processes = f }
 }
 
-// WithBox sets the name of this box, for what others are told.
+// WithBox sets the name of this box, which is sent to peers.
 func WithBox(box string) Option {
 	return func(c *Core) { c.box = box }
 }
 
-// New returns a core that sends calls through x and sets memory aside through
-// r. It has no configuration and no upstreams yet.
+// New returns a core that sends calls through x and reserves memory through r. It has no
+// configuration and no upstreams yet.
 func New(x hollowgrade.Exchanger, r hollowgrade.Reserver, os ...Option) *Core {
 	c := &Core{
 		exchanger: x,
@@ -196,7 +195,7 @@
 	}
 }
 
-// SetBounds replaces what the path has to keep.
+// SetBounds replaces the bounds that calls have to meet.
 func (c *Core) SetBounds(b Bounds) {
 	c.bounds.Store(&b)
 }
@@ -206,15 +205,14 @@
 	return c.fleet
 }
 
-// Quarantine returns what is known of requests that were lost with upstreams.
+// Quarantine returns the table of requests that were lost in crashes of upstreams.
 func (c *Core) Quarantine() *quarantine.Table {
 	return c.lost
 }
 
-// Outdated reports whether a newer configuration has been known for too long for the
-// one in force to decide about calls. It guards calls on routes without keys, which
-// ask for no freshness: an outage of the store makes nothing outdated, since nobody
-// knows of a newer one then.
+// Outdated reports whether a newer configuration has been known for too long to decide calls by the
+// one in force. It also guards routes without keys, which have no freshness check. While the store
+// is unavailable no newer configuration is known, so nothing becomes outdated.
 func (c *Core) Outdated() bool {
 	b := c.bounds.Load()
 	return c.outdated() > max(b.Freshness-outdatedMargin, b.Freshness/2)
@@ -225,8 +223,8 @@
 	return c.catalog.Load()
 }
 
-// SetCatalog puts a configuration in force. An older one never replaces a newer
-// one; it reports whether it is in force.
+// SetCatalog puts a configuration in force if it is newer than the current one, and reports
+// whether it did.
 func (c *Core) SetCatalog(n *Catalog) bool {
 	for {
 		old := c.catalog.Load()
@@ -239,8 +237,7 @@
 	}
 }
 
-// budget returns the retry budget of a service at this process: its share of
-// what all processes may spend together.
+// budget returns this process's share of the retry budget of a service.
 func (c *Core) budget(service string) *retry.Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,8 +252,8 @@
 	return w
 }
 
-// Serve brings a call to its end and passes its answer to the sink. The error
-// is a [fault.Error]; when the sink has got a head before, the answer is cut.
+// Serve runs a call and sends its answer to the sink. The error is a [fault.Error]; if the sink has
+// received a head before, the answer is incomplete.
 func (c *Core) Serve(ctx context.Context, call hollowgrade.Call, s hollowgrade.Sink) (err error) {
 	f := &flow{core: c, call: call, sink: s, after: call.After, tried: map[hollowgrade.Life]bool{}}
 	defer func() { f.ended(err) }()
@@ -268,8 +265,8 @@
 	if left <= 0 {
 		return fault.New(fault.DeadlinePassed, "the allowed time had passed before the call could be sent").WithOutcome(hollowgrade.NotRun)
 	}
-	// Deadlines of contexts follow the system's clock; what is left is counted
-	// on the clock of the process, which tests replace.
+	// Context deadlines use the system clock; the remaining time is measured on the process's clock,
+	// which tests replace.
 	ctx, cancel := context.WithTimeoutCause(ctx, left+answerGrace, errOutOfTime)
 	defer cancel()
 	ctx, end := c.follow(ctx, f)
@@ -280,7 +277,7 @@
 	return f.finish(a.Run(ctx, f))
 }
 
-// follow lets a call be ended by [Core.Resume] until it is over.
+// follow registers a call so that [Core.Resume] can end it.
 func (c *Core) follow(ctx context.Context, f *flow) (_ context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	c.mu.Lock()
@@ -294,8 +291,8 @@
 	}
 }
 
-// Resume is called when the machine was suspended. Timers were late by that, so that calls would be held
-// beyond their time; their times are set anew.
+// Resume is called after the machine was suspended. Timers are late by the time of the suspension
+// and would let calls exceed their deadlines, so it sets new ones.
 func (c *Core) Resume() {
 	now := c.clock.Now()
 	c.mu.Lock()
@@ -307,8 +304,7 @@
 	c.log.Info("times of calls set anew", "calls", len(c.flows), "why", "the machine was suspended")
 }
 
-// admit finds the route, the organisation and the service of a call, or refuses
-// it.
+// admit determines the route, the organisation and the service of a call, or refuses it.
 func (c *Core) admit(f *flow) error {
 	hollowgrade.Notice(c.clock)
 	f.catalog = c.catalog.Load()
@@ -318,8 +314,7 @@
 	known, ok := false, false
 	f.age, known = c.age()
 	missing := func(m *fault.Error) error {
-		// If the configuration may be out of date, a route or key that is not
-		// there may have been added since.
+		// A missing route or key may have been added since, if the configuration may be out of date.
 		if !known || f.age > c.bounds.Load().Freshness {
 			return stale(f, known)
 		}
@@ -358,7 +353,7 @@
 		WithRetryAfter(shortRetry)
 }
 
-// target picks one of the route's services by weight.
+// target picks one of the route's services at random by weight.
 func (r Route) target() (service string, ok bool) {
 	sum := 0
 	for _, t := range r.Targets {
--- a/core/flow.go
+++ b/core/flow.go
@@ -12,17 +12,15 @@
 	"github.com/hollowgrade/hollowgrade/retry"
 )
 
-// maxHeld is the size up to which the body of a plain answer is read whole
-// before any of it is passed on, so that an answer that is cut can still be
-// replaced by another.
+// maxBufferedBytes is the size up to which the body of a plain answer is buffered before any of it
+// is passed on, so that a broken answer can still be replaced by that of another attempt.
 const maxHeld = 256 << 10
 
-// defaultAllowed bounds a call when neither its caller nor its route says how
-// long it may take.
+// defaultAllowed bounds a call if neither its caller nor its route sets a time.
 const defaultAllowed = 30 * time.Second
 
-// hold waits until what was given to the picked engines before is nearly read,
-// and returns how long that was.
+// waitForEngines waits until the picked engines have nearly finished their backlog, and returns how
+// long that took.
 func (f *flow) hold(ctx context.Context, p *pick) time.Duration {
 	if p.Hold <= 0 {
 		return 0
@@ -32,8 +30,8 @@
 	return f.core.clock.Since(begin)
 }
 
-// memoryTries bounds the attempts for which memory is not free: each costs an
-// order at every engine that it asks.
+// maxMemoryTries bounds the attempts that fail for want of free memory: each costs a reservation
+// request to every engine involved.
 const memoryTries = 2
 
 var (
@@ -42,7 +40,7 @@
 	errSink      = errors.New("caller is gone")
 )
 
-// flow is one call on its way. It implements [Work].
+// flow is one call in progress. It implements [Work].
 type flow struct {
 	core         *Core
 	call         hollowgrade.Call
@@ -56,27 +54,27 @@
 	budget       *retry.Window
 	deadline     time.Time
 
-	noMemory  int                       // attempts for which memory was not free
-	paid      atomic.Bool               // whether the next retry has been taken out of the budget
-	tried     map[hollowgrade.Life]bool // lives of upstreams
+	noMemory  int                       // attempts that failed for want of free memory
+	paid      atomic.Bool               // whether the next retry is already taken out of the budget
+	tried     map[hollowgrade.Life]bool // instances that were picked for the call
 	upstreams []string                  // the same, in order
-	began     bool                      // whether the caller has got a head
-	after     string                    // id of the last event that the caller has
+	began     bool                      // whether the caller has received a head
+	after     string                    // id of the last event that the caller has received
 	events    int
 	first     time.Duration // until the first part
-	heard     time.Time     // when the last event came
+	heard     time.Time     // when the last event arrived
 	pause     time.Duration // longest between two events
-	predicted time.Duration // the same as predicted for the first attempt
-	failure   *answer       // an upstream's own failure, held back while another attempt may do better
+	predicted time.Duration // the prediction of first for the first attempt
+	failure   *answer       // an upstream's error answer, kept while another attempt may succeed
 }
 
-// answer is a whole answer that is held back.
+// answer is a complete, buffered answer.
 type answer struct {
 	head hollowgrade.Head
 	body [][]byte
 }
 
-// allowed returns how long the call may take from its arrival on.
+// allowed returns how long the call may take, counted from its arrival.
 func (f *flow) allowed() time.Duration {
 	d := defaultAllowed
 	if f.call.Patience > 0 {
@@ -153,8 +151,8 @@
 	return f.judge(a, err)
 }
 
-// prepare does what comes between the pick of an attempt and its sending. The
-// upstreams may have begun to leave meanwhile.
+// prepare waits for the engines and reserves memory between the pick of an attempt and its sending.
+// It fails if an upstream has begun to leave meanwhile.
 func (f *flow) prepare(ctx context.Context, a *attempt) (err error) {
 	p := a.pick
 	a.held = f.hold(ctx, p)
@@ -169,7 +167,7 @@
 	return nil
 }
 
-// logSent tells of a sending.
+// logSent logs that an attempt is sent.
 func (f *flow) logSent(a *attempt, left time.Duration) {
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
@@ -178,7 +176,7 @@
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
 
-// ids returns the ids of upstreams, for logs.
+// ids returns the ids of members for logs.
 func ids(ms []*member) (s []string) {
 	for _, m := range ms {
 		s = append(s, m.ID)
@@ -186,8 +184,8 @@
 	return s
 }
 
-// refuse says that a long prompt is not worth what it would take from others
-// now, or that no engine has memory for it.
+// refuse returns the error for a long prompt that would cost other calls more than it is worth, or
+// for which no engine has memory.
 func (f *flow) refuse(p *pick) error {
 	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.First.Milliseconds(),
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
@@ -201,8 +199,8 @@
 		WithRetryAfter(p.ComeBack)
 }
 
-// refuseAny says that there is no upstream for a call: none is listed or was left untried, or those that are take
-// none now.
+// noUpstreamError returns the error for a call without an upstream: none is listed or untried, or
+// those that are take no call now.
 func (f *flow) refuseAny() error {
 	r := f.core.fleet.room(f.service.Name, f.tried)
 	if r.limited+r.resting == 0 {
@@ -215,12 +213,12 @@
 		f.service.Name, r.limited, r.perSecond, r.resting).WithRetryAfter(r.comeBack)
 }
 
-// round returns a figure as logs have it, to two places.
+// round rounds a figure to two decimals for logs.
 func round(x float64) float64 {
 	return math.Round(x*100) / 100
 }
 
-// judge says what an attempt that failed came to, and tells the fleet.
+// classifyFailure returns the result of a failed attempt and updates the fleet.
 func (f *flow) judge(a *attempt, err error) Try {
 	t := Try{Placed: true, Free: errors.Is(err, hollowgrade.ErrNotSent)}
 	x := a.fault(err)
@@ -237,7 +235,7 @@
 	return t
 }
 
-// finish gives the caller the upstream's own failure, if that is all there is.
+// finish passes on an upstream's error answer if no attempt did better.
 func (f *flow) finish(err error) error {
 	if err == nil || f.failure == nil || f.began {
 		return err
@@ -245,7 +243,7 @@
 	return f.pass(f.failure)
 }
 
-// pass passes a whole answer on.
+// passAnswer sends a buffered answer to the caller.
 func (f *flow) pass(a *answer) error {
 	f.began = true
 	if err := f.sink.Head(a.head); err != nil {
