--- a/core/attempts.go
+++ b/core/attempts.go
@@ -1,7 +1,7 @@
-// Package core is the path of a request, whoever sent it and whatever serves
-// it: whether it is taken, where it goes, whether it goes there again, and how
-// it ends. Fronts decode callers' calls for it, and upstreams are opened
-// through interfaces of the root package.
+// Package core routes requests to upstreams, whichever front received them and whichever kind of
+// upstream serves them. It decides whether a request is admitted, which upstream it is sent to and
+// whether it is retried, and determines its outcome. Fronts decode callers' requests for it; it
+// opens upstreams through interfaces of the root package.
 package core
 
 import (
@@ -14,33 +14,32 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// The pauses between attempts at one request when the last one may have run.
-// They are short beside the time in which an answer is of use, and long enough
-// for an upstream that was just lost to be known as such.
+// The bounds of the pause between attempts if the last one may have run. Pauses are short compared
+// with the time in which an answer is useful, and long enough for the loss of an upstream to become
+// known.
 const (
 	firstPause = 20 * time.Millisecond
 	lastPause  = time.Second
-	shortRetry = time.Second // when to come back after a refusal that passes quickly
+	shortRetry = time.Second // retry-after of refusals that pass quickly
 )
 
-// Work is a request that attempts are made at.
+// Work is a request for which attempts are made.
 type Work interface {
-	// Try makes the n-th attempt, counted from 1. Left is how many may still be
-	// sent, this one among them.
+	// Try makes the n-th attempt, counted from 1. Left is how many may still be sent, including this
+	// one.
 	Try(ctx context.Context, n, left int) Try
-	// Repeatable reports whether a further run would do no harm, given what the
-	// caller has received so far.
+	// Repeatable reports whether another run would do no harm, given what the caller has received so
+	// far.
 	Repeatable() bool
-	// Spend takes a retry out of the budgets that bound it, or reports that
-	// there is none.
+	// Spend takes a retry out of the budgets, or reports that none is left.
 	Spend() bool
 }
 
-// Try is what one attempt came to.
+// Try is the result of one attempt.
 type Try struct {
-	Err    error // nil when the request has ended well
+	Err    error // nil if the request succeeded
 	Placed bool  // an upstream was picked for the attempt
-	Free   bool  // nothing left for the upstream, so the attempt counts for nothing
+	Free   bool  // nothing was sent to the upstream, so the attempt doesn't count
 }
 
 // Attempts bounds the attempts at one request.
@@ -50,9 +49,8 @@
 	Deadline time.Time
 }
 
-// Run makes attempts until one ends the request. The outcome of the error is
-// the worst of all attempts: what one of them may have run is never reported as
-// not run.
+// Run makes attempts until one ends the request. The outcome of the error is the worst of all
+// attempts, so that a request that may have run is never reported as not run.
 func (a Attempts) Run(ctx context.Context, w Work) error {
 	worst := hollowgrade.NotRun
 	p := backoff.NewExponentialBackOff()
@@ -84,9 +82,8 @@
 	}
 }
 
-// MayRepeat reports whether another attempt could help and does no harm.
-// Repeatable says whether a second run would do none. What did not run may
-// always be tried elsewhere.
+// MayRepeat reports whether another attempt could help and does no harm. Repeatable says whether a
+// second run is harmless. A request that did not run may always be tried elsewhere.
 func MayRepeat(f *fault.Error, repeatable bool) bool {
 	switch f.Code {
 	case fault.UpstreamLost, fault.AnswerCut, fault.UpstreamFailed, fault.Overloaded, fault.Draining, fault.MayNotWait, fault.GroupBusy:
@@ -101,8 +98,8 @@
 		WithOutcome(f.Outcome).WithRetryAfter(shortRetry)
 }
 
-// pause waits before the next attempt. It returns false when that would go
-// beyond the deadline.
+// pause waits before the next attempt. It returns false without waiting if that would exceed the
+// deadline.
 func (a Attempts) pause(ctx context.Context, d time.Duration) bool {
 	return a.Deadline.Sub(a.Clock.Now()) > d && hollowgrade.Sleep(ctx, a.Clock, d)
 }
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -9,17 +9,17 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// Repeat says how often the calls of a route may run.
+// Repeat says whether the calls of a route may run more than once.
 type Repeat int
 
 // The values of [Repeat].
 const (
 	Once   Repeat = iota // at most one run
-	Again                // more than one run does no harm
-	Resume               // a stream that another upstream can go on with after the last event
+	Again                // more than one run is harmless
+	Resume               // a stream that another upstream can continue after the last event
 )
 
-// String returns the word that logs use.
+// String returns the name used in logs.
 func (r Repeat) String() string {
 	switch r {
 	case Again:
@@ -31,7 +31,7 @@
 	}
 }
 
-// Route says what becomes of calls to one host and path.
+// Route configures the calls to one host and path prefix.
 type Route struct {
 	Name        string
 	Host        string
@@ -39,15 +39,15 @@
 	Repeat      Repeat
 	Stream      bool
 	Public      bool          // needs no key
-	Timeout     time.Duration // longest time for which a call may be held
+	Timeout     time.Duration // longest time that a call may take
 	Goal        time.Duration // time to the first part within which an answer is of full use
-	PauseGoal   time.Duration // longest pause between events that still counts as in time
-	Priority    int           // 0 goes first
+	PauseGoal   time.Duration // longest pause between events that counts as in time
+	Priority    int           // 0 is the highest
 	Targets     []Target
-	MaxAttempts int // upstreams that one call may be sent to
+	MaxAttempts int // number of upstreams that one call may be sent to
 }
 
-// Target is a service that takes a share of a route's calls.
+// Target is a service that gets a share of a route's calls.
 type Target struct {
 	Service string
 	Weight  int
@@ -57,11 +57,11 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int             // of all callers together, at one upstream
+	MaxConnections int             // to one upstream, for all callers together
 	Engine         *engine.Figures // nil for a plain service
 }
 
-// Limits bound what callers may send. A zero value bounds nothing.
+// Limits bound what callers may send. A zero value means no bound.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -74,17 +74,17 @@
 	Name        string
 	Keys        []string
 	Priority    int
-	HasPriority bool // whether Priority replaces that of the route
+	HasPriority bool // whether Priority overrides that of the route
 }
 
-// Catalog is one version of what operators have configured. It is immutable.
+// Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	Version  int64
 	Limits   Limits
 	Services map[string]Service
 	routes   map[string][]Route // by host, longest prefix first
 	keys     map[string]Organisation
-	closed   bool // whether keys are needed at all
+	closed   bool // whether any organisation is configured, so that routes need keys
 }
 
 // NewCatalog returns a catalog.
@@ -115,8 +115,7 @@
 	return c
 }
 
-// Match returns the route for a host and a path: the one with the longest
-// prefix that begins the path.
+// Match returns the route of the host that has the longest matching prefix of the path.
 func (c *Catalog) Match(host, path string) (r Route, ok bool) {
 	if h, _, found := strings.Cut(host, ":"); found {
 		host = h
@@ -129,7 +128,7 @@
 	return Route{}, false
 }
 
-// Owner returns the organisation that holds a key.
+// Owner returns the organisation that a key belongs to.
 func (c *Catalog) Owner(key string) (o Organisation, ok bool) {
 	o, ok = c.keys[key]
 	return o, ok
--- a/core/closing.go
+++ b/core/closing.go
@@ -8,29 +8,28 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Something in front of an upstream may go on taking connections while it is down: a relay of its box, a
-// supervisor's socket, a proxy. Each call that is sent there is lost at once, may have run as far as is known, and
-// takes a retry out of the budget, and each gateway found that out for itself, again each half second. With three
-// gateways before 24 upstreams behind relays, of which a request ended 19, 38 of the 54 calls that failed beside it
-// had lost their only attempt within 3 ms (TestRequestThatEndsUpstreamsBehindRelays: 0.943 to 0.975 of the others
-// served, 0.998 and 1.000 with this).
-// So an upstream that closes the connection of a probe is probed on, and all gateways avoid it until it keeps one.
+// A relay, a supervisor's socket or a proxy in front of an upstream may accept connections while the
+// upstream is down. Each call sent there is lost at once, may have run as far as is known, and uses
+// up a retry. So an upstream that closes the connection of a probe is probed repeatedly, and all
+// gateways avoid it until it keeps one. Without this, when a request crashed upstreams behind relays
+// (3 gateways, 24 upstreams), 0.943 to 0.975 of the other calls were served instead of 0.998 to
+// 1.000, mostly because their only attempt was lost (TestRequestThatEndsUpstreamsBehindRelays).
 
 const (
-	// probeAgain is after how long an upstream that closes connections is probed again. Four connections a second
-	// are fewer than the calls that one slot of an upstream gets.
+	// reprobeInterval is the interval of probes of an upstream that closes connections. Four
+	// connections a second are fewer than the calls that one of its slots serves.
 	probeAgain = 250 * time.Millisecond
-	// watchedFor is for how long that goes on after a call was lost: upstreams are back after a second or two.
-	// After that a call is sent again, and if it is lost, so are the probes.
+	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
+	// After that a call is sent again, and if it is lost, a new watch begins.
 	watchedFor = 5 * time.Second
-	// closingAvoid is for how long such an upstream is avoided after each probe, and by others after each
-	// word of it: a probe that is late and a word that is lost leave no gap.
+	// closingAvoid is how long such an upstream is avoided after each probe, and by peers after each
+	// report. It covers a late probe and a lost report.
 	closingAvoid = 4 * probeAgain
 )
 
-// watch probes an upstream that was found to close connections until it keeps one, has another life or has been
-// watched for long, and lets it be avoided meanwhile. What it returns is closed once the first of these probes has
-// told what it can of the runs that were lost there.
+// watch starts to probe an upstream that closes connections, and has it avoided, until it keeps a
+// connection, has another instance or was watched for [maxWatch]. The returned channel is closed
+// once the first of these probes has checked the runs that were lost there.
 func (c *Core) watch(u hollowgrade.Upstream, request string, first probeResult) (judged <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +43,8 @@
 	return w
 }
 
-// keepWatch probes an upstream until it need not be watched any more. It calls judged after each probe, and at the end.
+// keepWatch probes an upstream until the watch ends. It calls checked after each probe and at the
+// end.
 func (c *Core) keepWatch(u hollowgrade.Upstream, request string, first probeResult, judged func()) {
 	begun, soonest := c.clock.Now(), first.took
 	defer func() {
@@ -66,20 +66,22 @@
 	}
 }
 
-// An upstream with too many connections closes new ones as well, and goes on with the others. It has ended if what ran
-// there was lost after it had run for several times as long as a new connection is kept, and nothing has come from it since.
+// An upstream with too many connections also closes new ones and serves the others. A crash is
+// assumed only for runs that lasted several times as long as a new connection is kept, if nothing
+// has come from the upstream since their loss.
 const (
-	// keptTimes is by how many times a run has to have lasted longer than a new connection is kept.
+	// minRunFactor is the least ratio of a run's time to the time for which a new connection is
+	// kept.
 	keptTimes = 5
-	leastKept = 10 * time.Millisecond // a connection of a run that broke sooner may have been closed as it was opened
-	underWay  = 50 * time.Millisecond // what comes so soon after a loss may have been sent before it
-	// silentFor is for how long nothing has to have come: one that goes on sends an event each 100 ms to somebody.
-	// It leaves the losses of one moment some time to be noticed one after another.
+	leastKept = 10 * time.Millisecond // a connection that broke sooner may have been closed as it was opened
+	underWay  = 50 * time.Millisecond // what arrives this soon after a loss may have been sent before it
+	// minSilence is the time without any data that counts as a crash: a running upstream sends an
+	// event each 100 ms to some call. It is long enough for all losses of one crash to be recorded.
 	silentFor = probeAgain - underWay
 )
 
-// ranThere takes the runs that were lost at an upstream which has gone on closing connections as lost by its end, as
-// far as they ran there.
+// confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
+// there and the upstream has been silent since and still closes connections.
 func (c *Core) ranThere(u hollowgrade.Upstream, closedAfter time.Duration) {
 	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
 	ls := c.unproved.takeIf(u.ID, func(l unprovedLoss) bool {
@@ -93,8 +95,8 @@
 	}
 }
 
-// closing notes that an upstream closes connections, so that others are preferred to it, and tells other
-// processes unless they know. It returns false once that life is over.
+// markClosing records that an upstream closes connections, so that others are preferred, and tells
+// peers unless they know. It returns false if that instance is no longer the current one.
 func (f *Fleet) closing(l hollowgrade.Life) (listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,14 +113,14 @@
 	return true
 }
 
-// heard notes that an upstream has said something.
+// recordActivity records that an upstream has sent something.
 func (f *Fleet) heard(m *member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.heard = f.clock.Now()
 }
 
-// heardFrom returns when a life of an upstream said something last, zero if it has not.
+// lastActivity returns when an instance of an upstream last sent something, zero if it hasn't.
 func (f *Fleet) heardFrom(l hollowgrade.Life) (t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/demand.go
+++ b/core/demand.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// demandMemory is the mean age of what the rates of prompts are taken from.
+	// demandWindow is the time constant of the rates of prompts.
 	demandMemory = 2 * time.Second
-	// Prompts whose reading takes about as long count together: each kind takes a half power of
-	// two longer than the one before.
+	// Prompts with about the same prefill time are counted together, in kinds that are half a power
+	// of two apart.
 	shortestDemand = 10 * time.Millisecond
 	kindsToDouble  = 2
 	demandKinds    = 28 // up to 160 s
-	// wordParts is within how much time the packets come that tell of the parts of one prompt.
+	// promptPartsWindow is the time within which a peer's messages about the parts of one prompt
+	// arrive.
 	wordParts = 20 * time.Millisecond
 )
 
-// demand is what has been asked of the engines of a service, by how long it takes to read.
+// demand is the rate of prompts for the engines of a service, by prefill time.
 type demand struct {
-	since time.Time // when it was begun to listen
+	since time.Time // when the measurement began
 	at    time.Time
 	kinds [demandKinds]rateOf
 }
 
-// rateOf is how many prompts of a kind come, and for how long they are read.
+// kindRate is the rate of the prompts of one kind.
 type rateOf struct {
-	prompts float64 // a second
-	reading float64 // seconds a second
+	prompts float64 // per second
+	reading float64 // seconds of prefill per second
 }
 
-// note notes a prompt that one engine would read for so long.
+// note counts a prompt that takes one engine this long to prefill.
 func (d *demand) note(now time.Time, reading time.Duration) {
 	if reading < shortestDemand {
 		return
@@ -44,7 +45,7 @@
 	k.reading += x * reading.Seconds()
 }
 
-// decay returns what is left after a time of the weight of what was noted.
+// decay returns the remaining weight of a prompt that was counted this long ago.
 func decay(age time.Duration) float64 {
 	return math.Exp(-age.Seconds() / demandMemory.Seconds())
 }
@@ -55,7 +56,7 @@
 	return min(max(i, 0), demandKinds-1)
 }
 
-// age lets what was noted before count for less.
+// age reduces the weight of earlier prompts.
 func (d *demand) age(now time.Time) {
 	if !now.After(d.at) {
 		return
@@ -68,10 +69,10 @@
 	d.at = now
 }
 
-// forgotten is the rate, a second, below which a kind is not expected any more.
+// minExpectedRate is the rate per second below which a kind is ignored.
 const forgotten = 1e-3
 
-// expected returns what is expected to be asked.
+// expected returns the expected demand.
 func (d *demand) expected(now time.Time) placement.Demand {
 	d.age(now)
 	e := placement.Demand{Memory: demandMemory, Known: 1 - decay(now.Sub(d.since))}
@@ -96,16 +97,16 @@
 	return d
 }
 
-// heardReading is reading that another process has given to engines of a service, and that may be
-// parts of one prompt.
+// peerPrefill is prefill that a peer has assigned to engines of a service, possibly as parts of one
+// prompt.
 type heardReading struct {
 	service string
 	since   time.Time
 	reading time.Duration
 }
 
-// hearReading notes reading that another process has given to an engine. Packets that come
-// shortly after another tell of the same prompt. The lock is held.
+// recordPeerPrefill adds prefill that a peer has assigned to an engine. Messages that follow one
+// another shortly concern the same prompt. The lock is held.
 func (f *Fleet) hearReading(v *view, service string, d time.Duration) {
 	now := f.clock.Now()
 	if v.heardReading.service != service || now.Sub(v.heardReading.since) > wordParts {
@@ -115,7 +116,7 @@
 	v.heardReading.reading += d
 }
 
-// settleReading counts what was heard of another process as one prompt. The lock is held.
+// countPeerPrefill counts the collected prefill of a peer as one prompt. The lock is held.
 func (f *Fleet) settleReading(v *view) {
 	h := v.heardReading
 	if h.reading > 0 {
@@ -124,7 +125,7 @@
 	v.heardReading = heardReading{}
 }
 
-// expected returns what is expected to be asked of the engines of a service. The lock is held.
+// expected returns the expected demand for the engines of a service. The lock is held.
 func (f *Fleet) expected(service string, now time.Time) placement.Demand {
 	for _, v := range f.views {
 		if h := v.heardReading; h.reading > 0 && now.Sub(h.since) > wordParts {
--- a/core/ending.go
+++ b/core/ending.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// probeTimeout bounds the connecting of a probe: within a region an answer takes some
-	// milliseconds, and an upstream that says nothing counts as ended.
+	// probeTimeout bounds the connecting of a probe. Within a region an answer takes some
+	// milliseconds; an upstream that doesn't answer counts as crashed.
 	probeTimeout = 300 * time.Millisecond
-	// probedFor is for how long what was found holds for other calls that were lost with the upstream.
+	// probeResultTTL is how long the result is used for other calls that were lost at the same
+	// instance.
 	probedFor = time.Second
 )
 
-// ending is a probe of an upstream whose connection broke.
+// sharedProbe is a probe of an upstream whose connection broke.
 type ending struct {
 	at    time.Time
 	done  chan struct{}
 	found probeResult
 }
 
-// probeResult is what a probe found, and after how long.
+// probeResult is what a probe found, and how long it took.
 type probeResult struct {
 	presence hollowgrade.Presence
 	took     time.Duration
 }
 
-// probeOnce returns what the probe finds of an upstream whose connection broke: one that is under way or was just made, or a
-// new one. Upstreams break off single connections as well: one that reset a prompt of 296,000 tokens before it had
-// read it, as did all others that it was sent to, went on with the rest, and the prompt would have been held for it.
+// probeOnce returns the result of a probe of an upstream whose connection broke: of one in progress
+// or just made, or of a new one. A broken connection alone is no crash: upstreams reset a prompt of
+// 296,000 tokens before they had read it and continued with other calls, and without a probe the
+// prompt would have been blocked for that.
 func (c *Core) probeOnce(u hollowgrade.Upstream, request string) probeResult {
 	if c.prober == nil {
 		return probeResult{}
@@ -45,7 +47,7 @@
 	return e.found
 }
 
-// probe looks whether an upstream is there.
+// probe checks whether an upstream is present.
 func (c *Core) probe(u hollowgrade.Upstream, request string) probeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -56,7 +58,8 @@
 	return f
 }
 
-// ending returns the probe of a life that is under way or was just made, or a new one.
+// probeOf returns the probe of an instance that is in progress or was just made, or adds a new one
+// that the caller has to run.
 func (c *Core) ending(l hollowgrade.Life) (e *ending, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -17,13 +17,13 @@
 	flow    *flow
 	pick    *pick
 	number  int  // of the attempt, counted from 1
-	last    bool // whether no other may be sent after it
+	last    bool // whether it is the last one allowed
 	tickets *tickets
 	held    time.Duration // how long the sending was held back
 	sent    time.Time
 	wrote   bool // whether the answer has begun
 	head    hollowgrade.Head
-	timely  func() bool // ends the wait for a first event that is overdue
+	timely  func() bool // stops the timer of an overdue first event
 }
 
 func (a *attempt) sending() hollowgrade.Sending {
@@ -68,8 +68,8 @@
 	return cause(ctx, a.whole(x))
 }
 
-// suspectOnceOverdue lets the engines of the attempt be asked how fast they are if its answer
-// has not begun once that is overdue, until it is told that the answer has.
+// startOverdueTimer has the engines of the attempt asked for their speed if the answer hasn't begun
+// when it is overdue. The returned function stops the timer.
 func (a *attempt) suspectOnceOverdue() (timely func() bool) {
 	f := a.flow
 	if f.service.Engine == nil {
@@ -78,8 +78,8 @@
 	return f.core.clock.AfterFunc(Overdue(a.pick.First), func() { f.core.askPaces(f.core.fleet.suspects(a.pick), f.call.ID) }).Stop
 }
 
-// cause replaces an error that only tells that the exchange was ended by why it
-// was ended.
+// cause adds the reason for which the context was cancelled to an error that only reports the
+// cancellation.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); err != nil && c != nil && !errors.Is(err, errSink) {
 		return errors.Join(c, err)
@@ -87,7 +87,7 @@
 	return err
 }
 
-// fault says what a failed attempt came to.
+// fault returns the error that a failed attempt is reported as.
 func (a *attempt) fault(err error) *fault.Error {
 	id := a.pick.upstream().ID
 	var x *fault.Error
@@ -119,7 +119,7 @@
 	}
 }
 
-// whole takes an answer that is no stream.
+// passWhole reads and passes on an answer that is not a stream.
 func (a *attempt) whole(x hollowgrade.Exchange) error {
 	f := a.flow
 	if a.head.NotRun {
@@ -149,8 +149,8 @@
 	return f.pass(w)
 }
 
-// blame lets others be preferred to the upstream for whose sake a call was not
-// taken: the one that answered, or a helper that is gone, drains or is full.
+// markAtFault has other upstreams preferred to the one that the answer names as the reason why the
+// call was not taken: the one that answered, or a helper that is gone, draining or full.
 func (a *attempt) blame() {
 	for m, u := range a.pick.at {
 		if a.head.AtFault == u.ID || a.head.AtFault == u.Address {
@@ -159,7 +159,7 @@
 	}
 }
 
-// long passes on an answer that is too long to be held back.
+// passLong passes on an answer that is too long to be buffered.
 func (a *attempt) long(x hollowgrade.Exchange, w *answer) error {
 	a.begin()
 	if err := a.flow.pass(w); err != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// begin notes that the answer has begun.
+// answerStarted records that the answer has begun.
 func (a *attempt) begin() {
 	if a.wrote {
 		return
@@ -191,14 +191,14 @@
 	}
 }
 
-// stream passes the events of a stream on. Under a head that was passed on
-// before, it goes on with what follows the last event.
+// passStream passes on the events of a stream. If the caller has received a head from an earlier
+// attempt, it continues after the last event.
 func (a *attempt) stream(x hollowgrade.Exchange, w *watchdog) error {
 	f := a.flow
 	for {
 		p, err := x.Next()
 		if errors.Is(err, io.EOF) {
-			return f.passHead(a.head) // a stream without any event is whole too
+			return f.passHead(a.head) // a stream without any event is complete too
 		}
 		if err != nil {
 			return err
@@ -223,7 +223,7 @@
 	}
 }
 
-// noteEvent keeps the longest pause between two events, over all attempts.
+// noteEvent updates the longest pause between two events of all attempts.
 func (f *flow) noteEvent() {
 	now := f.core.clock.Now()
 	if !f.heard.IsZero() {
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// newer reports whether an event comes after the last one that the caller has.
-// Ids that are no numbers cannot be compared and pass.
+// newer reports whether an event comes after the last one that the caller has received. Ids that are
+// not numbers cannot be compared and count as newer.
 func newer(id, last string) bool {
 	i, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/core/helping.go
+++ b/core/helping.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// partRest is for how long an engine counts a part of a prompt that another engine answers
-// at the least: until all parts of the prompt are read, whenever its own is. Engines that
-// refused one had been given twelve in the 0.6 s before, of 3 to 30 ms each (75 refusals on two quiet
-// days of 103 gateways; 23 on one with this).
+// minPartTime is the least time for which a part of a prompt that another engine answers counts as
+// held by an engine: the engine keeps its part until all parts of the prompt are read. Without this,
+// engines that refused a part had got twelve parts of 3 to 30 ms each in the 0.6 s before.
 const partRest = 400 * time.Millisecond
 
-// helping notes that an engine has been given a part of a prompt that another engine
-// answers, which has its first event after that long as far as is known. The lock is held.
+// addPart records that an engine got a part of a prompt that another engine answers, whose first
+// event is predicted after first, 0 if not known. The lock is held.
 func (m *member) helping(now time.Time, first time.Duration) {
 	end := now.Add(max(partRest, first))
 	if m.busy.After(end) {
@@ -21,7 +20,7 @@
 	m.parts = append(slices.DeleteFunc(m.parts, func(t time.Time) bool { return !now.Before(t) }), end)
 }
 
-// helps returns how many such parts the engine is thought to hold. The lock is held.
+// partCount returns how many such parts the engine is thought to hold. The lock is held.
 func (m *member) helps(now time.Time) (n int) {
 	for _, t := range m.parts {
 		if now.Before(t) {
@@ -31,14 +30,14 @@
 	return n
 }
 
-// wordShare is the part of a service's upstreams that the word of others keeps this process
-// from: the fewer are left, the more of those are full and named as at fault. On a
-// day with bursts 20 to 46 of 150 engines were avoided at a time, most of which were full for a
-// moment.
+// maxPeerAvoidShare is the share of a service's upstreams up to which reports of peers make this
+// process avoid one more. Most of the engines that are named as at fault are full for a moment only,
+// and the fewer are left, the more of those become full: without a bound 20 to 46 of 150 engines
+// were avoided at a time during bursts.
 const wordShare = 0.3
 
-// takesWord reports whether one more upstream of a service may be avoided by the word of
-// others. The lock is held.
+// mayAvoidForPeer reports whether one more upstream of a service may be avoided because a peer
+// reports it. The lock is held.
 func (f *Fleet) takesWord(service string, now time.Time) bool {
 	ms := f.of(service)
 	avoided := 0
--- a/core/plan.go
+++ b/core/plan.go
@@ -6,24 +6,23 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Plan is what a fleet decides for one call, for tools that play the decisions
-// without sending anything.
+// Plan is a fleet's decision for one call, for tools that simulate decisions without sending
+// anything.
 type Plan struct {
 	Upstream string        // id
 	Helpers  []string      // ids of the upstreams that read parts of the prompt
-	Keepers  []string      // ids of the helpers that keep a part of the prompt
+	Keepers  []string      // ids of the helpers that keep a part of the prompt in memory
 	Kept     int           // tokens at each of them
-	Hold     time.Duration // for which the sending is held back
-	Refused  bool          // it would take more from others than it is worth
-	Predict  time.Duration // first event, as predicted
-	ComeBack time.Duration // when the caller of a refused call is told to come back
+	Hold     time.Duration // how long the sending is held back
+	Refused  bool          // it would cost other calls more than it is worth
+	Predict  time.Duration // predicted time to the first event
+	ComeBack time.Duration // when the caller of a refused call should retry
 
 	pick *pick
 }
 
-// Plan decides for a call that arrives now as [Core.Serve] does, and accounts for it. It returns
-// false if there is no upstream. What was planned and not refused is ended with
-// [Fleet.Done].
+// Plan decides about a call that arrives now as [Core.Serve] does, and accounts for it. It returns
+// false if there is no upstream. A plan that is not refused must be ended with [Fleet.Done].
 func (f *Fleet) Plan(s Service, r Route, c hollowgrade.Call, left time.Duration) (p Plan, ok bool) {
 	x := f.pick(s.Name, newRequest(s, r, c, left, 0), nil)
 	if x == nil {
@@ -43,7 +42,7 @@
 	return p, true
 }
 
-// Done ends the account of a plan. Began says whether its answer had begun.
+// Done ends the accounting of a plan. Began says whether its answer had begun.
 func (f *Fleet) Done(p Plan, began bool) {
 	f.over(p.pick, began)
 }
