--- a/core/limit.go
+++ b/core/limit.go
@@ -9,56 +9,62 @@
 )
 
 const (
-	// limitShare is the part of a limit that all processes together use. The rest is for requests that cross.
+	// limitShare is the part of a limit that all processes together use. The rest allows for
+	// requests that processes send before they know of each other's.
 	limitShare = 0.9
-	// limitBurst is for how long what a limit allows adds up while nothing is sent, beside one request.
+	// limitBurstWindow is the time over which unused allowance accumulates, in addition to one
+	// request.
 	limitBurst = 500 * time.Millisecond
-	// leastLimit is the limit in requests a second that is used where less is named. Only an answer tells that a
-	// limit has ended.
+	// minLimitPerSecond is used for lower limits. Only an answer shows that a limit has ended, so
+	// some requests must be sent.
 	leastLimit = 0.1
-	// sendUnheard is for how long a request that another process sends is not known here.
+	// peerSendDelay is the time until a request that a peer sends is known here.
 	sendUnheard = 60 * time.Millisecond
-	// sendsApart is how many times as long as that processes leave between two requests that they send there, on average.
+	// sendGapFactor is the mean gap between two requests of different processes, as a multiple of
+	// peerSendDelay.
 	sendsApart = 2
-	// wantedMemory is for how long requests count in the rate of those that would be sent. Others tell of theirs with
-	// each heartbeat.
+	// wantedRateWindow is the time constant of the rate of requests that peers would send. They
+	// report theirs with each heartbeat.
 	wantedMemory = 2 * time.Second
-	// limitToldLate is by how much the word of another process may be older than it looks, as its way here takes time.
+	// limitReportDelay is by how much a peer's report may be older than its stated age, because of
+	// the way here.
 	limitToldLate = 500 * time.Millisecond
-	// endOfLimitTold is for how long others are told that a limit has ended.
+	// limitEndReportPeriod is how long peers are told that a limit has ended.
 	endOfLimitTold = 10 * time.Second
 )
 
-// RateLimit is what an upstream says of the requests a second that it takes from all processes together.
+// RateLimit is an upstream's report of the requests per second that it accepts from all processes
+// together.
 type RateLimit struct {
 	Named     bool
 	PerSecond float64
-	Age       time.Duration // since it said so
-	// Relayed says that the process that tells it was told by another one. Such a word looks younger than it is, and is
-	// of use only where nothing is known.
+	Age       time.Duration // since the upstream reported it
+	// Relayed says that the reporting process itself learned it from a peer. Such a report is older
+	// than its age says, and is used only if nothing is known.
 	Relayed bool
 }
 
-// rateLimit is the limit of an upstream, and this process's account of what all processes together may send there.
+// rateLimit is the limit of an upstream, and this process's account of what all processes together
+// may send to it.
 type rateLimit struct {
 	named     bool
 	perSecond float64
-	at        time.Time // when the upstream said so; zero if it has said nothing
-	own       bool      // whether it said so to this process
-	known     time.Time // when this process came to know it
-	changed   time.Time // when what is known became another
-	allowance float64   // requests that may be sent now; negative once more were sent
-	accrued   time.Time // until when the allowance has been added up
-	wanted    rate      // requests that others would send there
+	at        time.Time // when the upstream reported it; zero if it hasn't
+	own       bool      // whether the upstream reported it to this process
+	known     time.Time // when this process learned of it
+	changed   time.Time // when the known limit last changed
+	allowance float64   // requests that may be sent now; negative if too many were sent
+	accrued   time.Time // time up to which the allowance is added up
+	wanted    rate      // requests that peers would send
 }
 
-// rate returns how many requests a second all processes send together.
+// rate returns how many requests per second all processes send together.
 func (l *rateLimit) rate() float64 {
 	return limitShare * max(l.perSecond, leastLimit)
 }
 
-// accrue adds up what may be sent. Heard is the part of all processes whose requests are known here: those of which
-// nothing is heard have the rest.
+// accrue adds to the allowance what accumulated since the last call. Only the knownShare of all
+// processes reports its requests to this one; the rest of the limit is left to the others.
 func (l *rateLimit) accrue(now time.Time, heard float64) {
 	r := heard * l.rate()
 	most := 1 + r*limitBurst.Seconds()
@@ -66,13 +72,13 @@
 	l.accrued = now
 }
 
-// tellable reports whether others are to be told of the limit.
+// reportable reports whether peers are to be told of the limit.
 func (l *rateLimit) tellable(now time.Time) bool {
 	return l.named || !l.changed.IsZero() && now.Sub(l.changed) < endOfLimitTold
 }
 
-// setLimit replaces what is known of the limit of an upstream. Peer is the process that told it, empty if the upstream
-// said so to this one. The lock is held.
+// setLimit updates the known limit of an upstream. Peer is the process that reported it, empty if
+// the upstream did. The lock is held.
 func (f *Fleet) setLimit(m *member, peer, request string, w RateLimit) {
 	now := f.clock.Now()
 	l := &m.limit
@@ -98,8 +104,8 @@
 	}
 }
 
-// TakeLimit takes the word of another process, by its box, on the limit of an upstream, unless the upstream has said
-// something later.
+// ReceiveLimit applies a peer's report of the limit of an upstream, unless the upstream has reported
+// a later one.
 func (f *Fleet) TakeLimit(box string, id hollowgrade.Life, w RateLimit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +124,7 @@
 	}
 }
 
-// limitTold returns what others are told of the limit of an upstream; false if there is nothing to tell.
+// limitReport returns the limit to report to peers; false if there is none.
 func (m *member) limitTold(now time.Time) (w RateLimit, ok bool) {
 	if !m.limit.tellable(now) {
 		return w, false
@@ -126,21 +132,23 @@
 	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.at), !m.limit.own}, true
 }
 
-// heardShare returns the part of all processes whose load is known, this one among them. The lock is held.
+// knownShare returns the part of all processes whose load is known, including this one. The lock is
+// held.
 func (f *Fleet) heardShare() float64 {
 	others := max(len(f.views), f.peers())
 	return float64(len(f.views)+1) / float64(others+1)
 }
 
-// admits reports whether the limit of an upstream leaves room for a request of this process now. What is left goes to
-// the processes by chance, by what each would send, since sends of others become known late. The lock is held.
+// admits reports whether the limit of an upstream leaves room for a request of this process now.
+// Because the sends of peers become known late, the remaining allowance is given out at random, in
+// proportion to what each process would send. The lock is held.
 func (f *Fleet) admits(m *member, now time.Time, begun bool) bool {
 	l := &m.limit
 	if !l.named {
 		return true
 	}
 	m.own.Wanted++
-	f.changed[m.life] = true // told with what is told next
+	f.changed[m.life] = true // sent with the next report
 	l.accrue(now, f.heardShare())
 	if l.allowance < 1 {
 		return false
@@ -149,7 +157,7 @@
 	return begun || f.chance()*max(meet, 1) < l.allowance
 }
 
-// within returns those of some upstreams whose limits leave room for a request now. The lock is held.
+// withinLimits returns the members whose limits leave room for a request now. The lock is held.
 func (f *Fleet) within(ms []*member, tried map[hollowgrade.Life]bool, now time.Time, begun bool) (free []*member) {
 	if !slices.ContainsFunc(ms, func(m *member) bool { return m.limit.named }) {
 		return ms
@@ -162,7 +170,7 @@
 	return free
 }
 
-// meter takes a request out of what the limit of an upstream allows. The lock is held.
+// chargeLimit charges a request to the limit of an upstream. The lock is held.
 func (f *Fleet) meter(p *pick, m *member) {
 	if !m.limit.named {
 		return
@@ -172,7 +180,7 @@
 	f.add(m, Share{Sent: 1})
 }
 
-// unsent gives back what was taken out of limits for a pick that was not sent.
+// refundLimits returns what was charged to limits for a pick that was not sent.
 func (f *Fleet) unsent(p *pick) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,8 +191,8 @@
 	p.metered = nil
 }
 
-// hearSends takes the word of another process on what it has sent to an upstream that names a limit, and would have
-// sent, since it said so last. The lock is held.
+// recordPeerSends charges what a peer has sent to an upstream with a limit since its last report,
+// and counts what it would have sent. The lock is held.
 func (f *Fleet) hearSends(m *member, sent, wanted int) {
 	now := f.clock.Now()
 	m.limit.accrue(now, f.heardShare())
@@ -192,8 +200,8 @@
 	m.limit.wanted = m.limit.wanted.plus(now, max(wanted, 0), wantedMemory)
 }
 
-// meterLate takes requests out of limits that became known after a pick was made, and reports whether they leave room.
-// The lock is held.
+// chargeNewLimits charges a pick to limits that became known after it was made, and reports whether
+// they leave room. The lock is held.
 func (f *Fleet) meterLate(p *pick, now time.Time) bool {
 	for _, m := range append([]*member{p.member}, p.helpers...) {
 		if !m.limit.named || slices.Contains(p.metered, m) {
--- a/core/pace.go
+++ b/core/pace.go
@@ -8,50 +8,51 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// An engine that is slow without failing looks idle: what it was given runs off in the account
-// at its published speed, so it is given more. It says how slow it is when it is asked. It is
-// asked only when it is suspected, so that nothing is asked while all is well. Of 150 engines before
-// 103 gateways, 24 that took five times as long for 20 s left 0.684 of the worth and leave 0.720, 27 that took
-// 2.7 times as long for 6.4 s 0.793 and 0.844; 0.836 without asking the others once one is slow (hollowgrade
-// experiment, two and three seeds).
+// An engine that is slow without failing looks idle, since its backlog is assumed to shrink at its
+// published speed, and gets more work. Engines report how slow they are when asked, and are asked
+// only on suspicion, so that there are no requests while all is well. In simulations with 150
+// engines and 103 gateways this raised the share of the worth served from 0.684 to 0.720 (24 engines
+// 5 times slower for 20 s) and from 0.793 to 0.844 (27 engines 2.7 times slower for 6.4 s; 0.836
+// without the survey).
 const (
 	// A first event is overdue, and the engines of its call are suspected, when it is this much
-	// later than predicted. Of first events on a day without slow engines nine in ten came after
-	// less than 1.7 times what was predicted; those of short calls after 0.13 s.
+	// later than predicted. Nine in ten first events of engines at normal speed come within 1.7
+	// times the prediction, those of short calls within 0.13 s.
 	overdueTimes  = 1.5
 	overdueMargin = 100 * time.Millisecond
-	// PaceAgain is how often an engine that is slow is asked again, and for how long
-	// one that was asked is not suspected.
+	// PaceRecheckInterval is the interval of requests to a slow engine, and how long an engine is
+	// not suspected after a request.
 	PaceAgain = time.Second
-	// paceAge is for how long the word of an engine holds, whoever asked it: two of the asks that
-	// repeat it may be lost. Beyond it the published figures are believed again.
+	// paceTTL is how long a speed report is used, whichever process requested it: two of the
+	// requests that renew it may be lost. After that the published speed is assumed.
 	paceAge = 3*PaceAgain + 500*time.Millisecond
-	// noticeablePace is from where on an engine counts as slow: predictions are off by more than
-	// a tenth anyway.
+	// slowPace is the pace from which an engine counts as slow: predictions are off by more than a
+	// tenth anyway.
 	noticeablePace = 1.1
-	// mostPace bounds what is believed of an engine.
+	// maxPace bounds the reported pace.
 	mostPace = 100
-	// surveyors is by how many processes each engine is asked, on average, once one is found to be
-	// slow: what slows one down, in a hall or by a release, rarely slows it alone, and engines that
-	// get few calls are suspected late. One in twenty is asked by nobody.
+	// surveyors is the mean number of processes that ask each engine once one is found to be slow: a
+	// cause such as a hall or a release rarely slows a single engine, and engines with few calls are
+	// suspected late. One engine in twenty is asked by no process.
 	surveyors = 3
-	// mostAsks bounds how many engines a process asks at a time: the helpers of two prompts.
+	// maxPaceRequests bounds the concurrent requests of a process, as many as the helpers of two
+	// prompts.
 	mostAsks = 32
 )
 
-// Overdue returns after how long a first event is overdue that was predicted after that long.
+// Overdue returns the time after which a first event with the given prediction is overdue.
 func Overdue(predicted time.Duration) time.Duration {
 	return time.Duration(overdueTimes*float64(predicted)) + overdueMargin
 }
 
-// paceWord is what an engine said of its speed.
+// knownPace is a speed report of an engine.
 type paceWord struct {
-	pace float64   // times as long as published
-	at   time.Time // when it said so
-	own  bool      // whether this process asked it
+	pace float64   // multiple of the published times
+	at   time.Time // when the engine reported it
+	own  bool      // whether this process requested it
 }
 
-// pace returns how many times as long as published an upstream takes, as far as is known.
+// pace returns the upstream's times as a multiple of the published ones, as far as known.
 func (m *member) pace(now time.Time) float64 {
 	if m.paceWord.pace == 0 || now.Sub(m.paceWord.at) > paceAge {
 		return 1
@@ -64,8 +65,8 @@
 	return m.pace(now) >= noticeablePace
 }
 
-// Suspects returns the engines of a plan whose first event is overdue that are to be asked how
-// fast they are: those that nobody is known to have asked just now.
+// Suspects returns the engines of a plan with an overdue first event that should be asked for their
+// speed: those that no process is known to have asked recently.
 func (f *Fleet) Suspects(p Plan) []hollowgrade.Upstream {
 	return f.suspects(p.pick)
 }
@@ -83,8 +84,8 @@
 	return us
 }
 
-// StillSlow reports whether a slow engine is to be asked again by this process: the one that
-// asked it last does, so that its return to speed is noticed also when it gets no calls.
+// StillSlow reports whether this process should ask a slow engine again. The process that asked last
+// does, so that a return to normal speed is noticed even if the engine gets no calls.
 func (f *Fleet) StillSlow(id hollowgrade.Life) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,30 +94,31 @@
 	return m != nil && f.usable(m, now) && !m.limit.named && m.paceWord.own && m.slow(now)
 }
 
-// TakePace takes the word of an engine on how many times as long as published it takes, said
-// that long ago. Box is the process that was told, empty for this one; why is the
-// request for whose sake it was asked. Own words are told to others when they matter to them.
+// ReceivePace applies a report of an engine's pace, a multiple of the published times, of the given
+// age. Box is the process that requested it, empty for this one; why is the request because of which
+// it was asked. Reports to this process are passed on to peers while the engine is slow or when it
+// becomes normal.
 func (f *Fleet) TakePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
 	if us := f.takePace(id, pace, age, box, why); len(us) > 0 {
 		f.ask(us, why)
 	}
 }
 
-// takePace does that, and returns the engines that this process is to ask, since one was found
-// to be slow.
+// applyPace is ReceivePace without the requests: it returns the engines that this process has to ask
+// because one was found to be slow.
 func (f *Fleet) takePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
 	now := f.clock.Now()
-	at := now.Add(-max(age, 0)) // a word from the future would outlive all that come after it
+	at := now.Add(-max(age, 0)) // a report from the future would outlast all later ones
 	if m == nil || pace <= 0 || math.IsNaN(pace) || !at.After(m.paceWord.at) {
 		return nil
 	}
 	before, was := m.pace(now), m.slow(now)
 	m.paceWord = paceWord{min(max(pace, 1), mostPace), at, box == ""}
 	after := m.pace(now)
-	// What is still to be read takes so much longer or shorter.
+	// The remaining backlog takes longer or shorter in proportion.
 	m.busy = now.Add(time.Duration(float64(m.reading(now)) * after / before))
 	if box == "" && (was || m.slow(now)) {
 		f.change(m)
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// survey draws this process's part of the upstreams of a service that are to be asked, at
-// most each [PaceAgain]. The lock is held.
+// survey draws this process's share of the upstreams of a service to be asked, at most once per
+// [PaceRecheckInterval]. The lock is held.
 func (f *Fleet) survey(service string, now time.Time) (us []hollowgrade.Upstream) {
 	if now.Sub(f.surveyed[service]) < PaceAgain {
 		return nil
@@ -149,22 +151,23 @@
 	return us
 }
 
-// askable reports whether nobody is known to have asked an upstream just now. One that names a limit
-// is left to calls, and one that leaves or rests is left alone. The lock is held.
+// mayRequestPace reports whether an upstream may be asked: no process is known to have asked it
+// recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
+// The lock is held.
 func (f *Fleet) askable(m *member, now time.Time) bool {
 	return f.usable(m, now) && !m.limit.named && now.Sub(m.asked) >= PaceAgain && now.Sub(m.paceWord.at) >= PaceAgain
 }
 
-// SetAsker sets what asks upstreams how fast they are once one is found to be slow. It is called
-// without the lock.
+// SetPaceRequester sets the function that asks upstreams for their speed once one is found to be
+// slow. It is called without the lock.
 func (f *Fleet) SetAsker(ask func(us []hollowgrade.Upstream, why string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ask = ask
 }
 
-// paceTold returns what the engine told this process of its speed, as long as it holds. What others
-// have told is not told on.
+// ownPaceReport returns the speed that the engine reported to this process, until it expires.
+// Reports of peers are not passed on.
 func (m *member) paceTold(now time.Time) PaceTold {
 	age := now.Sub(m.paceWord.at)
 	if !m.paceWord.own || age > paceAge {
@@ -186,21 +189,21 @@
 	return n
 }
 
-// PaceTold is the word of an engine on its speed.
+// PaceReport is a report of an engine's speed.
 type PaceTold struct {
-	Pace float64       // times as long as published
-	Age  time.Duration // since it said so
+	Pace float64       // multiple of the published times
+	Age  time.Duration // since the engine reported it
 }
 
-// askPaces asks upstreams how fast they are, for the sake of a request.
+// requestPaces asks upstreams for their speed because of a request.
 func (c *Core) askPaces(us []hollowgrade.Upstream, request string) {
 	for _, u := range us {
 		c.askPace(u, request)
 	}
 }
 
-// askPace asks an engine how fast it is, without waiting for the answer, and again
-// while it is slow.
+// requestPace asks an engine for its speed without waiting for the answer, and again while it is
+// slow.
 func (c *Core) askPace(u hollowgrade.Upstream, request string) {
 	if c.reporter == nil {
 		return
@@ -208,7 +211,7 @@
 	if c.asks.Add(1) > mostAsks {
 		c.asks.Add(-1)
 		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", mostAsks)
-		return // it is suspected again by the next call that it makes late
+		return // the next late call makes it suspected again
 	}
 	c.log.Info("upstream asked for its speed", "upstream", u.Life(), "request", request)
 	go func() {
@@ -222,7 +225,7 @@
 		}
 		if r.Born != 0 {
 			c.fleet.Born(u.ID, r.Born)
-			u.Born = r.Born // whose word it is; one of a life that is not known is passed over
+			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
 		}
 		c.fleet.TakePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Life()) {
@@ -231,7 +234,7 @@
 	}()
 }
 
-// askAgain asks an engine again that was slow, unless another process has asked it since.
+// recheckPace asks a slow engine again, unless another process has asked it since.
 func (c *Core) askAgain(u hollowgrade.Upstream, request string) {
 	if c.fleet.StillSlow(u.Life()) {
 		c.askPace(u, request)
--- a/core/place.go
+++ b/core/place.go
@@ -7,39 +7,39 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// loadAge is how long an upstream's own word on its load is believed.
+// loadTTL is how long an upstream's own report of its load is used.
 const loadAge = time.Second
 
-// passOverhead is by how much longer reading takes beside calls that write: a
-// pass reads what waits and plays its steps as well.
+// prefillOverhead is by how much longer prefill takes beside calls in decode: a pass executes their
+// steps as well.
 const passOverhead = 1.15
 
-// pick is an upstream that was chosen for a call, with what is accounted for it.
+// pick is an upstream chosen for a call, with what is accounted for it.
 type pick struct {
 	placement.Plan
 	request placement.Request
 	member  *member
 	helpers []*member
-	keepers []*member                        // those of the helpers that keep a part of the prompt
-	at      map[*member]hollowgrade.Upstream // what the registry said of each of them
+	keepers []*member                        // helpers that keep a part of the prompt in memory
+	at      map[*member]hollowgrade.Upstream // registry entry of each of them at the pick
 	share   Share                            // at the member
-	slowest float64                          // how many times as long as published the slowest of its engines takes, as far as is known
+	slowest float64                          // highest known pace of its engines
 	since   time.Time                        // when it was chosen
-	metered []*member                        // those of which a limit was charged for it
+	metered []*member                        // members whose limit was charged
 }
 
-// upstream returns what the registry said of the chosen upstream.
+// upstream returns the registry entry of the chosen upstream.
 func (p *pick) upstream() hollowgrade.Upstream {
 	return p.at[p.member]
 }
 
-// againShare is the part of a route's time that a call which was refused before
-// has left at the most.
+// retryPatienceShare is the share of the route's timeout below which a caller's remaining time shows
+// that it was refused before.
 const againShare = 0.97
 
-// newRequest returns what placement looks at of a call that arrived waited ago. A
-// caller that came back has less time left than the route gives: its first try was
-// that much earlier, and its goal counts from then.
+// newRequest returns the placement request of a call that arrived waited ago. A caller that retries
+// has less time left than the route allows: the difference is added to waited, because its goal
+// counts from its first try.
 func newRequest(s Service, r Route, c hollowgrade.Call, left, waited time.Duration) placement.Request {
 	again := c.Patience > 0 && float64(c.Patience) < againShare*float64(r.Timeout)
 	if again {
@@ -57,8 +57,8 @@
 	}
 }
 
-// pick chooses the upstream of a service for a call, and the helpers that read
-// parts of its prompt, and accounts for the work. It returns nil if there is none.
+// pick chooses the upstream of a service for a call and the helpers that prefill parts of its
+// prompt, and accounts for the work. It returns nil if there is none.
 func (f *Fleet) pick(service string, r placement.Request, tried map[hollowgrade.Life]bool) *pick {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +102,7 @@
 	return p
 }
 
-// at returns the members that stand at some indices.
+// membersAt returns the members at some indices.
 func at(ms []*member, is []int) (l []*member) {
 	for _, i := range is {
 		l = append(l, ms[i])
@@ -110,8 +110,8 @@
 	return l
 }
 
-// usableOf returns the upstreams of a service that may be given a call now, in an order that
-// all processes share. The lock is held.
+// usableMembers returns the upstreams of a service that may get a call now, in an order that all
+// processes share. The lock is held.
 func (f *Fleet) usableOf(service string, now time.Time) (ms []*member) {
 	for _, m := range f.of(service) {
 		if f.usable(m, now) && !m.rest.awaited(now) {
@@ -121,8 +121,8 @@
 	return ms
 }
 
-// snapshot returns what is known of members. It is good until the next one is
-// taken. The lock is held.
+// snapshot returns the state of members for placement. It is valid until the next call. The lock is
+// held.
 func (f *Fleet) snapshot(ms []*member, tried map[hollowgrade.Life]bool, now time.Time) placement.Snapshot {
 	f.candidates = f.candidates[:0]
 	for _, m := range ms {
@@ -131,7 +131,7 @@
 	return placement.Snapshot{Candidates: f.candidates, Others: max(len(f.views), f.peers()), Heard: f.heardShare(), Chance: f.chance}
 }
 
-// candidate returns what is known of the upstream.
+// candidate returns the state of the upstream for placement.
 func (m *member) candidate(tried bool, now time.Time) placement.Candidate {
 	t := m.total()
 	c := placement.Candidate{
@@ -152,8 +152,8 @@
 	return c
 }
 
-// give accounts for reading at the engines of a pick, or takes it back when it
-// is negative. The lock is held.
+// addPrefill adds prefill to the backlogs of the engines of a pick, or subtracts it if negative. The
+// lock is held.
 func (f *Fleet) give(p *pick, now time.Time, reading time.Duration) {
 	d := time.Duration(passOverhead * float64(reading))
 	for _, m := range append(p.helpers, p.member) {
@@ -162,8 +162,8 @@
 	}
 }
 
-// over ends the account of a call. What can't have been read yet, since the call
-// ended before its answer began, is taken back. The rest has passed in time.
+// release ends the accounting of a call. If the call ended before its answer began, the prefill that
+// cannot have been done yet is subtracted from the backlogs; the rest has elapsed.
 func (f *Fleet) over(p *pick, began bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/rest.go
+++ b/core/rest.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// restSpread is by which part of a rest, at the most, a process stays away longer, so that not all are back at once.
+	// pauseJitter is the greatest part by which a process extends a pause, so that not all processes
+	// resume at once.
 	restSpread = 0.25
-	// proveFor is for how long a process that is back from a rest waits for the answer to its first call there before it
-	// makes another.
+	// trialTimeout is how long a process waits for the answer to its first call after a pause before
+	// it sends another.
 	proveFor = time.Second
 )
 
-// rest is an upstream's wish that a process sends it nothing for a while.
+// pauseState is the state of a pause that an upstream asked this process for.
 type rest struct {
 	until   time.Time
-	proving bool      // since the rest nothing was answered that was not turned away
-	proved  time.Time // when the last call was sent there to see whether it takes some again
+	proving bool      // whether no call has been accepted since the pause
+	proved  time.Time // when the last call was sent
 }
 
-// over reports whether the rest has ended.
+// ended reports whether the pause has ended.
 func (r *rest) over(now time.Time) bool {
 	return !now.Before(r.until)
 }
 
-// awaited reports whether the answer to the first call after a rest is still waited for.
+// trialPending reports whether the first call after a pause is still unanswered.
 func (r *rest) awaited(now time.Time) bool {
 	return r.proving && now.Sub(r.proved) < proveFor
 }
 
-// ends returns when the upstream may be given a call next.
+// nextCallAt returns when the upstream may get its next call.
 func (r *rest) ends() time.Time {
 	if r.proving {
 		return hollowgrade.Later(r.until, r.proved.Add(proveFor))
@@ -39,8 +40,8 @@
 	return r.until
 }
 
-// setRest takes the word of an upstream that it wants nothing from this process for a while. A shorter rest does not
-// end a longer one. The lock is held.
+// setPause starts or extends a pause that an upstream asks for. A shorter one doesn't end a longer
+// one. The lock is held.
 func (f *Fleet) setRest(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.chance() * restSpread * float64(d))
@@ -50,12 +51,12 @@
 	m.rest.proving = true
 }
 
-// noteProof notes that an upstream was given a call. The lock is held.
+// recordTrial records that a call is sent to an upstream. The lock is held.
 func (f *Fleet) noteProof(m *member, now time.Time) {
 	m.rest.proved = now
 }
 
-// noteAnswer notes that an upstream has answered a call that it did not turn away. The lock is held.
+// endTrial records that an upstream has answered a call without turning it away. The lock is held.
 func (f *Fleet) noteAnswer(m *member, sent time.Time) {
 	if m.rest.proving && sent.After(m.rest.until) {
 		m.rest.proving = false
--- a/core/room.go
+++ b/core/room.go
@@ -6,26 +6,27 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// The bounds of when a caller is told to come back for whom upstreams that there are leave no room.
+// The bounds of the retry delay of a caller when the present upstreams take no call.
 const (
 	soonestRoom = 200 * time.Millisecond
 	latestRoom  = 10 * time.Second
 )
 
-// room is what the upstreams of a service leave of which none may be given a call now.
+// unavailability says why no upstream of a service takes a call now.
 type room struct {
-	limited   int           // that would be used if they named no limit
-	perSecond float64       // requests that these take, from all processes together
-	resting   int           // that asked for rest
-	comeBack  time.Duration // when there is room for a caller who is told now
+	limited   int           // upstreams that only their limits exclude
+	perSecond float64       // requests per second that these accept from all processes together
+	resting   int           // upstreams that asked for a pause
+	comeBack  time.Duration // retry delay for the caller
 }
 
-// room returns what the upstreams of a service leave that were not tried, and gives a caller the next place in it.
+// unavailability returns why the untried upstreams of a service take no call now, and assigns the
+// caller a retry delay.
 func (f *Fleet) room(service string, tried map[hollowgrade.Life]bool) (r room) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	var rested time.Time // when the first rest ends
+	var rested time.Time // when the first pause ends
 	for _, m := range f.of(service) {
 		switch {
 		case tried[m.life] || m.leaving || m.Draining || m.lapsed(now):
@@ -49,8 +50,8 @@
 	return r
 }
 
-// promise returns when there is room in limits for a caller: places go to callers one after another, as far apart as this
-// process's part of what the limits allow. The lock is held.
+// nextRetryAfter returns the retry delay of a caller refused because of limits. Callers are spaced
+// by this process's part of what the limits allow. The lock is held.
 func (f *Fleet) promise(service string, perSecond float64, now time.Time) time.Duration {
 	part := perSecond / float64(max(len(f.views), f.peers())+1)
 	next := hollowgrade.Later(f.promised[service], now).Add(time.Duration(float64(time.Second) / part))
--- a/core/share.go
+++ b/core/share.go
@@ -7,45 +7,43 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// The more processes there are, the less often each of them tells all others of its load
-// beside what changes: with a heartbeat each half second 103 gateways heard 200 a second each,
-// a third of what they told from hall to hall.
+// The heartbeat slows with the number of processes: at one each half second 103 gateways received
+// 200 heartbeats a second each, which was a third of the traffic between halls.
 const (
 	shortestHeartbeat = 500 * time.Millisecond
 	longestHeartbeat  = time.Second
 	heartbeatPerPeer  = 10 * time.Millisecond
-	// viewSlack is how much longer than two heartbeats the word of another process holds.
+	// viewTTLMargin is added to two heartbeats for the time that a peer's report is valid.
 	viewSlack = 500 * time.Millisecond
 )
 
-// Heartbeat returns how often a process says something to each of so many others, so that
-// what it said does not expire.
+// Heartbeat returns how often a process sends a report to each of its peers, so that its last one
+// doesn't expire.
 func Heartbeat(others int) time.Duration {
 	return min(max(time.Duration(others)*heartbeatPerPeer, shortestHeartbeat), longestHeartbeat)
 }
 
-// viewAge returns for how long the word of another process holds without being
-// repeated, where there are so many. What it gave to upstreams ends with it, if it died.
+// viewTTL returns how long a peer's report is valid without being repeated, given the number of
+// peers. The load of a process that died is dropped after that.
 func viewAge(others int) time.Duration {
 	return 2*Heartbeat(others) + viewSlack
 }
 
-// view is what one other process has given to upstreams, by its own word.
+// view is the load that one peer has assigned to upstreams, as it reports.
 type view struct {
 	shares       map[hollowgrade.Life]Share
 	heard        time.Time
 	heardReading heardReading
-	whole        bool // whether all that stood at some moment has been heard: what it names anew is new
+	whole        bool // whether a complete report was received, so that upstreams that appear later are new
 }
 
-// Changed returns a channel that gets a value when this process's own shares
-// have changed.
+// Changed returns a channel that receives a value when this process's own shares have changed.
 func (f *Fleet) Changed() <-chan struct{} {
 	return f.notify
 }
 
-// Changes returns the own shares that changed since the last call, or all that
-// are not zero.
+// Changes returns the own shares that changed since the last call, and with all also those that
+// [Fleet.Shares] returns.
 func (f *Fleet) Changes(all bool) map[hollowgrade.Life]Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,9 +60,8 @@
 	return cs
 }
 
-// Shares returns all own shares that are not zero, and those of upstreams of which there is
-// something else to tell: that an engine named them as at fault, that they are slow, that they
-// name a limit, or that they leave.
+// Shares returns the own shares that are not zero, and those of upstreams with something else to
+// report: they were named as at fault, are slow, have a limit, or leave.
 func (f *Fleet) Shares() map[hollowgrade.Life]Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,16 +79,16 @@
 	return cs
 }
 
-// add changes the own share of an upstream. The lock is held.
+// add adds to the own share of an upstream. The lock is held.
 func (f *Fleet) add(m *member, s Share) {
 	m.own = m.own.Plus(s)
 	f.change(m)
 }
 
-// change lets others be told of an upstream. The lock is held.
+// markChanged marks the share of an upstream to be reported to peers. The lock is held.
 func (f *Fleet) change(m *member) {
 	if f.members[m.life] != m {
-		return // of an earlier life
+		return // an earlier instance
 	}
 	f.changed[m.life] = true
 	select {
@@ -100,9 +97,9 @@
 	}
 }
 
-// TakeView takes another process's word on what it has given to upstreams. A
-// whole one replaces all that it said before. The name is that of one life of
-// the process: what it counts begins anew with each.
+// ReceiveView applies a peer's report of the load that it has assigned to upstreams. A complete one
+// replaces all earlier ones. Box identifies one instance of the peer, because its counters start
+// again with each.
 func (f *Fleet) TakeView(box string, shares map[hollowgrade.Life]Share, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,10 +122,9 @@
 	v.whole = v.whole || whole
 }
 
-// setView replaces one share of a view. Reading that was given since counts from
-// now on; less than before means that some was taken back. Of what was given
-// before the first whole word of the process it is not known how much is still unread.
-// The lock is held.
+// setViewShare replaces one share of a view. Prefill added since the last report counts from now on;
+// a decrease means that some was cancelled. Prefill assigned before the peer's first complete report
+// is ignored, because it is unknown how much of it is still pending. The lock is held.
 func (f *Fleet) setView(v *view, id hollowgrade.Life, s Share) {
 	old, known := v.shares[id]
 	if m := f.members[id]; m != nil {
@@ -150,8 +146,7 @@
 	v.shares[id] = s
 }
 
-// forget drops one share of a view. What was given is still being read. The lock
-// is held.
+// dropShare removes one share of a view. Its prefill stays in the backlog. The lock is held.
 func (f *Fleet) forget(v *view, id hollowgrade.Life) {
 	if m := f.members[id]; m != nil {
 		m.others = m.others.Minus(v.shares[id])
@@ -159,16 +154,15 @@
 	delete(v.shares, id)
 }
 
-// sumOthers sets what others have given to an upstream that is new here. The
-// lock is held.
+// sumPeerShares adds up the load that peers have assigned to a new member. The lock is held.
 func (f *Fleet) sumOthers(m *member, id hollowgrade.Life) {
 	for _, v := range f.views {
 		m.others = m.others.Plus(v.shares[id])
 	}
 }
 
-// Readings returns how much upstreams have still to read of what all processes are
-// known to have given to them, without those that have nothing to read.
+// PrefillBacklogs returns how much prefill each upstream has still to do for all processes, without
+// those that have none.
 func (f *Fleet) Readings() map[hollowgrade.Life]time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,11 +176,10 @@
 	return rs
 }
 
-// TakeReadings takes the word of another process, by its box, on what upstreams
-// have still to read. What was given to them before this process started it cannot
-// know from the shares that it hears: a gateway that came back gave 0.9 s of reading
-// to each of six engines that had 0.6 s left to read, and short answers at all of
-// them paused for a second.
+// ReceivePrefillBacklogs applies a peer's report of the prefill that upstreams have still to do. A
+// process that has just started cannot derive this from shares: a restarted gateway assigned 0.9 s
+// of prefill to each of six engines that had 0.6 s left, and short answers there paused for a
+// second.
 func (f *Fleet) TakeReadings(box string, rs map[hollowgrade.Life]time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,8 +198,7 @@
 	f.log.Info("reading of upstreams learned", "peer", box, "told", len(rs), "new", learned)
 }
 
-// Heard returns how many other processes have told all that they have given to
-// upstreams.
+// SyncedPeers returns the number of peers whose complete load has been received.
 func (f *Fleet) Heard() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,7 +210,7 @@
 	return n
 }
 
-// Others returns what other processes have given to an upstream, by their word.
+// PeerShare returns the load that peers have assigned to an upstream, as they report it.
 func (f *Fleet) Others(id hollowgrade.Life) Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +220,7 @@
 	return Share{}
 }
 
-// DropView forgets the word of a process that is gone.
+// DropView removes the reports of a process that is gone.
 func (f *Fleet) DropView(box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,7 +238,7 @@
 	delete(f.views, box)
 }
 
-// expireViews forgets the words that were not repeated. The lock is held.
+// expireViews removes the views that were not renewed. The lock is held.
 func (f *Fleet) expireViews(now time.Time) {
 	longest := viewAge(f.peers())
 	for box, v := range f.views {
--- a/core/signals.go
+++ b/core/signals.go
@@ -7,8 +7,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// takeSignals takes what an upstream said of itself in an answer to a request that was sent at some moment. The lock
-// is held.
+// applySignals applies the signals in an answer to a request that was sent at the given time. The
+// lock is held.
 func (f *Fleet) takeSignals(m *member, id string, sent time.Time, s hollowgrade.Signals) {
 	if len(s.Unread) > 0 {
 		f.log.Info("signal of upstream not used", "upstream", m.life, "service", m.Service, "request", id, "headers", s.Unread)
@@ -22,14 +22,14 @@
 	if s.Leaving {
 		f.setLeaving(m, "", id)
 	}
-	// An answer to a request that left before the limit was known may be older than the limit. That it has ended is
-	// said again by each answer.
+	// An answer to a request sent before the limit was known may be older than the limit. Each later
+	// answer repeats that the limit has ended.
 	if s.Limited || m.limit.tellable(f.clock.Now()) && sent.After(m.limit.known) {
 		f.setLimit(m, "", id, RateLimit{Named: s.Limited, PerSecond: s.Limit})
 	}
 }
 
-// hearReport takes what an upstream said of itself in the answer to a report that it was asked for at some moment.
+// applyReport applies the signals in a status report that was requested at the given time.
 func (f *Fleet) hearReport(id hollowgrade.Life, request string, asked time.Time, s hollowgrade.Signals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// setLeaving takes the word of an upstream to this process or to a peer that it leaves. It holds for its life. The
-// lock is held.
+// setLeaving records an upstream's signal to this process or to a peer that it is leaving. It is
+// final for its instance. The lock is held.
 func (f *Fleet) setLeaving(m *member, peer, request string) {
 	if m.leaving {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// TakeLeaving takes the word of another process, by its box, that an upstream says that it leaves.
+// ReceiveLeaving applies a peer's report that an upstream signals that it is leaving.
 func (f *Fleet) TakeLeaving(box string, id hollowgrade.Life) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,25 +62,26 @@
 	f.keepTold(id, func(t *toldWord) { t.leaving = true })
 }
 
-// toldFor is for how long what others tell of an upstream that is not listed here is kept.
+// unlistedReportTTL is how long peers' reports on an upstream that is not listed here are kept.
 const toldFor = 10 * time.Second
 
-// toldWord is what other processes have told of an upstream that is not listed here yet.
+// unlistedReport is what peers have reported on an upstream that is not listed here yet.
 type toldWord struct {
-	at       time.Time // of the last one
+	at       time.Time // of the last report
 	limit    RateLimit
 	hasLimit bool
 	leaving  bool
 }
 
-// takeLimit takes a word on the limit unless a later one has come.
+// mergeLimit keeps the later of the stored and the given report of a limit.
 func (t *toldWord) takeLimit(w RateLimit) {
 	if !t.hasLimit || w.Age < t.limit.Age {
 		t.limit, t.hasLimit = w, true
 	}
 }
 
-// keepTold keeps what another process tells of an upstream until that is listed here. The lock is held.
+// keepUnlistedReport stores a peer's report on an upstream until that is listed here. The lock is
+// held.
 func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *toldWord)) {
 	now := f.clock.Now()
 	maps.DeleteFunc(f.told, func(_ hollowgrade.Life, t toldWord) bool { return now.Sub(t.at) > toldFor })
@@ -91,7 +92,7 @@
 	f.told[id] = t
 }
 
-// takeTold takes what others have told of an upstream before it was listed here. The lock is held.
+// applyUnlistedReport applies the stored reports on an upstream when it is listed. The lock is held.
 func (f *Fleet) takeTold(m *member) {
 	t, ok := f.told[m.life]
 	if !ok {
--- a/core/ticket.go
+++ b/core/ticket.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// ticketHold is for how long memory is set aside at a time. Memory whose
-	// release got lost is free again after it, and it has to be within the
-	// deployment's bound, 4 s after the request is over.
+	// reservationTTL is the time after which memory is freed if its release was lost. It has to be
+	// below the deployment's bound of 4 s after the end of the request.
 	ticketHold = 3500 * time.Millisecond
-	// ticketRenew is how often it is renewed: twice may fail.
+	// renewInterval is the interval of renewals. Two in a row may fail.
 	ticketRenew = 1200 * time.Millisecond
-	// releaseTries bounds the tries to free memory; what fails lapses.
+	// releaseTries bounds the attempts to release memory; a reservation that is not released
+	// expires.
 	releaseTries = 2
 )
 
-// tickets is memory that is set aside at several engines for one prompt.
+// reservation is memory reserved at several engines for one prompt.
 type tickets struct {
 	core    *Core
 	id      string
@@ -34,8 +34,7 @@
 	group   sync.WaitGroup
 }
 
-// setAside sets memory aside at the keepers of a pick. It returns nil if the
-// prompt needs none.
+// reserveMemory reserves memory at the keepers of a pick. It returns nil if the prompt needs none.
 func (c *Core) setAside(ctx context.Context, request string, n int, p *pick) (t *tickets, err error) {
 	if len(p.keepers) == 0 {
 		return nil, nil
@@ -57,7 +56,7 @@
 	return t, nil
 }
 
-// each calls a function for each keeper at once.
+// each calls a function concurrently for each keeper.
 func (t *tickets) each(f func(m *member) error) []error {
 	es := make([]error, len(t.keepers))
 	var g sync.WaitGroup
@@ -68,7 +67,7 @@
 	return es
 }
 
-// renew keeps the memory until ctx ends.
+// renew renews the reservation until ctx ends.
 func (t *tickets) renew(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, t.core.clock, ticketRenew) {
 		es := t.each(func(m *member) error {
@@ -80,19 +79,19 @@
 	}
 }
 
-// end stops the renewals and frees the memory. It does not wait for that.
+// end stops the renewals and releases the memory without waiting for that.
 func (t *tickets) end() {
 	if t == nil {
 		return
 	}
 	t.cancel()
 	go func() {
-		t.group.Wait() // or a renewal under way would set it aside again
+		t.group.Wait() // a renewal in progress would reserve it again
 		t.free()
 	}()
 }
 
-// free frees the memory. What cannot be freed lapses.
+// release releases the memory. What cannot be released expires.
 func (t *tickets) free() {
 	es := t.each(func(m *member) (err error) {
 		for range releaseTries {
@@ -105,8 +104,7 @@
 	t.core.log.Info("memory freed", "request", t.request, "ticket", t.id, "engines", len(t.keepers), "err", errors.Join(es...))
 }
 
-// helpersOf lists the engines that read parts for a pick, those that keep parts
-// first.
+// helpersOf lists the engines that prefill parts for a pick, first those that keep parts.
 func (t *tickets) helpersOf(p *pick) (hs []hollowgrade.Helper) {
 	kept := map[*member]bool{}
 	if t != nil {
--- a/core/unheard.go
+++ b/core/unheard.go
@@ -6,19 +6,18 @@
 )
 
 const (
-	// unheardFor is how long a call that another process has placed is not known
-	// here: it is decided, told in a packet, and taken from it, each on a box with a
-	// small part of a core. Of picks by 103 gateways in a burst, those less than 5 ms
-	// after another met at the same engine 9 times as often as chance has it, those
-	// after 5 to 10 ms 5 times, and those after 30 ms 1.15 times. Of 28 gateways it was 18
-	// times below 3 ms, and half of that after 6 ms.
+	// peerCallDelay is the time until a call that a peer has placed is known here: it is decided,
+	// sent in a packet and received, each on a box with a small part of a core. In a burst with 103
+	// gateways, picks less than 5 ms apart met at the same engine 9 times as often as by chance,
+	// after 5 to 10 ms 5 times, and after 30 ms 1.15 times. With 28 gateways it was 18 times below 3
+	// ms, and half of that after 6 ms.
 	unheardFor = 10 * time.Millisecond
-	// rateMemory is for how long calls count in a rate: a burst is noticed within a
-	// few hundred ms, and at 100 calls a second 30 of them count.
+	// peerRateWindow is the time constant of the rate: a burst is noticed within a few hundred ms,
+	// and at 100 calls a second 30 of them count.
 	rateMemory = 300 * time.Millisecond
 )
 
-// rate is how many calls come a second, of late.
+// rate is an exponentially weighted rate of calls.
 type rate struct {
 	perSecond float64
 	at        time.Time
@@ -29,19 +28,18 @@
 	return rate{r.value(now, memory) + float64(n)/memory.Seconds(), now}
 }
 
-// value returns the rate in calls a second. Memory is for how long calls count in it.
+// value returns the rate in calls per second. Memory is its time constant.
 func (r rate) value(now time.Time, memory time.Duration) float64 {
 	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/memory.Seconds())
 }
 
-// noteOthers notes that another process has placed calls of a service. The lock is
-// held.
+// recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
 func (f *Fleet) noteOthers(service string, n int) {
 	f.placed[service] = f.placed[service].plus(f.clock.Now(), n, rateMemory)
 }
 
-// unheard returns how many calls of a service others are thought to have placed that
-// are not known here yet. The lock is held.
+// unreportedCalls estimates the calls of a service that peers have placed and that are not known
+// here yet. The lock is held.
 func (f *Fleet) unheard(service string, now time.Time) float64 {
 	return f.placed[service].value(now, rateMemory) * unheardFor.Seconds()
 }
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -7,22 +7,21 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// A caller gives a stream up after a gap of the longest of two seconds, four
-// goals and eight pauses (the platform's pages). An upstream that has been
-// silent for a part of that is taken as dead or cut off, and the call is sent
-// elsewhere while the caller still waits.
+// A caller gives up on a stream after a gap of the greatest of two seconds, four goals and eight
+// pause goals (the platform's rule). An upstream that is silent for a part of that counts as lost,
+// and the call is sent elsewhere while the caller still waits.
 const (
 	giveUp        = 2 * time.Second
 	giveUpGoals   = 4
 	giveUpPauses  = 8
 	stallShare    = 0.55
 	plainStall    = 900 * time.Millisecond // for calls that may run again: 15 times the usual work of a plain service
-	plainGoalMore = 3                      // times the goal, where that is longer
-	predictedMore = 2                      // times the predicted first event: a prediction is rarely that far off
+	plainGoalMore = 3                      // in goals, if that is longer
+	predictedMore = 2                      // in predicted times to the first event: a prediction is rarely that far off
 )
 
-// stall returns how long the upstream may be silent, 0 for ever: an answer that
-// cannot be had elsewhere is waited for to the end.
+// stallTimeout returns how long the upstream may be silent, 0 for no bound: if no other attempt is
+// possible, the call waits for the answer to the end.
 func (a *attempt) stall() time.Duration {
 	f := a.flow
 	if !f.Repeatable() || a.last {
@@ -39,8 +38,8 @@
 	return max(d, predictedMore*a.pick.First)
 }
 
-// leave reports whether a silent upstream may be left for another: there has to
-// be one, and a retry in the budget, which is taken out at once.
+// abandonUpstream reports whether a silent upstream may be given up: there must be another one and a
+// retry in the budget, which is taken out at once.
 func (f *flow) leave() bool {
 	if !f.core.fleet.another(f.service.Name, f.tried) || !f.budget.Spend(f.core.clock.Now()) {
 		return false
@@ -49,27 +48,26 @@
 	return true
 }
 
-// watchdog calls a function when nothing has happened for a while, and again as
-// long as the function returns false. The function does not run once stop has
-// returned.
+// watchdog calls a function when nothing has happened for a while, and again as long as the function
+// returns false. The function doesn't run after stop has returned.
 type watchdog struct {
 	clock hollowgrade.Clock
 	bark  func() bool
 
 	mu    sync.Mutex
 	timer hollowgrade.Timer
-	turn  int // of the present wait; a timer of an earlier one does nothing
+	turn  int // of the current wait; the timer of an earlier one has no effect
 	ended bool
 }
 
-// newWatchdog returns a watchdog that barks after d, never if d is 0.
+// newWatchdog returns a watchdog that calls onStall after d, never if d is 0.
 func newWatchdog(c hollowgrade.Clock, d time.Duration, bark func() bool) *watchdog {
 	w := &watchdog{clock: c, bark: bark}
 	w.reset(d)
 	return w
 }
 
-// reset begins the wait anew.
+// reset restarts the wait.
 func (w *watchdog) reset(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +77,7 @@
 	}
 }
 
-// begin begins a wait. The lock is held.
+// begin starts a wait. The lock is held.
 func (w *watchdog) begin(d time.Duration) {
 	turn := w.turn
 	w.timer = w.clock.AfterFunc(d, func() {
@@ -91,7 +89,7 @@
 	})
 }
 
-// stop ends the wait for good.
+// stop ends the watchdog.
 func (w *watchdog) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +97,7 @@
 	w.halt()
 }
 
-// halt ends the wait that runs. The lock is held.
+// stopTimer ends the current wait. The lock is held.
 func (w *watchdog) halt() {
 	w.turn++
 	if w.timer != nil {
