--- a/core/demand.go
+++ b/core/demand.go
@@ -10,8 +10,8 @@
 const (
 	// demandWindow is the time constant of the rates of prompts.
 	demandMemory = 2 * time.Second
-	// Prompts with about the same prefill time are counted together, in kinds that are half a power
-	// of two apart.
+	// Prompts with about the same prefill time are counted together. Each kind takes longer than the
+	// one before by a factor of the square root of two.
 	shortestDemand = 10 * time.Millisecond
 	kindsToDouble  = 2
 	demandKinds    = 28 // up to 160 s
