--- a/core/fleet.go
+++ b/core/fleet.go
@@ -268,7 +268,7 @@
 // InstanceStarted records the start time, in Unix ms, that an upstream reports of its current
 // instance. A later one than known means that the upstream has restarted and that the registry entry
 // will follow.
-func (f *Fleet) Born(id string, born int64) {
+func (f *Fleet) InstanceStarted(id string, born int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[f.lives[id]]
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -68,7 +68,7 @@
 	t.Run("by its own word, before its entry says so", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
-			f.Born("u", later.Born)
+			f.InstanceStarted("u", later.Born)
 			requireFresh(t, f, later.Life())
 			f.Put(lifeAt(0)) // an entry of the life before that comes late
 			requireFresh(t, f, later.Life())
@@ -102,7 +102,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
-			f.Born("u", later.Born)
+			f.InstanceStarted("u", later.Born)
 			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
 		})
 	})
@@ -134,7 +134,7 @@
 			requireFresh(t, f, ahead.Life())
 			f.Put(later) // its clock is right again
 			requireFresh(t, f, later.Life())
-			f.Born("u", ahead.Born)
+			f.InstanceStarted("u", ahead.Born)
 			time.Sleep(entryLag)
 			f.Put(lifeAt(6000))
 			requireFresh(t, f, lifeAt(6000).Life())
--- a/core/pace.go
+++ b/core/pace.go
@@ -224,7 +224,7 @@
 			return
 		}
 		if r.Born != 0 {
-			c.fleet.Born(u.ID, r.Born)
+			c.fleet.InstanceStarted(u.ID, r.Born)
 			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
 		}
 		c.fleet.TakePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -50,7 +50,7 @@
 		require.Equal(t, 1, lostOnce(t, born, starts(2*time.Second, 1500)))
 	})
 	t.Run("in its own word", func(t *testing.T) {
-		require.Equal(t, 1, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, born+1) }))
+		require.Equal(t, 1, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.InstanceStarted(u.ID, born+1) }))
 	})
 	t.Run("and counts nothing for an upstream that went on", func(t *testing.T) {
 		require.Zero(t, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) {
