--- a/core/core.go
+++ b/core/core.go
@@ -176,7 +176,7 @@
 	c.started = c.clock.Now()
 	c.fleet = NewFleet(c.clock, c.log)
 	c.unproved = &unproved{clock: c.clock, losses: map[string][]unprovedLoss{}}
-	c.fleet.SetBegun(c.begun)
+	c.fleet.SetOnInstanceStart(c.begun)
 	c.fleet.SetAsker(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
 	c.lost = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -168,7 +168,7 @@
 
 // SetOnInstanceStart sets the function that is called for each instance of an upstream that starts.
 // It is called with the lock held and must not use the fleet.
-func (f *Fleet) SetBegun(begun func(u hollowgrade.Upstream)) {
+func (f *Fleet) SetOnInstanceStart(begun func(u hollowgrade.Upstream)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = begun
