--- a/core/fleet.go
+++ b/core/fleet.go
@@ -168,10 +168,10 @@
 
 // SetOnInstanceStart sets the function that is called for each instance of an upstream that starts.
 // It is called with the lock held and must not use the fleet.
-func (f *Fleet) SetOnInstanceStart(begun func(u hollowgrade.Upstream)) {
+func (f *Fleet) SetOnInstanceStart(onStart func(u hollowgrade.Upstream)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.onInstanceStart = begun
+	f.onInstanceStart = onStart
 }
 
 // SetChance replaces the source of random numbers from 0 to 1 for tie-breaking and jitter, so that a
