--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -171,7 +171,7 @@
 				for l := range from.Changes(false) {
 					words++
 					for _, f := range to {
-						f.TakeBlame("box", l, blamed(from)[l])
+						f.ReceiveAtFault("box", l, blamed(from)[l])
 					}
 				}
 			}
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -406,7 +406,7 @@
 
 // ReceiveAtFault applies a peer's report that an upstream is at fault, unless too many of its
 // service are avoided already.
-func (f *Fleet) TakeBlame(box string, id hollowgrade.Life, d time.Duration) {
+func (f *Fleet) ReceiveAtFault(box string, id hollowgrade.Life, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -105,23 +105,23 @@
 			<-a.Changed()
 			require.Contains(t, a.Changes(false), hollowgrade.Life("u00"))
 			for id, d := range blamed(a) {
-				b.TakeBlame("a", id, d)
+				b.ReceiveAtFault("a", id, d)
 			}
 			require.Empty(t, blamed(b), "what others say is not told again")
 			require.Equal(t, "u01", b.pick("e", long(30_000), nil).member.ID)
 			time.Sleep(firstAvoid)
 			require.Empty(t, blamed(a))
 			require.False(t, time.Now().Before(b.members["u00"].avoid))
-			b.TakeBlame("a", "u00", time.Hour)
+			b.ReceiveAtFault("a", "u00", time.Hour)
 			time.Sleep(lastAvoid)
 			require.False(t, time.Now().Before(b.members["u00"].avoid), "no word of a peer lasts")
-			b.TakeBlame("a", "unknown", time.Hour)
+			b.ReceiveAtFault("a", "unknown", time.Hour)
 		})
 	})
 	t.Run("no more than a part of a service is avoided by the word of others", func(t *testing.T) {
 		f := newFleet("e", 30)
 		for i := range 30 {
-			f.TakeBlame("a", hollowgrade.Life(fmt.Sprintf("u%02d", i)), lastAvoid)
+			f.ReceiveAtFault("a", hollowgrade.Life(fmt.Sprintf("u%02d", i)), lastAvoid)
 		}
 		avoided := 0
 		for _, m := range f.members {
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -83,7 +83,7 @@
 			old := lifeAt(0).Life()
 			f.TakeView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
-			f.TakeBlame("b", old, time.Second)
+			f.ReceiveAtFault("b", old, time.Second)
 			f.TakePace(old, 9, 0, "b", "")
 			requireFresh(t, f, later.Life())
 		})
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -139,7 +139,7 @@
 // takeWord takes what a peer says of an upstream itself.
 func (t *Taker) takeWord(box string, c *wire.LoadShare) {
 	if c.AvoidMillis > 0 {
-		t.fleet.TakeBlame(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
+		t.fleet.ReceiveAtFault(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
 	}
 	if c.PaceMilli > 0 {
 		t.fleet.TakePace(hollowgrade.Life(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
