--- a/core/limit.go
+++ b/core/limit.go
@@ -106,7 +106,7 @@
 
 // ReceiveLimit applies a peer's report of the limit of an upstream, unless the upstream has reported
 // a later one.
-func (f *Fleet) TakeLimit(box string, id hollowgrade.Life, w RateLimit) {
+func (f *Fleet) ReceiveLimit(box string, id hollowgrade.Life, w RateLimit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -82,7 +82,7 @@
 			f.TakeView(ps[from].box, cs, whole)
 			for l, s := range seen {
 				if s.HasLimit {
-					f.TakeLimit(ps[from].box, l, s.Limit)
+					f.ReceiveLimit(ps[from].box, l, s.Limit)
 				}
 			}
 		}
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -126,14 +126,14 @@
 func TestWordsOfPeersOnUpstreamsThatAreNotListedYet(t *testing.T) {
 	for name, tell := range map[string]func(f *Fleet){
 		"that it leaves":            func(f *Fleet) { f.TakeLeaving("b", "u") },
-		"that it takes no requests": func(f *Fleet) { f.TakeLimit("b", "u", RateLimit{Named: true}) },
-		"both, one after the other": func(f *Fleet) { f.TakeLimit("b", "u", RateLimit{Named: true}); f.TakeLeaving("b", "u") },
-		"and an older one after it": func(f *Fleet) { f.TakeLeaving("b", "u"); f.TakeLimit("b", "u", RateLimit{Age: time.Hour}) },
+		"that it takes no requests": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}) },
+		"both, one after the other": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}); f.TakeLeaving("b", "u") },
+		"and an older one after it": func(f *Fleet) { f.TakeLeaving("b", "u"); f.ReceiveLimit("b", "u", RateLimit{Age: time.Hour}) },
 		"of a limit, told by two": func(f *Fleet) {
-			f.TakeLimit("b", "u", RateLimit{Named: true})
-			f.TakeLimit("c", "u", RateLimit{Named: true})
+			f.ReceiveLimit("b", "u", RateLimit{Named: true})
+			f.ReceiveLimit("c", "u", RateLimit{Named: true})
 		},
-		"of a limit, after some time": func(f *Fleet) { f.TakeLimit("b", "u", RateLimit{Named: true}); time.Sleep(5 * time.Second) },
+		"of a limit, after some time": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}); time.Sleep(5 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -205,10 +205,10 @@
 			f := newSignalFleet("u")
 			time.Sleep(time.Minute)
 			hear(f, "u", time.Now(), named)
-			f.TakeLimit("b", "u", RateLimit{Age: time.Second})
+			f.ReceiveLimit("b", "u", RateLimit{Age: time.Second})
 			require.True(t, f.members["u"].limit.named)
 			time.Sleep(2 * time.Second)
-			f.TakeLimit("b", "u", RateLimit{Age: time.Second})
+			f.ReceiveLimit("b", "u", RateLimit{Age: time.Second})
 			require.False(t, f.members["u"].limit.named)
 		})
 	})
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -148,7 +148,7 @@
 		t.fleet.TakeLeaving(box, hollowgrade.Life(c.Upstream))
 	}
 	if l := c.Limit; l != nil {
-		t.fleet.TakeLimit(box, hollowgrade.Life(c.Upstream), core.RateLimit{
+		t.fleet.ReceiveLimit(box, hollowgrade.Life(c.Upstream), core.RateLimit{
 			Named: l.Named, PerSecond: l.PerSecond, Age: time.Duration(l.AgeMillis) * time.Millisecond, Relayed: l.Relayed,
 		})
 	}
