--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -32,7 +32,7 @@
 	require.NotNil(t, p)
 	f.TakeView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
 	f.TakeReadings("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
-	f.TakePace(l, 4, 0, "", "r")
+	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
 	m.helping(time.Now(), time.Second)
 	f.answered(m, "r", true, time.Time{}, hollowgrade.Head{Status: 500, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 3}})
@@ -84,7 +84,7 @@
 			f.TakeView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
 			f.ReceiveAtFault("b", old, time.Second)
-			f.TakePace(old, 9, 0, "b", "")
+			f.ReceivePace(old, 9, 0, "b", "")
 			requireFresh(t, f, later.Life())
 		})
 	})
--- a/core/pace.go
+++ b/core/pace.go
@@ -98,7 +98,7 @@
 // age. Box is the process that requested it, empty for this one; why is the request because of which
 // it was asked. Reports to this process are passed on to peers while the engine is slow or when it
 // becomes normal.
-func (f *Fleet) TakePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
+func (f *Fleet) ReceivePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
 	if us := f.takePace(id, pace, age, box, why); len(us) > 0 {
 		f.ask(us, why)
 	}
@@ -227,7 +227,7 @@
 			c.fleet.InstanceStarted(u.ID, r.Born)
 			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
 		}
-		c.fleet.TakePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
+		c.fleet.ReceivePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Life()) {
 			c.clock.AfterFunc(PaceAgain, func() { c.askAgain(u, request) })
 		}
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -157,7 +157,7 @@
 func TestWordsOnSpeed(t *testing.T) {
 	t.Run("of others hold, and are not told on", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.TakePace("u00", 4, 0, "b", "")
+		f.ReceivePace("u00", 4, 0, "b", "")
 		requirePace(t, f, "u00", 4)
 		for _, s := range f.Seen(map[hollowgrade.Life]Share{"u00": {}}) {
 			require.Zero(t, s.Pace)
@@ -167,7 +167,7 @@
 	t.Run("do not live for ever", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.TakePace("u00", 4, time.Second, "b", "")
+			f.ReceivePace("u00", 4, time.Second, "b", "")
 			time.Sleep(paceAge - time.Second)
 			requirePace(t, f, "u00", 4)
 			time.Sleep(time.Millisecond)
@@ -177,12 +177,12 @@
 	t.Run("that are older do not undo later ones", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.TakePace("u00", 4, 0, "", "r")
-			f.TakePace("u00", 1, 50*time.Millisecond, "b", "")
+			f.ReceivePace("u00", 4, 0, "", "r")
+			f.ReceivePace("u00", 1, 50*time.Millisecond, "b", "")
 			requirePace(t, f, "u00", 4)
 			require.True(t, f.StillSlow("u00"))
 			time.Sleep(time.Second)
-			f.TakePace("u00", 3, 0, "b", "")
+			f.ReceivePace("u00", 3, 0, "b", "")
 			requirePace(t, f, "u00", 3)
 			require.False(t, f.StillSlow("u00"), "another has asked it since")
 		})
@@ -190,9 +190,9 @@
 	t.Run("of the future are of now", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.TakePace("u00", 4, -time.Hour, "b", "")
+			f.ReceivePace("u00", 4, -time.Hour, "b", "")
 			time.Sleep(time.Millisecond)
-			f.TakePace("u00", 2, 0, "c", "")
+			f.ReceivePace("u00", 2, 0, "c", "")
 			requirePace(t, f, "u00", 2)
 			time.Sleep(2 * paceAge)
 			requirePace(t, f, "u00", 1)
@@ -200,10 +200,10 @@
 	})
 	t.Run("of nonsense are not taken", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.TakePace("u00", -1, 0, "b", "")
-		f.TakePace("nobody", 3, 0, "b", "")
+		f.ReceivePace("u00", -1, 0, "b", "")
+		f.ReceivePace("nobody", 3, 0, "b", "")
 		requirePace(t, f, "u00", 1)
-		f.TakePace("u00", 1e300, 0, "b", "")
+		f.ReceivePace("u00", 1e300, 0, "b", "")
 		requirePace(t, f, "u00", mostPace)
 	})
 	t.Run("change how long it takes for what it has still to read", func(t *testing.T) {
@@ -211,7 +211,7 @@
 			f := newFleet("e", 2)
 			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Given: 100 * time.Millisecond}}, true)
 			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Given: 200 * time.Millisecond}}, false)
-			f.TakePace("u00", 4, 0, "c", "")
+			f.ReceivePace("u00", 4, 0, "c", "")
 			require.Equal(t, 400*time.Millisecond, f.members["u00"].reading(time.Now()))
 			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Given: 300 * time.Millisecond}}, false)
 			require.Equal(t, 800*time.Millisecond, f.members["u00"].reading(time.Now()))
@@ -226,31 +226,31 @@
 	f.SetChance(func() float64 { i++; return float64(i%60) / 60 })
 	var asked []hollowgrade.Upstream
 	f.SetAsker(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
-	f.TakePace("u00", 4, 0, "b", "")
+	f.ReceivePace("u00", 4, 0, "b", "")
 	require.InDelta(t, 60*surveyors/10, len(asked), 2, "each of ten processes asks its part")
 	require.NotContains(t, asked, hollowgrade.Upstream{ID: "u00"}, "it has just been asked")
 	n := len(asked)
-	f.TakePace("u01", 4, 0, "b", "")
+	f.ReceivePace("u01", 4, 0, "b", "")
 	require.Len(t, asked, n, "once a second")
 }
 
 func TestSlowEngines(t *testing.T) {
 	t.Run("are counted", func(t *testing.T) {
 		f := newFleet("e", 3)
-		f.TakePace("u00", 1.05, 0, "b", "")
-		f.TakePace("u01", 3, 0, "b", "")
+		f.ReceivePace("u00", 1.05, 0, "b", "")
+		f.ReceivePace("u01", 3, 0, "b", "")
 		require.Equal(t, 1, f.Slow())
 	})
 	t.Run("get no part of a prompt while others have room", func(t *testing.T) {
 		f := newFleet("e", 20)
-		f.TakePace("u03", 5, 0, "b", "")
+		f.ReceivePace("u03", 5, 0, "b", "")
 		p := f.pick("e", long(200_000), nil)
 		require.NotContains(t, p.helpers, f.members["u03"])
 		require.NotEqual(t, "u03", p.member.ID)
 	})
 	t.Run("get no short call that they would make late", func(t *testing.T) {
 		f := newFleet("e", 3)
-		f.TakePace("u00", 5, 0, "b", "")
+		f.ReceivePace("u00", 5, 0, "b", "")
 		for range 6 {
 			require.NotEqual(t, "u00", f.pick("e", short(), nil).member.ID)
 		}
@@ -260,7 +260,7 @@
 		r := short()
 		idle := f.pick("e", r, nil).First
 		g := newFleet("e", 1)
-		g.TakePace("u00", 2, 0, "b", "")
+		g.ReceivePace("u00", 2, 0, "b", "")
 		require.Equal(t, 2*idle, g.pick("e", r, nil).First)
 	})
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -464,7 +464,7 @@
 
 func (g *gateway) takePace(id string, pace float64, age time.Duration, box string) (tell bool) {
 	was := g.stillSlow(id)
-	g.fleet.TakePace(hollowgrade.Life(id), pace, age, box, "")
+	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
 	return was || g.stillSlow(id)
 }
 
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -299,11 +299,11 @@
 	a, b := newFleet(), newFleet()
 	p := packets(t, "127.0.0.1:0")
 	run(t, a, serve(t, b), WithPackets(p))
-	a.TakePace("u", 3, 0, "", "r")
+	a.ReceivePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
 	for _, w := range b.Seen(map[hollowgrade.Life]core.Share{"u": {}}) {
 		require.Zero(t, w.Pace, "nobody tells on what it was told")
 	}
-	a.TakePace("u", 1, 0, "", "r")
+	a.ReceivePace("u", 1, 0, "", "r")
 	requirePredicted(t, b, 1)
 }
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -142,7 +142,7 @@
 		t.fleet.ReceiveAtFault(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
 	}
 	if c.PaceMilli > 0 {
-		t.fleet.TakePace(hollowgrade.Life(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
+		t.fleet.ReceivePace(hollowgrade.Life(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
 	}
 	if c.Leaving {
 		t.fleet.TakeLeaving(box, hollowgrade.Life(c.Upstream))
