--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -230,7 +230,7 @@
 	for range 20 {
 		f := newFleet("e", 60)
 		f.SetChance(r.Float64)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 9}, "u01": {Open: 8}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 9}, "u01": {Open: 8}}, true)
 		used[f.pick("e", short(), nil).member.ID]++
 	}
 	require.Greater(t, len(used), 2)
@@ -289,7 +289,7 @@
 			f.SetPeers(func() int { return 4 })
 			requirePacked(t, spaced(f, 8), 2, 14)
 			for _, box := range []string{"b", "c", "d", "e"} {
-				f.TakeView(box, nil, true)
+				f.ReceiveView(box, nil, true)
 			}
 			requirePacked(t, spaced(f, 12), 10, 14)
 		})
@@ -339,19 +339,19 @@
 func TestViewsOfOthers(t *testing.T) {
 	t.Run("count like own work", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 10}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 10}}, true)
 		require.Equal(t, "u01", f.pick("e", short(), nil).member.ID)
 	})
 	t.Run("are replaced and end", func(t *testing.T) {
 		f := newFleet("e", 2)
 		m := f.members["u00"]
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}, "u01": {Open: 1}}, true)
-		f.TakeView("c", map[hollowgrade.Life]Share{"u00": {Open: 2}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}, "u01": {Open: 1}}, true)
+		f.ReceiveView("c", map[hollowgrade.Life]Share{"u00": {Open: 2}}, true)
 		require.Equal(t, 5, m.total().Open)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, false)
 		require.Equal(t, 3, m.total().Open)
 		require.Equal(t, 1, f.members["u01"].total().Open)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, true)
 		require.Zero(t, f.members["u01"].total().Open)
 		f.DropView("c")
 		require.Equal(t, 1, m.total().Open)
@@ -361,27 +361,27 @@
 	t.Run("the first reading that another gives to an engine counts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.TakeView("b", nil, true)
-			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}}, false)
+			f.ReceiveView("b", nil, true)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}}, false)
 			require.Equal(t, 2*time.Second, f.members["u00"].reading(time.Now()))
-			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}, "u01": {Open: 1, Given: time.Second}}, true)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}, "u01": {Open: 1, Given: time.Second}}, true)
 			require.Equal(t, time.Second, f.members["u01"].reading(time.Now()))
 		})
 	})
 	t.Run("reading from before all was heard does not count", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, false)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u01": {Open: 1, Given: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {Open: 1, Given: time.Hour}}, false)
 		require.Zero(t, f.members["u01"].reading(time.Now()))
 	})
 	t.Run("reading goes on after whoever gave it is gone", func(t *testing.T) {
 		f := newFleet("e", 1)
 		m := f.members["u00"]
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, true)
 		require.Zero(t, m.reading(time.Now()), "what was given before is not known to be unread")
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + time.Minute}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + time.Minute}}, false)
 		require.InDelta(t, 60, m.reading(time.Now()).Seconds(), 1)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + 40*time.Second}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + 40*time.Second}}, false)
 		require.InDelta(t, 40, m.reading(time.Now()).Seconds(), 1, "some was taken back")
 		f.DropView("b")
 		require.Zero(t, m.total().Open)
@@ -389,14 +389,14 @@
 	})
 	t.Run("are kept for upstreams that are listed later", func(t *testing.T) {
 		f := newFleet("e", 1)
-		f.TakeView("b", map[hollowgrade.Life]Share{"u09": {Open: 3}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u09": {Open: 3}}, true)
 		f.Put(hollowgrade.Upstream{ID: "u09", Service: "e"})
 		require.Equal(t, 3, f.members["u09"].total().Open)
 	})
 	t.Run("are forgotten when they are not repeated", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 1)
-			f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, true)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, true)
 			time.Sleep(viewAge(0) + 1)
 			f.pick("e", short(), nil)
 			require.Equal(t, 1, f.members["u00"].total().Open)
@@ -419,12 +419,12 @@
 	for i := range 3 {
 		full[hollowgrade.Life(fmt.Sprintf("u%02d", i))] = Share{Open: 1, Tokens: 300_000}
 	}
-	f.TakeView("b", full, true)
+	f.ReceiveView("b", full, true)
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
 	require.True(t, p.Full)
 	require.Equal(t, Share{}, f.members["u00"].own, "nothing is accounted for")
-	f.TakeView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
+	f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
 	require.False(t, p.Refused)
 	require.Equal(t, "u01", p.member.ID)
@@ -453,9 +453,9 @@
 	// short ones waited for slots at the others.
 	t.Run("are refused while slots are short, although nothing waits to be read", func(t *testing.T) {
 		f := newFleet("e", 18)
-		f.TakeView("b", map[hollowgrade.Life]Share{}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{}, true)
 		for id := range f.members {
-			f.TakeView("b", map[hollowgrade.Life]Share{id: {Open: 15}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{id: {Open: 15}}, false)
 		}
 		require.True(t, f.pick("e", huge, nil).Refused)
 	})
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -64,7 +64,7 @@
 	}
 	f.SetChance(r.Float64)
 	f.SetPeers(func() int { return 4 })
-	f.TakeView("b", nil, true)
+	f.ReceiveView("b", nil, true)
 	busy := r.Float64()
 	for i := range len(f.members) {
 		m := f.members[hollowgrade.Life(fmt.Sprintf("u%02d", i))]
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -23,9 +23,9 @@
 func TestEnginesTakeFewPartsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 17)
-		f.TakeView("b", nil, true)
+		f.ReceiveView("b", nil, true)
 		for n := range 16 {
-			f.TakeView("b", map[hollowgrade.Life]Share{"u03": {Given: time.Duration(n+1) * time.Microsecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u03": {Given: time.Duration(n+1) * time.Microsecond}}, false)
 		}
 		requireHelps(t, f, "u03", 16)
 		p := f.pick("e", long(45_000), nil)
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -79,7 +79,7 @@
 	}
 	time.AfterFunc(p.told, func() {
 		for _, f := range to {
-			f.TakeView(ps[from].box, cs, whole)
+			f.ReceiveView(ps[from].box, cs, whole)
 			for l, s := range seen {
 				if s.HasLimit {
 					f.ReceiveLimit(ps[from].box, l, s.Limit)
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -30,7 +30,7 @@
 	l := lifeAt(0).Life()
 	p = f.pick("s", placement.Request{Prompt: 100, Answer: 10, Left: time.Second}, nil)
 	require.NotNil(t, p)
-	f.TakeView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
+	f.ReceiveView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
 	f.TakeReadings("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
 	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
@@ -81,7 +81,7 @@
 			f, _ := used(t)
 			f.Put(later)
 			old := lifeAt(0).Life()
-			f.TakeView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
 			f.ReceiveAtFault("b", old, time.Second)
 			f.ReceivePace(old, 9, 0, "b", "")
@@ -91,7 +91,7 @@
 	t.Run("words of peers on a life that isn't known yet hold once it is", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
-			f.TakeView("b", map[hollowgrade.Life]Share{later.Life(): {Open: 2}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{later.Life(): {Open: 2}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.Put(later)
 			require.Equal(t, 2, f.members[later.Life()].total().Open)
--- a/core/share.go
+++ b/core/share.go
@@ -100,7 +100,7 @@
 // ReceiveView applies a peer's report of the load that it has assigned to upstreams. A complete one
 // replaces all earlier ones. Box identifies one instance of the peer, because its counters start
 // again with each.
-func (f *Fleet) TakeView(box string, shares map[hollowgrade.Life]Share, whole bool) {
+func (f *Fleet) ReceiveView(box string, shares map[hollowgrade.Life]Share, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.views[box]
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -473,5 +473,5 @@
 }
 
 func (g *gateway) hear(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
-	g.fleet.TakeView(from, cs, whole)
+	g.fleet.ReceiveView(from, cs, whole)
 }
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -125,7 +125,7 @@
 	// One that was overtaken cannot tell what has come since.
 	whole := m.Whole && m.Sequence >= o.last
 	o.last = max(o.last, m.Sequence)
-	t.fleet.TakeView(m.Box, ss, whole)
+	t.fleet.ReceiveView(m.Box, ss, whole)
 	if rs := readings(m); len(rs) > 0 {
 		t.fleet.TakeReadings(m.Box, rs)
 	}
