--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -476,10 +476,10 @@
 func TestReadingsOfUpstreamsThatAreNeverListedAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
-		f.TakeReadings("b", map[hollowgrade.Life]time.Duration{"gone": time.Second})
+		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"gone": time.Second})
 		require.Len(t, f.unlisted, 1)
 		time.Sleep(2 * time.Second)
-		f.TakeReadings("b", map[hollowgrade.Life]time.Duration{"another": time.Second})
+		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"another": time.Second})
 		require.Len(t, f.unlisted, 1)
 		require.Contains(t, f.unlisted, hollowgrade.Life("another"))
 	})
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -31,7 +31,7 @@
 	p = f.pick("s", placement.Request{Prompt: 100, Answer: 10, Left: time.Second}, nil)
 	require.NotNil(t, p)
 	f.ReceiveView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
-	f.TakeReadings("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
+	f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
 	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
 	m.helping(time.Now(), time.Second)
@@ -82,7 +82,7 @@
 			f.Put(later)
 			old := lifeAt(0).Life()
 			f.ReceiveView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
-			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
 			f.ReceiveAtFault("b", old, time.Second)
 			f.ReceivePace(old, 9, 0, "b", "")
 			requireFresh(t, f, later.Life())
@@ -92,7 +92,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
 			f.ReceiveView("b", map[hollowgrade.Life]Share{later.Life(): {Open: 2}}, false)
-			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.Put(later)
 			require.Equal(t, 2, f.members[later.Life()].total().Open)
 			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
@@ -101,7 +101,7 @@
 	t.Run("and as well where it says itself that it began", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
-			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.InstanceStarted("u", later.Born)
 			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
 		})
--- a/core/share.go
+++ b/core/share.go
@@ -180,7 +180,7 @@
 // process that has just started cannot derive this from shares: a restarted gateway assigned 0.9 s
 // of prefill to each of six engines that had 0.6 s left, and short answers there paused for a
 // second.
-func (f *Fleet) TakeReadings(box string, rs map[hollowgrade.Life]time.Duration) {
+func (f *Fleet) ReceivePrefillBacklogs(box string, rs map[hollowgrade.Life]time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -127,7 +127,7 @@
 	o.last = max(o.last, m.Sequence)
 	t.fleet.ReceiveView(m.Box, ss, whole)
 	if rs := readings(m); len(rs) > 0 {
-		t.fleet.TakeReadings(m.Box, rs)
+		t.fleet.ReceivePrefillBacklogs(m.Box, rs)
 	}
 	for _, c := range m.Shares {
 		if _, ok := ss[hollowgrade.Life(c.Upstream)]; ok {
