--- a/core/signals.go
+++ b/core/signals.go
@@ -52,7 +52,7 @@
 }
 
 // ReceiveLeaving applies a peer's report that an upstream signals that it is leaving.
-func (f *Fleet) TakeLeaving(box string, id hollowgrade.Life) {
+func (f *Fleet) ReceiveLeaving(box string, id hollowgrade.Life) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -125,10 +125,10 @@
 
 func TestWordsOfPeersOnUpstreamsThatAreNotListedYet(t *testing.T) {
 	for name, tell := range map[string]func(f *Fleet){
-		"that it leaves":            func(f *Fleet) { f.TakeLeaving("b", "u") },
+		"that it leaves":            func(f *Fleet) { f.ReceiveLeaving("b", "u") },
 		"that it takes no requests": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}) },
-		"both, one after the other": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}); f.TakeLeaving("b", "u") },
-		"and an older one after it": func(f *Fleet) { f.TakeLeaving("b", "u"); f.ReceiveLimit("b", "u", RateLimit{Age: time.Hour}) },
+		"both, one after the other": func(f *Fleet) { f.ReceiveLimit("b", "u", RateLimit{Named: true}); f.ReceiveLeaving("b", "u") },
+		"and an older one after it": func(f *Fleet) { f.ReceiveLeaving("b", "u"); f.ReceiveLimit("b", "u", RateLimit{Age: time.Hour}) },
 		"of a limit, told by two": func(f *Fleet) {
 			f.ReceiveLimit("b", "u", RateLimit{Named: true})
 			f.ReceiveLimit("c", "u", RateLimit{Named: true})
--- a/loadview/taker.go
+++ b/loadview/taker.go
@@ -145,7 +145,7 @@
 		t.fleet.ReceivePace(hollowgrade.Life(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
 	}
 	if c.Leaving {
-		t.fleet.TakeLeaving(box, hollowgrade.Life(c.Upstream))
+		t.fleet.ReceiveLeaving(box, hollowgrade.Life(c.Upstream))
 	}
 	if l := c.Limit; l != nil {
 		t.fleet.ReceiveLimit(box, hollowgrade.Life(c.Upstream), core.RateLimit{
