--- a/core/share.go
+++ b/core/share.go
@@ -163,7 +163,7 @@
 
 // PrefillBacklogs returns how much prefill each upstream has still to do for all processes, without
 // those that have none.
-func (f *Fleet) Readings() map[hollowgrade.Life]time.Duration {
+func (f *Fleet) PrefillBacklogs() map[hollowgrade.Life]time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -316,7 +316,7 @@
 	defer s.mu.Unlock()
 	m := s.view(l.pending, l.whole)
 	if l.first {
-		addReadings(m, s.fleet.Readings())
+		addReadings(m, s.fleet.PrefillBacklogs())
 	}
 	m.Suspicions = encodeWord(l.word, s.clock.Now())
 	l.word = quarantine.Word{}
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -205,13 +205,13 @@
 func TestAProcessThatStartsLearnsWhatUpstreamsHaveToRead(t *testing.T) {
 	a := newFleet()
 	plan(t, a)
-	before := a.Readings()["u"]
+	before := a.PrefillBacklogs()["u"]
 	require.NotZero(t, before)
 	b := newFleet()
 	run(t, a, serve(t, b))
 	requireOthers(t, b, 1)
-	require.Eventually(t, func() bool { return b.Readings()["u"] > 0 }, 20*time.Second, time.Millisecond)
-	require.LessOrEqual(t, b.Readings()["u"], before)
+	require.Eventually(t, func() bool { return b.PrefillBacklogs()["u"] > 0 }, 20*time.Second, time.Millisecond)
+	require.LessOrEqual(t, b.PrefillBacklogs()["u"], before)
 }
 
 func TestReadingsOverTheWire(t *testing.T) {
