--- a/core/flow.go
+++ b/core/flow.go
@@ -191,7 +191,7 @@
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
 		"again", p.request.Again, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.Asked), "asked_known", round(p.Known),
 		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.Backlog.Milliseconds(),
-		"slots_taken", round(p.Taken), "full", p.Full, "come_back_ms", p.ComeBack.Milliseconds(), "peers_heard", f.core.fleet.Heard())
+		"slots_taken", round(p.Taken), "full", p.Full, "come_back_ms", p.ComeBack.Milliseconds(), "peers_heard", f.core.fleet.SyncedPeers())
 	if p.Full {
 		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.ComeBack)
 	}
--- a/core/share.go
+++ b/core/share.go
@@ -199,7 +199,7 @@
 }
 
 // SyncedPeers returns the number of peers whose complete load has been received.
-func (f *Fleet) Heard() (n int) {
+func (f *Fleet) SyncedPeers() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range f.views {
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -98,7 +98,7 @@
 			s.suspend(10 * time.Second)
 			hollowgrade.Notice(s.WorldClock)
 			_ = c.Serve(context.Background(), s.call("/public/"), &fakeSink{})
-			require.Zero(t, c.Fleet().Heard())
+			require.Zero(t, c.Fleet().SyncedPeers())
 		})
 	})
 }
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -251,7 +251,7 @@
 	}
 	for _, g := range c.gateways {
 		g.waitReady(t)
-		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == gateways-1 }, 20*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return g.Core.Fleet().SyncedPeers() == gateways-1 }, 20*time.Second, 5*time.Millisecond)
 	}
 	return c
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -80,7 +80,7 @@
 		f.requireLeft(t, m)
 		g := startGateway(t, f.scene.store.Address(), nil)
 		g.waitReady(t)
-		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return g.Core.Fleet().SyncedPeers() == 2 }, 20*time.Second, 5*time.Millisecond)
 		before := len(m.Seen())
 		f.crowd.gateways = []*gateway{g}
 		f.crowd.every(time.Second, 20*time.Millisecond, f.call)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -242,7 +242,7 @@
 		f.crowd.gateways = append(f.crowd.gateways, startGateway(t, f.scene.store.Address(), nil))
 		g := f.crowd.gateways[2]
 		g.waitReady(t)
-		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return g.Core.Fleet().SyncedPeers() == 2 }, 20*time.Second, 5*time.Millisecond)
 		f.crowd.gateways = []*gateway{g}
 		f.crowd.every(4*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -64,7 +64,7 @@
 	}
 	_, confirmed := n.config.Age()
 	n.log.Info("callers are taken", "waited_ms", n.clock.Since(begin).Milliseconds(), "configuration", n.Core.Catalog() != nil, "confirmed", confirmed,
-		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().Heard(), "peers", n.members.count()-1)
+		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().SyncedPeers(), "peers", n.members.count()-1)
 }
 
 // knowsEnough reports whether all is known that the store tells. A configuration is in force a moment before it
@@ -76,5 +76,5 @@
 
 // hasHeard reports whether all other gateways have told of their load.
 func (n *GatewayNode) hasHeard() bool {
-	return n.Core.Fleet().Heard()+1 >= n.members.count()
+	return n.Core.Fleet().SyncedPeers()+1 >= n.members.count()
 }
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -162,7 +162,7 @@
 	requireOpen(t, 0, 0)
 	o := k.begin(word(2, true, 1, 1))
 	requireOpen(t, 1, 1)
-	require.Equal(t, 1, f.Heard())
+	require.Equal(t, 1, f.SyncedPeers())
 	k.take(word(5, false, 3))
 	k.take(word(4, false, 2, 2))
 	requireOpen(t, 3, 2)
