--- a/core/share.go
+++ b/core/share.go
@@ -211,7 +211,7 @@
 }
 
 // PeerShare returns the load that peers have assigned to an upstream, as they report it.
-func (f *Fleet) Others(id hollowgrade.Life) Share {
+func (f *Fleet) PeerShare(id hollowgrade.Life) Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
--- a/loadview/bench_test.go
+++ b/loadview/bench_test.go
@@ -48,13 +48,13 @@
 	g.Go(func() { s.Run(ctx) })
 	wait := func(open int) {
 		for _, f := range fs {
-			for f.Others("u").Open != open {
+			for f.PeerShare("u").Open != open {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
 	for _, f := range fs {
-		for f.Others("u").Open == 0 {
+		for f.PeerShare("u").Open == 0 {
 			p := plan(b, a)
 			a.Done(p, true)
 			q := plan(b, a)
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -93,7 +93,7 @@
 
 func requireOthers(t *testing.T, f *core.Fleet, open int) {
 	t.Helper()
-	require.Eventually(t, func() bool { return f.Others("u").Open == open }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.PeerShare("u").Open == open }, 20*time.Second, time.Millisecond)
 }
 
 func TestLoadIsToldAndForgotten(t *testing.T) {
@@ -118,7 +118,7 @@
 	requireOthers(t, b, 2)
 	own := a.Shares()["u"]
 	own.Given = own.Given.Truncate(time.Microsecond)
-	require.Equal(t, own, b.Others("u"))
+	require.Equal(t, own, b.PeerShare("u"))
 	a.Done(first, true)
 	a.Done(second, true)
 	requireOthers(t, b, 0)
@@ -154,7 +154,7 @@
 	requireOpen := func(t *testing.T, open ...int) {
 		t.Helper()
 		for i, n := range open {
-			require.Equal(t, n, f.Others(hollowgrade.Life(fmt.Sprint(i))).Open, "upstream %d", i)
+			require.Equal(t, n, f.PeerShare(hollowgrade.Life(fmt.Sprint(i))).Open, "upstream %d", i)
 		}
 	}
 	k := NewTaker(f)
