--- a/core/fleet.go
+++ b/core/fleet.go
@@ -388,7 +388,7 @@
 }
 
 // UpstreamStates returns the states of the upstreams that have an entry in shares.
-func (f *Fleet) Seen(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]Seen {
+func (f *Fleet) UpstreamStates(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]Seen {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -488,7 +488,7 @@
 // blamed returns for how long others are told to avoid upstreams.
 func blamed(f *Fleet) map[hollowgrade.Life]time.Duration {
 	bs := map[hollowgrade.Life]time.Duration{}
-	for l, s := range f.Seen(f.Shares()) {
+	for l, s := range f.UpstreamStates(f.Shares()) {
 		if s.Avoid > 0 {
 			bs[l] = s.Avoid
 		}
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -69,7 +69,7 @@
 
 // tell lets others hear a process's shares.
 func (p limitPlay) tell(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
-	seen := ps[from].fleet.Seen(cs)
+	seen := ps[from].fleet.UpstreamStates(cs)
 	var to []*Fleet
 	for i, o := range ps {
 		if i == from || p.cut && (i < len(ps)/2) != (from < len(ps)/2) || !whole && r.Float64() < p.lost {
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -93,7 +93,7 @@
 			r.set("u1", 2.7)
 			serveEngine(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
-			require.InDelta(t, 2.7, c.Fleet().Seen(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
+			require.InDelta(t, 2.7, c.Fleet().UpstreamStates(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
 			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "the others are told")
 			r.set("u1", 1)
 			time.Sleep(2 * PaceAgain)
@@ -159,7 +159,7 @@
 		f := newFleet("e", 2)
 		f.ReceivePace("u00", 4, 0, "b", "")
 		requirePace(t, f, "u00", 4)
-		for _, s := range f.Seen(map[hollowgrade.Life]Share{"u00": {}}) {
+		for _, s := range f.UpstreamStates(map[hollowgrade.Life]Share{"u00": {}}) {
 			require.Zero(t, s.Pace)
 		}
 		require.False(t, f.StillSlow("u00"), "the one that was told asks again")
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -344,7 +344,7 @@
 // view returns the body of a message.
 func (s *Sharer) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
 	m := &wire.LoadView{Box: s.box, Whole: whole, Sequence: s.sequence.Add(1)}
-	seen := s.fleet.Seen(cs)
+	seen := s.fleet.UpstreamStates(cs)
 	for id, c := range cs {
 		m.Shares = append(m.Shares, &wire.LoadShare{
 			Upstream:    string(id),
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -301,7 +301,7 @@
 	run(t, a, serve(t, b), WithPackets(p))
 	a.ReceivePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
-	for _, w := range b.Seen(map[hollowgrade.Life]core.Share{"u": {}}) {
+	for _, w := range b.UpstreamStates(map[hollowgrade.Life]core.Share{"u": {}}) {
 		require.Zero(t, w.Pace, "nobody tells on what it was told")
 	}
 	a.ReceivePace("u", 1, 0, "", "r")
