--- a/core/fleet.go
+++ b/core/fleet.go
@@ -377,7 +377,7 @@
 
 // UpstreamState is what this process knows of an upstream at first hand, besides the load that it
 // assigned.
-type Seen struct {
+type UpstreamState struct {
 	Avoid time.Duration // how long it is still to be avoided because an engine named it as at fault; 0 if none did
 	Pace  PaceTold      // its speed as reported to this process; zero if it reported none or the report has expired
 	// Limit is its newest rate limit, whichever process received it; HasLimit is false if there is
@@ -388,14 +388,14 @@
 }
 
 // UpstreamStates returns the states of the upstreams that have an entry in shares.
-func (f *Fleet) UpstreamStates(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]Seen {
+func (f *Fleet) UpstreamStates(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]UpstreamState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	ss := make(map[hollowgrade.Life]Seen, len(shares))
+	ss := make(map[hollowgrade.Life]UpstreamState, len(shares))
 	for l := range shares {
 		if m := f.members[l]; m != nil {
-			s := Seen{Avoid: max(m.blamed.Sub(now), 0), Pace: m.paceTold(now)}
+			s := UpstreamState{Avoid: max(m.blamed.Sub(now), 0), Pace: m.paceTold(now)}
 			s.Limit, s.HasLimit = m.limitTold(now)
 			s.Leaving = m.leaving
 			ss[l] = s
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -448,7 +448,7 @@
 }
 
 // encodeLimit returns what is told of the limit of an upstream, nil if there is nothing.
-func encodeLimit(s core.Seen) *wire.RateLimit {
+func encodeLimit(s core.UpstreamState) *wire.RateLimit {
 	if !s.HasLimit {
 		return nil
 	}
