--- a/core/fleet.go
+++ b/core/fleet.go
@@ -379,7 +379,7 @@
 // assigned.
 type UpstreamState struct {
 	Avoid time.Duration // how long it is still to be avoided because an engine named it as at fault; 0 if none did
-	Pace  PaceTold      // its speed as reported to this process; zero if it reported none or the report has expired
+	Pace  PaceReport    // its speed as reported to this process; zero if it reported none or the report has expired
 	// Limit is its newest rate limit, whichever process received it; HasLimit is false if there is
 	// none to report.
 	Limit    RateLimit
--- a/core/pace.go
+++ b/core/pace.go
@@ -168,12 +168,12 @@
 
 // ownPaceReport returns the speed that the engine reported to this process, until it expires.
 // Reports of peers are not passed on.
-func (m *member) paceTold(now time.Time) PaceTold {
+func (m *member) paceTold(now time.Time) PaceReport {
 	age := now.Sub(m.paceWord.at)
 	if !m.paceWord.own || age > paceAge {
-		return PaceTold{}
+		return PaceReport{}
 	}
-	return PaceTold{m.paceWord.pace, age}
+	return PaceReport{m.paceWord.pace, age}
 }
 
 // Slow returns how many upstreams are known to be slow.
@@ -190,7 +190,7 @@
 }
 
 // PaceReport is a report of an engine's speed.
-type PaceTold struct {
+type PaceReport struct {
 	Pace float64       // multiple of the published times
 	Age  time.Duration // since the engine reported it
 }
