--- a/core/core.go
+++ b/core/core.go
@@ -177,7 +177,7 @@
 	c.fleet = NewFleet(c.clock, c.log)
 	c.unproved = &unproved{clock: c.clock, losses: map[string][]unprovedLoss{}}
 	c.fleet.SetOnInstanceStart(c.begun)
-	c.fleet.SetAsker(c.askPaces)
+	c.fleet.SetPaceRequester(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
 	c.lost = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
 		quarantine.WithUpstreams(c.fleet.Count))
--- a/core/pace.go
+++ b/core/pace.go
@@ -160,7 +160,7 @@
 
 // SetPaceRequester sets the function that asks upstreams for their speed once one is found to be
 // slow. It is called without the lock.
-func (f *Fleet) SetAsker(ask func(us []hollowgrade.Upstream, why string)) {
+func (f *Fleet) SetPaceRequester(ask func(us []hollowgrade.Upstream, why string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ask = ask
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -225,7 +225,7 @@
 	i := 0
 	f.SetChance(func() float64 { i++; return float64(i%60) / 60 })
 	var asked []hollowgrade.Upstream
-	f.SetAsker(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
+	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
 	f.ReceivePace("u00", 4, 0, "b", "")
 	require.InDelta(t, 60*surveyors/10, len(asked), 2, "each of ten processes asks its part")
 	require.NotContains(t, asked, hollowgrade.Upstream{ID: "u00"}, "it has just been asked")
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -411,7 +411,7 @@
 		f.Put(hollowgrade.Upstream{ID: id, Service: service, Slots: p.file.Engines.Slots})
 	}
 	g := &gateway{fleet: f, service: core.Service{Name: service, Engine: p.file.Engines.figures()}}
-	f.SetAsker(func(us []hollowgrade.Upstream, _ string) {
+	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) {
 		for _, u := range us {
 			p.ask(g, u.ID)
 		}
