--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -179,7 +179,7 @@
 		require.NotNil(t, c.fleet.members[l])
 		require.Equal(t, 3.0, c.fleet.members[l].pace(time.Now()), "the word is of the life that said it")
 		c.fleet.Drop("u", time.Time{})
-		time.Sleep(2 * PaceAgain)
+		time.Sleep(2 * PaceRecheckInterval)
 	})
 }
 
--- a/core/pace.go
+++ b/core/pace.go
@@ -22,10 +22,10 @@
 	overdueMargin = 100 * time.Millisecond
 	// PaceRecheckInterval is the interval of requests to a slow engine, and how long an engine is
 	// not suspected after a request.
-	PaceAgain = time.Second
+	PaceRecheckInterval = time.Second
 	// paceTTL is how long a speed report is used, whichever process requested it: two of the
 	// requests that renew it may be lost. After that the published speed is assumed.
-	paceAge = 3*PaceAgain + 500*time.Millisecond
+	paceAge = 3*PaceRecheckInterval + 500*time.Millisecond
 	// slowPace is the pace from which an engine counts as slow: predictions are off by more than a
 	// tenth anyway.
 	noticeablePace = 1.1
@@ -136,7 +136,7 @@
 // survey draws this process's share of the upstreams of a service to be asked, at most once per
 // [PaceRecheckInterval]. The lock is held.
 func (f *Fleet) survey(service string, now time.Time) (us []hollowgrade.Upstream) {
-	if now.Sub(f.surveyed[service]) < PaceAgain {
+	if now.Sub(f.surveyed[service]) < PaceRecheckInterval {
 		return nil
 	}
 	f.surveyed[service] = now
@@ -155,7 +155,7 @@
 // recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
 // The lock is held.
 func (f *Fleet) askable(m *member, now time.Time) bool {
-	return f.usable(m, now) && !m.limit.named && now.Sub(m.asked) >= PaceAgain && now.Sub(m.paceWord.at) >= PaceAgain
+	return f.usable(m, now) && !m.limit.named && now.Sub(m.asked) >= PaceRecheckInterval && now.Sub(m.paceWord.at) >= PaceRecheckInterval
 }
 
 // SetPaceRequester sets the function that asks upstreams for their speed once one is found to be
@@ -229,7 +229,7 @@
 		}
 		c.fleet.ReceivePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Life()) {
-			c.clock.AfterFunc(PaceAgain, func() { c.askAgain(u, request) })
+			c.clock.AfterFunc(PaceRecheckInterval, func() { c.askAgain(u, request) })
 		}
 	}()
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -275,7 +275,7 @@
 			return
 		}
 		p.after(p.file.View.Std(), func() { p.tellPace(g, id, pace) })
-		p.after(core.PaceAgain, func() {
+		p.after(core.PaceRecheckInterval, func() {
 			if g.stillSlow(id) {
 				p.ask(g, id)
 			}
