--- a/core/fleet.go
+++ b/core/fleet.go
@@ -27,22 +27,22 @@
 
 // Share is the part of an upstream's load that one process has assigned to it.
 type Share struct {
-	Open   int              // requests in progress
-	Stakes placement.Stakes // cost of pauses that are too long for these requests
-	Given  time.Duration    // prefill time assigned since the process started
-	Tokens int              // memory that its requests occupy, in tokens
-	Sent   int              // requests sent while the upstream had a rate limit, since the process started
-	Wanted int              // like Sent, plus the requests that the limit didn't admit
+	Open    int              // requests in progress
+	Stakes  placement.Stakes // cost of pauses that are too long for these requests
+	Prefill time.Duration    // prefill time assigned since the process started
+	Tokens  int              // memory that its requests occupy, in tokens
+	Sent    int              // requests sent while the upstream had a rate limit, since the process started
+	Wanted  int              // like Sent, plus the requests that the limit didn't admit
 }
 
 // Plus returns the sum of two shares.
 func (s Share) Plus(o Share) Share {
-	return Share{s.Open + o.Open, s.Stakes.Plus(o.Stakes), s.Given + o.Given, s.Tokens + o.Tokens, s.Sent + o.Sent, s.Wanted + o.Wanted}
+	return Share{s.Open + o.Open, s.Stakes.Plus(o.Stakes), s.Prefill + o.Prefill, s.Tokens + o.Tokens, s.Sent + o.Sent, s.Wanted + o.Wanted}
 }
 
 // Minus returns s without o.
 func (s Share) Minus(o Share) Share {
-	return Share{s.Open - o.Open, s.Stakes.Minus(o.Stakes), s.Given - o.Given, s.Tokens - o.Tokens, s.Sent - o.Sent, s.Wanted - o.Wanted}
+	return Share{s.Open - o.Open, s.Stakes.Minus(o.Stakes), s.Prefill - o.Prefill, s.Tokens - o.Tokens, s.Sent - o.Sent, s.Wanted - o.Wanted}
 }
 
 // member is an upstream and its state as known to this process.
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -171,7 +171,7 @@
 		f.over(p, true)
 	}
 	for id, m := range f.members {
-		require.Equal(t, Share{Given: m.own.Given}, m.own, id)
+		require.Equal(t, Share{Prefill: m.own.Prefill}, m.own, id)
 	}
 }
 
@@ -209,7 +209,7 @@
 	p := f.pick("e", long(210_000), nil)
 	require.Len(t, p.helpers, mostHelpers)
 	require.NotContains(t, p.helpers, p.member)
-	require.Equal(t, p.member.own.Given, p.helpers[0].own.Given)
+	require.Equal(t, p.member.own.Prefill, p.helpers[0].own.Prefill)
 }
 
 // requirePacked checks that requests are on few engines, the first of the common
@@ -318,7 +318,7 @@
 		f := newFleet("e", 18)
 		f.pick("e", long(210_000), nil)
 		p := f.pick("e", short(), nil)
-		require.Less(t, p.member.own.Given, 100*time.Millisecond)
+		require.Less(t, p.member.own.Prefill, 100*time.Millisecond)
 	})
 	t.Run("parts that hold nobody up go everywhere", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -362,26 +362,26 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
 			f.ReceiveView("b", nil, true)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: 2 * time.Second}}, false)
 			require.Equal(t, 2*time.Second, f.members["u00"].reading(time.Now()))
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: 2 * time.Second}, "u01": {Open: 1, Given: time.Second}}, true)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: 2 * time.Second}, "u01": {Open: 1, Prefill: time.Second}}, true)
 			require.Equal(t, time.Second, f.members["u01"].reading(time.Now()))
 		})
 	})
 	t.Run("reading from before all was heard does not count", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, false)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {Open: 1, Given: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {Open: 1, Prefill: time.Hour}}, false)
 		require.Zero(t, f.members["u01"].reading(time.Now()))
 	})
 	t.Run("reading goes on after whoever gave it is gone", func(t *testing.T) {
 		f := newFleet("e", 1)
 		m := f.members["u00"]
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, true)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: time.Hour}}, true)
 		require.Zero(t, m.reading(time.Now()), "what was given before is not known to be unread")
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + time.Minute}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Prefill: time.Hour + time.Minute}}, false)
 		require.InDelta(t, 60, m.reading(time.Now()).Seconds(), 1)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + 40*time.Second}}, false)
+		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Prefill: time.Hour + 40*time.Second}}, false)
 		require.InDelta(t, 40, m.reading(time.Now()).Seconds(), 1, "some was taken back")
 		f.DropView("b")
 		require.Zero(t, m.total().Open)
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -25,7 +25,7 @@
 		f := newFleet("e", 17)
 		f.ReceiveView("b", nil, true)
 		for n := range 16 {
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u03": {Given: time.Duration(n+1) * time.Microsecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u03": {Prefill: time.Duration(n+1) * time.Microsecond}}, false)
 		}
 		requireHelps(t, f, "u03", 16)
 		p := f.pick("e", long(45_000), nil)
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -209,11 +209,11 @@
 	t.Run("change how long it takes for what it has still to read", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Given: 100 * time.Millisecond}}, true)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Given: 200 * time.Millisecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 100 * time.Millisecond}}, true)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 200 * time.Millisecond}}, false)
 			f.ReceivePace("u00", 4, 0, "c", "")
 			require.Equal(t, 400*time.Millisecond, f.members["u00"].reading(time.Now()))
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Given: 300 * time.Millisecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 300 * time.Millisecond}}, false)
 			require.Equal(t, 800*time.Millisecond, f.members["u00"].reading(time.Now()))
 		})
 	})
--- a/core/place.go
+++ b/core/place.go
@@ -158,7 +158,7 @@
 	d := time.Duration(passOverhead * float64(reading))
 	for _, m := range append(p.helpers, p.member) {
 		m.give(now, d)
-		f.add(m, Share{Given: d})
+		f.add(m, Share{Prefill: d})
 	}
 }
 
--- a/core/share.go
+++ b/core/share.go
@@ -135,7 +135,7 @@
 		if m.limit.named && (known || v.whole) {
 			f.hearSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
 		}
-		if more := s.Given - old.Given; (known || v.whole) && more != 0 {
+		if more := s.Prefill - old.Prefill; (known || v.whole) && more != 0 {
 			m.give(f.clock.Now(), more)
 			f.hearReading(v, m.Service, max(more, 0))
 			if more > 0 && s.Open <= old.Open {
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -350,7 +350,7 @@
 			Upstream:    string(id),
 			Open:        int32(c.Open),
 			Stakes:      encodeStakes(c.Stakes),
-			GivenMicros: c.Given.Microseconds(),
+			GivenMicros: c.Prefill.Microseconds(),
 			Tokens:      int64(c.Tokens),
 			AvoidMillis: seen[id].Avoid.Milliseconds(),
 
@@ -436,12 +436,12 @@
 	ss := make(map[hollowgrade.Life]core.Share, len(m.Shares))
 	for _, c := range m.Shares {
 		ss[hollowgrade.Life(c.Upstream)] = core.Share{
-			Open:   int(c.Open),
-			Stakes: decodeStakes(c.Stakes),
-			Given:  time.Duration(c.GivenMicros) * time.Microsecond,
-			Tokens: int(c.Tokens),
-			Sent:   int(c.Sent),
-			Wanted: int(c.Wanted),
+			Open:    int(c.Open),
+			Stakes:  decodeStakes(c.Stakes),
+			Prefill: time.Duration(c.GivenMicros) * time.Microsecond,
+			Tokens:  int(c.Tokens),
+			Sent:    int(c.Sent),
+			Wanted:  int(c.Wanted),
 		}
 	}
 	return ss
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -117,7 +117,7 @@
 	second := plan(t, a)
 	requireOthers(t, b, 2)
 	own := a.Shares()["u"]
-	own.Given = own.Given.Truncate(time.Microsecond)
+	own.Prefill = own.Prefill.Truncate(time.Microsecond)
 	require.Equal(t, own, b.PeerShare("u"))
 	a.Done(first, true)
 	a.Done(second, true)
@@ -189,7 +189,7 @@
 func TestFramesFitIntoPackets(t *testing.T) {
 	cs := map[hollowgrade.Life]core.Share{}
 	for i := range 100 {
-		cs[hollowgrade.Life(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Given: 24 * time.Hour, Tokens: 1 << 24}
+		cs[hollowgrade.Life(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Prefill: 24 * time.Hour, Tokens: 1 << 24}
 	}
 	s := New("box-of-a-long-name-in-a-data-hall/incarnation", newFleet(), func() []string { return nil })
 	told := 0
