--- a/experiment/play.go
+++ b/experiment/play.go
@@ -233,7 +233,7 @@
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
-		p.comeBack(j, d.ComeBack)
+		p.comeBack(j, d.RetryAfter)
 		return
 	}
 	p.open[j] = true
