--- a/core/plan.go
+++ b/core/plan.go
@@ -9,14 +9,14 @@
 // Plan is a fleet's decision for one call, for tools that simulate decisions without sending
 // anything.
 type Plan struct {
-	Upstream   string        // id
-	Helpers    []string      // ids of the upstreams that read parts of the prompt
-	Keepers    []string      // ids of the helpers that keep a part of the prompt in memory
-	Kept       int           // tokens at each of them
-	Hold       time.Duration // how long the sending is held back
-	Refused    bool          // it would cost other calls more than it is worth
-	Predict    time.Duration // predicted time to the first event
-	RetryAfter time.Duration // when the caller of a refused call should retry
+	Upstream       string        // id
+	Helpers        []string      // ids of the upstreams that read parts of the prompt
+	Keepers        []string      // ids of the helpers that keep a part of the prompt in memory
+	Kept           int           // tokens at each of them
+	Hold           time.Duration // how long the sending is held back
+	Refused        bool          // it would cost other calls more than it is worth
+	PredictedFirst time.Duration // predicted time to the first event
+	RetryAfter     time.Duration // when the caller of a refused call should retry
 
 	pick *pick
 }
@@ -29,9 +29,9 @@
 		return p, false
 	}
 	if x.Refused {
-		return Plan{Refused: true, Predict: x.First, RetryAfter: x.ComeBack}, true
+		return Plan{Refused: true, PredictedFirst: x.First, RetryAfter: x.ComeBack}, true
 	}
-	p = Plan{Upstream: x.member.ID, Hold: x.Hold, Predict: x.First, pick: x}
+	p = Plan{Upstream: x.member.ID, Hold: x.Hold, PredictedFirst: x.First, pick: x}
 	for _, h := range x.helpers {
 		p.Helpers = append(p.Helpers, h.ID)
 	}
--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -45,9 +45,9 @@
 			d.Helpers = ids[1:min(1+naiveHelpers, len(ids))]
 		}
 	}
-	d.Predict = n.figures.Reading(j.prompt, 1+len(d.Helpers))
+	d.PredictedFirst = n.figures.Reading(j.prompt, 1+len(d.Helpers))
 	n.open[d.Upstream]++
-	n.account(d, d.Predict)
+	n.account(d, d.PredictedFirst)
 	return d, true
 }
 
@@ -60,7 +60,7 @@
 }
 
 func (n *naive) began(d core.Plan) {
-	n.account(d, -d.Predict)
+	n.account(d, -d.PredictedFirst)
 }
 
 func (n *naive) done(d core.Plan) {
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -245,7 +245,7 @@
 		p.results = append(p.results, j.result(now))
 	}
 	p.after(d.Hold, func() { p.send(j, d) })
-	p.after(d.Hold+core.Overdue(d.Predict), func() {
+	p.after(d.Hold+core.Overdue(d.PredictedFirst), func() {
 		if p.open[j] && j.first == 0 {
 			p.suspect(g, d)
 		}
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -287,11 +287,11 @@
 // as long as an idle one does.
 func requirePredicted(t *testing.T, f *core.Fleet, times float64) {
 	t.Helper()
-	idle := plan(t, newFleet()).Predict
+	idle := plan(t, newFleet()).PredictedFirst
 	require.Eventually(t, func() bool {
 		p := plan(t, f)
 		defer f.Done(p, false)
-		return math.Abs(float64(p.Predict)/float64(idle)-times) < 0.1
+		return math.Abs(float64(p.PredictedFirst)/float64(idle)-times) < 0.1
 	}, 10*time.Second, 5*time.Millisecond)
 }
 
