--- a/core/fleet.go
+++ b/core/fleet.go
@@ -48,7 +48,7 @@
 // member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	life     hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
+	instance hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
 	own      Share            // assigned by this process
 	others   Share            // assigned by peers, as they report it
 	busy     time.Time        // when the prefill that all processes have assigned will be done
@@ -218,7 +218,7 @@
 	if !ok {
 		return
 	}
-	f.log.Info("upstream unlisted", "upstream", m.life, "service", m.Service, "may_return", !mayReturn.IsZero())
+	f.log.Info("upstream unlisted", "upstream", m.instance, "service", m.Service, "may_return", !mayReturn.IsZero())
 	if !mayReturn.IsZero() {
 		m.lapses = f.clock.Now().Add(lapseGrace)
 		if mayReturn.Before(m.lapses) {
@@ -233,7 +233,7 @@
 // lock is held.
 func (f *Fleet) beginLife(id string, l hollowgrade.Life) *member {
 	f.endLife(id)
-	m := &member{life: l, busy: f.unlisted[l]}
+	m := &member{instance: l, busy: f.unlisted[l]}
 	delete(f.unlisted, l)
 	f.members[l], f.lives[id] = m, l
 	f.sumOthers(m, l)
@@ -280,7 +280,7 @@
 	n := f.beginLife(id, u.Life())
 	n.Upstream, n.told = u, f.clock.Now()
 	f.onInstanceStart(u)
-	f.log.Info("upstream started again", "upstream", n.life, "service", u.Service, "before", m.life, "why", "it says so")
+	f.log.Info("upstream started again", "upstream", n.instance, "service", u.Service, "before", m.instance, "why", "it says so")
 }
 
 // membersOf returns the upstreams of a service, sorted by instance. The lists are rebuilt on read
@@ -307,7 +307,7 @@
 		f.services[m.Service] = append(f.services[m.Service], m)
 	}
 	for _, l := range f.services {
-		slices.SortFunc(l, func(a, b *member) int { return cmp.Compare(a.life, b.life) })
+		slices.SortFunc(l, func(a, b *member) int { return cmp.Compare(a.instance, b.instance) })
 	}
 }
 
@@ -337,7 +337,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	unusable := func(m *member) bool { return f.members[m.life] != m || !f.usable(m, now) }
+	unusable := func(m *member) bool { return f.members[m.instance] != m || !f.usable(m, now) }
 	return !unusable(p.member) && !slices.ContainsFunc(p.helpers, unusable) && f.meterLate(p, now)
 }
 
@@ -346,7 +346,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	return slices.ContainsFunc(f.of(service), func(m *member) bool { return !tried[m.life] && f.usable(m, now) })
+	return slices.ContainsFunc(f.of(service), func(m *member) bool { return !tried[m.instance] && f.usable(m, now) })
 }
 
 // failed records that an upstream failed a call, so that others are preferred for a while.
@@ -361,7 +361,7 @@
 	d := min(firstAvoid<<min(m.failures, 3), lastAvoid)
 	m.failures++
 	m.avoid = f.clock.Now().Add(d)
-	f.log.Info("upstream avoided", "upstream", m.life, "service", m.Service, "request", id, "why", why,
+	f.log.Info("upstream avoided", "upstream", m.instance, "service", m.Service, "request", id, "why", why,
 		"failures", m.failures, "for_ms", d.Milliseconds())
 }
 
--- a/core/limit.go
+++ b/core/limit.go
@@ -91,7 +91,7 @@
 		return
 	}
 	l.changed = now
-	f.log.Info("limit of upstream", "upstream", m.life, "service", m.Service, "request", request, "peer", peer,
+	f.log.Info("limit of upstream", "upstream", m.instance, "service", m.Service, "request", request, "peer", peer,
 		"age_ms", w.Age.Milliseconds(), "named", w.Named, "per_second", w.PerSecond, "was_named", l.named, "before", l.perSecond)
 	if l.named {
 		l.accrue(now, f.heardShare())
@@ -148,7 +148,7 @@
 		return true
 	}
 	m.own.Wanted++
-	f.changed[m.life] = true // sent with the next report
+	f.changed[m.instance] = true // sent with the next report
 	l.accrue(now, f.heardShare())
 	if l.allowance < 1 {
 		return false
@@ -163,7 +163,7 @@
 		return ms
 	}
 	for _, m := range ms {
-		if tried[m.life] || f.admits(m, now, begun) {
+		if tried[m.instance] || f.admits(m, now, begun) {
 			free = append(free, m)
 		}
 	}
--- a/core/pace.go
+++ b/core/pace.go
@@ -76,7 +76,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	for m, u := range p.at {
-		if f.members[m.life] == m && f.askable(m, now) {
+		if f.members[m.instance] == m && f.askable(m, now) {
 			m.asked = now
 			us = append(us, u)
 		}
--- a/core/pause.go
+++ b/core/pause.go
@@ -45,7 +45,7 @@
 func (f *Fleet) setRest(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.chance() * restSpread * float64(d))
-	f.log.Info("upstream asks for rest", "upstream", m.life, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
+	f.log.Info("upstream asks for rest", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
 		"spread_ms", spread.Milliseconds(), "before_ms", max(m.rest.until.Sub(now), 0).Milliseconds())
 	m.rest.until = hollowgrade.Later(m.rest.until, now.Add(d+spread))
 	m.rest.proving = true
@@ -60,6 +60,6 @@
 func (f *Fleet) noteAnswer(m *member, sent time.Time) {
 	if m.rest.proving && sent.After(m.rest.until) {
 		m.rest.proving = false
-		f.log.Info("upstream takes calls again after a rest", "upstream", m.life, "service", m.Service)
+		f.log.Info("upstream takes calls again after a rest", "upstream", m.instance, "service", m.Service)
 	}
 }
--- a/core/place.go
+++ b/core/place.go
@@ -126,7 +126,7 @@
 func (f *Fleet) snapshot(ms []*member, tried map[hollowgrade.Life]bool, now time.Time) placement.Snapshot {
 	f.candidates = f.candidates[:0]
 	for _, m := range ms {
-		f.candidates = append(f.candidates, m.candidate(tried[m.life], now))
+		f.candidates = append(f.candidates, m.candidate(tried[m.instance], now))
 	}
 	return placement.Snapshot{Candidates: f.candidates, Others: max(len(f.views), f.peers()), Heard: f.heardShare(), Chance: f.chance}
 }
--- a/core/share.go
+++ b/core/share.go
@@ -87,10 +87,10 @@
 
 // markChanged marks the share of an upstream to be reported to peers. The lock is held.
 func (f *Fleet) change(m *member) {
-	if f.members[m.life] != m {
+	if f.members[m.instance] != m {
 		return // an earlier instance
 	}
-	f.changed[m.life] = true
+	f.changed[m.instance] = true
 	select {
 	case f.notify <- struct{}{}:
 	default:
--- a/core/signals.go
+++ b/core/signals.go
@@ -11,7 +11,7 @@
 // lock is held.
 func (f *Fleet) takeSignals(m *member, id string, sent time.Time, s hollowgrade.Signals) {
 	if len(s.Unread) > 0 {
-		f.log.Info("signal of upstream not used", "upstream", m.life, "service", m.Service, "request", id, "headers", s.Unread)
+		f.log.Info("signal of upstream not used", "upstream", m.instance, "service", m.Service, "request", id, "headers", s.Unread)
 	}
 	if s.Foreign {
 		return
@@ -45,7 +45,7 @@
 		return
 	}
 	m.leaving = true
-	f.log.Info("upstream says that it leaves", "upstream", m.life, "service", m.Service, "request", request, "peer", peer, "listed_draining", m.Draining)
+	f.log.Info("upstream says that it leaves", "upstream", m.instance, "service", m.Service, "request", request, "peer", peer, "listed_draining", m.Draining)
 	if peer == "" {
 		f.change(m)
 	}
@@ -94,11 +94,11 @@
 
 // applyUnlistedReport applies the stored reports on an upstream when it is listed. The lock is held.
 func (f *Fleet) takeTold(m *member) {
-	t, ok := f.told[m.life]
+	t, ok := f.told[m.instance]
 	if !ok {
 		return
 	}
-	delete(f.told, m.life)
+	delete(f.told, m.instance)
 	if t.hasLimit {
 		t.limit.Age += f.clock.Since(t.at)
 		f.setLimit(m, "told before", "", t.limit)
