--- a/core/fleet.go
+++ b/core/fleet.go
@@ -102,7 +102,7 @@
 
 	mu              sync.Mutex
 	members         map[hollowgrade.Life]*member
-	lives           map[string]hollowgrade.Life // current instance of each upstream, by id
+	instances       map[string]hollowgrade.Life // current instance of each upstream, by id
 	services        map[string][]*member
 	outdated        bool                           // whether services must be rebuilt
 	unlisted        map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
@@ -136,7 +136,7 @@
 		log:             l,
 		policy:          placement.New(),
 		members:         map[hollowgrade.Life]*member{},
-		lives:           map[string]hollowgrade.Life{},
+		instances:       map[string]hollowgrade.Life{},
 		services:        map[string][]*member{},
 		unlisted:        map[hollowgrade.Life]time.Time{},
 		told:            map[hollowgrade.Life]toldWord{},
@@ -214,7 +214,7 @@
 func (f *Fleet) Drop(id string, mayReturn time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, ok := f.members[f.lives[id]]
+	m, ok := f.members[f.instances[id]]
 	if !ok {
 		return
 	}
@@ -235,7 +235,7 @@
 	f.endLife(id)
 	m := &member{instance: l, busy: f.unlisted[l]}
 	delete(f.unlisted, l)
-	f.members[l], f.lives[id] = m, l
+	f.members[l], f.instances[id] = m, l
 	f.sumOthers(m, l)
 	f.takeTold(m)
 	f.outdated = true
@@ -245,12 +245,12 @@
 // endInstance removes the current instance of an upstream. Calls in progress keep their reference to
 // the member, which nothing else reads any more. The lock is held.
 func (f *Fleet) endLife(id string) {
-	l, ok := f.lives[id]
+	l, ok := f.instances[id]
 	if !ok {
 		return
 	}
 	delete(f.members, l)
-	delete(f.lives, id)
+	delete(f.instances, id)
 	f.outdated = true
 }
 
@@ -261,7 +261,7 @@
 // entryOutdated reports whether an entry is of an earlier instance than the upstream itself has just
 // reported. The lock is held.
 func (f *Fleet) outrun(u hollowgrade.Upstream) bool {
-	m := f.members[f.lives[u.ID]]
+	m := f.members[f.instances[u.ID]]
 	return m != nil && u.Born < m.Born && !m.told.IsZero() && f.clock.Since(m.told) < entryLag
 }
 
@@ -271,7 +271,7 @@
 func (f *Fleet) InstanceStarted(id string, born int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.members[f.lives[id]]
+	m := f.members[f.instances[id]]
 	if m == nil || m.Born == 0 || born <= m.Born {
 		return
 	}
@@ -301,7 +301,7 @@
 	for l, m := range f.members {
 		if m.lapsed(now) {
 			delete(f.members, l)
-			delete(f.lives, m.ID)
+			delete(f.instances, m.ID)
 			continue
 		}
 		f.services[m.Service] = append(f.services[m.Service], m)
