--- a/core/fleet.go
+++ b/core/fleet.go
@@ -196,7 +196,7 @@
 		return
 	}
 	if !ok {
-		m = f.beginLife(u.ID, l)
+		m = f.startInstance(u.ID, l)
 	}
 	f.log.Info("upstream listed", "upstream", l, "service", u.Service, "address", u.Address, "hall", u.Hall,
 		"draining", u.Draining, "was_draining", m.Draining, "new", !ok)
@@ -231,7 +231,7 @@
 
 // startInstance adds the member for an instance of an upstream and replaces any other instance. The
 // lock is held.
-func (f *Fleet) beginLife(id string, l hollowgrade.Life) *member {
+func (f *Fleet) startInstance(id string, l hollowgrade.Life) *member {
 	f.endLife(id)
 	m := &member{instance: l, busy: f.unlisted[l]}
 	delete(f.unlisted, l)
@@ -277,7 +277,7 @@
 	}
 	u := m.Upstream
 	u.Born = born
-	n := f.beginLife(id, u.Life())
+	n := f.startInstance(id, u.Life())
 	n.Upstream, n.told = u, f.clock.Now()
 	f.onInstanceStart(u)
 	f.log.Info("upstream started again", "upstream", n.instance, "service", u.Service, "before", m.instance, "why", "it says so")
