--- a/core/fleet.go
+++ b/core/fleet.go
@@ -226,13 +226,13 @@
 		}
 		return
 	}
-	f.endLife(id)
+	f.endInstance(id)
 }
 
 // startInstance adds the member for an instance of an upstream and replaces any other instance. The
 // lock is held.
 func (f *Fleet) startInstance(id string, l hollowgrade.Life) *member {
-	f.endLife(id)
+	f.endInstance(id)
 	m := &member{instance: l, busy: f.unlisted[l]}
 	delete(f.unlisted, l)
 	f.members[l], f.instances[id] = m, l
@@ -244,7 +244,7 @@
 
 // endInstance removes the current instance of an upstream. Calls in progress keep their reference to
 // the member, which nothing else reads any more. The lock is held.
-func (f *Fleet) endLife(id string) {
+func (f *Fleet) endInstance(id string) {
 	l, ok := f.instances[id]
 	if !ok {
 		return
