--- a/core/fleet.go
+++ b/core/fleet.go
@@ -192,7 +192,7 @@
 	if ok && m.Upstream == u && m.lapses.IsZero() {
 		return
 	}
-	if !ok && f.outrun(u) {
+	if !ok && f.entryOutdated(u) {
 		return
 	}
 	if !ok {
@@ -260,7 +260,7 @@
 
 // entryOutdated reports whether an entry is of an earlier instance than the upstream itself has just
 // reported. The lock is held.
-func (f *Fleet) outrun(u hollowgrade.Upstream) bool {
+func (f *Fleet) entryOutdated(u hollowgrade.Upstream) bool {
 	m := f.members[f.instances[u.ID]]
 	return m != nil && u.Born < m.Born && !m.told.IsZero() && f.clock.Since(m.told) < entryLag
 }
