--- a/core/fleet.go
+++ b/core/fleet.go
@@ -18,7 +18,7 @@
 const (
 	// unlistedGrace is how long an upstream is kept whose entry expired while the store was
 	// unavailable: running upstreams are listed again within two seconds.
-	lapseGrace = 2 * time.Second
+	unlistedGrace = 2 * time.Second
 	// The time for which an upstream is avoided doubles with each failure in a row, within these
 	// bounds: a crash lasts some seconds, a lost connection less.
 	firstAvoid = 500 * time.Millisecond
@@ -220,7 +220,7 @@
 	}
 	f.log.Info("upstream unlisted", "upstream", m.instance, "service", m.Service, "may_return", !mayReturn.IsZero())
 	if !mayReturn.IsZero() {
-		m.lapses = f.clock.Now().Add(lapseGrace)
+		m.lapses = f.clock.Now().Add(unlistedGrace)
 		if mayReturn.Before(m.lapses) {
 			m.lapses = mayReturn
 		}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -54,7 +54,7 @@
 			f := newFleet("s", 1)
 			f.Drop("u00", time.Now().Add(time.Hour))
 			require.NotNil(t, f.pick("s", plain, none))
-			time.Sleep(lapseGrace)
+			time.Sleep(unlistedGrace)
 			require.Nil(t, f.pick("s", plain, none))
 			f.Put(hollowgrade.Upstream{ID: "u00", Service: "s", Slots: 4})
 			require.NotNil(t, f.pick("s", plain, none))
