--- a/core/fleet.go
+++ b/core/fleet.go
@@ -68,7 +68,7 @@
 	limit        rateLimit
 	rest         rest
 	leaving      bool      // by its own signal, whatever the registry says
-	lapses       time.Time // when a member without an entry is removed; zero while it is listed
+	expiresAt    time.Time // when a member without an entry is removed; zero while it is listed
 }
 
 // total returns the load that all processes have assigned to the upstream, as far as known here.
@@ -91,7 +91,7 @@
 
 // expired reports whether the upstream lost its entry and wasn't listed again in time.
 func (m *member) lapsed(now time.Time) bool {
-	return !m.lapses.IsZero() && !now.Before(m.lapses)
+	return !m.expiresAt.IsZero() && !now.Before(m.expiresAt)
 }
 
 // Fleet is the table of upstreams. It is safe for concurrent use.
@@ -189,7 +189,7 @@
 	defer f.mu.Unlock()
 	l := u.Life()
 	m, ok := f.members[l]
-	if ok && m.Upstream == u && m.lapses.IsZero() {
+	if ok && m.Upstream == u && m.expiresAt.IsZero() {
 		return
 	}
 	if !ok && f.entryOutdated(u) {
@@ -201,7 +201,7 @@
 	f.log.Info("upstream listed", "upstream", l, "service", u.Service, "address", u.Address, "hall", u.Hall,
 		"draining", u.Draining, "was_draining", m.Draining, "new", !ok)
 	m.Upstream = u
-	m.lapses = time.Time{}
+	m.expiresAt = time.Time{}
 	f.outdated = true
 	if !ok {
 		f.onInstanceStart(u)
@@ -220,9 +220,9 @@
 	}
 	f.log.Info("upstream unlisted", "upstream", m.instance, "service", m.Service, "may_return", !mayReturn.IsZero())
 	if !mayReturn.IsZero() {
-		m.lapses = f.clock.Now().Add(unlistedGrace)
-		if mayReturn.Before(m.lapses) {
-			m.lapses = mayReturn
+		m.expiresAt = f.clock.Now().Add(unlistedGrace)
+		if mayReturn.Before(m.expiresAt) {
+			m.expiresAt = mayReturn
 		}
 		return
 	}
