--- a/core/fleet.go
+++ b/core/fleet.go
@@ -90,7 +90,7 @@
 }
 
 // expired reports whether the upstream lost its entry and wasn't listed again in time.
-func (m *member) lapsed(now time.Time) bool {
+func (m *member) expired(now time.Time) bool {
 	return !m.expiresAt.IsZero() && !now.Before(m.expiresAt)
 }
 
@@ -299,7 +299,7 @@
 	f.services = map[string][]*member{}
 	now := f.clock.Now()
 	for l, m := range f.members {
-		if m.lapsed(now) {
+		if m.expired(now) {
 			delete(f.members, l)
 			delete(f.instances, m.ID)
 			continue
@@ -328,7 +328,7 @@
 
 // usable reports whether a member may get new calls. The lock is held.
 func (f *Fleet) usable(m *member, now time.Time) bool {
-	return !m.Draining && !m.leaving && !m.lapsed(now) && m.rest.over(now)
+	return !m.Draining && !m.leaving && !m.expired(now) && m.rest.over(now)
 }
 
 // stillUsable reports whether the members of an earlier pick may still get the call. It charges the
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -29,7 +29,7 @@
 	var rested time.Time // when the first pause ends
 	for _, m := range f.of(service) {
 		switch {
-		case tried[m.instance] || m.leaving || m.Draining || m.lapsed(now):
+		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.rest.over(now) || m.rest.awaited(now):
 			r.resting++
 			if e := m.rest.ends(); rested.IsZero() || e.Before(rested) {
