--- a/core/fleet.go
+++ b/core/fleet.go
@@ -21,8 +21,8 @@
 	unlistedGrace = 2 * time.Second
 	// The time for which an upstream is avoided doubles with each failure in a row, within these
 	// bounds: a crash lasts some seconds, a lost connection less.
-	firstAvoid = 500 * time.Millisecond
-	lastAvoid  = 4 * time.Second
+	minAvoid  = 500 * time.Millisecond
+	lastAvoid = 4 * time.Second
 )
 
 // Share is the part of an upstream's load that one process has assigned to it.
@@ -358,7 +358,7 @@
 
 // avoid is like failed, but the lock is held.
 func (f *Fleet) avoid(m *member, id, why string) {
-	d := min(firstAvoid<<min(m.failures, 3), lastAvoid)
+	d := min(minAvoid<<min(m.failures, 3), lastAvoid)
 	m.failures++
 	m.avoid = f.clock.Now().Add(d)
 	f.log.Info("upstream avoided", "upstream", m.instance, "service", m.Service, "request", id, "why", why,
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -109,7 +109,7 @@
 			}
 			require.Empty(t, blamed(b), "what others say is not told again")
 			require.Equal(t, "u01", b.pick("e", long(30_000), nil).member.ID)
-			time.Sleep(firstAvoid)
+			time.Sleep(minAvoid)
 			require.Empty(t, blamed(a))
 			require.False(t, time.Now().Before(b.members["u00"].avoid))
 			b.ReceiveAtFault("a", "u00", time.Hour)
@@ -139,7 +139,7 @@
 			p := f.pick("s", plain, none)
 			require.Equal(t, "u01", p.member.ID)
 			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Life]bool{"u01": true}).member.ID)
-			time.Sleep(firstAvoid)
+			time.Sleep(minAvoid)
 			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Life]bool{"u01": true}).member.ID)
 		})
 	})
