--- a/core/fleet.go
+++ b/core/fleet.go
@@ -21,8 +21,8 @@
 	unlistedGrace = 2 * time.Second
 	// The time for which an upstream is avoided doubles with each failure in a row, within these
 	// bounds: a crash lasts some seconds, a lost connection less.
-	minAvoid  = 500 * time.Millisecond
-	lastAvoid = 4 * time.Second
+	minAvoid = 500 * time.Millisecond
+	maxAvoid = 4 * time.Second
 )
 
 // Share is the part of an upstream's load that one process has assigned to it.
@@ -358,7 +358,7 @@
 
 // avoid is like failed, but the lock is held.
 func (f *Fleet) avoid(m *member, id, why string) {
-	d := min(minAvoid<<min(m.failures, 3), lastAvoid)
+	d := min(minAvoid<<min(m.failures, 3), maxAvoid)
 	m.failures++
 	m.avoid = f.clock.Now().Add(d)
 	f.log.Info("upstream avoided", "upstream", m.instance, "service", m.Service, "request", id, "why", why,
@@ -414,7 +414,7 @@
 		return
 	}
 	now := f.clock.Now()
-	until := now.Add(min(d, lastAvoid))
+	until := now.Add(min(d, maxAvoid))
 	m.avoidedByAll = until
 	if !until.After(m.avoid) || !now.Before(m.avoid) && !f.takesWord(m.Service, now) {
 		return
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -113,7 +113,7 @@
 			require.Empty(t, blamed(a))
 			require.False(t, time.Now().Before(b.members["u00"].avoid))
 			b.ReceiveAtFault("a", "u00", time.Hour)
-			time.Sleep(lastAvoid)
+			time.Sleep(maxAvoid)
 			require.False(t, time.Now().Before(b.members["u00"].avoid), "no word of a peer lasts")
 			b.ReceiveAtFault("a", "unknown", time.Hour)
 		})
@@ -121,7 +121,7 @@
 	t.Run("no more than a part of a service is avoided by the word of others", func(t *testing.T) {
 		f := newFleet("e", 30)
 		for i := range 30 {
-			f.ReceiveAtFault("a", hollowgrade.Life(fmt.Sprintf("u%02d", i)), lastAvoid)
+			f.ReceiveAtFault("a", hollowgrade.Life(fmt.Sprintf("u%02d", i)), maxAvoid)
 		}
 		avoided := 0
 		for _, m := range f.members {
