--- a/core/fleet.go
+++ b/core/fleet.go
@@ -49,7 +49,7 @@
 type member struct {
 	hollowgrade.Upstream
 	instance hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
-	own      Share            // assigned by this process
+	ownShare Share            // assigned by this process
 	others   Share            // assigned by peers, as they report it
 	busy     time.Time        // when the prefill that all processes have assigned will be done
 	parts    []time.Time      // when the parts of prompts that other engines answer will be done
@@ -73,7 +73,7 @@
 
 // total returns the load that all processes have assigned to the upstream, as far as known here.
 func (m *member) total() Share {
-	return m.own.Plus(m.others)
+	return m.ownShare.Plus(m.others)
 }
 
 // prefillBacklog returns how much prefill the upstream has still to do.
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -171,7 +171,7 @@
 		f.over(p, true)
 	}
 	for id, m := range f.members {
-		require.Equal(t, Share{Prefill: m.own.Prefill}, m.own, id)
+		require.Equal(t, Share{Prefill: m.ownShare.Prefill}, m.ownShare, id)
 	}
 }
 
@@ -209,7 +209,7 @@
 	p := f.pick("e", long(210_000), nil)
 	require.Len(t, p.helpers, mostHelpers)
 	require.NotContains(t, p.helpers, p.member)
-	require.Equal(t, p.member.own.Prefill, p.helpers[0].own.Prefill)
+	require.Equal(t, p.member.ownShare.Prefill, p.helpers[0].ownShare.Prefill)
 }
 
 // requirePacked checks that requests are on few engines, the first of the common
@@ -300,7 +300,7 @@
 			spaced(f, 20)
 			p := f.pick("e", long(210_000), nil)
 			for _, m := range append(p.helpers, p.member) {
-				require.Zero(t, m.own.Stakes.Lost(0, 300*time.Millisecond), m.ID)
+				require.Zero(t, m.ownShare.Stakes.Lost(0, 300*time.Millisecond), m.ID)
 			}
 			require.GreaterOrEqual(t, len(p.helpers), 4)
 		})
@@ -318,7 +318,7 @@
 		f := newFleet("e", 18)
 		f.pick("e", long(210_000), nil)
 		p := f.pick("e", short(), nil)
-		require.Less(t, p.member.own.Prefill, 100*time.Millisecond)
+		require.Less(t, p.member.ownShare.Prefill, 100*time.Millisecond)
 	})
 	t.Run("parts that hold nobody up go everywhere", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -407,7 +407,7 @@
 		p := f.pick("e", short(), nil)
 		<-f.Changed()
 		cs := f.Changes(false)
-		require.Equal(t, map[hollowgrade.Life]Share{p.member.Life(): p.member.own}, cs)
+		require.Equal(t, map[hollowgrade.Life]Share{p.member.Life(): p.member.ownShare}, cs)
 		require.Empty(t, f.Changes(false))
 		require.Len(t, f.Changes(true), 1)
 	})
@@ -423,7 +423,7 @@
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
 	require.True(t, p.Full)
-	require.Equal(t, Share{}, f.members["u00"].own, "nothing is accounted for")
+	require.Equal(t, Share{}, f.members["u00"].ownShare, "nothing is accounted for")
 	f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
 	require.False(t, p.Refused)
--- a/core/limit.go
+++ b/core/limit.go
@@ -147,7 +147,7 @@
 	if !l.named {
 		return true
 	}
-	m.own.Wanted++
+	m.ownShare.Wanted++
 	f.changed[m.instance] = true // sent with the next report
 	l.accrue(now, f.heardShare())
 	if l.allowance < 1 {
--- a/core/share.go
+++ b/core/share.go
@@ -53,7 +53,7 @@
 	}
 	for id := range f.changed {
 		if m := f.members[id]; m != nil {
-			cs[id] = m.own
+			cs[id] = m.ownShare
 		}
 	}
 	clear(f.changed)
@@ -72,8 +72,8 @@
 	now := f.clock.Now()
 	cs := map[hollowgrade.Life]Share{}
 	for id, m := range f.members {
-		if m.own != (Share{}) || now.Before(m.blamed) || m.paceWord.own && m.slow(now) || m.limit.tellable(now) || m.leaving {
-			cs[id] = m.own
+		if m.ownShare != (Share{}) || now.Before(m.blamed) || m.paceWord.own && m.slow(now) || m.limit.tellable(now) || m.leaving {
+			cs[id] = m.ownShare
 		}
 	}
 	return cs
@@ -81,7 +81,7 @@
 
 // add adds to the own share of an upstream. The lock is held.
 func (f *Fleet) add(m *member, s Share) {
-	m.own = m.own.Plus(s)
+	m.ownShare = m.ownShare.Plus(s)
 	f.change(m)
 }
 
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -220,7 +220,7 @@
 			p := give(f)
 			require.NotNil(t, p)
 			f.unsent(p)
-			require.Zero(t, f.members["u"].own.Sent)
+			require.Zero(t, f.members["u"].ownShare.Sent)
 			require.NotNil(t, give(f))
 		})
 	})
