--- a/core/share.go
+++ b/core/share.go
@@ -128,7 +128,7 @@
 func (f *Fleet) setView(v *view, id hollowgrade.Life, s Share) {
 	old, known := v.shares[id]
 	if m := f.members[id]; m != nil {
-		m.others = m.others.Plus(s).Minus(old)
+		m.peerShare = m.peerShare.Plus(s).Minus(old)
 		if n := s.Open - old.Open; (known || v.whole) && n > 0 {
 			f.noteOthers(m.Service, n)
 		}
@@ -149,7 +149,7 @@
 // dropShare removes one share of a view. Its prefill stays in the backlog. The lock is held.
 func (f *Fleet) forget(v *view, id hollowgrade.Life) {
 	if m := f.members[id]; m != nil {
-		m.others = m.others.Minus(v.shares[id])
+		m.peerShare = m.peerShare.Minus(v.shares[id])
 	}
 	delete(v.shares, id)
 }
@@ -157,7 +157,7 @@
 // sumPeerShares adds up the load that peers have assigned to a new member. The lock is held.
 func (f *Fleet) sumOthers(m *member, id hollowgrade.Life) {
 	for _, v := range f.views {
-		m.others = m.others.Plus(v.shares[id])
+		m.peerShare = m.peerShare.Plus(v.shares[id])
 	}
 }
 
@@ -215,7 +215,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
-		return m.others
+		return m.peerShare
 	}
 	return Share{}
 }
