--- a/core/fleet.go
+++ b/core/fleet.go
@@ -51,7 +51,7 @@
 	instance  hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
 	ownShare  Share            // assigned by this process
 	peerShare Share            // assigned by peers, as they report it
-	busy      time.Time        // when the prefill that all processes have assigned will be done
+	busyUntil time.Time        // when the prefill that all processes have assigned will be done
 	parts     []time.Time      // when the parts of prompts that other engines answer will be done
 	load      hollowgrade.UpstreamLoad
 	loadAt    time.Time
@@ -78,15 +78,15 @@
 
 // prefillBacklog returns how much prefill the upstream has still to do.
 func (m *member) reading(now time.Time) time.Duration {
-	return max(m.busy.Sub(now), 0)
+	return max(m.busyUntil.Sub(now), 0)
 }
 
 // addPrefill adds d, a time at the published speed, to the upstream's prefill backlog.
 func (m *member) give(now time.Time, d time.Duration) {
-	if m.busy.Before(now) {
-		m.busy = now
+	if m.busyUntil.Before(now) {
+		m.busyUntil = now
 	}
-	m.busy = m.busy.Add(time.Duration(m.pace(now) * float64(d)))
+	m.busyUntil = m.busyUntil.Add(time.Duration(m.pace(now) * float64(d)))
 }
 
 // expired reports whether the upstream lost its entry and wasn't listed again in time.
@@ -233,7 +233,7 @@
 // lock is held.
 func (f *Fleet) startInstance(id string, l hollowgrade.Life) *member {
 	f.endInstance(id)
-	m := &member{instance: l, busy: f.unlisted[l]}
+	m := &member{instance: l, busyUntil: f.unlisted[l]}
 	delete(f.unlisted, l)
 	f.members[l], f.instances[id] = m, l
 	f.sumOthers(m, l)
--- a/core/parts.go
+++ b/core/parts.go
@@ -14,8 +14,8 @@
 // event is predicted after first, 0 if not known. The lock is held.
 func (m *member) helping(now time.Time, first time.Duration) {
 	end := now.Add(max(partRest, first))
-	if m.busy.After(end) {
-		end = m.busy
+	if m.busyUntil.After(end) {
+		end = m.busyUntil
 	}
 	m.parts = append(slices.DeleteFunc(m.parts, func(t time.Time) bool { return !now.Before(t) }), end)
 }
--- a/core/share.go
+++ b/core/share.go
@@ -190,8 +190,8 @@
 		until := now.Add(d)
 		if m := f.members[id]; m == nil {
 			f.unlisted[id] = until
-		} else if m.busy.Before(until) {
-			m.busy = until
+		} else if m.busyUntil.Before(until) {
+			m.busyUntil = until
 			learned++
 		}
 	}
