--- a/core/parts.go
+++ b/core/parts.go
@@ -17,12 +17,12 @@
 	if m.busyUntil.After(end) {
 		end = m.busyUntil
 	}
-	m.parts = append(slices.DeleteFunc(m.parts, func(t time.Time) bool { return !now.Before(t) }), end)
+	m.partsUntil = append(slices.DeleteFunc(m.partsUntil, func(t time.Time) bool { return !now.Before(t) }), end)
 }
 
 // partCount returns how many such parts the engine is thought to hold. The lock is held.
 func (m *member) helps(now time.Time) (n int) {
-	for _, t := range m.parts {
+	for _, t := range m.partsUntil {
 		if now.Before(t) {
 			n++
 		}
