--- a/core/pace.go
+++ b/core/pace.go
@@ -77,7 +77,7 @@
 	now := f.clock.Now()
 	for m, u := range p.at {
 		if f.members[m.instance] == m && f.askable(m, now) {
-			m.asked = now
+			m.paceAskedAt = now
 			us = append(us, u)
 		}
 	}
@@ -143,7 +143,7 @@
 	part := float64(surveyors) / float64(max(len(f.views), f.peers())+1)
 	for _, m := range f.usableOf(service, now) {
 		if f.askable(m, now) && f.chance() < part {
-			m.asked = now
+			m.paceAskedAt = now
 			us = append(us, m.Upstream)
 		}
 	}
@@ -155,7 +155,7 @@
 // recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
 // The lock is held.
 func (f *Fleet) askable(m *member, now time.Time) bool {
-	return f.usable(m, now) && !m.limit.named && now.Sub(m.asked) >= PaceRecheckInterval && now.Sub(m.paceWord.at) >= PaceRecheckInterval
+	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.paceWord.at) >= PaceRecheckInterval
 }
 
 // SetPaceRequester sets the function that asks upstreams for their speed once one is found to be
