--- a/core/closing.go
+++ b/core/closing.go
@@ -105,9 +105,9 @@
 		return false
 	}
 	now := f.clock.Now()
-	m.avoid = now.Add(closingAvoid)
+	m.avoidUntil = now.Add(closingAvoid)
 	if m.avoidedByAll.Sub(now) < 2*probeAgain {
-		m.avoidedByAll, m.blamed = m.avoid, m.avoid
+		m.avoidedByAll, m.blamed = m.avoidUntil, m.avoidUntil
 		f.change(m)
 	}
 	return true
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -59,7 +59,7 @@
 	paceAskedAt time.Time // when this process last requested a speed report
 	failures    int       // consecutive failures for which it was avoided
 	errors      int       // consecutive error answers of its own
-	avoid       time.Time
+	avoidUntil  time.Time
 	heard       time.Time // when this process last received a head or an event from it
 	told        time.Time // when it reported the start of this instance itself; zero if the registry did
 	blamed      time.Time // until when peers are told to avoid it too
@@ -360,7 +360,7 @@
 func (f *Fleet) avoid(m *member, id, why string) {
 	d := min(minAvoid<<min(m.failures, 3), maxAvoid)
 	m.failures++
-	m.avoid = f.clock.Now().Add(d)
+	m.avoidUntil = f.clock.Now().Add(d)
 	f.log.Info("upstream avoided", "upstream", m.instance, "service", m.Service, "request", id, "why", why,
 		"failures", m.failures, "for_ms", d.Milliseconds())
 }
@@ -371,7 +371,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
-	m.blamed = m.avoid
+	m.blamed = m.avoidUntil
 	f.change(m)
 }
 
@@ -416,14 +416,14 @@
 	now := f.clock.Now()
 	until := now.Add(min(d, maxAvoid))
 	m.avoidedByAll = until
-	if !until.After(m.avoid) || !now.Before(m.avoid) && !f.takesWord(m.Service, now) {
+	if !until.After(m.avoidUntil) || !now.Before(m.avoidUntil) && !f.takesWord(m.Service, now) {
 		return
 	}
 	// The gateway that received the engine's answer logs this at Info; here it would be one line per
 	// peer.
 	f.log.Debug("upstream avoided", "upstream", id, "service", m.Service, "why", "named as at fault to another gateway",
 		"peer", box, "for_ms", d.Milliseconds())
-	m.avoid = until
+	m.avoidUntil = until
 }
 
 // An upstream that fails each call is never busy and would attract ever more calls. Plain services
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -81,12 +81,12 @@
 		fails := hollowgrade.Head{Status: 500}
 		f := newFleet("s", 2)
 		for n := range plainErrors {
-			require.False(t, f.members["u00"].avoid.After(time.Now()), "after %d", n)
+			require.False(t, f.members["u00"].avoidUntil.After(time.Now()), "after %d", n)
 			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
 		}
-		require.True(t, f.members["u00"].avoid.After(time.Now()))
+		require.True(t, f.members["u00"].avoidUntil.After(time.Now()))
 		f.answered(f.members["u01"], "c", true, time.Time{}, fails)
-		require.True(t, f.members["u01"].avoid.After(time.Now()), "engines do not fail by themselves")
+		require.True(t, f.members["u01"].avoidUntil.After(time.Now()), "engines do not fail by themselves")
 		f = newFleet("s", 1)
 		for range 2 * plainErrors {
 			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
@@ -94,7 +94,7 @@
 			f.answered(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 504})
 			f.answered(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 503, NotRun: true})
 		}
-		require.False(t, f.members["u00"].avoid.After(time.Now()))
+		require.False(t, f.members["u00"].avoidUntil.After(time.Now()))
 	})
 	// Found by inc-f456 of sbn-push-grown: while the store was away each of 28
 	// gateways found out for itself that four engines were leaving.
@@ -111,10 +111,10 @@
 			require.Equal(t, "u01", b.pick("e", long(30_000), nil).member.ID)
 			time.Sleep(minAvoid)
 			require.Empty(t, blamed(a))
-			require.False(t, time.Now().Before(b.members["u00"].avoid))
+			require.False(t, time.Now().Before(b.members["u00"].avoidUntil))
 			b.ReceiveAtFault("a", "u00", time.Hour)
 			time.Sleep(maxAvoid)
-			require.False(t, time.Now().Before(b.members["u00"].avoid), "no word of a peer lasts")
+			require.False(t, time.Now().Before(b.members["u00"].avoidUntil), "no word of a peer lasts")
 			b.ReceiveAtFault("a", "unknown", time.Hour)
 		})
 	})
@@ -125,7 +125,7 @@
 		}
 		avoided := 0
 		for _, m := range f.members {
-			if time.Now().Before(m.avoid) {
+			if time.Now().Before(m.avoidUntil) {
 				avoided++
 			}
 		}
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -79,7 +79,7 @@
 			m.give(now, time.Duration(r.IntN(2500))*time.Millisecond)
 		}
 		if r.IntN(12) == 0 {
-			m.avoid = now.Add(time.Second)
+			m.avoidUntil = now.Add(time.Second)
 		}
 		if r.IntN(4) == 0 {
 			m.load, m.loadAt = hollowgrade.UpstreamLoad{Running: r.IntN(6), Waiting: r.IntN(3)}, now
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -50,7 +50,7 @@
 	require.Zero(t, m.reading(now))
 	require.Zero(t, m.helps(now))
 	require.Equal(t, 1.0, m.pace(now))
-	require.False(t, now.Before(m.avoid))
+	require.False(t, now.Before(m.avoidUntil))
 	require.Zero(t, m.load)
 	require.Empty(t, blamed(f))
 	require.Len(t, f.of("s"), 1)
--- a/core/parts.go
+++ b/core/parts.go
@@ -42,7 +42,7 @@
 	ms := f.of(service)
 	avoided := 0
 	for _, m := range ms {
-		if now.Before(m.avoid) {
+		if now.Before(m.avoidUntil) {
 			avoided++
 		}
 	}
--- a/core/place.go
+++ b/core/place.go
@@ -142,7 +142,7 @@
 		Reading: m.reading(now),
 		Pace:    m.pace(now),
 		Helps:   m.helps(now),
-		Avoided: now.Before(m.avoid),
+		Avoided: now.Before(m.avoidUntil),
 		Tried:   tried,
 		Limited: m.limit.named,
 	}
