--- a/core/closing.go
+++ b/core/closing.go
@@ -117,7 +117,7 @@
 func (f *Fleet) heard(m *member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.heard = f.clock.Now()
+	m.lastActivity = f.clock.Now()
 }
 
 // lastActivity returns when an instance of an upstream last sent something, zero if it hasn't.
@@ -125,7 +125,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[l]; m != nil {
-		t = m.heard
+		t = m.lastActivity
 	}
 	return t
 }
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -48,21 +48,21 @@
 // member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	instance    hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
-	ownShare    Share            // assigned by this process
-	peerShare   Share            // assigned by peers, as they report it
-	busyUntil   time.Time        // when the prefill that all processes have assigned will be done
-	partsUntil  []time.Time      // when the parts of prompts that other engines answer will be done
-	load        hollowgrade.UpstreamLoad
-	loadAt      time.Time
-	paceWord    paceWord  // last reported speed
-	paceAskedAt time.Time // when this process last requested a speed report
-	failures    int       // consecutive failures for which it was avoided
-	errors      int       // consecutive error answers of its own
-	avoidUntil  time.Time
-	heard       time.Time // when this process last received a head or an event from it
-	told        time.Time // when it reported the start of this instance itself; zero if the registry did
-	blamed      time.Time // until when peers are told to avoid it too
+	instance     hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
+	ownShare     Share            // assigned by this process
+	peerShare    Share            // assigned by peers, as they report it
+	busyUntil    time.Time        // when the prefill that all processes have assigned will be done
+	partsUntil   []time.Time      // when the parts of prompts that other engines answer will be done
+	load         hollowgrade.UpstreamLoad
+	loadAt       time.Time
+	paceWord     paceWord  // last reported speed
+	paceAskedAt  time.Time // when this process last requested a speed report
+	failures     int       // consecutive failures for which it was avoided
+	errors       int       // consecutive error answers of its own
+	avoidUntil   time.Time
+	lastActivity time.Time // when this process last received a head or an event from it
+	told         time.Time // when it reported the start of this instance itself; zero if the registry did
+	blamed       time.Time // until when peers are told to avoid it too
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAll time.Time
 	limit        rateLimit
@@ -438,7 +438,7 @@
 func (f *Fleet) answered(m *member, id string, engine bool, sent time.Time, h hollowgrade.Head) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.heard = f.clock.Now()
+	m.lastActivity = f.clock.Now()
 	f.takeSignals(m, id, sent, h.Signals)
 	if !h.NotRun && !h.Signals.Foreign {
 		f.noteAnswer(m, sent)
