--- a/core/fleet.go
+++ b/core/fleet.go
@@ -48,21 +48,21 @@
 // member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	instance     hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
-	ownShare     Share            // assigned by this process
-	peerShare    Share            // assigned by peers, as they report it
-	busyUntil    time.Time        // when the prefill that all processes have assigned will be done
-	partsUntil   []time.Time      // when the parts of prompts that other engines answer will be done
-	load         hollowgrade.UpstreamLoad
-	loadAt       time.Time
-	paceWord     paceWord  // last reported speed
-	paceAskedAt  time.Time // when this process last requested a speed report
-	failures     int       // consecutive failures for which it was avoided
-	errors       int       // consecutive error answers of its own
-	avoidUntil   time.Time
-	lastActivity time.Time // when this process last received a head or an event from it
-	told         time.Time // when it reported the start of this instance itself; zero if the registry did
-	blamed       time.Time // until when peers are told to avoid it too
+	instance        hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
+	ownShare        Share            // assigned by this process
+	peerShare       Share            // assigned by peers, as they report it
+	busyUntil       time.Time        // when the prefill that all processes have assigned will be done
+	partsUntil      []time.Time      // when the parts of prompts that other engines answer will be done
+	load            hollowgrade.UpstreamLoad
+	loadAt          time.Time
+	paceWord        paceWord  // last reported speed
+	paceAskedAt     time.Time // when this process last requested a speed report
+	failures        int       // consecutive failures for which it was avoided
+	errors          int       // consecutive error answers of its own
+	avoidUntil      time.Time
+	lastActivity    time.Time // when this process last received a head or an event from it
+	startReportedAt time.Time // when it reported the start of this instance itself; zero if the registry did
+	blamed          time.Time // until when peers are told to avoid it too
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAll time.Time
 	limit        rateLimit
@@ -262,7 +262,7 @@
 // reported. The lock is held.
 func (f *Fleet) entryOutdated(u hollowgrade.Upstream) bool {
 	m := f.members[f.instances[u.ID]]
-	return m != nil && u.Born < m.Born && !m.told.IsZero() && f.clock.Since(m.told) < entryLag
+	return m != nil && u.Born < m.Born && !m.startReportedAt.IsZero() && f.clock.Since(m.startReportedAt) < entryLag
 }
 
 // InstanceStarted records the start time, in Unix ms, that an upstream reports of its current
@@ -278,7 +278,7 @@
 	u := m.Upstream
 	u.Born = born
 	n := f.startInstance(id, u.Life())
-	n.Upstream, n.told = u, f.clock.Now()
+	n.Upstream, n.startReportedAt = u, f.clock.Now()
 	f.onInstanceStart(u)
 	f.log.Info("upstream started again", "upstream", n.instance, "service", u.Service, "before", m.instance, "why", "it says so")
 }
