--- a/core/closing.go
+++ b/core/closing.go
@@ -107,7 +107,7 @@
 	now := f.clock.Now()
 	m.avoidUntil = now.Add(closingAvoid)
 	if m.avoidedByAll.Sub(now) < 2*probeAgain {
-		m.avoidedByAll, m.blamed = m.avoidUntil, m.avoidUntil
+		m.avoidedByAll, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
 		f.change(m)
 	}
 	return true
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -48,21 +48,21 @@
 // member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	instance        hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
-	ownShare        Share            // assigned by this process
-	peerShare       Share            // assigned by peers, as they report it
-	busyUntil       time.Time        // when the prefill that all processes have assigned will be done
-	partsUntil      []time.Time      // when the parts of prompts that other engines answer will be done
-	load            hollowgrade.UpstreamLoad
-	loadAt          time.Time
-	paceWord        paceWord  // last reported speed
-	paceAskedAt     time.Time // when this process last requested a speed report
-	failures        int       // consecutive failures for which it was avoided
-	errors          int       // consecutive error answers of its own
-	avoidUntil      time.Time
-	lastActivity    time.Time // when this process last received a head or an event from it
-	startReportedAt time.Time // when it reported the start of this instance itself; zero if the registry did
-	blamed          time.Time // until when peers are told to avoid it too
+	instance          hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
+	ownShare          Share            // assigned by this process
+	peerShare         Share            // assigned by peers, as they report it
+	busyUntil         time.Time        // when the prefill that all processes have assigned will be done
+	partsUntil        []time.Time      // when the parts of prompts that other engines answer will be done
+	load              hollowgrade.UpstreamLoad
+	loadAt            time.Time
+	paceWord          paceWord  // last reported speed
+	paceAskedAt       time.Time // when this process last requested a speed report
+	failures          int       // consecutive failures for which it was avoided
+	errors            int       // consecutive error answers of its own
+	avoidUntil        time.Time
+	lastActivity      time.Time // when this process last received a head or an event from it
+	startReportedAt   time.Time // when it reported the start of this instance itself; zero if the registry did
+	publishAvoidUntil time.Time // until when peers are told to avoid it too
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAll time.Time
 	limit        rateLimit
@@ -371,7 +371,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
-	m.blamed = m.avoidUntil
+	m.publishAvoidUntil = m.avoidUntil
 	f.change(m)
 }
 
@@ -395,7 +395,7 @@
 	ss := make(map[hollowgrade.Life]UpstreamState, len(shares))
 	for l := range shares {
 		if m := f.members[l]; m != nil {
-			s := UpstreamState{Avoid: max(m.blamed.Sub(now), 0), Pace: m.paceTold(now)}
+			s := UpstreamState{Avoid: max(m.publishAvoidUntil.Sub(now), 0), Pace: m.paceTold(now)}
 			s.Limit, s.HasLimit = m.limitTold(now)
 			s.Leaving = m.leaving
 			ss[l] = s
