--- a/core/closing.go
+++ b/core/closing.go
@@ -106,8 +106,8 @@
 	}
 	now := f.clock.Now()
 	m.avoidUntil = now.Add(closingAvoid)
-	if m.avoidedByAll.Sub(now) < 2*probeAgain {
-		m.avoidedByAll, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
+	if m.avoidedByAllUntil.Sub(now) < 2*probeAgain {
+		m.avoidedByAllUntil, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
 		f.change(m)
 	}
 	return true
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -64,11 +64,11 @@
 	startReportedAt   time.Time // when it reported the start of this instance itself; zero if the registry did
 	publishAvoidUntil time.Time // until when peers are told to avoid it too
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
-	avoidedByAll time.Time
-	limit        rateLimit
-	rest         rest
-	leaving      bool      // by its own signal, whatever the registry says
-	expiresAt    time.Time // when a member without an entry is removed; zero while it is listed
+	avoidedByAllUntil time.Time
+	limit             rateLimit
+	rest              rest
+	leaving           bool      // by its own signal, whatever the registry says
+	expiresAt         time.Time // when a member without an entry is removed; zero while it is listed
 }
 
 // total returns the load that all processes have assigned to the upstream, as far as known here.
@@ -415,7 +415,7 @@
 	}
 	now := f.clock.Now()
 	until := now.Add(min(d, maxAvoid))
-	m.avoidedByAll = until
+	m.avoidedByAllUntil = until
 	if !until.After(m.avoidUntil) || !now.Before(m.avoidUntil) && !f.takesWord(m.Service, now) {
 		return
 	}
