--- a/core/pace.go
+++ b/core/pace.go
@@ -46,7 +46,7 @@
 }
 
 // knownPace is a speed report of an engine.
-type paceWord struct {
+type knownPace struct {
 	pace float64   // multiple of the published times
 	at   time.Time // when the engine reported it
 	own  bool      // whether this process requested it
@@ -116,7 +116,7 @@
 		return nil
 	}
 	before, was := m.pace(now), m.slow(now)
-	m.paceWord = paceWord{min(max(pace, 1), mostPace), at, box == ""}
+	m.paceWord = knownPace{min(max(pace, 1), mostPace), at, box == ""}
 	after := m.pace(now)
 	// The remaining backlog takes longer or shorter in proportion.
 	m.busyUntil = now.Add(time.Duration(float64(m.reading(now)) * after / before))
