--- a/core/fleet.go
+++ b/core/fleet.go
@@ -55,7 +55,7 @@
 	partsUntil        []time.Time      // when the parts of prompts that other engines answer will be done
 	load              hollowgrade.UpstreamLoad
 	loadAt            time.Time
-	paceWord          knownPace // last reported speed
+	knownPace         knownPace // last reported speed
 	paceAskedAt       time.Time // when this process last requested a speed report
 	failures          int       // consecutive failures for which it was avoided
 	errors            int       // consecutive error answers of its own
--- a/core/pace.go
+++ b/core/pace.go
@@ -54,10 +54,10 @@
 
 // pace returns the upstream's times as a multiple of the published ones, as far as known.
 func (m *member) pace(now time.Time) float64 {
-	if m.paceWord.pace == 0 || now.Sub(m.paceWord.at) > paceAge {
+	if m.knownPace.pace == 0 || now.Sub(m.knownPace.at) > paceAge {
 		return 1
 	}
-	return m.paceWord.pace
+	return m.knownPace.pace
 }
 
 // slow reports whether the upstream is known to be slow.
@@ -91,7 +91,7 @@
 	defer f.mu.Unlock()
 	m := f.members[id]
 	now := f.clock.Now()
-	return m != nil && f.usable(m, now) && !m.limit.named && m.paceWord.own && m.slow(now)
+	return m != nil && f.usable(m, now) && !m.limit.named && m.knownPace.own && m.slow(now)
 }
 
 // ReceivePace applies a report of an engine's pace, a multiple of the published times, of the given
@@ -112,11 +112,11 @@
 	m := f.members[id]
 	now := f.clock.Now()
 	at := now.Add(-max(age, 0)) // a report from the future would outlast all later ones
-	if m == nil || pace <= 0 || math.IsNaN(pace) || !at.After(m.paceWord.at) {
+	if m == nil || pace <= 0 || math.IsNaN(pace) || !at.After(m.knownPace.at) {
 		return nil
 	}
 	before, was := m.pace(now), m.slow(now)
-	m.paceWord = knownPace{min(max(pace, 1), mostPace), at, box == ""}
+	m.knownPace = knownPace{min(max(pace, 1), mostPace), at, box == ""}
 	after := m.pace(now)
 	// The remaining backlog takes longer or shorter in proportion.
 	m.busyUntil = now.Add(time.Duration(float64(m.reading(now)) * after / before))
@@ -155,7 +155,7 @@
 // recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
 // The lock is held.
 func (f *Fleet) askable(m *member, now time.Time) bool {
-	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.paceWord.at) >= PaceRecheckInterval
+	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.knownPace.at) >= PaceRecheckInterval
 }
 
 // SetPaceRequester sets the function that asks upstreams for their speed once one is found to be
@@ -169,11 +169,11 @@
 // ownPaceReport returns the speed that the engine reported to this process, until it expires.
 // Reports of peers are not passed on.
 func (m *member) paceTold(now time.Time) PaceReport {
-	age := now.Sub(m.paceWord.at)
-	if !m.paceWord.own || age > paceAge {
+	age := now.Sub(m.knownPace.at)
+	if !m.knownPace.own || age > paceAge {
 		return PaceReport{}
 	}
-	return PaceReport{m.paceWord.pace, age}
+	return PaceReport{m.knownPace.pace, age}
 }
 
 // Slow returns how many upstreams are known to be slow.
