--- a/core/fleet.go
+++ b/core/fleet.go
@@ -395,7 +395,7 @@
 	ss := make(map[hollowgrade.Life]UpstreamState, len(shares))
 	for l := range shares {
 		if m := f.members[l]; m != nil {
-			s := UpstreamState{Avoid: max(m.publishAvoidUntil.Sub(now), 0), Pace: m.paceTold(now)}
+			s := UpstreamState{Avoid: max(m.publishAvoidUntil.Sub(now), 0), Pace: m.ownPaceReport(now)}
 			s.Limit, s.HasLimit = m.limitTold(now)
 			s.Leaving = m.leaving
 			ss[l] = s
--- a/core/pace.go
+++ b/core/pace.go
@@ -168,7 +168,7 @@
 
 // ownPaceReport returns the speed that the engine reported to this process, until it expires.
 // Reports of peers are not passed on.
-func (m *member) paceTold(now time.Time) PaceReport {
+func (m *member) ownPaceReport(now time.Time) PaceReport {
 	age := now.Sub(m.knownPace.at)
 	if !m.knownPace.own || age > paceAge {
 		return PaceReport{}
