--- a/core/fleet.go
+++ b/core/fleet.go
@@ -396,7 +396,7 @@
 	for l := range shares {
 		if m := f.members[l]; m != nil {
 			s := UpstreamState{Avoid: max(m.publishAvoidUntil.Sub(now), 0), Pace: m.ownPaceReport(now)}
-			s.Limit, s.HasLimit = m.limitTold(now)
+			s.Limit, s.HasLimit = m.limitReport(now)
 			s.Leaving = m.leaving
 			ss[l] = s
 		}
--- a/core/limit.go
+++ b/core/limit.go
@@ -125,7 +125,7 @@
 }
 
 // limitReport returns the limit to report to peers; false if there is none.
-func (m *member) limitTold(now time.Time) (w RateLimit, ok bool) {
+func (m *member) limitReport(now time.Time) (w RateLimit, ok bool) {
 	if !m.limit.tellable(now) {
 		return w, false
 	}
