--- a/core/core_test.go
+++ b/core/core_test.go
@@ -244,7 +244,7 @@
 			c.Fleet().Put(hollowgrade.Upstream{ID: id, Service: "e", Address: id + ":1"})
 		}
 		for _, m := range c.fleet.members {
-			m.give(time.Now(), 500*time.Millisecond)
+			m.addPrefill(time.Now(), 500*time.Millisecond)
 		}
 		go func() {
 			time.Sleep(100 * time.Millisecond)
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -82,7 +82,7 @@
 }
 
 // addPrefill adds d, a time at the published speed, to the upstream's prefill backlog.
-func (m *member) give(now time.Time, d time.Duration) {
+func (m *member) addPrefill(now time.Time, d time.Duration) {
 	if m.busyUntil.Before(now) {
 		m.busyUntil = now
 	}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -433,7 +433,7 @@
 func TestLongPromptsThatCostOthersMore(t *testing.T) {
 	fill := func(f *Fleet, d time.Duration) {
 		for _, m := range f.members {
-			m.give(time.Now(), d)
+			m.addPrefill(time.Now(), d)
 		}
 	}
 	refused := func(d placement.Request, backlog time.Duration) bool {
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -76,7 +76,7 @@
 		}
 		f.setView(f.views["b"], m.Life(), s)
 		if r.Float64() < busy {
-			m.give(now, time.Duration(r.IntN(2500))*time.Millisecond)
+			m.addPrefill(now, time.Duration(r.IntN(2500))*time.Millisecond)
 		}
 		if r.IntN(12) == 0 {
 			m.avoidUntil = now.Add(time.Second)
--- a/core/place.go
+++ b/core/place.go
@@ -157,7 +157,7 @@
 func (f *Fleet) give(p *pick, now time.Time, reading time.Duration) {
 	d := time.Duration(passOverhead * float64(reading))
 	for _, m := range append(p.helpers, p.member) {
-		m.give(now, d)
+		m.addPrefill(now, d)
 		f.add(m, Share{Prefill: d})
 	}
 }
--- a/core/share.go
+++ b/core/share.go
@@ -136,7 +136,7 @@
 			f.hearSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
 		}
 		if more := s.Prefill - old.Prefill; (known || v.whole) && more != 0 {
-			m.give(f.clock.Now(), more)
+			m.addPrefill(f.clock.Now(), more)
 			f.hearReading(v, m.Service, max(more, 0))
 			if more > 0 && s.Open <= old.Open {
 				m.helping(f.clock.Now(), 0)
