--- a/core/fleet.go
+++ b/core/fleet.go
@@ -77,7 +77,7 @@
 }
 
 // prefillBacklog returns how much prefill the upstream has still to do.
-func (m *member) reading(now time.Time) time.Duration {
+func (m *member) prefillBacklog(now time.Time) time.Duration {
 	return max(m.busyUntil.Sub(now), 0)
 }
 
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -47,7 +47,7 @@
 	require.NotNil(t, m, "the life that is known is another")
 	now := time.Now()
 	require.Equal(t, Share{}, m.total())
-	require.Zero(t, m.reading(now))
+	require.Zero(t, m.prefillBacklog(now))
 	require.Zero(t, m.helps(now))
 	require.Equal(t, 1.0, m.pace(now))
 	require.False(t, now.Before(m.avoidUntil))
@@ -95,7 +95,7 @@
 			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.Put(later)
 			require.Equal(t, 2, f.members[later.Life()].total().Open)
-			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
+			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
 		})
 	})
 	t.Run("and as well where it says itself that it began", func(t *testing.T) {
@@ -103,7 +103,7 @@
 			f, _ := used(t)
 			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.InstanceStarted("u", later.Born)
-			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
+			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
 		})
 	})
 	t.Run("calls of the life before end without a trace, and are not sent to the next", func(t *testing.T) {
--- a/core/pace.go
+++ b/core/pace.go
@@ -119,7 +119,7 @@
 	m.knownPace = knownPace{min(max(pace, 1), mostPace), at, box == ""}
 	after := m.pace(now)
 	// The remaining backlog takes longer or shorter in proportion.
-	m.busyUntil = now.Add(time.Duration(float64(m.reading(now)) * after / before))
+	m.busyUntil = now.Add(time.Duration(float64(m.prefillBacklog(now)) * after / before))
 	if box == "" && (was || m.slow(now)) {
 		f.change(m)
 	}
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -212,9 +212,9 @@
 			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 100 * time.Millisecond}}, true)
 			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 200 * time.Millisecond}}, false)
 			f.ReceivePace("u00", 4, 0, "c", "")
-			require.Equal(t, 400*time.Millisecond, f.members["u00"].reading(time.Now()))
+			require.Equal(t, 400*time.Millisecond, f.members["u00"].prefillBacklog(time.Now()))
 			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 300 * time.Millisecond}}, false)
-			require.Equal(t, 800*time.Millisecond, f.members["u00"].reading(time.Now()))
+			require.Equal(t, 800*time.Millisecond, f.members["u00"].prefillBacklog(time.Now()))
 		})
 	})
 }
--- a/core/place.go
+++ b/core/place.go
@@ -139,7 +139,7 @@
 		Open:    t.Open,
 		Tokens:  t.Tokens,
 		Stakes:  t.Stakes,
-		Reading: m.reading(now),
+		Reading: m.prefillBacklog(now),
 		Pace:    m.pace(now),
 		Helps:   m.helps(now),
 		Avoided: now.Before(m.avoidUntil),
--- a/core/share.go
+++ b/core/share.go
@@ -169,7 +169,7 @@
 	now := f.clock.Now()
 	rs := map[hollowgrade.Life]time.Duration{}
 	for id, m := range f.members {
-		if d := m.reading(now); d > 0 {
+		if d := m.prefillBacklog(now); d > 0 {
 			rs[id] = d
 		}
 	}
