--- a/core/fleet.go
+++ b/core/fleet.go
@@ -283,10 +283,10 @@
 	f.log.Info("upstream started again", "upstream", n.instance, "service", u.Service, "before", m.instance, "why", "it says so")
 }
 
-// membersOf returns the upstreams of a service, sorted by instance. The lists are rebuilt on read
-// instead of on each change, because a process learns of thousands of upstreams at once when it
+// membersOf returns the upstreams membersOf a service, sorted by instance. The lists are rebuilt on read
+// instead membersOf on each change, because a process learns membersOf thousands membersOf upstreams at once when it
 // starts. The lock is held.
-func (f *Fleet) of(service string) []*member {
+func (f *Fleet) membersOf(service string) []*member {
 	if f.outdated {
 		f.rebuild()
 	}
@@ -323,7 +323,7 @@
 func (f *Fleet) Count(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.of(service))
+	return len(f.membersOf(service))
 }
 
 // usable reports whether a member may get new calls. The lock is held.
@@ -346,7 +346,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	return slices.ContainsFunc(f.of(service), func(m *member) bool { return !tried[m.instance] && f.usable(m, now) })
+	return slices.ContainsFunc(f.membersOf(service), func(m *member) bool { return !tried[m.instance] && f.usable(m, now) })
 }
 
 // failed records that an upstream failed a call, so that others are preferred for a while.
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -53,7 +53,7 @@
 	require.False(t, now.Before(m.avoidUntil))
 	require.Zero(t, m.load)
 	require.Empty(t, blamed(f))
-	require.Len(t, f.of("s"), 1)
+	require.Len(t, f.membersOf("s"), 1)
 }
 
 func TestUpstreamThatStartsAgain(t *testing.T) {
--- a/core/parts.go
+++ b/core/parts.go
@@ -39,7 +39,7 @@
 // mayAvoidForPeer reports whether one more upstream of a service may be avoided because a peer
 // reports it. The lock is held.
 func (f *Fleet) takesWord(service string, now time.Time) bool {
-	ms := f.of(service)
+	ms := f.membersOf(service)
 	avoided := 0
 	for _, m := range ms {
 		if now.Before(m.avoidUntil) {
--- a/core/place.go
+++ b/core/place.go
@@ -113,7 +113,7 @@
 // usableMembers returns the upstreams of a service that may get a call now, in an order that all
 // processes share. The lock is held.
 func (f *Fleet) usableOf(service string, now time.Time) (ms []*member) {
-	for _, m := range f.of(service) {
+	for _, m := range f.membersOf(service) {
 		if f.usable(m, now) && !m.rest.awaited(now) {
 			ms = append(ms, m)
 		}
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -27,7 +27,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	var rested time.Time // when the first pause ends
-	for _, m := range f.of(service) {
+	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.rest.over(now) || m.rest.awaited(now):
