--- a/core/pace.go
+++ b/core/pace.go
@@ -141,7 +141,7 @@
 	}
 	f.surveyed[service] = now
 	part := float64(surveyors) / float64(max(len(f.views), f.peers())+1)
-	for _, m := range f.usableOf(service, now) {
+	for _, m := range f.usableMembers(service, now) {
 		if f.askable(m, now) && f.chance() < part {
 			m.paceAskedAt = now
 			us = append(us, m.Upstream)
--- a/core/place.go
+++ b/core/place.go
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	f.expireViews(now)
-	ms := f.within(f.usableOf(service, now), tried, now, r.Begun)
+	ms := f.within(f.usableMembers(service, now), tried, now, r.Begun)
 	s := f.snapshot(ms, tried, now)
 	s.Unheard = f.unheard(service, now)
 	if r.Long() {
@@ -112,7 +112,7 @@
 
 // usableMembers returns the upstreams of a service that may get a call now, in an order that all
 // processes share. The lock is held.
-func (f *Fleet) usableOf(service string, now time.Time) (ms []*member) {
+func (f *Fleet) usableMembers(service string, now time.Time) (ms []*member) {
 	for _, m := range f.membersOf(service) {
 		if f.usable(m, now) && !m.rest.awaited(now) {
 			ms = append(ms, m)
