--- a/core/fleet.go
+++ b/core/fleet.go
@@ -342,7 +342,7 @@
 }
 
 // hasUntried reports whether a service has a usable upstream that hasn't been tried.
-func (f *Fleet) another(service string, tried map[hollowgrade.Life]bool) bool {
+func (f *Fleet) hasUntried(service string, tried map[hollowgrade.Life]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -121,9 +121,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, p := used(t)
 			tried := map[hollowgrade.Life]bool{p.member.Life(): true}
-			require.False(t, f.another("s", tried))
+			require.False(t, f.hasUntried("s", tried))
 			f.Put(later)
-			require.True(t, f.another("s", tried))
+			require.True(t, f.hasUntried("s", tried))
 		})
 	})
 	t.Run("a start that lay in the future does no harm", func(t *testing.T) {
