--- a/core/exchange.go
+++ b/core/exchange.go
@@ -154,7 +154,7 @@
 func (a *attempt) blame() {
 	for m, u := range a.pick.at {
 		if a.head.AtFault == u.ID || a.head.AtFault == u.Address {
-			a.flow.core.fleet.blame(m, a.flow.call.ID, fmt.Sprintf("named by %s as at fault for status %d", a.pick.upstream().ID, a.head.Status))
+			a.flow.core.fleet.markAtFault(m, a.flow.call.ID, fmt.Sprintf("named by %s as at fault for status %d", a.pick.upstream().ID, a.head.Status))
 		}
 	}
 }
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -367,7 +367,7 @@
 
 // markAtFault records that an engine named a member as at fault for not taking a call. This concerns
 // every process, so peers are told.
-func (f *Fleet) blame(m *member, id, why string) {
+func (f *Fleet) markAtFault(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -101,7 +101,7 @@
 	t.Run("one that an engine named as at fault is avoided by others too, for as long", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := newFleet("e", 2), newFleet("e", 2)
-			a.blame(a.members["u00"], "c", "named by u01")
+			a.markAtFault(a.members["u00"], "c", "named by u01")
 			<-a.Changed()
 			require.Contains(t, a.Changes(false), hollowgrade.Life("u00"))
 			for id, d := range blamed(a) {
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -36,7 +36,7 @@
 	m := f.members[l]
 	m.helping(time.Now(), time.Second)
 	f.answered(m, "r", true, time.Time{}, hollowgrade.Head{Status: 500, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 3}})
-	f.blame(m, "r", "named as at fault")
+	f.markAtFault(m, "r", "named as at fault")
 	return f, p
 }
 
