--- a/core/exchange.go
+++ b/core/exchange.go
@@ -123,7 +123,7 @@
 func (a *attempt) whole(x hollowgrade.Exchange) error {
 	f := a.flow
 	if a.head.NotRun {
-		a.blame()
+		a.markAtFault()
 		return fault.New(fault.Overloaded, "upstream %s did not take the call, status %d", a.pick.upstream().ID, a.head.Status).
 			WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetry)
 	}
@@ -151,7 +151,7 @@
 
 // markAtFault has other upstreams preferred to the one that the answer names as the reason why the
 // call was not taken: the one that answered, or a helper that is gone, draining or full.
-func (a *attempt) blame() {
+func (a *attempt) markAtFault() {
 	for m, u := range a.pick.at {
 		if a.head.AtFault == u.ID || a.head.AtFault == u.Address {
 			a.flow.core.fleet.markAtFault(m, a.flow.call.ID, fmt.Sprintf("named by %s as at fault for status %d", a.pick.upstream().ID, a.head.Status))
