--- a/core/fleet.go
+++ b/core/fleet.go
@@ -430,7 +430,7 @@
 // fail now and then without a lasting fault (one call in seven in the users' data), engines don't.
 const (
 	engineErrorLimit = 1
-	plainErrors      = 3
+	plainErrorLimit  = 3
 )
 
 // answered records the head of an upstream's answer to a call that was sent at the given time. An
@@ -448,7 +448,7 @@
 		m.failures, m.errors = 0, 0
 	case h.Status >= http.StatusInternalServerError && h.Status != http.StatusGatewayTimeout && !h.NotRun:
 		m.errors++
-		if m.errors >= plainErrors || engine && m.errors >= engineErrorLimit {
+		if m.errors >= plainErrorLimit || engine && m.errors >= engineErrorLimit {
 			f.avoid(m, id, fmt.Sprintf("status %d, %d in a row", h.Status, m.errors))
 		}
 	}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -80,7 +80,7 @@
 	t.Run("one that fails calls in a row is avoided", func(t *testing.T) {
 		fails := hollowgrade.Head{Status: 500}
 		f := newFleet("s", 2)
-		for n := range plainErrors {
+		for n := range plainErrorLimit {
 			require.False(t, f.members["u00"].avoidUntil.After(time.Now()), "after %d", n)
 			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
 		}
@@ -88,7 +88,7 @@
 		f.answered(f.members["u01"], "c", true, time.Time{}, fails)
 		require.True(t, f.members["u01"].avoidUntil.After(time.Now()), "engines do not fail by themselves")
 		f = newFleet("s", 1)
-		for range 2 * plainErrors {
+		for range 2 * plainErrorLimit {
 			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
 			f.answered(f.members["u00"], "c", false, time.Time{}, hollowgrade.Head{Status: 200})
 			f.answered(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 504})
