--- a/core/fleet.go
+++ b/core/fleet.go
@@ -100,25 +100,25 @@
 	log    *log.Logger
 	policy *placement.Policy
 
-	mu              sync.Mutex
-	members         map[hollowgrade.Life]*member
-	instances       map[string]hollowgrade.Life // current instance of each upstream, by id
-	services        map[string][]*member
-	outdated        bool                           // whether services must be rebuilt
-	unlisted        map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
-	told            map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
-	promised        map[string]time.Time           // latest retry time given to a caller refused because of limits, by service
-	views           map[string]*view               // load that peers have assigned to upstreams, by box
-	placed          map[string]rate                // rates of the calls that peers place, by service
-	changed         map[hollowgrade.Life]bool      // upstreams whose own share changed since the last call of [Fleet.Changes]
-	notify          chan struct{}
-	peers           func() int                                  // number of other processes that use the same upstreams
-	surveyed        map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
-	ask             func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
-	onInstanceStart func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
-	chance          func() float64                              // random number from 0 to 1
-	demands         map[string]*demand                          // by service
-	candidates      []placement.Candidate                       // of the last decision; the memory is reused
+	mu                sync.Mutex
+	members           map[hollowgrade.Life]*member
+	instances         map[string]hollowgrade.Life // current instance of each upstream, by id
+	services          map[string][]*member
+	outdated          bool                           // whether services must be rebuilt
+	unlistedBusyUntil map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
+	told              map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
+	promised          map[string]time.Time           // latest retry time given to a caller refused because of limits, by service
+	views             map[string]*view               // load that peers have assigned to upstreams, by box
+	placed            map[string]rate                // rates of the calls that peers place, by service
+	changed           map[hollowgrade.Life]bool      // upstreams whose own share changed since the last call of [Fleet.Changes]
+	notify            chan struct{}
+	peers             func() int                                  // number of other processes that use the same upstreams
+	surveyed          map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
+	ask               func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
+	onInstanceStart   func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
+	chance            func() float64                              // random number from 0 to 1
+	demands           map[string]*demand                          // by service
+	candidates        []placement.Candidate                       // of the last decision; the memory is reused
 }
 
 // FleetOption configures a [Fleet].
@@ -132,25 +132,25 @@
 // NewFleet returns an empty fleet.
 func NewFleet(c hollowgrade.Clock, l *log.Logger, os ...FleetOption) *Fleet {
 	f := &Fleet{
-		clock:           c,
-		log:             l,
-		policy:          placement.New(),
-		members:         map[hollowgrade.Life]*member{},
-		instances:       map[string]hollowgrade.Life{},
-		services:        map[string][]*member{},
-		unlisted:        map[hollowgrade.Life]time.Time{},
-		told:            map[hollowgrade.Life]toldWord{},
-		promised:        map[string]time.Time{},
-		views:           map[string]*view{},
-		placed:          map[string]rate{},
-		changed:         map[hollowgrade.Life]bool{},
-		surveyed:        map[string]time.Time{},
-		demands:         map[string]*demand{},
-		notify:          make(chan struct{}, 1),
-		peers:           func() int { return 0 },
-		ask:             func([]hollowgrade.Upstream, string) {},
-		onInstanceStart: func(hollowgrade.Upstream) {},
-		chance:          rand.Float64,
+		clock:             c,
+		log:               l,
+		policy:            placement.New(),
+		members:           map[hollowgrade.Life]*member{},
+		instances:         map[string]hollowgrade.Life{},
+		services:          map[string][]*member{},
+		unlistedBusyUntil: map[hollowgrade.Life]time.Time{},
+		told:              map[hollowgrade.Life]toldWord{},
+		promised:          map[string]time.Time{},
+		views:             map[string]*view{},
+		placed:            map[string]rate{},
+		changed:           map[hollowgrade.Life]bool{},
+		surveyed:          map[string]time.Time{},
+		demands:           map[string]*demand{},
+		notify:            make(chan struct{}, 1),
+		peers:             func() int { return 0 },
+		ask:               func([]hollowgrade.Upstream, string) {},
+		onInstanceStart:   func(hollowgrade.Upstream) {},
+		chance:            rand.Float64,
 	}
 	for _, o := range os {
 		o(f)
@@ -233,8 +233,8 @@
 // lock is held.
 func (f *Fleet) startInstance(id string, l hollowgrade.Life) *member {
 	f.endInstance(id)
-	m := &member{instance: l, busyUntil: f.unlisted[l]}
-	delete(f.unlisted, l)
+	m := &member{instance: l, busyUntil: f.unlistedBusyUntil[l]}
+	delete(f.unlistedBusyUntil, l)
 	f.members[l], f.instances[id] = m, l
 	f.sumOthers(m, l)
 	f.takeTold(m)
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -477,11 +477,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
 		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"gone": time.Second})
-		require.Len(t, f.unlisted, 1)
+		require.Len(t, f.unlistedBusyUntil, 1)
 		time.Sleep(2 * time.Second)
 		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"another": time.Second})
-		require.Len(t, f.unlisted, 1)
-		require.Contains(t, f.unlisted, hollowgrade.Life("another"))
+		require.Len(t, f.unlistedBusyUntil, 1)
+		require.Contains(t, f.unlistedBusyUntil, hollowgrade.Life("another"))
 	})
 }
 
--- a/core/share.go
+++ b/core/share.go
@@ -184,12 +184,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	maps.DeleteFunc(f.unlisted, func(_ hollowgrade.Life, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(f.unlistedBusyUntil, func(_ hollowgrade.Life, until time.Time) bool { return !now.Before(until) })
 	learned := 0
 	for id, d := range rs {
 		until := now.Add(d)
 		if m := f.members[id]; m == nil {
-			f.unlisted[id] = until
+			f.unlistedBusyUntil[id] = until
 		} else if m.busyUntil.Before(until) {
 			m.busyUntil = until
 			learned++
