--- a/core/fleet.go
+++ b/core/fleet.go
@@ -106,7 +106,7 @@
 	services          map[string][]*member
 	outdated          bool                           // whether services must be rebuilt
 	unlistedBusyUntil map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
-	told              map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
+	unlistedReports   map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
 	promised          map[string]time.Time           // latest retry time given to a caller refused because of limits, by service
 	views             map[string]*view               // load that peers have assigned to upstreams, by box
 	placed            map[string]rate                // rates of the calls that peers place, by service
@@ -139,7 +139,7 @@
 		instances:         map[string]hollowgrade.Life{},
 		services:          map[string][]*member{},
 		unlistedBusyUntil: map[hollowgrade.Life]time.Time{},
-		told:              map[hollowgrade.Life]toldWord{},
+		unlistedReports:   map[hollowgrade.Life]toldWord{},
 		promised:          map[string]time.Time{},
 		views:             map[string]*view{},
 		placed:            map[string]rate{},
--- a/core/signals.go
+++ b/core/signals.go
@@ -84,21 +84,21 @@
 // held.
 func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *toldWord)) {
 	now := f.clock.Now()
-	maps.DeleteFunc(f.told, func(_ hollowgrade.Life, t toldWord) bool { return now.Sub(t.at) > toldFor })
-	t := f.told[id]
+	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t toldWord) bool { return now.Sub(t.at) > toldFor })
+	t := f.unlistedReports[id]
 	t.limit.Age += now.Sub(t.at)
 	t.at = now
 	add(&t)
-	f.told[id] = t
+	f.unlistedReports[id] = t
 }
 
 // applyUnlistedReport applies the stored reports on an upstream when it is listed. The lock is held.
 func (f *Fleet) takeTold(m *member) {
-	t, ok := f.told[m.instance]
+	t, ok := f.unlistedReports[m.instance]
 	if !ok {
 		return
 	}
-	delete(f.told, m.instance)
+	delete(f.unlistedReports, m.instance)
 	if t.hasLimit {
 		t.limit.Age += f.clock.Since(t.at)
 		f.setLimit(m, "told before", "", t.limit)
