--- a/core/fleet.go
+++ b/core/fleet.go
@@ -104,13 +104,13 @@
 	members           map[hollowgrade.Life]*member
 	instances         map[string]hollowgrade.Life // current instance of each upstream, by id
 	services          map[string][]*member
-	outdated          bool                           // whether services must be rebuilt
-	unlistedBusyUntil map[hollowgrade.Life]time.Time // end of the prefill backlog of upstreams that aren't listed here yet
-	unlistedReports   map[hollowgrade.Life]toldWord  // peers' reports on upstreams that aren't listed here yet
-	promised          map[string]time.Time           // latest retry time given to a caller refused because of limits, by service
-	views             map[string]*view               // load that peers have assigned to upstreams, by box
-	placed            map[string]rate                // rates of the calls that peers place, by service
-	changed           map[hollowgrade.Life]bool      // upstreams whose own share changed since the last call of [Fleet.Changes]
+	outdated          bool                                // whether services must be rebuilt
+	unlistedBusyUntil map[hollowgrade.Life]time.Time      // end of the prefill backlog of upstreams that aren't listed here yet
+	unlistedReports   map[hollowgrade.Life]unlistedReport // peers' reports on upstreams that aren't listed here yet
+	promised          map[string]time.Time                // latest retry time given to a caller refused because of limits, by service
+	views             map[string]*view                    // load that peers have assigned to upstreams, by box
+	placed            map[string]rate                     // rates of the calls that peers place, by service
+	changed           map[hollowgrade.Life]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
 	notify            chan struct{}
 	peers             func() int                                  // number of other processes that use the same upstreams
 	surveyed          map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
@@ -139,7 +139,7 @@
 		instances:         map[string]hollowgrade.Life{},
 		services:          map[string][]*member{},
 		unlistedBusyUntil: map[hollowgrade.Life]time.Time{},
-		unlistedReports:   map[hollowgrade.Life]toldWord{},
+		unlistedReports:   map[hollowgrade.Life]unlistedReport{},
 		promised:          map[string]time.Time{},
 		views:             map[string]*view{},
 		placed:            map[string]rate{},
--- a/core/signals.go
+++ b/core/signals.go
@@ -59,14 +59,14 @@
 		f.setLeaving(m, box, "")
 		return
 	}
-	f.keepTold(id, func(t *toldWord) { t.leaving = true })
+	f.keepTold(id, func(t *unlistedReport) { t.leaving = true })
 }
 
 // unlistedReportTTL is how long peers' reports on an upstream that is not listed here are kept.
 const toldFor = 10 * time.Second
 
 // unlistedReport is what peers have reported on an upstream that is not listed here yet.
-type toldWord struct {
+type unlistedReport struct {
 	at       time.Time // of the last report
 	limit    RateLimit
 	hasLimit bool
@@ -74,7 +74,7 @@
 }
 
 // mergeLimit keeps the later of the stored and the given report of a limit.
-func (t *toldWord) takeLimit(w RateLimit) {
+func (t *unlistedReport) takeLimit(w RateLimit) {
 	if !t.hasLimit || w.Age < t.limit.Age {
 		t.limit, t.hasLimit = w, true
 	}
@@ -82,9 +82,9 @@
 
 // keepUnlistedReport stores a peer's report on an upstream until that is listed here. The lock is
 // held.
-func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *toldWord)) {
+func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *unlistedReport)) {
 	now := f.clock.Now()
-	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t toldWord) bool { return now.Sub(t.at) > toldFor })
+	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t unlistedReport) bool { return now.Sub(t.at) > toldFor })
 	t := f.unlistedReports[id]
 	t.limit.Age += now.Sub(t.at)
 	t.at = now
