--- a/core/signals.go
+++ b/core/signals.go
@@ -63,7 +63,7 @@
 }
 
 // unlistedReportTTL is how long peers' reports on an upstream that is not listed here are kept.
-const toldFor = 10 * time.Second
+const unlistedReportTTL = 10 * time.Second
 
 // unlistedReport is what peers have reported on an upstream that is not listed here yet.
 type unlistedReport struct {
@@ -84,7 +84,7 @@
 // held.
 func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *unlistedReport)) {
 	now := f.clock.Now()
-	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t unlistedReport) bool { return now.Sub(t.at) > toldFor })
+	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t unlistedReport) bool { return now.Sub(t.at) > unlistedReportTTL })
 	t := f.unlistedReports[id]
 	t.limit.Age += now.Sub(t.at)
 	t.at = now
