--- a/core/signals.go
+++ b/core/signals.go
@@ -59,7 +59,7 @@
 		f.setLeaving(m, box, "")
 		return
 	}
-	f.keepTold(id, func(t *unlistedReport) { t.leaving = true })
+	f.keepUnlistedReport(id, func(t *unlistedReport) { t.leaving = true })
 }
 
 // unlistedReportTTL is how long peers' reports on an upstream that is not listed here are kept.
@@ -82,7 +82,7 @@
 
 // keepUnlistedReport stores a peer's report on an upstream until that is listed here. The lock is
 // held.
-func (f *Fleet) keepTold(id hollowgrade.Life, add func(t *unlistedReport)) {
+func (f *Fleet) keepUnlistedReport(id hollowgrade.Life, add func(t *unlistedReport)) {
 	now := f.clock.Now()
 	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t unlistedReport) bool { return now.Sub(t.at) > unlistedReportTTL })
 	t := f.unlistedReports[id]
