--- a/core/fleet.go
+++ b/core/fleet.go
@@ -237,7 +237,7 @@
 	delete(f.unlistedBusyUntil, l)
 	f.members[l], f.instances[id] = m, l
 	f.sumOthers(m, l)
-	f.takeTold(m)
+	f.applyUnlistedReport(m)
 	f.outdated = true
 	return m
 }
--- a/core/signals.go
+++ b/core/signals.go
@@ -93,7 +93,7 @@
 }
 
 // applyUnlistedReport applies the stored reports on an upstream when it is listed. The lock is held.
-func (f *Fleet) takeTold(m *member) {
+func (f *Fleet) applyUnlistedReport(m *member) {
 	t, ok := f.unlistedReports[m.instance]
 	if !ok {
 		return
