--- a/core/limit.go
+++ b/core/limit.go
@@ -116,7 +116,7 @@
 	w.Age = max(w.Age, 0) + limitToldLate
 	m := f.members[id]
 	if m == nil {
-		f.keepUnlistedReport(id, func(t *unlistedReport) { t.takeLimit(w) })
+		f.keepUnlistedReport(id, func(t *unlistedReport) { t.mergeLimit(w) })
 		return
 	}
 	if m.limit.at.IsZero() || !w.Relayed && f.clock.Now().Add(-w.Age).After(m.limit.at) {
--- a/core/signals.go
+++ b/core/signals.go
@@ -74,7 +74,7 @@
 }
 
 // mergeLimit keeps the later of the stored and the given report of a limit.
-func (t *unlistedReport) takeLimit(w RateLimit) {
+func (t *unlistedReport) mergeLimit(w RateLimit) {
 	if !t.hasLimit || w.Age < t.limit.Age {
 		t.limit, t.hasLimit = w, true
 	}
