--- a/core/fleet.go
+++ b/core/fleet.go
@@ -439,7 +439,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.lastActivity = f.clock.Now()
-	f.takeSignals(m, id, sent, h.Signals)
+	f.applySignals(m, id, sent, h.Signals)
 	if !h.NotRun && !h.Signals.Foreign {
 		f.noteAnswer(m, sent)
 	}
--- a/core/signals.go
+++ b/core/signals.go
@@ -9,7 +9,7 @@
 
 // applySignals applies the signals in an answer to a request that was sent at the given time. The
 // lock is held.
-func (f *Fleet) takeSignals(m *member, id string, sent time.Time, s hollowgrade.Signals) {
+func (f *Fleet) applySignals(m *member, id string, sent time.Time, s hollowgrade.Signals) {
 	if len(s.Unread) > 0 {
 		f.log.Info("signal of upstream not used", "upstream", m.instance, "service", m.Service, "request", id, "headers", s.Unread)
 	}
@@ -34,7 +34,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
-		f.takeSignals(m, request, asked, s)
+		f.applySignals(m, request, asked, s)
 	}
 }
 
