--- a/core/pace.go
+++ b/core/pace.go
@@ -218,7 +218,7 @@
 		defer c.asks.Add(-1)
 		begin := c.clock.Now()
 		r, err := c.reporter.Report(context.Background(), u)
-		c.fleet.hearReport(u.Life(), request, begin, r.Signals)
+		c.fleet.applyReport(u.Life(), request, begin, r.Signals)
 		if err != nil {
 			c.log.Info("speed of upstream not told", "upstream", u.Life(), "request", request, "err", err)
 			return
--- a/core/signals.go
+++ b/core/signals.go
@@ -30,7 +30,7 @@
 }
 
 // applyReport applies the signals in a status report that was requested at the given time.
-func (f *Fleet) hearReport(id hollowgrade.Life, request string, asked time.Time, s hollowgrade.Signals) {
+func (f *Fleet) applyReport(id hollowgrade.Life, request string, asked time.Time, s hollowgrade.Signals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -149,9 +149,9 @@
 func TestAReportTellsThatAnEngineLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSignalFleet("u")
-		f.hearReport("u", "r", time.Now(), hollowgrade.Signals{Leaving: true})
+		f.applyReport("u", "r", time.Now(), hollowgrade.Signals{Leaving: true})
 		require.Nil(t, give(f))
-		f.hearReport("another", "r", time.Now(), hollowgrade.Signals{Leaving: true})
+		f.applyReport("another", "r", time.Now(), hollowgrade.Signals{Leaving: true})
 	})
 }
 
