--- a/core/fleet.go
+++ b/core/fleet.go
@@ -107,7 +107,7 @@
 	outdated          bool                                // whether services must be rebuilt
 	unlistedBusyUntil map[hollowgrade.Life]time.Time      // end of the prefill backlog of upstreams that aren't listed here yet
 	unlistedReports   map[hollowgrade.Life]unlistedReport // peers' reports on upstreams that aren't listed here yet
-	promised          map[string]time.Time                // latest retry time given to a caller refused because of limits, by service
+	lastRetryAt       map[string]time.Time                // latest retry time given to a caller refused because of limits, by service
 	views             map[string]*view                    // load that peers have assigned to upstreams, by box
 	placed            map[string]rate                     // rates of the calls that peers place, by service
 	changed           map[hollowgrade.Life]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
@@ -140,7 +140,7 @@
 		services:          map[string][]*member{},
 		unlistedBusyUntil: map[hollowgrade.Life]time.Time{},
 		unlistedReports:   map[hollowgrade.Life]unlistedReport{},
-		promised:          map[string]time.Time{},
+		lastRetryAt:       map[string]time.Time{},
 		views:             map[string]*view{},
 		placed:            map[string]rate{},
 		changed:           map[hollowgrade.Life]bool{},
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -54,11 +54,11 @@
 // by this process's part of what the limits allow. The lock is held.
 func (f *Fleet) promise(service string, perSecond float64, now time.Time) time.Duration {
 	part := perSecond / float64(max(len(f.views), f.peers())+1)
-	next := hollowgrade.Later(f.promised[service], now).Add(time.Duration(float64(time.Second) / part))
+	next := hollowgrade.Later(f.lastRetryAt[service], now).Add(time.Duration(float64(time.Second) / part))
 	d := next.Sub(now)
 	if d > latestRoom {
 		return latestRoom
 	}
-	f.promised[service] = next
+	f.lastRetryAt[service] = next
 	return max(d, soonestRoom)
 }
