--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -42,7 +42,7 @@
 	}
 	switch {
 	case r.limited > 0:
-		r.comeBack = f.promise(service, r.perSecond, now)
+		r.comeBack = f.nextRetryAfter(service, r.perSecond, now)
 	case r.resting > 0:
 		d := rested.Sub(now)
 		r.comeBack = max(d+time.Duration(f.chance()*restSpread*float64(d)), soonestRoom)
@@ -52,7 +52,7 @@
 
 // nextRetryAfter returns the retry delay of a caller refused because of limits. Callers are spaced
 // by this process's part of what the limits allow. The lock is held.
-func (f *Fleet) promise(service string, perSecond float64, now time.Time) time.Duration {
+func (f *Fleet) nextRetryAfter(service string, perSecond float64, now time.Time) time.Duration {
 	part := perSecond / float64(max(len(f.views), f.peers())+1)
 	next := hollowgrade.Later(f.lastRetryAt[service], now).Add(time.Duration(float64(time.Second) / part))
 	d := next.Sub(now)
