--- a/core/fleet.go
+++ b/core/fleet.go
@@ -109,7 +109,7 @@
 	unlistedReports   map[hollowgrade.Life]unlistedReport // peers' reports on upstreams that aren't listed here yet
 	lastRetryAt       map[string]time.Time                // latest retry time given to a caller refused because of limits, by service
 	views             map[string]*view                    // load that peers have assigned to upstreams, by box
-	placed            map[string]rate                     // rates of the calls that peers place, by service
+	peerCallRates     map[string]rate                     // rates of the calls that peers place, by service
 	changed           map[hollowgrade.Life]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
 	notify            chan struct{}
 	peers             func() int                                  // number of other processes that use the same upstreams
@@ -142,7 +142,7 @@
 		unlistedReports:   map[hollowgrade.Life]unlistedReport{},
 		lastRetryAt:       map[string]time.Time{},
 		views:             map[string]*view{},
-		placed:            map[string]rate{},
+		peerCallRates:     map[string]rate{},
 		changed:           map[hollowgrade.Life]bool{},
 		surveyed:          map[string]time.Time{},
 		demands:           map[string]*demand{},
--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -35,11 +35,11 @@
 
 // recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
 func (f *Fleet) noteOthers(service string, n int) {
-	f.placed[service] = f.placed[service].plus(f.clock.Now(), n, rateMemory)
+	f.peerCallRates[service] = f.peerCallRates[service].plus(f.clock.Now(), n, rateMemory)
 }
 
 // unreportedCalls estimates the calls of a service that peers have placed and that are not known
 // here yet. The lock is held.
 func (f *Fleet) unheard(service string, now time.Time) float64 {
-	return f.placed[service].value(now, rateMemory) * unheardFor.Seconds()
+	return f.peerCallRates[service].value(now, rateMemory) * unheardFor.Seconds()
 }
