--- a/core/fleet.go
+++ b/core/fleet.go
@@ -113,7 +113,7 @@
 	changed           map[hollowgrade.Life]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
 	notify            chan struct{}
 	peers             func() int                                  // number of other processes that use the same upstreams
-	surveyed          map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
+	surveyedAt        map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
 	ask               func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
 	onInstanceStart   func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
 	chance            func() float64                              // random number from 0 to 1
@@ -144,7 +144,7 @@
 		views:             map[string]*view{},
 		peerCallRates:     map[string]rate{},
 		changed:           map[hollowgrade.Life]bool{},
-		surveyed:          map[string]time.Time{},
+		surveyedAt:        map[string]time.Time{},
 		demands:           map[string]*demand{},
 		notify:            make(chan struct{}, 1),
 		peers:             func() int { return 0 },
--- a/core/pace.go
+++ b/core/pace.go
@@ -136,10 +136,10 @@
 // survey draws this process's share of the upstreams of a service to be asked, at most once per
 // [PaceRecheckInterval]. The lock is held.
 func (f *Fleet) survey(service string, now time.Time) (us []hollowgrade.Upstream) {
-	if now.Sub(f.surveyed[service]) < PaceRecheckInterval {
+	if now.Sub(f.surveyedAt[service]) < PaceRecheckInterval {
 		return nil
 	}
-	f.surveyed[service] = now
+	f.surveyedAt[service] = now
 	part := float64(surveyors) / float64(max(len(f.views), f.peers())+1)
 	for _, m := range f.usableMembers(service, now) {
 		if f.askable(m, now) && f.chance() < part {
