--- a/core/fleet.go
+++ b/core/fleet.go
@@ -114,7 +114,7 @@
 	notify            chan struct{}
 	peers             func() int                                  // number of other processes that use the same upstreams
 	surveyedAt        map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
-	ask               func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
+	requestPaces      func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
 	onInstanceStart   func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
 	chance            func() float64                              // random number from 0 to 1
 	demands           map[string]*demand                          // by service
@@ -148,7 +148,7 @@
 		demands:           map[string]*demand{},
 		notify:            make(chan struct{}, 1),
 		peers:             func() int { return 0 },
-		ask:               func([]hollowgrade.Upstream, string) {},
+		requestPaces:      func([]hollowgrade.Upstream, string) {},
 		onInstanceStart:   func(hollowgrade.Upstream) {},
 		chance:            rand.Float64,
 	}
--- a/core/pace.go
+++ b/core/pace.go
@@ -100,7 +100,7 @@
 // becomes normal.
 func (f *Fleet) ReceivePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
 	if us := f.takePace(id, pace, age, box, why); len(us) > 0 {
-		f.ask(us, why)
+		f.requestPaces(us, why)
 	}
 }
 
@@ -163,7 +163,7 @@
 func (f *Fleet) SetPaceRequester(ask func(us []hollowgrade.Upstream, why string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ask = ask
+	f.requestPaces = ask
 }
 
 // ownPaceReport returns the speed that the engine reported to this process, until it expires.
