--- a/core/closing.go
+++ b/core/closing.go
@@ -108,7 +108,7 @@
 	m.avoidUntil = now.Add(closingAvoid)
 	if m.avoidedByAllUntil.Sub(now) < 2*probeAgain {
 		m.avoidedByAllUntil, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
-		f.change(m)
+		f.markChanged(m)
 	}
 	return true
 }
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -372,7 +372,7 @@
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
 	m.publishAvoidUntil = m.avoidUntil
-	f.change(m)
+	f.markChanged(m)
 }
 
 // UpstreamState is what this process knows of an upstream at first hand, besides the load that it
--- a/core/limit.go
+++ b/core/limit.go
@@ -100,7 +100,7 @@
 	}
 	l.named, l.perSecond = w.Named, w.PerSecond
 	if l.own {
-		f.change(m)
+		f.markChanged(m)
 	}
 }
 
--- a/core/pace.go
+++ b/core/pace.go
@@ -121,7 +121,7 @@
 	// The remaining backlog takes longer or shorter in proportion.
 	m.busyUntil = now.Add(time.Duration(float64(m.prefillBacklog(now)) * after / before))
 	if box == "" && (was || m.slow(now)) {
-		f.change(m)
+		f.markChanged(m)
 	}
 	if math.Abs(after-before) >= noticeablePace-1 && box == "" {
 		f.log.Info("speed of upstream", "upstream", id, "service", m.Service, "times_slower", round(after), "before", round(before),
--- a/core/share.go
+++ b/core/share.go
@@ -82,11 +82,11 @@
 // add adds to the own share of an upstream. The lock is held.
 func (f *Fleet) add(m *member, s Share) {
 	m.ownShare = m.ownShare.Plus(s)
-	f.change(m)
+	f.markChanged(m)
 }
 
 // markChanged marks the share of an upstream to be reported to peers. The lock is held.
-func (f *Fleet) change(m *member) {
+func (f *Fleet) markChanged(m *member) {
 	if f.members[m.instance] != m {
 		return // an earlier instance
 	}
--- a/core/signals.go
+++ b/core/signals.go
@@ -47,7 +47,7 @@
 	m.leaving = true
 	f.log.Info("upstream says that it leaves", "upstream", m.instance, "service", m.Service, "request", request, "peer", peer, "listed_draining", m.Draining)
 	if peer == "" {
-		f.change(m)
+		f.markChanged(m)
 	}
 }
 
