--- a/core/core.go
+++ b/core/core.go
@@ -68,7 +68,7 @@
 	fleet     *Fleet
 	box       string
 	lost      *quarantine.Table // requests that were lost in crashes of upstreams
-	unproved  *unproved
+	unproved  *unconfirmedLosses
 	catalog   atomic.Pointer[Catalog]
 
 	started time.Time
@@ -175,7 +175,7 @@
 	}
 	c.started = c.clock.Now()
 	c.fleet = NewFleet(c.clock, c.log)
-	c.unproved = &unproved{clock: c.clock, losses: map[string][]unprovedLoss{}}
+	c.unproved = &unconfirmedLosses{clock: c.clock, losses: map[string][]unprovedLoss{}}
 	c.fleet.SetOnInstanceStart(c.begun)
 	c.fleet.SetPaceRequester(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -23,7 +23,7 @@
 // is down, so that only the next instance proves the crash. Without this, a request that crashed
 // upstreams behind relays was still sent 39 to 47 times later than 3 s after its third loss
 // (TestRequestThatEndsUpstreamsBehindRelays).
-type unproved struct {
+type unconfirmedLosses struct {
 	clock hollowgrade.Clock
 
 	mu     sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // add stores a loss at an upstream.
-func (p *unproved) add(u hollowgrade.Upstream, l quarantine.Loss) {
+func (p *unconfirmedLosses) add(u hollowgrade.Upstream, l quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -55,13 +55,13 @@
 
 // takeConfirmed removes and returns the losses that a new instance of an upstream confirms as caused
 // by a crash. An upstream that doesn't report start times confirms none.
-func (p *unproved) take(u hollowgrade.Upstream) []quarantine.Loss {
+func (p *unconfirmedLosses) take(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
 	return p.takeIf(u.ID, func(l unprovedLoss) bool { return l.born != 0 && l.born < u.Born && now.Sub(l.Lost) <= provedWithin })
 }
 
 // takeIf removes and returns the losses at an upstream that are confirmed as caused by a crash.
-func (p *unproved) takeIf(id string, shown func(l unprovedLoss) bool) (ls []quarantine.Loss) {
+func (p *unconfirmedLosses) takeIf(id string, shown func(l unprovedLoss) bool) (ls []quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.losses[id] = slices.DeleteFunc(p.losses[id], func(l unprovedLoss) bool {
