--- a/core/core.go
+++ b/core/core.go
@@ -53,23 +53,23 @@
 
 // Core routes calls to upstreams. It is safe for concurrent use.
 type Core struct {
-	exchanger hollowgrade.Exchanger
-	reserver  hollowgrade.Reserver
-	prober    hollowgrade.Prober   // if nil, each broken connection counts as a crash of its upstream
-	reporter  hollowgrade.Reporter // if nil, upstreams are not asked for their speed
-	asks      atomic.Int32         // requests for speed reports in progress
-	clock     hollowgrade.Clock
-	log       *log.Logger
-	bounds    atomic.Pointer[Bounds]
-	observe   func(Observation)
-	age       func() (time.Duration, bool)
-	outdated  func() time.Duration
-	processes func() int
-	fleet     *Fleet
-	box       string
-	lost      *quarantine.Table // requests that were lost in crashes of upstreams
-	unproved  *unconfirmedLosses
-	catalog   atomic.Pointer[Catalog]
+	exchanger   hollowgrade.Exchanger
+	reserver    hollowgrade.Reserver
+	prober      hollowgrade.Prober   // if nil, each broken connection counts as a crash of its upstream
+	reporter    hollowgrade.Reporter // if nil, upstreams are not asked for their speed
+	asks        atomic.Int32         // requests for speed reports in progress
+	clock       hollowgrade.Clock
+	log         *log.Logger
+	bounds      atomic.Pointer[Bounds]
+	observe     func(Observation)
+	age         func() (time.Duration, bool)
+	outdated    func() time.Duration
+	processes   func() int
+	fleet       *Fleet
+	box         string
+	lost        *quarantine.Table // requests that were lost in crashes of upstreams
+	unconfirmed *unconfirmedLosses
+	catalog     atomic.Pointer[Catalog]
 
 	started time.Time
 
@@ -175,7 +175,7 @@
 	}
 	c.started = c.clock.Now()
 	c.fleet = NewFleet(c.clock, c.log)
-	c.unproved = &unconfirmedLosses{clock: c.clock, losses: map[string][]unprovedLoss{}}
+	c.unconfirmed = &unconfirmedLosses{clock: c.clock, losses: map[string][]unprovedLoss{}}
 	c.fleet.SetOnInstanceStart(c.begun)
 	c.fleet.SetPaceRequester(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
--- a/core/losses.go
+++ b/core/losses.go
@@ -84,7 +84,7 @@
 		c.lost.Lost(l)
 		return
 	}
-	c.unproved.add(u, l)
+	c.unconfirmed.add(u, l)
 	if p.presence == hollowgrade.Closing {
 		<-c.watch(u, request, p)
 	}
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -80,7 +80,7 @@
 // instanceStarted is called when an instance of an upstream starts. It doesn't block, because the
 // caller holds the fleet's lock.
 func (c *Core) begun(u hollowgrade.Upstream) {
-	if ls := c.unproved.take(u); len(ls) > 0 {
+	if ls := c.unconfirmed.take(u); len(ls) > 0 {
 		go c.proved(u, ls)
 	}
 }
