--- a/core/closing.go
+++ b/core/closing.go
@@ -84,7 +84,7 @@
 // there and the upstream has been silent since and still closes connections.
 func (c *Core) ranThere(u hollowgrade.Upstream, closedAfter time.Duration) {
 	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
-	ls := c.unconfirmed.takeIf(u.ID, func(l unprovedLoss) bool {
+	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(leastKept, keptTimes*closedAfter)
 		return ran && now.Sub(l.Lost) >= silentFor && !heard.After(l.Lost.Add(underWay))
 	})
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -27,11 +27,11 @@
 	clock hollowgrade.Clock
 
 	mu     sync.Mutex
-	losses map[string][]unprovedLoss // by upstream id
+	losses map[string][]unconfirmedLoss // by upstream id
 }
 
 // unconfirmedLoss is a run that was lost at an instance of an upstream.
-type unprovedLoss struct {
+type unconfirmedLoss struct {
 	quarantine.Loss
 	born int64 // start time of that instance in Unix ms
 }
@@ -42,14 +42,14 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for id, ls := range p.losses {
-		if ls = slices.DeleteFunc(ls, func(l unprovedLoss) bool { return now.Sub(l.Lost) > provedWithin }); len(ls) > 0 {
+		if ls = slices.DeleteFunc(ls, func(l unconfirmedLoss) bool { return now.Sub(l.Lost) > provedWithin }); len(ls) > 0 {
 			p.losses[id] = ls
 		} else {
 			delete(p.losses, id)
 		}
 	}
 	if len(p.losses[u.ID]) < mostUnproved {
-		p.losses[u.ID] = append(p.losses[u.ID], unprovedLoss{l, u.Born})
+		p.losses[u.ID] = append(p.losses[u.ID], unconfirmedLoss{l, u.Born})
 	}
 }
 
@@ -57,14 +57,14 @@
 // by a crash. An upstream that doesn't report start times confirms none.
 func (p *unconfirmedLosses) take(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
-	return p.takeIf(u.ID, func(l unprovedLoss) bool { return l.born != 0 && l.born < u.Born && now.Sub(l.Lost) <= provedWithin })
+	return p.takeIf(u.ID, func(l unconfirmedLoss) bool { return l.born != 0 && l.born < u.Born && now.Sub(l.Lost) <= provedWithin })
 }
 
 // takeIf removes and returns the losses at an upstream that are confirmed as caused by a crash.
-func (p *unconfirmedLosses) takeIf(id string, shown func(l unprovedLoss) bool) (ls []quarantine.Loss) {
+func (p *unconfirmedLosses) takeIf(id string, shown func(l unconfirmedLoss) bool) (ls []quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.losses[id] = slices.DeleteFunc(p.losses[id], func(l unprovedLoss) bool {
+	p.losses[id] = slices.DeleteFunc(p.losses[id], func(l unconfirmedLoss) bool {
 		if !shown(l) {
 			return false
 		}
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -74,7 +74,7 @@
 
 func TestUnprovedLossesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &unconfirmedLosses{clock: hollowgrade.SystemClock(), losses: map[string][]unprovedLoss{}}
+		p := &unconfirmedLosses{clock: hollowgrade.SystemClock(), losses: map[string][]unconfirmedLoss{}}
 		u := hollowgrade.Upstream{ID: "u", Born: 1}
 		for range 10 * mostUnproved {
 			p.add(u, quarantine.Loss{Lost: time.Now()})
