--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -33,7 +33,7 @@
 // unconfirmedLoss is a run that was lost at an instance of an upstream.
 type unconfirmedLoss struct {
 	quarantine.Loss
-	born int64 // start time of that instance in Unix ms
+	startMillis int64 // start time of that instance in Unix ms
 }
 
 // add stores a loss at an upstream.
@@ -57,7 +57,9 @@
 // by a crash. An upstream that doesn't report start times confirms none.
 func (p *unconfirmedLosses) take(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
-	return p.takeIf(u.ID, func(l unconfirmedLoss) bool { return l.born != 0 && l.born < u.Born && now.Sub(l.Lost) <= provedWithin })
+	return p.takeIf(u.ID, func(l unconfirmedLoss) bool {
+		return l.startMillis != 0 && l.startMillis < u.Born && now.Sub(l.Lost) <= provedWithin
+	})
 }
 
 // takeIf removes and returns the losses at an upstream that are confirmed as caused by a crash.
