--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -13,7 +13,7 @@
 	// confirmWindow is how long after a loss a new instance of the upstream counts as proof that the
 	// one before crashed: a restart takes one or two seconds, and its entry is read up to three
 	// seconds later. A later replacement is unrelated to the broken connection.
-	provedWithin = 5 * time.Second
+	confirmWindow = 5 * time.Second
 	// maxUnconfirmedPerUpstream is the number of calls that one upstream serves at a time.
 	mostUnproved = 64
 )
@@ -42,7 +42,7 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for id, ls := range p.losses {
-		if ls = slices.DeleteFunc(ls, func(l unconfirmedLoss) bool { return now.Sub(l.Lost) > provedWithin }); len(ls) > 0 {
+		if ls = slices.DeleteFunc(ls, func(l unconfirmedLoss) bool { return now.Sub(l.Lost) > confirmWindow }); len(ls) > 0 {
 			p.losses[id] = ls
 		} else {
 			delete(p.losses, id)
@@ -58,7 +58,7 @@
 func (p *unconfirmedLosses) take(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
 	return p.takeIf(u.ID, func(l unconfirmedLoss) bool {
-		return l.startMillis != 0 && l.startMillis < u.Born && now.Sub(l.Lost) <= provedWithin
+		return l.startMillis != 0 && l.startMillis < u.Born && now.Sub(l.Lost) <= confirmWindow
 	})
 }
 
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -62,7 +62,7 @@
 		require.Zero(t, lostOnce(t, born, starts(time.Second, -1500)))
 	})
 	t.Run("nor for one that is replaced some time after a connection broke", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, starts(provedWithin+time.Second, 1500)))
+		require.Zero(t, lostOnce(t, born, starts(confirmWindow+time.Second, 1500)))
 	})
 	t.Run("nor for one that is taken away", func(t *testing.T) {
 		require.Zero(t, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
@@ -80,7 +80,7 @@
 			p.add(u, quarantine.Loss{Lost: time.Now()})
 		}
 		require.Len(t, p.losses["u"], mostUnproved)
-		time.Sleep(2 * provedWithin)
+		time.Sleep(2 * confirmWindow)
 		for i := range 100 {
 			p.add(hollowgrade.Upstream{ID: fmt.Sprint("o", i), Born: 1}, quarantine.Loss{Lost: time.Now()})
 		}
