--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -15,7 +15,7 @@
 	// seconds later. A later replacement is unrelated to the broken connection.
 	confirmWindow = 5 * time.Second
 	// maxUnconfirmedPerUpstream is the number of calls that one upstream serves at a time.
-	mostUnproved = 64
+	maxUnconfirmedPerUpstream = 64
 )
 
 // unconfirmedLosses holds runs that were lost at upstreams whose address still accepts connections.
@@ -48,7 +48,7 @@
 			delete(p.losses, id)
 		}
 	}
-	if len(p.losses[u.ID]) < mostUnproved {
+	if len(p.losses[u.ID]) < maxUnconfirmedPerUpstream {
 		p.losses[u.ID] = append(p.losses[u.ID], unconfirmedLoss{l, u.Born})
 	}
 }
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -76,10 +76,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := &unconfirmedLosses{clock: hollowgrade.SystemClock(), losses: map[string][]unconfirmedLoss{}}
 		u := hollowgrade.Upstream{ID: "u", Born: 1}
-		for range 10 * mostUnproved {
+		for range 10 * maxUnconfirmedPerUpstream {
 			p.add(u, quarantine.Loss{Lost: time.Now()})
 		}
-		require.Len(t, p.losses["u"], mostUnproved)
+		require.Len(t, p.losses["u"], maxUnconfirmedPerUpstream)
 		time.Sleep(2 * confirmWindow)
 		for i := range 100 {
 			p.add(hollowgrade.Upstream{ID: fmt.Sprint("o", i), Born: 1}, quarantine.Loss{Lost: time.Now()})
