--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -55,7 +55,7 @@
 
 // takeConfirmed removes and returns the losses that a new instance of an upstream confirms as caused
 // by a crash. An upstream that doesn't report start times confirms none.
-func (p *unconfirmedLosses) take(u hollowgrade.Upstream) []quarantine.Loss {
+func (p *unconfirmedLosses) takeConfirmed(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
 	return p.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		return l.startMillis != 0 && l.startMillis < u.Born && now.Sub(l.Lost) <= confirmWindow
@@ -82,7 +82,7 @@
 // instanceStarted is called when an instance of an upstream starts. It doesn't block, because the
 // caller holds the fleet's lock.
 func (c *Core) begun(u hollowgrade.Upstream) {
-	if ls := c.unconfirmed.take(u); len(ls) > 0 {
+	if ls := c.unconfirmed.takeConfirmed(u); len(ls) > 0 {
 		go c.proved(u, ls)
 	}
 }
