--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -63,11 +63,11 @@
 }
 
 // takeIf removes and returns the losses at an upstream that are confirmed as caused by a crash.
-func (p *unconfirmedLosses) takeIf(id string, shown func(l unconfirmedLoss) bool) (ls []quarantine.Loss) {
+func (p *unconfirmedLosses) takeIf(id string, confirmed func(l unconfirmedLoss) bool) (ls []quarantine.Loss) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.losses[id] = slices.DeleteFunc(p.losses[id], func(l unconfirmedLoss) bool {
-		if !shown(l) {
+		if !confirmed(l) {
 			return false
 		}
 		ls = append(ls, l.Loss)
