--- a/core/core.go
+++ b/core/core.go
@@ -176,7 +176,7 @@
 	c.started = c.clock.Now()
 	c.fleet = NewFleet(c.clock, c.log)
 	c.unconfirmed = &unconfirmedLosses{clock: c.clock, losses: map[string][]unconfirmedLoss{}}
-	c.fleet.SetOnInstanceStart(c.begun)
+	c.fleet.SetOnInstanceStart(c.instanceStarted)
 	c.fleet.SetPaceRequester(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
 	c.lost = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -81,7 +81,7 @@
 
 // instanceStarted is called when an instance of an upstream starts. It doesn't block, because the
 // caller holds the fleet's lock.
-func (c *Core) begun(u hollowgrade.Upstream) {
+func (c *Core) instanceStarted(u hollowgrade.Upstream) {
 	if ls := c.unconfirmed.takeConfirmed(u); len(ls) > 0 {
 		go c.proved(u, ls)
 	}
