--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -83,12 +83,12 @@
 // caller holds the fleet's lock.
 func (c *Core) instanceStarted(u hollowgrade.Upstream) {
 	if ls := c.unconfirmed.takeConfirmed(u); len(ls) > 0 {
-		go c.proved(u, ls)
+		go c.confirmLosses(u, ls)
 	}
 }
 
 // confirmLosses reports losses at an upstream whose next instance shows that it crashed.
-func (c *Core) proved(u hollowgrade.Upstream, ls []quarantine.Loss) {
+func (c *Core) confirmLosses(u hollowgrade.Upstream, ls []quarantine.Loss) {
 	for _, l := range ls {
 		c.log.Info("upstream had ended, its next life shows", "upstream", l.Upstream, "next", u.Life(), "fingerprint", l.Fingerprint,
 			"lost_ms", c.clock.Since(l.Lost).Milliseconds())
