--- a/core/closing.go
+++ b/core/closing.go
@@ -91,7 +91,7 @@
 	for _, l := range ls {
 		c.log.Info("upstream had ended, it closes connections and says nothing", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
 			"ran_ms", l.Lost.Sub(l.Sent).Milliseconds(), "closed_after_ms", closedAfter.Milliseconds(), "lost_ms", c.clock.Since(l.Lost).Milliseconds())
-		c.lost.Lost(l)
+		c.quarantine.Lost(l)
 	}
 }
 
--- a/core/core.go
+++ b/core/core.go
@@ -67,7 +67,7 @@
 	processes   func() int
 	fleet       *Fleet
 	box         string
-	lost        *quarantine.Table // requests that were lost in crashes of upstreams
+	quarantine  *quarantine.Table // requests that were lost in crashes of upstreams
 	unconfirmed *unconfirmedLosses
 	catalog     atomic.Pointer[Catalog]
 
@@ -179,7 +179,7 @@
 	c.fleet.SetOnInstanceStart(c.instanceStarted)
 	c.fleet.SetPaceRequester(c.askPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
-	c.lost = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
+	c.quarantine = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
 		quarantine.WithUpstreams(c.fleet.Count))
 	return c
 }
@@ -207,7 +207,7 @@
 
 // Quarantine returns the table of requests that were lost in crashes of upstreams.
 func (c *Core) Quarantine() *quarantine.Table {
-	return c.lost
+	return c.quarantine
 }
 
 // Outdated reports whether a newer configuration has been known for too long to decide calls by the
--- a/core/flow.go
+++ b/core/flow.go
@@ -108,11 +108,11 @@
 
 // Try implements [Work].
 func (f *flow) Try(ctx context.Context, n, left int) Try {
-	l := f.core.lost.Begin(f.fingerprint)
+	l := f.core.quarantine.Begin(f.fingerprint)
 	if !l.Granted {
 		return Try{Err: f.held(l)}
 	}
-	defer f.core.lost.Over(f.fingerprint, l)
+	defer f.core.quarantine.Over(f.fingerprint, l)
 	return f.send(ctx, n, left)
 }
 
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -223,8 +223,8 @@
 	f := hollowgrade.NewFingerprint("o", call("/again/"))
 	b.ReportAllocs()
 	for b.Loop() {
-		l := c.lost.Begin(f)
-		c.lost.Answered(f)
-		c.lost.Over(f, l)
+		l := c.quarantine.Begin(f)
+		c.quarantine.Answered(f)
+		c.quarantine.Over(f, l)
 	}
 }
--- a/core/losses.go
+++ b/core/losses.go
@@ -51,7 +51,7 @@
 	var x *fault.Error
 	switch {
 	case err == nil, errors.As(err, &x) && x.Code == fault.UpstreamFailed:
-		f.core.lost.Answered(f.fingerprint)
+		f.core.quarantine.Answered(f.fingerprint)
 	case connectionLost(err):
 		f.noteLoss(ctx, a, f.core.clock.Now())
 	}
@@ -67,7 +67,7 @@
 		defer close(noted)
 		f.core.noteLoss(u, l, f.call.ID)
 	}()
-	if !f.core.lost.Knows(f.fingerprint) {
+	if !f.core.quarantine.Knows(f.fingerprint) {
 		return
 	}
 	select {
@@ -81,7 +81,7 @@
 func (c *Core) noteLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
 	p := c.probeOnce(u, request)
 	if p.presence == hollowgrade.Absent {
-		c.lost.Lost(l)
+		c.quarantine.Lost(l)
 		return
 	}
 	c.unconfirmed.add(u, l)
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -92,6 +92,6 @@
 	for _, l := range ls {
 		c.log.Info("upstream had ended, its next life shows", "upstream", l.Upstream, "next", u.Life(), "fingerprint", l.Fingerprint,
 			"lost_ms", c.clock.Since(l.Lost).Milliseconds())
-		c.lost.Lost(l)
+		c.quarantine.Lost(l)
 	}
 }
