--- a/core/flow.go
+++ b/core/flow.go
@@ -110,7 +110,7 @@
 func (f *flow) Try(ctx context.Context, n, left int) Try {
 	l := f.core.quarantine.Begin(f.fingerprint)
 	if !l.Granted {
-		return Try{Err: f.held(l)}
+		return Try{Err: f.quarantinedError(l)}
 	}
 	defer f.core.quarantine.Over(f.fingerprint, l)
 	return f.send(ctx, n, left)
--- a/core/losses.go
+++ b/core/losses.go
@@ -22,7 +22,7 @@
 
 // quarantinedError returns the error of a call whose request is blocked, or is already running while
 // only one run at a time is admitted.
-func (f *flow) held(l quarantine.Leave) *fault.Error {
+func (f *flow) quarantinedError(l quarantine.Leave) *fault.Error {
 	if l.Hold.Since.IsZero() {
 		return fault.New(fault.Quarantined, "upstreams ended under this request; one run of it at a time is let through, and one is under way").
 			WithRetryAfter(l.Wait)
