--- a/core/losses.go
+++ b/core/losses.go
@@ -28,11 +28,11 @@
 			WithRetryAfter(l.Wait)
 	}
 	return fault.New(fault.Quarantined, "%d upstreams ended one after another under this request, the last was %s; it is sent to none for another %s",
-		l.Hold.Losses, last(l.Hold.Upstreams), l.Wait.Round(time.Second)).
+		l.Hold.Losses, lastUpstream(l.Hold.Upstreams), l.Wait.Round(time.Second)).
 		WithRetryAfter(l.Wait)
 }
 
-func last(us []hollowgrade.Life) hollowgrade.Life {
+func lastUpstream(us []hollowgrade.Life) hollowgrade.Life {
 	if len(us) == 0 {
 		return "not told"
 	}
