--- a/core/flow.go
+++ b/core/flow.go
@@ -144,7 +144,7 @@
 	}
 	err = a.run(ctx)
 	f.core.fleet.over(p, a.wrote)
-	f.noteRun(ctx, a, err)
+	f.recordOutcome(ctx, a, err)
 	if err == nil {
 		return Try{Placed: true}
 	}
--- a/core/losses.go
+++ b/core/losses.go
@@ -47,7 +47,7 @@
 // recordOutcome reports to the quarantine that the upstream of a sent attempt answered, or was lost.
 // Other outcomes, such as a caller that leaves or a silent upstream, are no evidence about the
 // request.
-func (f *flow) noteRun(ctx context.Context, a *attempt, err error) {
+func (f *flow) recordOutcome(ctx context.Context, a *attempt, err error) {
 	var x *fault.Error
 	switch {
 	case err == nil, errors.As(err, &x) && x.Code == fault.UpstreamFailed:
