--- a/core/losses.go
+++ b/core/losses.go
@@ -53,13 +53,13 @@
 	case err == nil, errors.As(err, &x) && x.Code == fault.UpstreamFailed:
 		f.core.quarantine.Answered(f.fingerprint)
 	case connectionLost(err):
-		f.noteLoss(ctx, a, f.core.clock.Now())
+		f.recordLoss(ctx, a, f.core.clock.Now())
 	}
 }
 
 // recordLoss reports a lost run if its upstream has crashed. For a request that was lost before it
 // waits until that is known or ctx ends, so that no other run of it begins meanwhile.
-func (f *flow) noteLoss(ctx context.Context, a *attempt, at time.Time) {
+func (f *flow) recordLoss(ctx context.Context, a *attempt, at time.Time) {
 	u := a.pick.upstream()
 	l := quarantine.Loss{Subject: f.subject(), Upstream: u.Life(), Engines: 1 + len(a.pick.helpers), Sent: a.sent, Lost: at}
 	noted := make(chan struct{})
