--- a/core/losses.go
+++ b/core/losses.go
@@ -65,7 +65,7 @@
 	noted := make(chan struct{})
 	go func() {
 		defer close(noted)
-		f.core.noteLoss(u, l, f.call.ID)
+		f.core.recordLoss(u, l, f.call.ID)
 	}()
 	if !f.core.quarantine.Knows(f.fingerprint) {
 		return
@@ -78,7 +78,7 @@
 
 // recordLoss reports a run that was lost at an upstream once a probe shows whether the upstream has
 // crashed.
-func (c *Core) noteLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
+func (c *Core) recordLoss(u hollowgrade.Upstream, l quarantine.Loss, request string) {
 	p := c.probeOnce(u, request)
 	if p.presence == hollowgrade.Absent {
 		c.quarantine.Lost(l)
