--- a/core/closing.go
+++ b/core/closing.go
@@ -61,7 +61,7 @@
 			return
 		}
 		soonest = min(soonest, p.took)
-		c.ranThere(u, soonest)
+		c.confirmSilent(u, soonest)
 		judged()
 	}
 }
@@ -82,7 +82,7 @@
 
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
 // there and the upstream has been silent since and still closes connections.
-func (c *Core) ranThere(u hollowgrade.Upstream, closedAfter time.Duration) {
+func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
 	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(leastKept, keptTimes*closedAfter)
