--- a/core/closing.go
+++ b/core/closing.go
@@ -18,13 +18,13 @@
 const (
 	// reprobeInterval is the interval of probes of an upstream that closes connections. Four
 	// connections a second are fewer than the calls that one of its slots serves.
-	probeAgain = 250 * time.Millisecond
+	reprobeInterval = 250 * time.Millisecond
 	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
 	// After that a call is sent again, and if it is lost, a new watch begins.
 	watchedFor = 5 * time.Second
 	// closingAvoid is how long such an upstream is avoided after each probe, and by peers after each
 	// report. It covers a late probe and a lost report.
-	closingAvoid = 4 * probeAgain
+	closingAvoid = 4 * reprobeInterval
 )
 
 // watch starts to probe an upstream that closes connections, and has it avoided, until it keeps a
@@ -55,7 +55,7 @@
 		c.log.Info("upstream watched no more", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
 	for c.fleet.closing(u.Life()) && c.clock.Since(begun) < watchedFor {
-		hollowgrade.Sleep(context.Background(), c.clock, probeAgain)
+		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
 			return
@@ -77,7 +77,7 @@
 	underWay  = 50 * time.Millisecond // what arrives this soon after a loss may have been sent before it
 	// minSilence is the time without any data that counts as a crash: a running upstream sends an
 	// event each 100 ms to some call. It is long enough for all losses of one crash to be recorded.
-	silentFor = probeAgain - underWay
+	silentFor = reprobeInterval - underWay
 )
 
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
@@ -106,7 +106,7 @@
 	}
 	now := f.clock.Now()
 	m.avoidUntil = now.Add(closingAvoid)
-	if m.avoidedByAllUntil.Sub(now) < 2*probeAgain {
+	if m.avoidedByAllUntil.Sub(now) < 2*reprobeInterval {
 		m.avoidedByAllUntil, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
 		f.markChanged(m)
 	}
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -51,7 +51,7 @@
 // newFronted returns a core whose upstreams have something in front of them. The test ends once nothing is watched any more.
 func newFronted(t *testing.T, f *fakeUpstreams, p *front) *Core {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + closedAfter) })
+	t.Cleanup(func() { time.Sleep(watchedFor + reprobeInterval + closedAfter) })
 	return newCore(f, WithProber(p))
 }
 
@@ -88,7 +88,7 @@
 			func() func(hollowgrade.Upstream) bool { return always }, broken,
 		},
 		"nor of one that keeps the next connection": {
-			func() func(hollowgrade.Upstream) bool { return until(time.Now().Add(probeAgain / 2)) }, afterAWhile(broken),
+			func() func(hollowgrade.Upstream) bool { return until(time.Now().Add(reprobeInterval / 2)) }, afterAWhile(broken),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -152,14 +152,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, f, p, id := lose(t, always)
 			require.Zero(t, sentTo(c, f, id, watchedFor))
-			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/probeAgain)+2)
+			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/reprobeInterval)+2)
 		})
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, f, _, id := lose(t, until(time.Now().Add(1500*time.Millisecond)))
 			require.Zero(t, sentTo(c, f, id, time.Second))
-			time.Sleep(probeAgain + closingAvoid)
+			time.Sleep(reprobeInterval + closingAvoid)
 			require.Positive(t, sentTo(c, f, id, 3*time.Second))
 		})
 	})
@@ -175,15 +175,15 @@
 					}
 				}
 			}
-			for range watchedFor / probeAgain {
+			for range watchedFor / reprobeInterval {
 				require.True(t, a.closing("u00"))
 				tell(a, b, c)
 				require.True(t, b.closing("u00"))
 				tell(b, a, c)
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
-				time.Sleep(probeAgain)
+				time.Sleep(reprobeInterval)
 			}
-			require.LessOrEqual(t, words, int(watchedFor/(closingAvoid-2*probeAgain)))
+			require.LessOrEqual(t, words, int(watchedFor/(closingAvoid-2*reprobeInterval)))
 			require.False(t, a.closing("another"))
 		})
 	})
@@ -211,7 +211,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
 				c := newCore(f, WithProber(p))
-				t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + probeTimeout) })
+				t.Cleanup(func() { time.Sleep(watchedFor + reprobeInterval + probeTimeout) })
 				arrive(c, f, 1)
 				require.Equal(t, 1, c.Quarantine().Size(), "it is known")
 				time.Sleep(2 * probedFor)
