--- a/core/closing.go
+++ b/core/closing.go
@@ -21,7 +21,7 @@
 	reprobeInterval = 250 * time.Millisecond
 	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
 	// After that a call is sent again, and if it is lost, a new watch begins.
-	watchedFor = 5 * time.Second
+	maxWatch = 5 * time.Second
 	// closingAvoid is how long such an upstream is avoided after each probe, and by peers after each
 	// report. It covers a late probe and a lost report.
 	closingAvoid = 4 * reprobeInterval
@@ -54,7 +54,7 @@
 		delete(c.watched, u.Life())
 		c.log.Info("upstream watched no more", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
-	for c.fleet.closing(u.Life()) && c.clock.Since(begun) < watchedFor {
+	for c.fleet.closing(u.Life()) && c.clock.Since(begun) < maxWatch {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -51,7 +51,7 @@
 // newFronted returns a core whose upstreams have something in front of them. The test ends once nothing is watched any more.
 func newFronted(t *testing.T, f *fakeUpstreams, p *front) *Core {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(watchedFor + reprobeInterval + closedAfter) })
+	t.Cleanup(func() { time.Sleep(maxWatch + reprobeInterval + closedAfter) })
 	return newCore(f, WithProber(p))
 }
 
@@ -151,8 +151,8 @@
 	t.Run("while it does, with four probes a second", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, f, p, id := lose(t, always)
-			require.Zero(t, sentTo(c, f, id, watchedFor))
-			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/reprobeInterval)+2)
+			require.Zero(t, sentTo(c, f, id, maxWatch))
+			require.LessOrEqual(t, p.probes.Load(), int64(maxWatch/reprobeInterval)+2)
 		})
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
@@ -175,7 +175,7 @@
 					}
 				}
 			}
-			for range watchedFor / reprobeInterval {
+			for range maxWatch / reprobeInterval {
 				require.True(t, a.closing("u00"))
 				tell(a, b, c)
 				require.True(t, b.closing("u00"))
@@ -183,7 +183,7 @@
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(reprobeInterval)
 			}
-			require.LessOrEqual(t, words, int(watchedFor/(closingAvoid-2*reprobeInterval)))
+			require.LessOrEqual(t, words, int(maxWatch/(closingAvoid-2*reprobeInterval)))
 			require.False(t, a.closing("another"))
 		})
 	})
@@ -211,7 +211,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
 				c := newCore(f, WithProber(p))
-				t.Cleanup(func() { time.Sleep(watchedFor + reprobeInterval + probeTimeout) })
+				t.Cleanup(func() { time.Sleep(maxWatch + reprobeInterval + probeTimeout) })
 				arrive(c, f, 1)
 				require.Equal(t, 1, c.Quarantine().Size(), "it is known")
 				time.Sleep(2 * probedFor)
