--- a/core/closing.go
+++ b/core/closing.go
@@ -73,7 +73,7 @@
 	// minRunFactor is the least ratio of a run's time to the time for which a new connection is
 	// kept.
 	minRunFactor = 5
-	leastKept    = 10 * time.Millisecond // a connection that broke sooner may have been closed as it was opened
+	minRunTime   = 10 * time.Millisecond // a connection that broke sooner may have been closed as it was opened
 	underWay     = 50 * time.Millisecond // what arrives this soon after a loss may have been sent before it
 	// minSilence is the time without any data that counts as a crash: a running upstream sends an
 	// event each 100 ms to some call. It is long enough for all losses of one crash to be recorded.
@@ -85,7 +85,7 @@
 func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
 	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
-		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(leastKept, minRunFactor*closedAfter)
+		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
 		return ran && now.Sub(l.Lost) >= silentFor && !heard.After(l.Lost.Add(underWay))
 	})
 	for _, l := range ls {
