--- a/core/closing.go
+++ b/core/closing.go
@@ -77,7 +77,7 @@
 	inFlightGrace = 50 * time.Millisecond // what arrives this soon after a loss may have been sent before it
 	// minSilence is the time without any data that counts as a crash: a running upstream sends an
 	// event each 100 ms to some call. It is long enough for all losses of one crash to be recorded.
-	silentFor = reprobeInterval - inFlightGrace
+	minSilence = reprobeInterval - inFlightGrace
 )
 
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
@@ -86,7 +86,7 @@
 	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
-		return ran && now.Sub(l.Lost) >= silentFor && !heard.After(l.Lost.Add(inFlightGrace))
+		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
 	})
 	for _, l := range ls {
 		c.log.Info("upstream had ended, it closes connections and says nothing", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
