--- a/core/closing.go
+++ b/core/closing.go
@@ -30,7 +30,7 @@
 // watch starts to probe an upstream that closes connections, and has it avoided, until it keeps a
 // connection, has another instance or was watched for [maxWatch]. The returned channel is closed
 // once the first of these probes has checked the runs that were lost there.
-func (c *Core) watch(u hollowgrade.Upstream, request string, first probeResult) (judged <-chan struct{}) {
+func (c *Core) watch(u hollowgrade.Upstream, request string, first probeResult) (checked <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.watched[u.Life()]; w != nil {
