--- a/core/closing.go
+++ b/core/closing.go
@@ -45,10 +45,10 @@
 
 // keepWatch probes an upstream until the watch ends. It calls checked after each probe and at the
 // end.
-func (c *Core) keepWatch(u hollowgrade.Upstream, request string, first probeResult, judged func()) {
+func (c *Core) keepWatch(u hollowgrade.Upstream, request string, first probeResult, checked func()) {
 	begun, soonest := c.clock.Now(), first.took
 	defer func() {
-		judged()
+		checked()
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		delete(c.watched, u.Life())
@@ -62,7 +62,7 @@
 		}
 		soonest = min(soonest, p.took)
 		c.confirmSilent(u, soonest)
-		judged()
+		checked()
 	}
 }
 
