--- a/core/closing.go
+++ b/core/closing.go
@@ -54,7 +54,7 @@
 		delete(c.watched, u.Life())
 		c.log.Info("upstream watched no more", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
-	for c.fleet.closing(u.Life()) && c.clock.Since(begun) < maxWatch {
+	for c.fleet.markClosing(u.Life()) && c.clock.Since(begun) < maxWatch {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
@@ -97,7 +97,7 @@
 
 // markClosing records that an upstream closes connections, so that others are preferred, and tells
 // peers unless they know. It returns false if that instance is no longer the current one.
-func (f *Fleet) closing(l hollowgrade.Life) (listed bool) {
+func (f *Fleet) markClosing(l hollowgrade.Life) (listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[l]
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -176,15 +176,15 @@
 				}
 			}
 			for range maxWatch / reprobeInterval {
-				require.True(t, a.closing("u00"))
+				require.True(t, a.markClosing("u00"))
 				tell(a, b, c)
-				require.True(t, b.closing("u00"))
+				require.True(t, b.markClosing("u00"))
 				tell(b, a, c)
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(reprobeInterval)
 			}
 			require.LessOrEqual(t, words, int(maxWatch/(closingAvoid-2*reprobeInterval)))
-			require.False(t, a.closing("another"))
+			require.False(t, a.markClosing("another"))
 		})
 	})
 	t.Run("but used when there is no other", func(t *testing.T) {
