--- a/core/closing.go
+++ b/core/closing.go
@@ -114,7 +114,7 @@
 }
 
 // recordActivity records that an upstream has sent something.
-func (f *Fleet) heard(m *member) {
+func (f *Fleet) recordActivity(m *member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.lastActivity = f.clock.Now()
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -116,7 +116,7 @@
 // chat lets an upstream send an event of some other call each 100 ms.
 func chat(ctx context.Context, f *Fleet, m *member) {
 	for hollowgrade.Sleep(ctx, hollowgrade.SystemClock(), 100*time.Millisecond) {
-		f.heard(m)
+		f.recordActivity(m)
 	}
 }
 
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -204,7 +204,7 @@
 			return err
 		}
 		w.reset(a.stall())
-		f.core.fleet.heard(a.pick.member)
+		f.core.fleet.recordActivity(a.pick.member)
 		a.begin()
 		f.noteEvent()
 		if !newer(p.Event, f.after) {
