--- a/core/closing.go
+++ b/core/closing.go
@@ -83,7 +83,7 @@
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
 // there and the upstream has been silent since and still closes connections.
 func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
-	now, heard := c.clock.Now(), c.fleet.heardFrom(u.Life())
+	now, heard := c.clock.Now(), c.fleet.lastActivity(u.Life())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
 		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
@@ -121,7 +121,7 @@
 }
 
 // lastActivity returns when an instance of an upstream last sent something, zero if it hasn't.
-func (f *Fleet) heardFrom(l hollowgrade.Life) (t time.Time) {
+func (f *Fleet) lastActivity(l hollowgrade.Life) (t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[l]; m != nil {
