--- a/core/probe.go
+++ b/core/probe.go
@@ -17,7 +17,7 @@
 )
 
 // sharedProbe is a probe of an upstream whose connection broke.
-type ending struct {
+type sharedProbe struct {
 	at    time.Time
 	done  chan struct{}
 	found probeResult
@@ -60,7 +60,7 @@
 
 // probeOf returns the probe of an instance that is in progress or was just made, or adds a new one
 // that the caller has to run.
-func (c *Core) ending(l hollowgrade.Life) (e *ending, first bool) {
+func (c *Core) ending(l hollowgrade.Life) (e *sharedProbe, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
@@ -72,7 +72,7 @@
 	if e = c.endings[l]; e != nil {
 		return e, false
 	}
-	e = &ending{at: now, done: make(chan struct{})}
+	e = &sharedProbe{at: now, done: make(chan struct{})}
 	c.endings[l] = e
 	return e, true
 }
