--- a/core/probe.go
+++ b/core/probe.go
@@ -18,9 +18,9 @@
 
 // sharedProbe is a probe of an upstream whose connection broke.
 type sharedProbe struct {
-	at    time.Time
-	done  chan struct{}
-	found probeResult
+	at     time.Time
+	done   chan struct{}
+	result probeResult
 }
 
 // probeResult is what a probe found, and how long it took.
@@ -40,11 +40,11 @@
 	e, first := c.ending(u.Life())
 	if !first {
 		<-e.done
-		return e.found
+		return e.result
 	}
 	defer close(e.done)
-	e.found = c.probe(u, request)
-	return e.found
+	e.result = c.probe(u, request)
+	return e.result
 }
 
 // probe checks whether an upstream is present.
