--- a/core/core.go
+++ b/core/core.go
@@ -76,7 +76,7 @@
 	mu      sync.Mutex
 	budgets map[string]*retry.Window // by service
 	flows   map[*flow]context.CancelCauseFunc
-	endings map[hollowgrade.Life]*sharedProbe
+	probes  map[hollowgrade.Life]*sharedProbe
 	watched map[hollowgrade.Life]chan struct{} // upstreams that close connections; see watch
 }
 
@@ -166,7 +166,7 @@
 		processes: func() int { return 1 },
 		budgets:   map[string]*retry.Window{},
 		flows:     map[*flow]context.CancelCauseFunc{},
-		endings:   map[hollowgrade.Life]*sharedProbe{},
+		probes:    map[hollowgrade.Life]*sharedProbe{},
 		watched:   map[hollowgrade.Life]chan struct{}{},
 	}
 	c.SetBounds(DefaultBounds())
--- a/core/probe.go
+++ b/core/probe.go
@@ -64,15 +64,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	for o, e := range c.endings {
+	for o, e := range c.probes {
 		if now.Sub(e.at) > probedFor {
-			delete(c.endings, o)
+			delete(c.probes, o)
 		}
 	}
-	if e = c.endings[l]; e != nil {
+	if e = c.probes[l]; e != nil {
 		return e, false
 	}
 	e = &sharedProbe{at: now, done: make(chan struct{})}
-	c.endings[l] = e
+	c.probes[l] = e
 	return e, true
 }
