--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -214,7 +214,7 @@
 				t.Cleanup(func() { time.Sleep(maxWatch + reprobeInterval + probeTimeout) })
 				arrive(c, f, 1)
 				require.Equal(t, 1, c.Quarantine().Size(), "it is known")
-				time.Sleep(2 * probedFor)
+				time.Sleep(2 * probeResultTTL)
 				k := call("/once/")
 				k.ID, k.Arrived, k.Patience = "short", time.Now(), 150*time.Millisecond
 				_ = c.Serve(context.Background(), k, &fakeSink{})
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -133,7 +133,7 @@
 			}
 			synctest.Wait()
 			require.EqualValues(t, 1, p.looks.Load())
-			time.Sleep(2 * probedFor)
+			time.Sleep(2 * probeResultTTL)
 			c.probeOnce(u, "r")
 			require.EqualValues(t, 2, p.looks.Load())
 		})
--- a/core/probe.go
+++ b/core/probe.go
@@ -13,7 +13,7 @@
 	probeTimeout = 300 * time.Millisecond
 	// probeResultTTL is how long the result is used for other calls that were lost at the same
 	// instance.
-	probedFor = time.Second
+	probeResultTTL = time.Second
 )
 
 // sharedProbe is a probe of an upstream whose connection broke.
@@ -65,7 +65,7 @@
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	for o, e := range c.probes {
-		if now.Sub(e.at) > probedFor {
+		if now.Sub(e.at) > probeResultTTL {
 			delete(c.probes, o)
 		}
 	}
