--- a/core/share.go
+++ b/core/share.go
@@ -32,7 +32,7 @@
 // view is the load that one peer has assigned to upstreams, as it reports.
 type view struct {
 	shares       map[hollowgrade.Life]Share
-	heard        time.Time
+	receivedAt   time.Time
 	heardReading heardReading
 	whole        bool // whether a complete report was received, so that upstreams that appear later are new
 }
@@ -108,7 +108,7 @@
 		v = &view{shares: map[hollowgrade.Life]Share{}}
 		f.views[box] = v
 	}
-	v.heard = f.clock.Now()
+	v.receivedAt = f.clock.Now()
 	if whole {
 		for id := range v.shares {
 			if _, ok := shares[id]; !ok {
@@ -242,8 +242,8 @@
 func (f *Fleet) expireViews(now time.Time) {
 	longest := viewAge(f.peers())
 	for box, v := range f.views {
-		if now.Sub(v.heard) > longest {
-			f.log.Info("load of a peer forgotten", "peer", box, "age_ms", now.Sub(v.heard).Milliseconds())
+		if now.Sub(v.receivedAt) > longest {
+			f.log.Info("load of a peer forgotten", "peer", box, "age_ms", now.Sub(v.receivedAt).Milliseconds())
 			f.dropView(box)
 		}
 	}
