--- a/core/demand.go
+++ b/core/demand.go
@@ -99,7 +99,7 @@
 
 // peerPrefill is prefill that a peer has assigned to engines of a service, possibly as parts of one
 // prompt.
-type heardReading struct {
+type peerPrefill struct {
 	service string
 	since   time.Time
 	reading time.Duration
@@ -111,7 +111,7 @@
 	now := f.clock.Now()
 	if v.heardReading.service != service || now.Sub(v.heardReading.since) > wordParts {
 		f.settleReading(v)
-		v.heardReading = heardReading{service: service, since: now}
+		v.heardReading = peerPrefill{service: service, since: now}
 	}
 	v.heardReading.reading += d
 }
@@ -122,7 +122,7 @@
 	if h.reading > 0 {
 		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.reading)/passOverhead))
 	}
-	v.heardReading = heardReading{}
+	v.heardReading = peerPrefill{}
 }
 
 // expected returns the expected demand for the engines of a service. The lock is held.
--- a/core/share.go
+++ b/core/share.go
@@ -33,7 +33,7 @@
 type view struct {
 	shares       map[hollowgrade.Life]Share
 	receivedAt   time.Time
-	heardReading heardReading
+	heardReading peerPrefill
 	whole        bool // whether a complete report was received, so that upstreams that appear later are new
 }
 
