--- a/core/demand.go
+++ b/core/demand.go
@@ -109,26 +109,26 @@
 // another shortly concern the same prompt. The lock is held.
 func (f *Fleet) hearReading(v *view, service string, d time.Duration) {
 	now := f.clock.Now()
-	if v.heardReading.service != service || now.Sub(v.heardReading.since) > wordParts {
+	if v.recentPrefill.service != service || now.Sub(v.recentPrefill.since) > wordParts {
 		f.settleReading(v)
-		v.heardReading = peerPrefill{service: service, since: now}
+		v.recentPrefill = peerPrefill{service: service, since: now}
 	}
-	v.heardReading.reading += d
+	v.recentPrefill.reading += d
 }
 
 // countPeerPrefill counts the collected prefill of a peer as one prompt. The lock is held.
 func (f *Fleet) settleReading(v *view) {
-	h := v.heardReading
+	h := v.recentPrefill
 	if h.reading > 0 {
 		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.reading)/passOverhead))
 	}
-	v.heardReading = peerPrefill{}
+	v.recentPrefill = peerPrefill{}
 }
 
 // expected returns the expected demand for the engines of a service. The lock is held.
 func (f *Fleet) expected(service string, now time.Time) placement.Demand {
 	for _, v := range f.views {
-		if h := v.heardReading; h.reading > 0 && now.Sub(h.since) > wordParts {
+		if h := v.recentPrefill; h.reading > 0 && now.Sub(h.since) > wordParts {
 			f.settleReading(v)
 		}
 	}
--- a/core/share.go
+++ b/core/share.go
@@ -31,10 +31,10 @@
 
 // view is the load that one peer has assigned to upstreams, as it reports.
 type view struct {
-	shares       map[hollowgrade.Life]Share
-	receivedAt   time.Time
-	heardReading peerPrefill
-	whole        bool // whether a complete report was received, so that upstreams that appear later are new
+	shares        map[hollowgrade.Life]Share
+	receivedAt    time.Time
+	recentPrefill peerPrefill
+	whole         bool // whether a complete report was received, so that upstreams that appear later are new
 }
 
 // Changed returns a channel that receives a value when this process's own shares have changed.
