--- a/core/share.go
+++ b/core/share.go
@@ -34,7 +34,7 @@
 	shares        map[hollowgrade.Life]Share
 	receivedAt    time.Time
 	recentPrefill peerPrefill
-	whole         bool // whether a complete report was received, so that upstreams that appear later are new
+	complete      bool // whether a complete report was received, so that upstreams that appear later are new
 }
 
 // Changed returns a channel that receives a value when this process's own shares have changed.
@@ -119,7 +119,7 @@
 	for id, s := range shares {
 		f.setView(v, id, s)
 	}
-	v.whole = v.whole || whole
+	v.complete = v.complete || whole
 }
 
 // setViewShare replaces one share of a view. Prefill added since the last report counts from now on;
@@ -129,13 +129,13 @@
 	old, known := v.shares[id]
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Plus(s).Minus(old)
-		if n := s.Open - old.Open; (known || v.whole) && n > 0 {
+		if n := s.Open - old.Open; (known || v.complete) && n > 0 {
 			f.noteOthers(m.Service, n)
 		}
-		if m.limit.named && (known || v.whole) {
+		if m.limit.named && (known || v.complete) {
 			f.hearSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
 		}
-		if more := s.Prefill - old.Prefill; (known || v.whole) && more != 0 {
+		if more := s.Prefill - old.Prefill; (known || v.complete) && more != 0 {
 			m.addPrefill(f.clock.Now(), more)
 			f.hearReading(v, m.Service, max(more, 0))
 			if more > 0 && s.Open <= old.Open {
@@ -203,7 +203,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range f.views {
-		if v.whole {
+		if v.complete {
 			n++
 		}
 	}
