--- a/core/demand.go
+++ b/core/demand.go
@@ -102,7 +102,7 @@
 type peerPrefill struct {
 	service string
 	since   time.Time
-	reading time.Duration
+	prefill time.Duration
 }
 
 // recordPeerPrefill adds prefill that a peer has assigned to an engine. Messages that follow one
@@ -113,14 +113,14 @@
 		f.settleReading(v)
 		v.recentPrefill = peerPrefill{service: service, since: now}
 	}
-	v.recentPrefill.reading += d
+	v.recentPrefill.prefill += d
 }
 
 // countPeerPrefill counts the collected prefill of a peer as one prompt. The lock is held.
 func (f *Fleet) settleReading(v *view) {
 	h := v.recentPrefill
-	if h.reading > 0 {
-		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.reading)/passOverhead))
+	if h.prefill > 0 {
+		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.prefill)/passOverhead))
 	}
 	v.recentPrefill = peerPrefill{}
 }
@@ -128,7 +128,7 @@
 // expected returns the expected demand for the engines of a service. The lock is held.
 func (f *Fleet) expected(service string, now time.Time) placement.Demand {
 	for _, v := range f.views {
-		if h := v.recentPrefill; h.reading > 0 && now.Sub(h.since) > wordParts {
+		if h := v.recentPrefill; h.prefill > 0 && now.Sub(h.since) > wordParts {
 			f.settleReading(v)
 		}
 	}
