--- a/core/demand.go
+++ b/core/demand.go
@@ -107,7 +107,7 @@
 
 // recordPeerPrefill adds prefill that a peer has assigned to an engine. Messages that follow one
 // another shortly concern the same prompt. The lock is held.
-func (f *Fleet) hearReading(v *view, service string, d time.Duration) {
+func (f *Fleet) recordPeerPrefill(v *view, service string, d time.Duration) {
 	now := f.clock.Now()
 	if v.recentPrefill.service != service || now.Sub(v.recentPrefill.since) > wordParts {
 		f.settleReading(v)
--- a/core/share.go
+++ b/core/share.go
@@ -137,7 +137,7 @@
 		}
 		if more := s.Prefill - old.Prefill; (known || v.complete) && more != 0 {
 			m.addPrefill(f.clock.Now(), more)
-			f.hearReading(v, m.Service, max(more, 0))
+			f.recordPeerPrefill(v, m.Service, max(more, 0))
 			if more > 0 && s.Open <= old.Open {
 				m.helping(f.clock.Now(), 0)
 			}
