--- a/core/demand.go
+++ b/core/demand.go
@@ -110,14 +110,14 @@
 func (f *Fleet) recordPeerPrefill(v *view, service string, d time.Duration) {
 	now := f.clock.Now()
 	if v.recentPrefill.service != service || now.Sub(v.recentPrefill.since) > wordParts {
-		f.settleReading(v)
+		f.countPeerPrefill(v)
 		v.recentPrefill = peerPrefill{service: service, since: now}
 	}
 	v.recentPrefill.prefill += d
 }
 
 // countPeerPrefill counts the collected prefill of a peer as one prompt. The lock is held.
-func (f *Fleet) settleReading(v *view) {
+func (f *Fleet) countPeerPrefill(v *view) {
 	h := v.recentPrefill
 	if h.prefill > 0 {
 		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.prefill)/passOverhead))
@@ -129,7 +129,7 @@
 func (f *Fleet) expected(service string, now time.Time) placement.Demand {
 	for _, v := range f.views {
 		if h := v.recentPrefill; h.prefill > 0 && now.Sub(h.since) > wordParts {
-			f.settleReading(v)
+			f.countPeerPrefill(v)
 		}
 	}
 	return f.demandOf(service).expected(now)
