--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -74,7 +74,7 @@
 			c := placement.Request{Pause: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, Prompt: int(30_000 * r.Float64())}
 			s.Stakes = s.Stakes.Plus(c.Stakes())
 		}
-		f.setView(f.views["b"], m.Life(), s)
+		f.setViewShare(f.views["b"], m.Life(), s)
 		if r.Float64() < busy {
 			m.addPrefill(now, time.Duration(r.IntN(2500))*time.Millisecond)
 		}
--- a/core/share.go
+++ b/core/share.go
@@ -117,7 +117,7 @@
 		}
 	}
 	for id, s := range shares {
-		f.setView(v, id, s)
+		f.setViewShare(v, id, s)
 	}
 	v.complete = v.complete || whole
 }
@@ -125,7 +125,7 @@
 // setViewShare replaces one share of a view. Prefill added since the last report counts from now on;
 // a decrease means that some was cancelled. Prefill assigned before the peer's first complete report
 // is ignored, because it is unknown how much of it is still pending. The lock is held.
-func (f *Fleet) setView(v *view, id hollowgrade.Life, s Share) {
+func (f *Fleet) setViewShare(v *view, id hollowgrade.Life, s Share) {
 	old, known := v.shares[id]
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Plus(s).Minus(old)
