--- a/core/share.go
+++ b/core/share.go
@@ -112,7 +112,7 @@
 	if whole {
 		for id := range v.shares {
 			if _, ok := shares[id]; !ok {
-				f.forget(v, id)
+				f.dropShare(v, id)
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 // dropShare removes one share of a view. Its prefill stays in the backlog. The lock is held.
-func (f *Fleet) forget(v *view, id hollowgrade.Life) {
+func (f *Fleet) dropShare(v *view, id hollowgrade.Life) {
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Minus(v.shares[id])
 	}
@@ -233,7 +233,7 @@
 		return
 	}
 	for id := range v.shares {
-		f.forget(v, id)
+		f.dropShare(v, id)
 	}
 	delete(f.views, box)
 }
