--- a/core/fleet.go
+++ b/core/fleet.go
@@ -236,7 +236,7 @@
 	m := &member{instance: l, busyUntil: f.unlistedBusyUntil[l]}
 	delete(f.unlistedBusyUntil, l)
 	f.members[l], f.instances[id] = m, l
-	f.sumOthers(m, l)
+	f.sumPeerShares(m, l)
 	f.applyUnlistedReport(m)
 	f.outdated = true
 	return m
--- a/core/share.go
+++ b/core/share.go
@@ -155,7 +155,7 @@
 }
 
 // sumPeerShares adds up the load that peers have assigned to a new member. The lock is held.
-func (f *Fleet) sumOthers(m *member, id hollowgrade.Life) {
+func (f *Fleet) sumPeerShares(m *member, id hollowgrade.Life) {
 	for _, v := range f.views {
 		m.peerShare = m.peerShare.Plus(v.shares[id])
 	}
