--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -34,7 +34,7 @@
 }
 
 // recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
-func (f *Fleet) noteOthers(service string, n int) {
+func (f *Fleet) recordPeerCalls(service string, n int) {
 	f.peerCallRates[service] = f.peerCallRates[service].plus(f.clock.Now(), n, rateMemory)
 }
 
--- a/core/share.go
+++ b/core/share.go
@@ -130,7 +130,7 @@
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Plus(s).Minus(old)
 		if n := s.Open - old.Open; (known || v.complete) && n > 0 {
-			f.noteOthers(m.Service, n)
+			f.recordPeerCalls(m.Service, n)
 		}
 		if m.limit.named && (known || v.complete) {
 			f.hearSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
