--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -397,7 +397,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 1)
 			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, true)
-			time.Sleep(viewAge(0) + 1)
+			time.Sleep(viewTTL(0) + 1)
 			f.pick("e", short(), nil)
 			require.Equal(t, 1, f.members["u00"].total().Open)
 		})
--- a/core/share.go
+++ b/core/share.go
@@ -25,7 +25,7 @@
 
 // viewTTL returns how long a peer's report is valid without being repeated, given the number of
 // peers. The load of a process that died is dropped after that.
-func viewAge(others int) time.Duration {
+func viewTTL(others int) time.Duration {
 	return 2*Heartbeat(others) + viewSlack
 }
 
@@ -240,7 +240,7 @@
 
 // expireViews removes the views that were not renewed. The lock is held.
 func (f *Fleet) expireViews(now time.Time) {
-	longest := viewAge(f.peers())
+	longest := viewTTL(f.peers())
 	for box, v := range f.views {
 		if now.Sub(v.receivedAt) > longest {
 			f.log.Info("load of a peer forgotten", "peer", box, "age_ms", now.Sub(v.receivedAt).Milliseconds())
