--- a/core/share.go
+++ b/core/share.go
@@ -14,7 +14,7 @@
 	longestHeartbeat  = time.Second
 	heartbeatPerPeer  = 10 * time.Millisecond
 	// viewTTLMargin is added to two heartbeats for the time that a peer's report is valid.
-	viewSlack = 500 * time.Millisecond
+	viewTTLMargin = 500 * time.Millisecond
 )
 
 // Heartbeat returns how often a process sends a report to each of its peers, so that its last one
@@ -26,7 +26,7 @@
 // viewTTL returns how long a peer's report is valid without being repeated, given the number of
 // peers. The load of a process that died is dropped after that.
 func viewTTL(others int) time.Duration {
-	return 2*Heartbeat(others) + viewSlack
+	return 2*Heartbeat(others) + viewTTLMargin
 }
 
 // view is the load that one peer has assigned to upstreams, as it reports.
