--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -21,7 +21,7 @@
 				for b.Loop() {
 					p := f.pick("e", d, nil)
 					if !p.Refused {
-						f.over(p, false)
+						f.release(p, false)
 					}
 				}
 			})
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -168,7 +168,7 @@
 		}
 	}
 	for _, p := range ps {
-		f.over(p, true)
+		f.release(p, true)
 	}
 	for id, m := range f.members {
 		require.Equal(t, Share{Prefill: m.ownShare.Prefill}, m.ownShare, id)
@@ -182,14 +182,14 @@
 		f := newFleet("e", 1)
 		m := f.members["u00"]
 		p := f.pick("e", long(longestAlone), nil)
-		f.over(p, false)
+		f.release(p, false)
 		require.Zero(t, m.prefillBacklog(time.Now()), "refused at once")
 		p = f.pick("e", long(longestAlone), nil)
 		time.Sleep(8 * time.Second)
 		f.pick("e", long(longestAlone), nil)
 		rest := m.prefillBacklog(time.Now())
 		require.NotZero(t, rest)
-		f.over(p, false)
+		f.release(p, false)
 		require.Equal(t, rest, m.prefillBacklog(time.Now()))
 	})
 }
@@ -242,7 +242,7 @@
 	f.SetChance(r.Float64)
 	for range 200 {
 		p := f.pick("e", short(), nil)
-		time.AfterFunc(2*time.Second, func() { f.over(p, true) })
+		time.AfterFunc(2*time.Second, func() { f.release(p, true) })
 		time.Sleep(80 * time.Millisecond)
 	}
 	for _, c := range f.Shares() {
--- a/core/flow.go
+++ b/core/flow.go
@@ -139,11 +139,11 @@
 	defer a.tickets.end()
 	if err != nil {
 		f.core.fleet.unsent(p)
-		f.core.fleet.over(p, false)
+		f.core.fleet.release(p, false)
 		return Try{Err: err, Placed: f.noMemory < memoryTries, Free: true}
 	}
 	err = a.run(ctx)
-	f.core.fleet.over(p, a.wrote)
+	f.core.fleet.release(p, a.wrote)
 	f.recordOutcome(ctx, a, err)
 	if err == nil {
 		return Try{Placed: true}
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -125,7 +125,7 @@
 				sent, says := time.Now(), p.signals(u, r)
 				time.AfterFunc(15*time.Millisecond, func() {
 					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
-					f.over(k, true)
+					f.release(k, true)
 				})
 				x.words += p.tell(ps, i, f.Changes(false), false, r)
 			}
@@ -248,7 +248,7 @@
 					says = hollowgrade.Signals{}
 				}
 				f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
-				f.over(k, true)
+				f.release(k, true)
 			})
 		}
 		for _, o := range ps {
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -112,7 +112,7 @@
 			f.Put(later)
 			require.False(t, f.stillUsable(p))
 			f.failed(p.member, "r", "it ended")
-			f.over(p, false)
+			f.release(p, false)
 			requireFresh(t, f, later.Life())
 			require.Empty(t, f.Changes(false))
 		})
@@ -194,6 +194,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.over(f.pick("e", short(), nil), false)
+		f.release(f.pick("e", short(), nil), false)
 	}
 }
--- a/core/place.go
+++ b/core/place.go
@@ -164,7 +164,7 @@
 
 // release ends the accounting of a call. If the call ended before its answer began, the prefill that
 // cannot have been done yet is subtracted from the backlogs; the rest has elapsed.
-func (f *Fleet) over(p *pick, began bool) {
+func (f *Fleet) release(p *pick, began bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !began {
--- a/core/plan.go
+++ b/core/plan.go
@@ -44,5 +44,5 @@
 
 // Done ends the accounting of a plan. Began says whether its answer had begun.
 func (f *Fleet) Done(p Plan, began bool) {
-	f.over(p.pick, began)
+	f.release(p.pick, began)
 }
