--- a/core/flow.go
+++ b/core/flow.go
@@ -138,7 +138,7 @@
 	err := f.prepare(ctx, a)
 	defer a.tickets.end()
 	if err != nil {
-		f.core.fleet.unsent(p)
+		f.core.fleet.refundLimits(p)
 		f.core.fleet.release(p, false)
 		return Try{Err: err, Placed: f.noMemory < memoryTries, Free: true}
 	}
@@ -224,7 +224,7 @@
 	x := a.fault(err)
 	t.Err = x
 	if t.Free {
-		f.core.fleet.unsent(a.pick)
+		f.core.fleet.refundLimits(a.pick)
 	}
 	switch x.Code {
 	case fault.UpstreamLost, fault.AnswerCut:
--- a/core/limit.go
+++ b/core/limit.go
@@ -181,7 +181,7 @@
 }
 
 // refundLimits returns what was charged to limits for a pick that was not sent.
-func (f *Fleet) unsent(p *pick) {
+func (f *Fleet) refundLimits(p *pick) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range p.metered {
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -219,7 +219,7 @@
 			time.Sleep(time.Minute)
 			p := give(f)
 			require.NotNil(t, p)
-			f.unsent(p)
+			f.refundLimits(p)
 			require.Zero(t, f.members["u"].ownShare.Sent)
 			require.NotNil(t, give(f))
 		})
