--- a/core/place.go
+++ b/core/place.go
@@ -92,7 +92,7 @@
 	f.add(p.member, p.share)
 	f.meter(p, p.member)
 	f.noteProof(p.member, now)
-	f.give(p, now, l.Reading)
+	f.addPrefill(p, now, l.Reading)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
 		m.helping(now, l.First)
@@ -154,7 +154,7 @@
 
 // addPrefill adds prefill to the backlogs of the engines of a pick, or subtracts it if negative. The
 // lock is held.
-func (f *Fleet) give(p *pick, now time.Time, reading time.Duration) {
+func (f *Fleet) addPrefill(p *pick, now time.Time, reading time.Duration) {
 	d := time.Duration(passOverhead * float64(reading))
 	for _, m := range append(p.helpers, p.member) {
 		m.addPrefill(now, d)
@@ -169,7 +169,7 @@
 	defer f.mu.Unlock()
 	if !began {
 		now := f.clock.Now()
-		f.give(p, now, -max(p.Reading-now.Sub(p.since), 0))
+		f.addPrefill(p, now, -max(p.Reading-now.Sub(p.since), 0))
 	}
 	f.add(p.member, Share{}.Minus(p.share))
 	for _, m := range p.keepers {
