--- a/core/limit.go
+++ b/core/limit.go
@@ -193,7 +193,7 @@
 
 // recordPeerSends charges what a peer has sent to an upstream with a limit since its last report,
 // and counts what it would have sent. The lock is held.
-func (f *Fleet) hearSends(m *member, sent, wanted int) {
+func (f *Fleet) recordPeerSends(m *member, sent, wanted int) {
 	now := f.clock.Now()
 	m.limit.accrue(now, f.heardShare())
 	m.limit.allowance -= float64(sent)
--- a/core/share.go
+++ b/core/share.go
@@ -133,7 +133,7 @@
 			f.recordPeerCalls(m.Service, n)
 		}
 		if m.limit.named && (known || v.complete) {
-			f.hearSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
+			f.recordPeerSends(m, s.Sent-old.Sent, s.Wanted-old.Wanted)
 		}
 		if more := s.Prefill - old.Prefill; (known || v.complete) && more != 0 {
 			m.addPrefill(f.clock.Now(), more)
