--- a/core/limit.go
+++ b/core/limit.go
@@ -94,7 +94,7 @@
 	f.log.Info("limit of upstream", "upstream", m.instance, "service", m.Service, "request", request, "peer", peer,
 		"age_ms", w.Age.Milliseconds(), "named", w.Named, "per_second", w.PerSecond, "was_named", l.named, "before", l.perSecond)
 	if l.named {
-		l.accrue(now, f.heardShare())
+		l.accrue(now, f.knownShare())
 	} else {
 		l.allowance, l.accrued = 0, now
 	}
@@ -134,7 +134,7 @@
 
 // knownShare returns the part of all processes whose load is known, including this one. The lock is
 // held.
-func (f *Fleet) heardShare() float64 {
+func (f *Fleet) knownShare() float64 {
 	others := max(len(f.views), f.peers())
 	return float64(len(f.views)+1) / float64(others+1)
 }
@@ -149,7 +149,7 @@
 	}
 	m.ownShare.Wanted++
 	f.changed[m.instance] = true // sent with the next report
-	l.accrue(now, f.heardShare())
+	l.accrue(now, f.knownShare())
 	if l.allowance < 1 {
 		return false
 	}
@@ -195,7 +195,7 @@
 // and counts what it would have sent. The lock is held.
 func (f *Fleet) recordPeerSends(m *member, sent, wanted int) {
 	now := f.clock.Now()
-	m.limit.accrue(now, f.heardShare())
+	m.limit.accrue(now, f.knownShare())
 	m.limit.allowance -= float64(sent)
 	m.limit.wanted = m.limit.wanted.plus(now, max(wanted, 0), wantedMemory)
 }
