--- a/core/limit.go
+++ b/core/limit.go
@@ -65,8 +65,8 @@
 
 // accrue adds to the allowance what accumulated since the last call. Only the knownShare of all
 // processes reports its requests to this one; the rest of the limit is left to the others.
-func (l *rateLimit) accrue(now time.Time, heard float64) {
-	r := heard * l.rate()
+func (l *rateLimit) accrue(now time.Time, knownShare float64) {
+	r := knownShare * l.rate()
 	most := 1 + r*limitBurst.Seconds()
 	l.allowance = min(l.allowance+r*now.Sub(l.accrued).Seconds(), most)
 	l.accrued = now
