--- a/core/limit.go
+++ b/core/limit.go
@@ -158,7 +158,7 @@
 }
 
 // withinLimits returns the members whose limits leave room for a request now. The lock is held.
-func (f *Fleet) within(ms []*member, tried map[hollowgrade.Life]bool, now time.Time, begun bool) (free []*member) {
+func (f *Fleet) withinLimits(ms []*member, tried map[hollowgrade.Life]bool, now time.Time, begun bool) (free []*member) {
 	if !slices.ContainsFunc(ms, func(m *member) bool { return m.limit.named }) {
 		return ms
 	}
--- a/core/place.go
+++ b/core/place.go
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	f.expireViews(now)
-	ms := f.within(f.usableMembers(service, now), tried, now, r.Begun)
+	ms := f.withinLimits(f.usableMembers(service, now), tried, now, r.Begun)
 	s := f.snapshot(ms, tried, now)
 	s.Unheard = f.unheard(service, now)
 	if r.Long() {
