--- a/core/limit.go
+++ b/core/limit.go
@@ -171,7 +171,7 @@
 }
 
 // chargeLimit charges a request to the limit of an upstream. The lock is held.
-func (f *Fleet) meter(p *pick, m *member) {
+func (f *Fleet) chargeLimit(p *pick, m *member) {
 	if !m.limit.named {
 		return
 	}
@@ -210,7 +210,7 @@
 		if !f.admits(m, now, p.request.Begun) {
 			return false
 		}
-		f.meter(p, m)
+		f.chargeLimit(p, m)
 	}
 	return true
 }
--- a/core/place.go
+++ b/core/place.go
@@ -90,13 +90,13 @@
 		f.add(m, Share{Tokens: l.Kept})
 	}
 	f.add(p.member, p.share)
-	f.meter(p, p.member)
+	f.chargeLimit(p, p.member)
 	f.noteProof(p.member, now)
 	f.addPrefill(p, now, l.Reading)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
 		m.helping(now, l.First)
-		f.meter(p, m)
+		f.chargeLimit(p, m)
 		p.slowest = max(p.slowest, m.pace(now))
 	}
 	return p
