--- a/core/fleet.go
+++ b/core/fleet.go
@@ -338,7 +338,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	unusable := func(m *member) bool { return f.members[m.instance] != m || !f.usable(m, now) }
-	return !unusable(p.member) && !slices.ContainsFunc(p.helpers, unusable) && f.meterLate(p, now)
+	return !unusable(p.member) && !slices.ContainsFunc(p.helpers, unusable) && f.chargeNewLimits(p, now)
 }
 
 // hasUntried reports whether a service has a usable upstream that hasn't been tried.
--- a/core/limit.go
+++ b/core/limit.go
@@ -202,7 +202,7 @@
 
 // chargeNewLimits charges a pick to limits that became known after it was made, and reports whether
 // they leave room. The lock is held.
-func (f *Fleet) meterLate(p *pick, now time.Time) bool {
+func (f *Fleet) chargeNewLimits(p *pick, now time.Time) bool {
 	for _, m := range append([]*member{p.member}, p.helpers...) {
 		if !m.limit.named || slices.Contains(p.metered, m) {
 			continue
