--- a/core/limit.go
+++ b/core/limit.go
@@ -176,7 +176,7 @@
 		return
 	}
 	m.limit.allowance--
-	p.metered = append(p.metered, m)
+	p.charged = append(p.charged, m)
 	f.add(m, Share{Sent: 1})
 }
 
@@ -184,11 +184,11 @@
 func (f *Fleet) refundLimits(p *pick) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range p.metered {
+	for _, m := range p.charged {
 		m.limit.allowance++
 		f.add(m, Share{Sent: -1})
 	}
-	p.metered = nil
+	p.charged = nil
 }
 
 // recordPeerSends charges what a peer has sent to an upstream with a limit since its last report,
@@ -204,7 +204,7 @@
 // they leave room. The lock is held.
 func (f *Fleet) chargeNewLimits(p *pick, now time.Time) bool {
 	for _, m := range append([]*member{p.member}, p.helpers...) {
-		if !m.limit.named || slices.Contains(p.metered, m) {
+		if !m.limit.named || slices.Contains(p.charged, m) {
 			continue
 		}
 		if !f.admits(m, now, p.request.Begun) {
--- a/core/place.go
+++ b/core/place.go
@@ -25,7 +25,7 @@
 	share   Share                            // at the member
 	slowest float64                          // highest known pace of its engines
 	since   time.Time                        // when it was chosen
-	metered []*member                        // members whose limit was charged
+	charged []*member                        // members whose limit was charged
 }
 
 // upstream returns the registry entry of the chosen upstream.
