--- a/core/limit.go
+++ b/core/limit.go
@@ -50,7 +50,7 @@
 	named     bool
 	perSecond float64
 	at        time.Time // when the upstream reported it; zero if it hasn't
-	own       bool      // whether the upstream reported it to this process
+	direct    bool      // whether the upstream reported it to this process
 	known     time.Time // when this process learned of it
 	changed   time.Time // when the known limit last changed
 	allowance float64   // requests that may be sent now; negative if too many were sent
@@ -82,9 +82,9 @@
 func (f *Fleet) setLimit(m *member, peer, request string, w RateLimit) {
 	now := f.clock.Now()
 	l := &m.limit
-	l.at, l.own = now.Add(-w.Age), peer == ""
+	l.at, l.direct = now.Add(-w.Age), peer == ""
 	changed := w.Named != l.named || w.PerSecond != l.perSecond
-	if changed || l.own {
+	if changed || l.direct {
 		l.known = now
 	}
 	if !changed {
@@ -99,7 +99,7 @@
 		l.allowance, l.accrued = 0, now
 	}
 	l.named, l.perSecond = w.Named, w.PerSecond
-	if l.own {
+	if l.direct {
 		f.markChanged(m)
 	}
 }
@@ -129,7 +129,7 @@
 	if !m.limit.tellable(now) {
 		return w, false
 	}
-	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.at), !m.limit.own}, true
+	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.at), !m.limit.direct}, true
 }
 
 // knownShare returns the part of all processes whose load is known, including this one. The lock is
