--- a/core/limit.go
+++ b/core/limit.go
@@ -51,7 +51,7 @@
 	perSecond float64
 	at        time.Time // when the upstream reported it; zero if it hasn't
 	direct    bool      // whether the upstream reported it to this process
-	known     time.Time // when this process learned of it
+	learnedAt time.Time // when this process learned of it
 	changed   time.Time // when the known limit last changed
 	allowance float64   // requests that may be sent now; negative if too many were sent
 	accrued   time.Time // time up to which the allowance is added up
@@ -85,7 +85,7 @@
 	l.at, l.direct = now.Add(-w.Age), peer == ""
 	changed := w.Named != l.named || w.PerSecond != l.perSecond
 	if changed || l.direct {
-		l.known = now
+		l.learnedAt = now
 	}
 	if !changed {
 		return
