--- a/core/limit.go
+++ b/core/limit.go
@@ -52,7 +52,7 @@
 	at        time.Time // when the upstream reported it; zero if it hasn't
 	direct    bool      // whether the upstream reported it to this process
 	learnedAt time.Time // when this process learned of it
-	changed   time.Time // when the known limit last changed
+	changedAt time.Time // when the known limit last changed
 	allowance float64   // requests that may be sent now; negative if too many were sent
 	accrued   time.Time // time up to which the allowance is added up
 	wanted    rate      // requests that peers would send
@@ -74,7 +74,7 @@
 
 // reportable reports whether peers are to be told of the limit.
 func (l *rateLimit) tellable(now time.Time) bool {
-	return l.named || !l.changed.IsZero() && now.Sub(l.changed) < endOfLimitTold
+	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < endOfLimitTold
 }
 
 // setLimit updates the known limit of an upstream. Peer is the process that reported it, empty if
@@ -90,7 +90,7 @@
 	if !changed {
 		return
 	}
-	l.changed = now
+	l.changedAt = now
 	f.log.Info("limit of upstream", "upstream", m.instance, "service", m.Service, "request", request, "peer", peer,
 		"age_ms", w.Age.Milliseconds(), "named", w.Named, "per_second", w.PerSecond, "was_named", l.named, "before", l.perSecond)
 	if l.named {
