--- a/core/limit.go
+++ b/core/limit.go
@@ -47,15 +47,15 @@
 // rateLimit is the limit of an upstream, and this process's account of what all processes together
 // may send to it.
 type rateLimit struct {
-	named     bool
-	perSecond float64
-	at        time.Time // when the upstream reported it; zero if it hasn't
-	direct    bool      // whether the upstream reported it to this process
-	learnedAt time.Time // when this process learned of it
-	changedAt time.Time // when the known limit last changed
-	allowance float64   // requests that may be sent now; negative if too many were sent
-	accrued   time.Time // time up to which the allowance is added up
-	wanted    rate      // requests that peers would send
+	named      bool
+	perSecond  float64
+	reportedAt time.Time // when the upstream reported it; zero if it hasn't
+	direct     bool      // whether the upstream reported it to this process
+	learnedAt  time.Time // when this process learned of it
+	changedAt  time.Time // when the known limit last changed
+	allowance  float64   // requests that may be sent now; negative if too many were sent
+	accrued    time.Time // time up to which the allowance is added up
+	wanted     rate      // requests that peers would send
 }
 
 // rate returns how many requests per second all processes send together.
@@ -82,7 +82,7 @@
 func (f *Fleet) setLimit(m *member, peer, request string, w RateLimit) {
 	now := f.clock.Now()
 	l := &m.limit
-	l.at, l.direct = now.Add(-w.Age), peer == ""
+	l.reportedAt, l.direct = now.Add(-w.Age), peer == ""
 	changed := w.Named != l.named || w.PerSecond != l.perSecond
 	if changed || l.direct {
 		l.learnedAt = now
@@ -119,7 +119,7 @@
 		f.keepUnlistedReport(id, func(t *unlistedReport) { t.mergeLimit(w) })
 		return
 	}
-	if m.limit.at.IsZero() || !w.Relayed && f.clock.Now().Add(-w.Age).After(m.limit.at) {
+	if m.limit.reportedAt.IsZero() || !w.Relayed && f.clock.Now().Add(-w.Age).After(m.limit.reportedAt) {
 		f.setLimit(m, box, "", w)
 	}
 }
@@ -129,7 +129,7 @@
 	if !m.limit.tellable(now) {
 		return w, false
 	}
-	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.at), !m.limit.direct}, true
+	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.reportedAt), !m.limit.direct}, true
 }
 
 // knownShare returns the part of all processes whose load is known, including this one. The lock is
