--- a/core/limit.go
+++ b/core/limit.go
@@ -47,15 +47,15 @@
 // rateLimit is the limit of an upstream, and this process's account of what all processes together
 // may send to it.
 type rateLimit struct {
-	named      bool
-	perSecond  float64
-	reportedAt time.Time // when the upstream reported it; zero if it hasn't
-	direct     bool      // whether the upstream reported it to this process
-	learnedAt  time.Time // when this process learned of it
-	changedAt  time.Time // when the known limit last changed
-	allowance  float64   // requests that may be sent now; negative if too many were sent
-	accrued    time.Time // time up to which the allowance is added up
-	wanted     rate      // requests that peers would send
+	named        bool
+	perSecond    float64
+	reportedAt   time.Time // when the upstream reported it; zero if it hasn't
+	direct       bool      // whether the upstream reported it to this process
+	learnedAt    time.Time // when this process learned of it
+	changedAt    time.Time // when the known limit last changed
+	allowance    float64   // requests that may be sent now; negative if too many were sent
+	accruedUntil time.Time // time up to which the allowance is added up
+	wanted       rate      // requests that peers would send
 }
 
 // rate returns how many requests per second all processes send together.
@@ -68,8 +68,8 @@
 func (l *rateLimit) accrue(now time.Time, knownShare float64) {
 	r := knownShare * l.rate()
 	most := 1 + r*limitBurst.Seconds()
-	l.allowance = min(l.allowance+r*now.Sub(l.accrued).Seconds(), most)
-	l.accrued = now
+	l.allowance = min(l.allowance+r*now.Sub(l.accruedUntil).Seconds(), most)
+	l.accruedUntil = now
 }
 
 // reportable reports whether peers are to be told of the limit.
@@ -96,7 +96,7 @@
 	if l.named {
 		l.accrue(now, f.knownShare())
 	} else {
-		l.allowance, l.accrued = 0, now
+		l.allowance, l.accruedUntil = 0, now
 	}
 	l.named, l.perSecond = w.Named, w.PerSecond
 	if l.direct {
