--- a/core/limit.go
+++ b/core/limit.go
@@ -73,7 +73,7 @@
 }
 
 // reportable reports whether peers are to be told of the limit.
-func (l *rateLimit) tellable(now time.Time) bool {
+func (l *rateLimit) reportable(now time.Time) bool {
 	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < endOfLimitTold
 }
 
@@ -126,7 +126,7 @@
 
 // limitReport returns the limit to report to peers; false if there is none.
 func (m *member) limitReport(now time.Time) (w RateLimit, ok bool) {
-	if !m.limit.tellable(now) {
+	if !m.limit.reportable(now) {
 		return w, false
 	}
 	return RateLimit{m.limit.named, m.limit.perSecond, now.Sub(m.limit.reportedAt), !m.limit.direct}, true
--- a/core/share.go
+++ b/core/share.go
@@ -72,7 +72,7 @@
 	now := f.clock.Now()
 	cs := map[hollowgrade.Life]Share{}
 	for id, m := range f.members {
-		if m.ownShare != (Share{}) || now.Before(m.publishAvoidUntil) || m.knownPace.own && m.slow(now) || m.limit.tellable(now) || m.leaving {
+		if m.ownShare != (Share{}) || now.Before(m.publishAvoidUntil) || m.knownPace.own && m.slow(now) || m.limit.reportable(now) || m.leaving {
 			cs[id] = m.ownShare
 		}
 	}
--- a/core/signals.go
+++ b/core/signals.go
@@ -24,7 +24,7 @@
 	}
 	// An answer to a request sent before the limit was known may be older than the limit. Each later
 	// answer repeats that the limit has ended.
-	if s.Limited || m.limit.tellable(f.clock.Now()) && sent.After(m.limit.learnedAt) {
+	if s.Limited || m.limit.reportable(f.clock.Now()) && sent.After(m.limit.learnedAt) {
 		f.setLimit(m, "", id, RateLimit{Named: s.Limited, PerSecond: s.Limit})
 	}
 }
