--- a/core/limit.go
+++ b/core/limit.go
@@ -14,7 +14,7 @@
 	limitShare = 0.9
 	// limitBurstWindow is the time over which unused allowance accumulates, in addition to one
 	// request.
-	limitBurst = 500 * time.Millisecond
+	limitBurstWindow = 500 * time.Millisecond
 	// minLimitPerSecond is used for lower limits. Only an answer shows that a limit has ended, so
 	// some requests must be sent.
 	leastLimit = 0.1
@@ -67,7 +67,7 @@
 // processes reports its requests to this one; the rest of the limit is left to the others.
 func (l *rateLimit) accrue(now time.Time, knownShare float64) {
 	r := knownShare * l.rate()
-	most := 1 + r*limitBurst.Seconds()
+	most := 1 + r*limitBurstWindow.Seconds()
 	l.allowance = min(l.allowance+r*now.Sub(l.accruedUntil).Seconds(), most)
 	l.accruedUntil = now
 }
