--- a/core/limit.go
+++ b/core/limit.go
@@ -17,7 +17,7 @@
 	limitBurstWindow = 500 * time.Millisecond
 	// minLimitPerSecond is used for lower limits. Only an answer shows that a limit has ended, so
 	// some requests must be sent.
-	leastLimit = 0.1
+	minLimitPerSecond = 0.1
 	// peerSendDelay is the time until a request that a peer sends is known here.
 	sendUnheard = 60 * time.Millisecond
 	// sendGapFactor is the mean gap between two requests of different processes, as a multiple of
@@ -60,7 +60,7 @@
 
 // rate returns how many requests per second all processes send together.
 func (l *rateLimit) rate() float64 {
-	return limitShare * max(l.perSecond, leastLimit)
+	return limitShare * max(l.perSecond, minLimitPerSecond)
 }
 
 // accrue adds to the allowance what accumulated since the last call. Only the knownShare of all
