--- a/core/limit.go
+++ b/core/limit.go
@@ -19,7 +19,7 @@
 	// some requests must be sent.
 	minLimitPerSecond = 0.1
 	// peerSendDelay is the time until a request that a peer sends is known here.
-	sendUnheard = 60 * time.Millisecond
+	peerSendDelay = 60 * time.Millisecond
 	// sendGapFactor is the mean gap between two requests of different processes, as a multiple of
 	// peerSendDelay.
 	sendsApart = 2
@@ -153,7 +153,7 @@
 	if l.allowance < 1 {
 		return false
 	}
-	meet := sendsApart * sendUnheard.Seconds() * l.wanted.value(now, wantedMemory)
+	meet := sendsApart * peerSendDelay.Seconds() * l.wanted.value(now, wantedMemory)
 	return begun || f.chance()*max(meet, 1) < l.allowance
 }
 
