--- a/core/limit.go
+++ b/core/limit.go
@@ -22,7 +22,7 @@
 	peerSendDelay = 60 * time.Millisecond
 	// sendGapFactor is the mean gap between two requests of different processes, as a multiple of
 	// peerSendDelay.
-	sendsApart = 2
+	sendGapFactor = 2
 	// wantedRateWindow is the time constant of the rate of requests that peers would send. They
 	// report theirs with each heartbeat.
 	wantedMemory = 2 * time.Second
@@ -153,7 +153,7 @@
 	if l.allowance < 1 {
 		return false
 	}
-	meet := sendsApart * peerSendDelay.Seconds() * l.wanted.value(now, wantedMemory)
+	meet := sendGapFactor * peerSendDelay.Seconds() * l.wanted.value(now, wantedMemory)
 	return begun || f.chance()*max(meet, 1) < l.allowance
 }
 
