--- a/core/limit.go
+++ b/core/limit.go
@@ -25,7 +25,7 @@
 	sendGapFactor = 2
 	// wantedRateWindow is the time constant of the rate of requests that peers would send. They
 	// report theirs with each heartbeat.
-	wantedMemory = 2 * time.Second
+	wantedRateWindow = 2 * time.Second
 	// limitReportDelay is by how much a peer's report may be older than its stated age, because of
 	// the way here.
 	limitToldLate = 500 * time.Millisecond
@@ -153,7 +153,7 @@
 	if l.allowance < 1 {
 		return false
 	}
-	meet := sendGapFactor * peerSendDelay.Seconds() * l.wanted.value(now, wantedMemory)
+	meet := sendGapFactor * peerSendDelay.Seconds() * l.wanted.value(now, wantedRateWindow)
 	return begun || f.chance()*max(meet, 1) < l.allowance
 }
 
@@ -197,7 +197,7 @@
 	now := f.clock.Now()
 	m.limit.accrue(now, f.knownShare())
 	m.limit.allowance -= float64(sent)
-	m.limit.wanted = m.limit.wanted.plus(now, max(wanted, 0), wantedMemory)
+	m.limit.wanted = m.limit.wanted.plus(now, max(wanted, 0), wantedRateWindow)
 }
 
 // chargeNewLimits charges a pick to limits that became known after it was made, and reports whether
