--- a/core/limit.go
+++ b/core/limit.go
@@ -28,7 +28,7 @@
 	wantedRateWindow = 2 * time.Second
 	// limitReportDelay is by how much a peer's report may be older than its stated age, because of
 	// the way here.
-	limitToldLate = 500 * time.Millisecond
+	limitReportDelay = 500 * time.Millisecond
 	// limitEndReportPeriod is how long peers are told that a limit has ended.
 	endOfLimitTold = 10 * time.Second
 )
@@ -113,7 +113,7 @@
 		f.log.Warn("limit of upstream not used", "upstream", id, "peer", box, "per_second", w.PerSecond)
 		return
 	}
-	w.Age = max(w.Age, 0) + limitToldLate
+	w.Age = max(w.Age, 0) + limitReportDelay
 	m := f.members[id]
 	if m == nil {
 		f.keepUnlistedReport(id, func(t *unlistedReport) { t.mergeLimit(w) })
