--- a/core/limit.go
+++ b/core/limit.go
@@ -30,7 +30,7 @@
 	// the way here.
 	limitReportDelay = 500 * time.Millisecond
 	// limitEndReportPeriod is how long peers are told that a limit has ended.
-	endOfLimitTold = 10 * time.Second
+	limitEndReportPeriod = 10 * time.Second
 )
 
 // RateLimit is an upstream's report of the requests per second that it accepts from all processes
@@ -74,7 +74,7 @@
 
 // reportable reports whether peers are to be told of the limit.
 func (l *rateLimit) reportable(now time.Time) bool {
-	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < endOfLimitTold
+	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < limitEndReportPeriod
 }
 
 // setLimit updates the known limit of an upstream. Peer is the process that reported it, empty if
