--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -11,7 +11,7 @@
 	// gateways, picks less than 5 ms apart met at the same engine 9 times as often as by chance,
 	// after 5 to 10 ms 5 times, and after 30 ms 1.15 times. With 28 gateways it was 18 times below 3
 	// ms, and half of that after 6 ms.
-	unheardFor = 10 * time.Millisecond
+	peerCallDelay = 10 * time.Millisecond
 	// peerRateWindow is the time constant of the rate: a burst is noticed within a few hundred ms,
 	// and at 100 calls a second 30 of them count.
 	rateMemory = 300 * time.Millisecond
@@ -41,5 +41,5 @@
 // unreportedCalls estimates the calls of a service that peers have placed and that are not known
 // here yet. The lock is held.
 func (f *Fleet) unheard(service string, now time.Time) float64 {
-	return f.peerCallRates[service].value(now, rateMemory) * unheardFor.Seconds()
+	return f.peerCallRates[service].value(now, rateMemory) * peerCallDelay.Seconds()
 }
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -28,7 +28,7 @@
 				time.Sleep(2 * time.Millisecond)
 				f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: n + 1}}, false)
 			}
-			requireUnheard(t, f, "e", 500*unheardFor.Seconds())
+			requireUnheard(t, f, "e", 500*peerCallDelay.Seconds())
 			requireUnheard(t, f, "another", 0)
 			time.Sleep(10 * rateMemory)
 			requireUnheard(t, f, "e", 0)
