--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -14,7 +14,7 @@
 	peerCallDelay = 10 * time.Millisecond
 	// peerRateWindow is the time constant of the rate: a burst is noticed within a few hundred ms,
 	// and at 100 calls a second 30 of them count.
-	rateMemory = 300 * time.Millisecond
+	peerRateWindow = 300 * time.Millisecond
 )
 
 // rate is an exponentially weighted rate of calls.
@@ -35,11 +35,11 @@
 
 // recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
 func (f *Fleet) recordPeerCalls(service string, n int) {
-	f.peerCallRates[service] = f.peerCallRates[service].plus(f.clock.Now(), n, rateMemory)
+	f.peerCallRates[service] = f.peerCallRates[service].plus(f.clock.Now(), n, peerRateWindow)
 }
 
 // unreportedCalls estimates the calls of a service that peers have placed and that are not known
 // here yet. The lock is held.
 func (f *Fleet) unheard(service string, now time.Time) float64 {
-	return f.peerCallRates[service].value(now, rateMemory) * peerCallDelay.Seconds()
+	return f.peerCallRates[service].value(now, peerRateWindow) * peerCallDelay.Seconds()
 }
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -30,7 +30,7 @@
 			}
 			requireUnheard(t, f, "e", 500*peerCallDelay.Seconds())
 			requireUnheard(t, f, "another", 0)
-			time.Sleep(10 * rateMemory)
+			time.Sleep(10 * peerRateWindow)
 			requireUnheard(t, f, "e", 0)
 		})
 	})
