--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -40,6 +40,6 @@
 
 // unreportedCalls estimates the calls of a service that peers have placed and that are not known
 // here yet. The lock is held.
-func (f *Fleet) unheard(service string, now time.Time) float64 {
+func (f *Fleet) unreportedCalls(service string, now time.Time) float64 {
 	return f.peerCallRates[service].value(now, peerRateWindow) * peerCallDelay.Seconds()
 }
--- a/core/place.go
+++ b/core/place.go
@@ -66,7 +66,7 @@
 	f.expireViews(now)
 	ms := f.withinLimits(f.usableMembers(service, now), tried, now, r.Begun)
 	s := f.snapshot(ms, tried, now)
-	s.Unheard = f.unheard(service, now)
+	s.Unheard = f.unreportedCalls(service, now)
 	if r.Long() {
 		s.Demand = f.expected(service, now)
 	}
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.InDelta(t, want, f.unheard(service, f.clock.Now()), 0.15*want+0.01)
+	require.InDelta(t, want, f.unreportedCalls(service, f.clock.Now()), 0.15*want+0.01)
 }
 
 func TestUnheardCalls(t *testing.T) {
