--- a/core/pace.go
+++ b/core/pace.go
@@ -18,7 +18,7 @@
 	// A first event is overdue, and the engines of its call are suspected, when it is this much
 	// later than predicted. Nine in ten first events of engines at normal speed come within 1.7
 	// times the prediction, those of short calls within 0.13 s.
-	overdueTimes  = 1.5
+	overdueFactor = 1.5
 	overdueMargin = 100 * time.Millisecond
 	// PaceRecheckInterval is the interval of requests to a slow engine, and how long an engine is
 	// not suspected after a request.
@@ -42,7 +42,7 @@
 
 // Overdue returns the time after which a first event with the given prediction is overdue.
 func Overdue(predicted time.Duration) time.Duration {
-	return time.Duration(overdueTimes*float64(predicted)) + overdueMargin
+	return time.Duration(overdueFactor*float64(predicted)) + overdueMargin
 }
 
 // knownPace is a speed report of an engine.
