--- a/core/pace.go
+++ b/core/pace.go
@@ -25,7 +25,7 @@
 	PaceRecheckInterval = time.Second
 	// paceTTL is how long a speed report is used, whichever process requested it: two of the
 	// requests that renew it may be lost. After that the published speed is assumed.
-	paceAge = 3*PaceRecheckInterval + 500*time.Millisecond
+	paceTTL = 3*PaceRecheckInterval + 500*time.Millisecond
 	// slowPace is the pace from which an engine counts as slow: predictions are off by more than a
 	// tenth anyway.
 	noticeablePace = 1.1
@@ -54,7 +54,7 @@
 
 // pace returns the upstream's times as a multiple of the published ones, as far as known.
 func (m *member) pace(now time.Time) float64 {
-	if m.knownPace.pace == 0 || now.Sub(m.knownPace.at) > paceAge {
+	if m.knownPace.pace == 0 || now.Sub(m.knownPace.at) > paceTTL {
 		return 1
 	}
 	return m.knownPace.pace
@@ -170,7 +170,7 @@
 // Reports of peers are not passed on.
 func (m *member) ownPaceReport(now time.Time) PaceReport {
 	age := now.Sub(m.knownPace.at)
-	if !m.knownPace.own || age > paceAge {
+	if !m.knownPace.own || age > paceTTL {
 		return PaceReport{}
 	}
 	return PaceReport{m.knownPace.pace, age}
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -168,7 +168,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
 			f.ReceivePace("u00", 4, time.Second, "b", "")
-			time.Sleep(paceAge - time.Second)
+			time.Sleep(paceTTL - time.Second)
 			requirePace(t, f, "u00", 4)
 			time.Sleep(time.Millisecond)
 			requirePace(t, f, "u00", 1)
@@ -194,7 +194,7 @@
 			time.Sleep(time.Millisecond)
 			f.ReceivePace("u00", 2, 0, "c", "")
 			requirePace(t, f, "u00", 2)
-			time.Sleep(2 * paceAge)
+			time.Sleep(2 * paceTTL)
 			requirePace(t, f, "u00", 1)
 		})
 	})
