--- a/core/pace.go
+++ b/core/pace.go
@@ -28,7 +28,7 @@
 	paceTTL = 3*PaceRecheckInterval + 500*time.Millisecond
 	// slowPace is the pace from which an engine counts as slow: predictions are off by more than a
 	// tenth anyway.
-	noticeablePace = 1.1
+	slowPace = 1.1
 	// maxPace bounds the reported pace.
 	mostPace = 100
 	// surveyors is the mean number of processes that ask each engine once one is found to be slow: a
@@ -62,7 +62,7 @@
 
 // slow reports whether the upstream is known to be slow.
 func (m *member) slow(now time.Time) bool {
-	return m.pace(now) >= noticeablePace
+	return m.pace(now) >= slowPace
 }
 
 // Suspects returns the engines of a plan with an overdue first event that should be asked for their
@@ -123,7 +123,7 @@
 	if box == "" && (was || m.slow(now)) {
 		f.markChanged(m)
 	}
-	if math.Abs(after-before) >= noticeablePace-1 && box == "" {
+	if math.Abs(after-before) >= slowPace-1 && box == "" {
 		f.log.Info("speed of upstream", "upstream", id, "service", m.Service, "times_slower", round(after), "before", round(before),
 			"age_ms", age.Milliseconds(), "request", why)
 	}
