--- a/core/pace.go
+++ b/core/pace.go
@@ -30,7 +30,7 @@
 	// tenth anyway.
 	slowPace = 1.1
 	// maxPace bounds the reported pace.
-	mostPace = 100
+	maxPace = 100
 	// surveyors is the mean number of processes that ask each engine once one is found to be slow: a
 	// cause such as a hall or a release rarely slows a single engine, and engines with few calls are
 	// suspected late. One engine in twenty is asked by no process.
@@ -116,7 +116,7 @@
 		return nil
 	}
 	before, was := m.pace(now), m.slow(now)
-	m.knownPace = knownPace{min(max(pace, 1), mostPace), at, box == ""}
+	m.knownPace = knownPace{min(max(pace, 1), maxPace), at, box == ""}
 	after := m.pace(now)
 	// The remaining backlog takes longer or shorter in proportion.
 	m.busyUntil = now.Add(time.Duration(float64(m.prefillBacklog(now)) * after / before))
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -204,7 +204,7 @@
 		f.ReceivePace("nobody", 3, 0, "b", "")
 		requirePace(t, f, "u00", 1)
 		f.ReceivePace("u00", 1e300, 0, "b", "")
-		requirePace(t, f, "u00", mostPace)
+		requirePace(t, f, "u00", maxPace)
 	})
 	t.Run("change how long it takes for what it has still to read", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
