--- a/core/pace.go
+++ b/core/pace.go
@@ -37,7 +37,7 @@
 	surveyors = 3
 	// maxPaceRequests bounds the concurrent requests of a process, as many as the helpers of two
 	// prompts.
-	mostAsks = 32
+	maxPaceRequests = 32
 )
 
 // Overdue returns the time after which a first event with the given prediction is overdue.
@@ -208,9 +208,9 @@
 	if c.reporter == nil {
 		return
 	}
-	if c.asks.Add(1) > mostAsks {
+	if c.asks.Add(1) > maxPaceRequests {
 		c.asks.Add(-1)
-		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", mostAsks)
+		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
 		return // the next late call makes it suspected again
 	}
 	c.log.Info("upstream asked for its speed", "upstream", u.Life(), "request", request)
