--- a/core/core.go
+++ b/core/core.go
@@ -53,23 +53,23 @@
 
 // Core routes calls to upstreams. It is safe for concurrent use.
 type Core struct {
-	exchanger   hollowgrade.Exchanger
-	reserver    hollowgrade.Reserver
-	prober      hollowgrade.Prober   // if nil, each broken connection counts as a crash of its upstream
-	reporter    hollowgrade.Reporter // if nil, upstreams are not asked for their speed
-	asks        atomic.Int32         // requests for speed reports in progress
-	clock       hollowgrade.Clock
-	log         *log.Logger
-	bounds      atomic.Pointer[Bounds]
-	observe     func(Observation)
-	age         func() (time.Duration, bool)
-	outdated    func() time.Duration
-	processes   func() int
-	fleet       *Fleet
-	box         string
-	quarantine  *quarantine.Table // requests that were lost in crashes of upstreams
-	unconfirmed *unconfirmedLosses
-	catalog     atomic.Pointer[Catalog]
+	exchanger    hollowgrade.Exchanger
+	reserver     hollowgrade.Reserver
+	prober       hollowgrade.Prober   // if nil, each broken connection counts as a crash of its upstream
+	reporter     hollowgrade.Reporter // if nil, upstreams are not asked for their speed
+	paceRequests atomic.Int32         // requests for speed reports in progress
+	clock        hollowgrade.Clock
+	log          *log.Logger
+	bounds       atomic.Pointer[Bounds]
+	observe      func(Observation)
+	age          func() (time.Duration, bool)
+	outdated     func() time.Duration
+	processes    func() int
+	fleet        *Fleet
+	box          string
+	quarantine   *quarantine.Table // requests that were lost in crashes of upstreams
+	unconfirmed  *unconfirmedLosses
+	catalog      atomic.Pointer[Catalog]
 
 	started time.Time
 
--- a/core/pace.go
+++ b/core/pace.go
@@ -208,14 +208,14 @@
 	if c.reporter == nil {
 		return
 	}
-	if c.asks.Add(1) > maxPaceRequests {
-		c.asks.Add(-1)
+	if c.paceRequests.Add(1) > maxPaceRequests {
+		c.paceRequests.Add(-1)
 		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
 		return // the next late call makes it suspected again
 	}
 	c.log.Info("upstream asked for its speed", "upstream", u.Life(), "request", request)
 	go func() {
-		defer c.asks.Add(-1)
+		defer c.paceRequests.Add(-1)
 		begin := c.clock.Now()
 		r, err := c.reporter.Report(context.Background(), u)
 		c.fleet.applyReport(u.Life(), request, begin, r.Signals)
