--- a/core/core.go
+++ b/core/core.go
@@ -177,7 +177,7 @@
 	c.fleet = NewFleet(c.clock, c.log)
 	c.unconfirmed = &unconfirmedLosses{clock: c.clock, losses: map[string][]unconfirmedLoss{}}
 	c.fleet.SetOnInstanceStart(c.instanceStarted)
-	c.fleet.SetPaceRequester(c.askPaces)
+	c.fleet.SetPaceRequester(c.requestPaces)
 	c.fleet.SetPeers(func() int { return c.processes() - 1 })
 	c.quarantine = quarantine.New(quarantine.WithBox(c.box), quarantine.WithClock(c.clock), quarantine.WithLogger(c.log),
 		quarantine.WithUpstreams(c.fleet.Count))
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -75,7 +75,7 @@
 	if f.service.Engine == nil {
 		return func() bool { return false }
 	}
-	return f.core.clock.AfterFunc(Overdue(a.pick.First), func() { f.core.askPaces(f.core.fleet.suspects(a.pick), f.call.ID) }).Stop
+	return f.core.clock.AfterFunc(Overdue(a.pick.First), func() { f.core.requestPaces(f.core.fleet.suspects(a.pick), f.call.ID) }).Stop
 }
 
 // cause adds the reason for which the context was cancelled to an error that only reports the
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -173,7 +173,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(quiet()), WithReporter(bornReporter{born + 5000}))
 		c.Fleet().Put(lifeAt(0))
-		c.askPaces([]hollowgrade.Upstream{lifeAt(0)}, "r")
+		c.requestPaces([]hollowgrade.Upstream{lifeAt(0)}, "r")
 		synctest.Wait()
 		l := lifeAt(5000).Life()
 		require.NotNil(t, c.fleet.members[l])
--- a/core/pace.go
+++ b/core/pace.go
@@ -196,7 +196,7 @@
 }
 
 // requestPaces asks upstreams for their speed because of a request.
-func (c *Core) askPaces(us []hollowgrade.Upstream, request string) {
+func (c *Core) requestPaces(us []hollowgrade.Upstream, request string) {
 	for _, u := range us {
 		c.askPace(u, request)
 	}
