--- a/core/pace.go
+++ b/core/pace.go
@@ -198,13 +198,13 @@
 // requestPaces asks upstreams for their speed because of a request.
 func (c *Core) requestPaces(us []hollowgrade.Upstream, request string) {
 	for _, u := range us {
-		c.askPace(u, request)
+		c.requestPace(u, request)
 	}
 }
 
 // requestPace asks an engine for its speed without waiting for the answer, and again while it is
 // slow.
-func (c *Core) askPace(u hollowgrade.Upstream, request string) {
+func (c *Core) requestPace(u hollowgrade.Upstream, request string) {
 	if c.reporter == nil {
 		return
 	}
@@ -237,6 +237,6 @@
 // recheckPace asks a slow engine again, unless another process has asked it since.
 func (c *Core) askAgain(u hollowgrade.Upstream, request string) {
 	if c.fleet.StillSlow(u.Life()) {
-		c.askPace(u, request)
+		c.requestPace(u, request)
 	}
 }
