--- a/core/pace.go
+++ b/core/pace.go
@@ -229,13 +229,13 @@
 		}
 		c.fleet.ReceivePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Life()) {
-			c.clock.AfterFunc(PaceRecheckInterval, func() { c.askAgain(u, request) })
+			c.clock.AfterFunc(PaceRecheckInterval, func() { c.recheckPace(u, request) })
 		}
 	}()
 }
 
 // recheckPace asks a slow engine again, unless another process has asked it since.
-func (c *Core) askAgain(u hollowgrade.Upstream, request string) {
+func (c *Core) recheckPace(u hollowgrade.Upstream, request string) {
 	if c.fleet.StillSlow(u.Life()) {
 		c.requestPace(u, request)
 	}
