--- a/core/pace.go
+++ b/core/pace.go
@@ -99,14 +99,14 @@
 // it was asked. Reports to this process are passed on to peers while the engine is slow or when it
 // becomes normal.
 func (f *Fleet) ReceivePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
-	if us := f.takePace(id, pace, age, box, why); len(us) > 0 {
+	if us := f.applyPace(id, pace, age, box, why); len(us) > 0 {
 		f.requestPaces(us, why)
 	}
 }
 
 // applyPace is ReceivePace without the requests: it returns the engines that this process has to ask
 // because one was found to be slow.
-func (f *Fleet) takePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
+func (f *Fleet) applyPace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
