--- a/core/pace.go
+++ b/core/pace.go
@@ -76,7 +76,7 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	for m, u := range p.at {
-		if f.members[m.instance] == m && f.askable(m, now) {
+		if f.members[m.instance] == m && f.mayRequestPace(m, now) {
 			m.paceAskedAt = now
 			us = append(us, u)
 		}
@@ -142,7 +142,7 @@
 	f.surveyedAt[service] = now
 	part := float64(surveyors) / float64(max(len(f.views), f.peers())+1)
 	for _, m := range f.usableMembers(service, now) {
-		if f.askable(m, now) && f.chance() < part {
+		if f.mayRequestPace(m, now) && f.chance() < part {
 			m.paceAskedAt = now
 			us = append(us, m.Upstream)
 		}
@@ -154,7 +154,7 @@
 // mayRequestPace reports whether an upstream may be asked: no process is known to have asked it
 // recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
 // The lock is held.
-func (f *Fleet) askable(m *member, now time.Time) bool {
+func (f *Fleet) mayRequestPace(m *member, now time.Time) bool {
 	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.knownPace.at) >= PaceRecheckInterval
 }
 
