--- a/core/pause.go
+++ b/core/pause.go
@@ -16,24 +16,24 @@
 )
 
 // pauseState is the state of a pause that an upstream asked this process for.
-type rest struct {
+type pauseState struct {
 	until   time.Time
 	proving bool      // whether no call has been accepted since the pause
 	proved  time.Time // when the last call was sent
 }
 
 // ended reports whether the pause has ended.
-func (r *rest) over(now time.Time) bool {
+func (r *pauseState) over(now time.Time) bool {
 	return !now.Before(r.until)
 }
 
 // trialPending reports whether the first call after a pause is still unanswered.
-func (r *rest) awaited(now time.Time) bool {
+func (r *pauseState) awaited(now time.Time) bool {
 	return r.proving && now.Sub(r.proved) < proveFor
 }
 
 // nextCallAt returns when the upstream may get its next call.
-func (r *rest) ends() time.Time {
+func (r *pauseState) ends() time.Time {
 	if r.proving {
 		return hollowgrade.Later(r.until, r.proved.Add(proveFor))
 	}
