--- a/core/pause.go
+++ b/core/pause.go
@@ -46,20 +46,20 @@
 	now := f.clock.Now()
 	spread := time.Duration(f.chance() * restSpread * float64(d))
 	f.log.Info("upstream asks for rest", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
-		"spread_ms", spread.Milliseconds(), "before_ms", max(m.rest.until.Sub(now), 0).Milliseconds())
-	m.rest.until = hollowgrade.Later(m.rest.until, now.Add(d+spread))
-	m.rest.proving = true
+		"spread_ms", spread.Milliseconds(), "before_ms", max(m.pause.until.Sub(now), 0).Milliseconds())
+	m.pause.until = hollowgrade.Later(m.pause.until, now.Add(d+spread))
+	m.pause.proving = true
 }
 
 // recordTrial records that a call is sent to an upstream. The lock is held.
 func (f *Fleet) noteProof(m *member, now time.Time) {
-	m.rest.proved = now
+	m.pause.proved = now
 }
 
 // endTrial records that an upstream has answered a call without turning it away. The lock is held.
 func (f *Fleet) noteAnswer(m *member, sent time.Time) {
-	if m.rest.proving && sent.After(m.rest.until) {
-		m.rest.proving = false
+	if m.pause.proving && sent.After(m.pause.until) {
+		m.pause.proving = false
 		f.log.Info("upstream takes calls again after a rest", "upstream", m.instance, "service", m.Service)
 	}
 }
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -30,9 +30,9 @@
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
-		case !m.rest.over(now) || m.rest.awaited(now):
+		case !m.pause.over(now) || m.pause.awaited(now):
 			r.resting++
-			if e := m.rest.ends(); rested.IsZero() || e.Before(rested) {
+			if e := m.pause.ends(); rested.IsZero() || e.Before(rested) {
 				rested = e
 			}
 		case m.limit.named:
