--- a/core/pause.go
+++ b/core/pause.go
@@ -12,7 +12,7 @@
 	pauseJitter = 0.25
 	// trialTimeout is how long a process waits for the answer to its first call after a pause before
 	// it sends another.
-	proveFor = time.Second
+	trialTimeout = time.Second
 )
 
 // pauseState is the state of a pause that an upstream asked this process for.
@@ -29,13 +29,13 @@
 
 // trialPending reports whether the first call after a pause is still unanswered.
 func (r *pauseState) awaited(now time.Time) bool {
-	return r.proving && now.Sub(r.proved) < proveFor
+	return r.proving && now.Sub(r.proved) < trialTimeout
 }
 
 // nextCallAt returns when the upstream may get its next call.
 func (r *pauseState) ends() time.Time {
 	if r.proving {
-		return hollowgrade.Later(r.until, r.proved.Add(proveFor))
+		return hollowgrade.Later(r.until, r.proved.Add(trialTimeout))
 	}
 	return r.until
 }
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -89,7 +89,7 @@
 			hear(f, "u", time.Now(), refusal(rest))
 			time.Sleep(longest)
 			require.NotNil(t, give(f))
-			time.Sleep(proveFor)
+			time.Sleep(trialTimeout)
 			require.NotNil(t, give(f))
 		})
 	})
