--- a/core/pause.go
+++ b/core/pause.go
@@ -18,7 +18,7 @@
 // pauseState is the state of a pause that an upstream asked this process for.
 type pauseState struct {
 	until   time.Time
-	proving bool      // whether no call has been accepted since the pause
+	onTrial bool      // whether no call has been accepted since the pause
 	proved  time.Time // when the last call was sent
 }
 
@@ -29,12 +29,12 @@
 
 // trialPending reports whether the first call after a pause is still unanswered.
 func (r *pauseState) awaited(now time.Time) bool {
-	return r.proving && now.Sub(r.proved) < trialTimeout
+	return r.onTrial && now.Sub(r.proved) < trialTimeout
 }
 
 // nextCallAt returns when the upstream may get its next call.
 func (r *pauseState) ends() time.Time {
-	if r.proving {
+	if r.onTrial {
 		return hollowgrade.Later(r.until, r.proved.Add(trialTimeout))
 	}
 	return r.until
@@ -48,7 +48,7 @@
 	f.log.Info("upstream asks for rest", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
 		"spread_ms", spread.Milliseconds(), "before_ms", max(m.pause.until.Sub(now), 0).Milliseconds())
 	m.pause.until = hollowgrade.Later(m.pause.until, now.Add(d+spread))
-	m.pause.proving = true
+	m.pause.onTrial = true
 }
 
 // recordTrial records that a call is sent to an upstream. The lock is held.
@@ -58,8 +58,8 @@
 
 // endTrial records that an upstream has answered a call without turning it away. The lock is held.
 func (f *Fleet) noteAnswer(m *member, sent time.Time) {
-	if m.pause.proving && sent.After(m.pause.until) {
-		m.pause.proving = false
+	if m.pause.onTrial && sent.After(m.pause.until) {
+		m.pause.onTrial = false
 		f.log.Info("upstream takes calls again after a rest", "upstream", m.instance, "service", m.Service)
 	}
 }
