--- a/core/pause.go
+++ b/core/pause.go
@@ -19,7 +19,7 @@
 type pauseState struct {
 	until   time.Time
 	onTrial bool      // whether no call has been accepted since the pause
-	proved  time.Time // when the last call was sent
+	trialAt time.Time // when the last call was sent
 }
 
 // ended reports whether the pause has ended.
@@ -29,13 +29,13 @@
 
 // trialPending reports whether the first call after a pause is still unanswered.
 func (r *pauseState) awaited(now time.Time) bool {
-	return r.onTrial && now.Sub(r.proved) < trialTimeout
+	return r.onTrial && now.Sub(r.trialAt) < trialTimeout
 }
 
 // nextCallAt returns when the upstream may get its next call.
 func (r *pauseState) ends() time.Time {
 	if r.onTrial {
-		return hollowgrade.Later(r.until, r.proved.Add(trialTimeout))
+		return hollowgrade.Later(r.until, r.trialAt.Add(trialTimeout))
 	}
 	return r.until
 }
@@ -53,7 +53,7 @@
 
 // recordTrial records that a call is sent to an upstream. The lock is held.
 func (f *Fleet) noteProof(m *member, now time.Time) {
-	m.pause.proved = now
+	m.pause.trialAt = now
 }
 
 // endTrial records that an upstream has answered a call without turning it away. The lock is held.
