--- a/core/pause.go
+++ b/core/pause.go
@@ -28,7 +28,7 @@
 }
 
 // trialPending reports whether the first call after a pause is still unanswered.
-func (r *pauseState) awaited(now time.Time) bool {
+func (r *pauseState) trialPending(now time.Time) bool {
 	return r.onTrial && now.Sub(r.trialAt) < trialTimeout
 }
 
