--- a/core/fleet.go
+++ b/core/fleet.go
@@ -328,7 +328,7 @@
 
 // usable reports whether a member may get new calls. The lock is held.
 func (f *Fleet) usable(m *member, now time.Time) bool {
-	return !m.Draining && !m.leaving && !m.expired(now) && m.pause.over(now)
+	return !m.Draining && !m.leaving && !m.expired(now) && m.pause.ended(now)
 }
 
 // stillUsable reports whether the members of an earlier pick may still get the call. It charges the
--- a/core/pause.go
+++ b/core/pause.go
@@ -23,7 +23,7 @@
 }
 
 // ended reports whether the pause has ended.
-func (r *pauseState) over(now time.Time) bool {
+func (r *pauseState) ended(now time.Time) bool {
 	return !now.Before(r.until)
 }
 
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -30,7 +30,7 @@
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
-		case !m.pause.over(now) || m.pause.trialPending(now):
+		case !m.pause.ended(now) || m.pause.trialPending(now):
 			r.resting++
 			if e := m.pause.ends(); rested.IsZero() || e.Before(rested) {
 				rested = e
