--- a/core/pause.go
+++ b/core/pause.go
@@ -33,7 +33,7 @@
 }
 
 // nextCallAt returns when the upstream may get its next call.
-func (r *pauseState) ends() time.Time {
+func (r *pauseState) nextCallAt() time.Time {
 	if r.onTrial {
 		return hollowgrade.Later(r.until, r.trialAt.Add(trialTimeout))
 	}
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -32,7 +32,7 @@
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.pause.ended(now) || m.pause.trialPending(now):
 			r.resting++
-			if e := m.pause.ends(); rested.IsZero() || e.Before(rested) {
+			if e := m.pause.nextCallAt(); rested.IsZero() || e.Before(rested) {
 				rested = e
 			}
 		case m.limit.named:
