--- a/core/pause.go
+++ b/core/pause.go
@@ -42,7 +42,7 @@
 
 // setPause starts or extends a pause that an upstream asks for. A shorter one doesn't end a longer
 // one. The lock is held.
-func (f *Fleet) setRest(m *member, request string, d time.Duration) {
+func (f *Fleet) setPause(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.chance() * pauseJitter * float64(d))
 	f.log.Info("upstream asks for rest", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
--- a/core/signals.go
+++ b/core/signals.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if s.Rest > 0 {
-		f.setRest(m, id, s.Rest)
+		f.setPause(m, id, s.Rest)
 	}
 	if s.Leaving {
 		f.setLeaving(m, "", id)
