--- a/core/pause.go
+++ b/core/pause.go
@@ -52,7 +52,7 @@
 }
 
 // recordTrial records that a call is sent to an upstream. The lock is held.
-func (f *Fleet) noteProof(m *member, now time.Time) {
+func (f *Fleet) recordTrial(m *member, now time.Time) {
 	m.pause.trialAt = now
 }
 
--- a/core/place.go
+++ b/core/place.go
@@ -91,7 +91,7 @@
 	}
 	f.add(p.member, p.share)
 	f.chargeLimit(p, p.member)
-	f.noteProof(p.member, now)
+	f.recordTrial(p.member, now)
 	f.addPrefill(p, now, l.Reading)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
