--- a/core/fleet.go
+++ b/core/fleet.go
@@ -441,7 +441,7 @@
 	m.lastActivity = f.clock.Now()
 	f.applySignals(m, id, sent, h.Signals)
 	if !h.NotRun && !h.Signals.Foreign {
-		f.noteAnswer(m, sent)
+		f.endTrial(m, sent)
 	}
 	switch {
 	case h.Success():
--- a/core/pause.go
+++ b/core/pause.go
@@ -57,7 +57,7 @@
 }
 
 // endTrial records that an upstream has answered a call without turning it away. The lock is held.
-func (f *Fleet) noteAnswer(m *member, sent time.Time) {
+func (f *Fleet) endTrial(m *member, sent time.Time) {
 	if m.pause.onTrial && sent.After(m.pause.until) {
 		m.pause.onTrial = false
 		f.log.Info("upstream takes calls again after a rest", "upstream", m.instance, "service", m.Service)
