--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -13,7 +13,7 @@
 )
 
 // unavailability says why no upstream of a service takes a call now.
-type room struct {
+type unavailability struct {
 	limited   int           // upstreams that only their limits exclude
 	perSecond float64       // requests per second that these accept from all processes together
 	resting   int           // upstreams that asked for a pause
@@ -22,7 +22,7 @@
 
 // unavailability returns why the untried upstreams of a service take no call now, and assigns the
 // caller a retry delay.
-func (f *Fleet) room(service string, tried map[hollowgrade.Life]bool) (r room) {
+func (f *Fleet) room(service string, tried map[hollowgrade.Life]bool) (r unavailability) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
