--- a/core/flow.go
+++ b/core/flow.go
@@ -202,7 +202,7 @@
 // noUpstreamError returns the error for a call without an upstream: none is listed or untried, or
 // those that are take no call now.
 func (f *flow) refuseAny() error {
-	r := f.core.fleet.room(f.service.Name, f.tried)
+	r := f.core.fleet.unavailability(f.service.Name, f.tried)
 	if r.limited+r.resting == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
 			WithRetryAfter(shortRetry)
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -106,7 +106,7 @@
 			f := newSignalFleet("u", "v")
 			hear(f, "u", time.Now(), refusal(rest))
 			hear(f, "v", time.Now(), refusal(10*time.Second))
-			r := f.room("s", nil)
+			r := f.unavailability("s", nil)
 			require.Equal(t, 2, r.resting)
 			require.GreaterOrEqual(t, r.comeBack, rest)
 			require.LessOrEqual(t, r.comeBack, time.Duration((1+pauseJitter)*float64(longest)))
@@ -229,10 +229,10 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), named)
 			apart := time.Duration(float64(time.Second) / f.members["u"].limit.rate())
-			first := f.room("s", nil).comeBack
-			require.InDelta(t, float64(first+apart), float64(f.room("s", nil).comeBack), float64(time.Microsecond))
+			first := f.unavailability("s", nil).comeBack
+			require.InDelta(t, float64(first+apart), float64(f.unavailability("s", nil).comeBack), float64(time.Microsecond))
 			for range 100 {
-				require.LessOrEqual(t, f.room("s", nil).comeBack, latestRoom)
+				require.LessOrEqual(t, f.unavailability("s", nil).comeBack, latestRoom)
 			}
 		})
 	})
