--- a/core/flow.go
+++ b/core/flow.go
@@ -203,14 +203,14 @@
 // those that are take no call now.
 func (f *flow) refuseAny() error {
 	r := f.core.fleet.unavailability(f.service.Name, f.tried)
-	if r.limited+r.resting == 0 {
+	if r.limited+r.paused == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
 			WithRetryAfter(shortRetry)
 	}
 	f.core.log.Info("not sent", "request", f.call.ID, "why", "upstreams ask for rest or name limits", "limited", r.limited,
-		"per_second", round(r.perSecond), "resting", r.resting, "come_back_ms", r.comeBack.Milliseconds())
+		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.comeBack.Milliseconds())
 	return fault.New(fault.Overloaded, "of service %s %d upstreams take %.3g requests a second together, and %d asked for rest",
-		f.service.Name, r.limited, r.perSecond, r.resting).WithRetryAfter(r.comeBack)
+		f.service.Name, r.limited, r.perSecond, r.paused).WithRetryAfter(r.comeBack)
 }
 
 // round rounds a figure to two decimals for logs.
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -107,7 +107,7 @@
 			hear(f, "u", time.Now(), refusal(rest))
 			hear(f, "v", time.Now(), refusal(10*time.Second))
 			r := f.unavailability("s", nil)
-			require.Equal(t, 2, r.resting)
+			require.Equal(t, 2, r.paused)
 			require.GreaterOrEqual(t, r.comeBack, rest)
 			require.LessOrEqual(t, r.comeBack, time.Duration((1+pauseJitter)*float64(longest)))
 		})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -16,7 +16,7 @@
 type unavailability struct {
 	limited   int           // upstreams that only their limits exclude
 	perSecond float64       // requests per second that these accept from all processes together
-	resting   int           // upstreams that asked for a pause
+	paused    int           // upstreams that asked for a pause
 	comeBack  time.Duration // retry delay for the caller
 }
 
@@ -31,7 +31,7 @@
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.pause.ended(now) || m.pause.trialPending(now):
-			r.resting++
+			r.paused++
 			if e := m.pause.nextCallAt(); rested.IsZero() || e.Before(rested) {
 				rested = e
 			}
@@ -43,7 +43,7 @@
 	switch {
 	case r.limited > 0:
 		r.comeBack = f.nextRetryAfter(service, r.perSecond, now)
-	case r.resting > 0:
+	case r.paused > 0:
 		d := rested.Sub(now)
 		r.comeBack = max(d+time.Duration(f.chance()*pauseJitter*float64(d)), soonestRoom)
 	}
