--- a/core/flow.go
+++ b/core/flow.go
@@ -208,9 +208,9 @@
 			WithRetryAfter(shortRetry)
 	}
 	f.core.log.Info("not sent", "request", f.call.ID, "why", "upstreams ask for rest or name limits", "limited", r.limited,
-		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.comeBack.Milliseconds())
+		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.retryAfter.Milliseconds())
 	return fault.New(fault.Overloaded, "of service %s %d upstreams take %.3g requests a second together, and %d asked for rest",
-		f.service.Name, r.limited, r.perSecond, r.paused).WithRetryAfter(r.comeBack)
+		f.service.Name, r.limited, r.perSecond, r.paused).WithRetryAfter(r.retryAfter)
 }
 
 // round rounds a figure to two decimals for logs.
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -108,8 +108,8 @@
 			hear(f, "v", time.Now(), refusal(10*time.Second))
 			r := f.unavailability("s", nil)
 			require.Equal(t, 2, r.paused)
-			require.GreaterOrEqual(t, r.comeBack, rest)
-			require.LessOrEqual(t, r.comeBack, time.Duration((1+pauseJitter)*float64(longest)))
+			require.GreaterOrEqual(t, r.retryAfter, rest)
+			require.LessOrEqual(t, r.retryAfter, time.Duration((1+pauseJitter)*float64(longest)))
 		})
 	})
 	t.Run("is over with its life", func(t *testing.T) {
@@ -229,10 +229,10 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), named)
 			apart := time.Duration(float64(time.Second) / f.members["u"].limit.rate())
-			first := f.unavailability("s", nil).comeBack
-			require.InDelta(t, float64(first+apart), float64(f.unavailability("s", nil).comeBack), float64(time.Microsecond))
+			first := f.unavailability("s", nil).retryAfter
+			require.InDelta(t, float64(first+apart), float64(f.unavailability("s", nil).retryAfter), float64(time.Microsecond))
 			for range 100 {
-				require.LessOrEqual(t, f.unavailability("s", nil).comeBack, latestRoom)
+				require.LessOrEqual(t, f.unavailability("s", nil).retryAfter, latestRoom)
 			}
 		})
 	})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -14,10 +14,10 @@
 
 // unavailability says why no upstream of a service takes a call now.
 type unavailability struct {
-	limited   int           // upstreams that only their limits exclude
-	perSecond float64       // requests per second that these accept from all processes together
-	paused    int           // upstreams that asked for a pause
-	comeBack  time.Duration // retry delay for the caller
+	limited    int           // upstreams that only their limits exclude
+	perSecond  float64       // requests per second that these accept from all processes together
+	paused     int           // upstreams that asked for a pause
+	retryAfter time.Duration // retry delay for the caller
 }
 
 // unavailability returns why the untried upstreams of a service take no call now, and assigns the
@@ -42,10 +42,10 @@
 	}
 	switch {
 	case r.limited > 0:
-		r.comeBack = f.nextRetryAfter(service, r.perSecond, now)
+		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
 	case r.paused > 0:
 		d := rested.Sub(now)
-		r.comeBack = max(d+time.Duration(f.chance()*pauseJitter*float64(d)), soonestRoom)
+		r.retryAfter = max(d+time.Duration(f.chance()*pauseJitter*float64(d)), soonestRoom)
 	}
 	return r
 }
