--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -8,8 +8,8 @@
 
 // The bounds of the retry delay of a caller when the present upstreams take no call.
 const (
-	soonestRoom = 200 * time.Millisecond
-	latestRoom  = 10 * time.Second
+	minRetryAfter = 200 * time.Millisecond
+	latestRoom    = 10 * time.Second
 )
 
 // unavailability says why no upstream of a service takes a call now.
@@ -45,7 +45,7 @@
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
 	case r.paused > 0:
 		d := rested.Sub(now)
-		r.retryAfter = max(d+time.Duration(f.chance()*pauseJitter*float64(d)), soonestRoom)
+		r.retryAfter = max(d+time.Duration(f.chance()*pauseJitter*float64(d)), minRetryAfter)
 	}
 	return r
 }
@@ -60,5 +60,5 @@
 		return latestRoom
 	}
 	f.lastRetryAt[service] = next
-	return max(d, soonestRoom)
+	return max(d, minRetryAfter)
 }
