--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -232,7 +232,7 @@
 			first := f.unavailability("s", nil).retryAfter
 			require.InDelta(t, float64(first+apart), float64(f.unavailability("s", nil).retryAfter), float64(time.Microsecond))
 			for range 100 {
-				require.LessOrEqual(t, f.unavailability("s", nil).retryAfter, latestRoom)
+				require.LessOrEqual(t, f.unavailability("s", nil).retryAfter, maxRetryAfter)
 			}
 		})
 	})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -9,7 +9,7 @@
 // The bounds of the retry delay of a caller when the present upstreams take no call.
 const (
 	minRetryAfter = 200 * time.Millisecond
-	latestRoom    = 10 * time.Second
+	maxRetryAfter = 10 * time.Second
 )
 
 // unavailability says why no upstream of a service takes a call now.
@@ -56,8 +56,8 @@
 	part := perSecond / float64(max(len(f.views), f.peers())+1)
 	next := hollowgrade.Later(f.lastRetryAt[service], now).Add(time.Duration(float64(time.Second) / part))
 	d := next.Sub(now)
-	if d > latestRoom {
-		return latestRoom
+	if d > maxRetryAfter {
+		return maxRetryAfter
 	}
 	f.lastRetryAt[service] = next
 	return max(d, minRetryAfter)
