--- a/core/exchange.go
+++ b/core/exchange.go
@@ -18,7 +18,7 @@
 	pick    *pick
 	number  int  // of the attempt, counted from 1
 	last    bool // whether it is the last one allowed
-	tickets *tickets
+	tickets *reservation
 	held    time.Duration // how long the sending was held back
 	sent    time.Time
 	wrote   bool // whether the answer has begun
--- a/core/reservation.go
+++ b/core/reservation.go
@@ -23,7 +23,7 @@
 )
 
 // reservation is memory reserved at several engines for one prompt.
-type tickets struct {
+type reservation struct {
 	core    *Core
 	id      string
 	request string
@@ -35,11 +35,11 @@
 }
 
 // reserveMemory reserves memory at the keepers of a pick. It returns nil if the prompt needs none.
-func (c *Core) setAside(ctx context.Context, request string, n int, p *pick) (t *tickets, err error) {
+func (c *Core) setAside(ctx context.Context, request string, n int, p *pick) (t *reservation, err error) {
 	if len(p.keepers) == 0 {
 		return nil, nil
 	}
-	t = &tickets{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.Kept}
+	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.Kept}
 	es := t.each(func(m *member) error {
 		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, ticketHold)
 	})
@@ -57,7 +57,7 @@
 }
 
 // each calls a function concurrently for each keeper.
-func (t *tickets) each(f func(m *member) error) []error {
+func (t *reservation) each(f func(m *member) error) []error {
 	es := make([]error, len(t.keepers))
 	var g sync.WaitGroup
 	for i, m := range t.keepers {
@@ -68,7 +68,7 @@
 }
 
 // renew renews the reservation until ctx ends.
-func (t *tickets) renew(ctx context.Context) {
+func (t *reservation) renew(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, t.core.clock, ticketRenew) {
 		es := t.each(func(m *member) error {
 			return t.core.reserver.Reserve(ctx, t.at[m], t.id, t.tokens, ticketHold)
@@ -80,7 +80,7 @@
 }
 
 // end stops the renewals and releases the memory without waiting for that.
-func (t *tickets) end() {
+func (t *reservation) end() {
 	if t == nil {
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // release releases the memory. What cannot be released expires.
-func (t *tickets) free() {
+func (t *reservation) free() {
 	es := t.each(func(m *member) (err error) {
 		for range releaseTries {
 			if err = t.core.reserver.Release(context.Background(), t.at[m], t.id); err == nil {
@@ -105,7 +105,7 @@
 }
 
 // helpersOf lists the engines that prefill parts for a pick, first those that keep parts.
-func (t *tickets) helpersOf(p *pick) (hs []hollowgrade.Helper) {
+func (t *reservation) helpersOf(p *pick) (hs []hollowgrade.Helper) {
 	kept := map[*member]bool{}
 	if t != nil {
 		for _, m := range t.keepers {
