--- a/core/exchange.go
+++ b/core/exchange.go
@@ -14,16 +14,16 @@
 
 // attempt is one exchange for a flow.
 type attempt struct {
-	flow    *flow
-	pick    *pick
-	number  int  // of the attempt, counted from 1
-	last    bool // whether it is the last one allowed
-	tickets *reservation
-	held    time.Duration // how long the sending was held back
-	sent    time.Time
-	wrote   bool // whether the answer has begun
-	head    hollowgrade.Head
-	timely  func() bool // stops the timer of an overdue first event
+	flow        *flow
+	pick        *pick
+	number      int  // of the attempt, counted from 1
+	last        bool // whether it is the last one allowed
+	reservation *reservation
+	held        time.Duration // how long the sending was held back
+	sent        time.Time
+	wrote       bool // whether the answer has begun
+	head        hollowgrade.Head
+	timely      func() bool // stops the timer of an overdue first event
 }
 
 func (a *attempt) sending() hollowgrade.Sending {
@@ -37,7 +37,7 @@
 		Organisation: f.organisation.Name,
 		Left:         left,
 		After:        f.after,
-		Helpers:      a.tickets.helpersOf(a.pick),
+		Helpers:      a.reservation.helpersOf(a.pick),
 	}
 }
 
--- a/core/flow.go
+++ b/core/flow.go
@@ -136,7 +136,7 @@
 	}
 	a := &attempt{flow: f, pick: p, number: n, last: left == 1}
 	err := f.prepare(ctx, a)
-	defer a.tickets.end()
+	defer a.reservation.end()
 	if err != nil {
 		f.core.fleet.refundLimits(p)
 		f.core.fleet.release(p, false)
@@ -156,7 +156,7 @@
 func (f *flow) prepare(ctx context.Context, a *attempt) (err error) {
 	p := a.pick
 	a.held = f.hold(ctx, p)
-	if a.tickets, err = f.core.setAside(ctx, f.call.ID, a.number, p); err != nil {
+	if a.reservation, err = f.core.setAside(ctx, f.call.ID, a.number, p); err != nil {
 		f.noMemory++
 		return err
 	}
