--- a/core/flow.go
+++ b/core/flow.go
@@ -156,7 +156,7 @@
 func (f *flow) prepare(ctx context.Context, a *attempt) (err error) {
 	p := a.pick
 	a.held = f.hold(ctx, p)
-	if a.reservation, err = f.core.setAside(ctx, f.call.ID, a.number, p); err != nil {
+	if a.reservation, err = f.core.reserveMemory(ctx, f.call.ID, a.number, p); err != nil {
 		f.noMemory++
 		return err
 	}
--- a/core/reservation.go
+++ b/core/reservation.go
@@ -35,7 +35,7 @@
 }
 
 // reserveMemory reserves memory at the keepers of a pick. It returns nil if the prompt needs none.
-func (c *Core) setAside(ctx context.Context, request string, n int, p *pick) (t *reservation, err error) {
+func (c *Core) reserveMemory(ctx context.Context, request string, n int, p *pick) (t *reservation, err error) {
 	if len(p.keepers) == 0 {
 		return nil, nil
 	}
