--- a/core/reservation.go
+++ b/core/reservation.go
@@ -14,7 +14,7 @@
 const (
 	// reservationTTL is the time after which memory is freed if its release was lost. It has to be
 	// below the deployment's bound of 4 s after the end of the request.
-	ticketHold = 3500 * time.Millisecond
+	reservationTTL = 3500 * time.Millisecond
 	// renewInterval is the interval of renewals. Two in a row may fail.
 	ticketRenew = 1200 * time.Millisecond
 	// releaseTries bounds the attempts to release memory; a reservation that is not released
@@ -41,7 +41,7 @@
 	}
 	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.Kept}
 	es := t.each(func(m *member) error {
-		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, ticketHold)
+		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, reservationTTL)
 	})
 	err = errors.Join(es...)
 	c.log.Info("memory asked for", "request", request, "ticket", t.id, "engines", len(t.keepers), "upstreams", ids(t.keepers), "tokens", t.tokens, "err", err)
@@ -71,7 +71,7 @@
 func (t *reservation) renew(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, t.core.clock, ticketRenew) {
 		es := t.each(func(m *member) error {
-			return t.core.reserver.Reserve(ctx, t.at[m], t.id, t.tokens, ticketHold)
+			return t.core.reserver.Reserve(ctx, t.at[m], t.id, t.tokens, reservationTTL)
 		})
 		if err := errors.Join(es...); err != nil && ctx.Err() == nil {
 			t.core.log.Warn("memory not renewed", "request", t.request, "ticket", t.id, "err", err)
