--- a/core/reservation.go
+++ b/core/reservation.go
@@ -16,7 +16,7 @@
 	// below the deployment's bound of 4 s after the end of the request.
 	reservationTTL = 3500 * time.Millisecond
 	// renewInterval is the interval of renewals. Two in a row may fail.
-	ticketRenew = 1200 * time.Millisecond
+	renewInterval = 1200 * time.Millisecond
 	// releaseTries bounds the attempts to release memory; a reservation that is not released
 	// expires.
 	releaseTries = 2
@@ -69,7 +69,7 @@
 
 // renew renews the reservation until ctx ends.
 func (t *reservation) renew(ctx context.Context) {
-	for hollowgrade.Sleep(ctx, t.core.clock, ticketRenew) {
+	for hollowgrade.Sleep(ctx, t.core.clock, renewInterval) {
 		es := t.each(func(m *member) error {
 			return t.core.reserver.Reserve(ctx, t.at[m], t.id, t.tokens, reservationTTL)
 		})
