--- a/core/reservation.go
+++ b/core/reservation.go
@@ -87,12 +87,12 @@
 	t.cancel()
 	go func() {
 		t.group.Wait() // a renewal in progress would reserve it again
-		t.free()
+		t.release()
 	}()
 }
 
 // release releases the memory. What cannot be released expires.
-func (t *reservation) free() {
+func (t *reservation) release() {
 	es := t.each(func(m *member) (err error) {
 		for range releaseTries {
 			if err = t.core.reserver.Release(context.Background(), t.at[m], t.id); err == nil {
