--- a/core/reservation.go
+++ b/core/reservation.go
@@ -28,7 +28,7 @@
 	id      string
 	request string
 	keepers []*member
-	at      map[*member]hollowgrade.Upstream
+	entries map[*member]hollowgrade.Upstream
 	tokens  int // at each keeper
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
@@ -39,7 +39,7 @@
 	if len(p.keepers) == 0 {
 		return nil, nil
 	}
-	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, at: p.at, tokens: p.Kept}
+	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, entries: p.at, tokens: p.Kept}
 	es := t.each(func(m *member) error {
 		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, reservationTTL)
 	})
@@ -71,7 +71,7 @@
 func (t *reservation) renew(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, t.core.clock, renewInterval) {
 		es := t.each(func(m *member) error {
-			return t.core.reserver.Reserve(ctx, t.at[m], t.id, t.tokens, reservationTTL)
+			return t.core.reserver.Reserve(ctx, t.entries[m], t.id, t.tokens, reservationTTL)
 		})
 		if err := errors.Join(es...); err != nil && ctx.Err() == nil {
 			t.core.log.Warn("memory not renewed", "request", t.request, "ticket", t.id, "err", err)
@@ -95,7 +95,7 @@
 func (t *reservation) release() {
 	es := t.each(func(m *member) (err error) {
 		for range releaseTries {
-			if err = t.core.reserver.Release(context.Background(), t.at[m], t.id); err == nil {
+			if err = t.core.reserver.Release(context.Background(), t.entries[m], t.id); err == nil {
 				return nil
 			}
 		}
