--- a/core/exchange.go
+++ b/core/exchange.go
@@ -152,7 +152,7 @@
 // markAtFault has other upstreams preferred to the one that the answer names as the reason why the
 // call was not taken: the one that answered, or a helper that is gone, draining or full.
 func (a *attempt) markAtFault() {
-	for m, u := range a.pick.at {
+	for m, u := range a.pick.entries {
 		if a.head.AtFault == u.ID || a.head.AtFault == u.Address {
 			a.flow.core.fleet.markAtFault(m, a.flow.call.ID, fmt.Sprintf("named by %s as at fault for status %d", a.pick.upstream().ID, a.head.Status))
 		}
--- a/core/pace.go
+++ b/core/pace.go
@@ -75,7 +75,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	for m, u := range p.at {
+	for m, u := range p.entries {
 		if f.members[m.instance] == m && f.mayRequestPace(m, now) {
 			m.paceAskedAt = now
 			us = append(us, u)
--- a/core/place.go
+++ b/core/place.go
@@ -21,7 +21,7 @@
 	member  *member
 	helpers []*member
 	keepers []*member                        // helpers that keep a part of the prompt in memory
-	at      map[*member]hollowgrade.Upstream // registry entry of each of them at the pick
+	entries map[*member]hollowgrade.Upstream // registry entry of each of them at the pick
 	share   Share                            // at the member
 	slowest float64                          // highest known pace of its engines
 	since   time.Time                        // when it was chosen
@@ -30,7 +30,7 @@
 
 // upstream returns the registry entry of the chosen upstream.
 func (p *pick) upstream() hollowgrade.Upstream {
-	return p.at[p.member]
+	return p.entries[p.member]
 }
 
 // retryPatienceShare is the share of the route's timeout below which a caller's remaining time shows
@@ -81,9 +81,9 @@
 	if r.Engine != nil {
 		f.demandOf(service).note(now, r.Engine.Reading(r.Prompt, 1))
 	}
-	p.at = map[*member]hollowgrade.Upstream{p.member: p.member.Upstream}
+	p.entries = map[*member]hollowgrade.Upstream{p.member: p.member.Upstream}
 	for _, m := range p.helpers {
-		p.at[m] = m.Upstream
+		p.entries[m] = m.Upstream
 	}
 	p.share = Share{Open: 1, Tokens: r.Prompt + r.Answer - l.Kept*len(p.keepers), Stakes: r.Stakes()}
 	for _, m := range p.keepers {
--- a/core/reservation.go
+++ b/core/reservation.go
@@ -39,9 +39,9 @@
 	if len(p.keepers) == 0 {
 		return nil, nil
 	}
-	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, entries: p.at, tokens: p.Kept}
+	t = &reservation{core: c, id: fmt.Sprintf("%s.%d", request, n), request: request, keepers: p.keepers, entries: p.entries, tokens: p.Kept}
 	es := t.each(func(m *member) error {
-		return c.reserver.Reserve(ctx, p.at[m], t.id, t.tokens, reservationTTL)
+		return c.reserver.Reserve(ctx, p.entries[m], t.id, t.tokens, reservationTTL)
 	})
 	err = errors.Join(es...)
 	c.log.Info("memory asked for", "request", request, "ticket", t.id, "engines", len(t.keepers), "upstreams", ids(t.keepers), "tokens", t.tokens, "err", err)
@@ -110,12 +110,12 @@
 	if t != nil {
 		for _, m := range t.keepers {
 			kept[m] = true
-			hs = append(hs, hollowgrade.Helper{Address: p.at[m].Address, Ticket: t.id})
+			hs = append(hs, hollowgrade.Helper{Address: p.entries[m].Address, Ticket: t.id})
 		}
 	}
 	for _, m := range p.helpers {
 		if !kept[m] {
-			hs = append(hs, hollowgrade.Helper{Address: p.at[m].Address})
+			hs = append(hs, hollowgrade.Helper{Address: p.entries[m].Address})
 		}
 	}
 	return hs
