--- a/core/place.go
+++ b/core/place.go
@@ -74,7 +74,7 @@
 	if !ok {
 		return nil
 	}
-	p := &pick{Plan: l, request: r, member: ms[l.Target], helpers: at(ms, l.Helpers), keepers: at(ms, l.Keepers), since: now}
+	p := &pick{Plan: l, request: r, member: ms[l.Target], helpers: membersAt(ms, l.Helpers), keepers: membersAt(ms, l.Keepers), since: now}
 	if l.Refused {
 		return p
 	}
@@ -102,8 +102,8 @@
 	return p
 }
 
-// membersAt returns the members at some indices.
-func at(ms []*member, is []int) (l []*member) {
+// membersAt returns the members membersAt some indices.
+func membersAt(ms []*member, is []int) (l []*member) {
 	for _, i := range is {
 		l = append(l, ms[i])
 	}
