--- a/core/flow.go
+++ b/core/flow.go
@@ -231,7 +231,7 @@
 		f.core.fleet.failed(a.pick.member, f.call.ID, err.Error())
 	}
 	f.core.log.Info("attempt failed", "request", f.call.ID, "fingerprint", f.fingerprint, "upstream", a.pick.upstream().ID, "code", x.Code,
-		"outcome", x.Outcome, "events", f.events, "after_ms", f.core.clock.Since(a.pick.since).Milliseconds(), "err", err)
+		"outcome", x.Outcome, "events", f.events, "after_ms", f.core.clock.Since(a.pick.chosenAt).Milliseconds(), "err", err)
 	return t
 }
 
--- a/core/place.go
+++ b/core/place.go
@@ -17,15 +17,15 @@
 // pick is an upstream chosen for a call, with what is accounted for it.
 type pick struct {
 	placement.Plan
-	request placement.Request
-	member  *member
-	helpers []*member
-	keepers []*member                        // helpers that keep a part of the prompt in memory
-	entries map[*member]hollowgrade.Upstream // registry entry of each of them at the pick
-	share   Share                            // at the member
-	slowest float64                          // highest known pace of its engines
-	since   time.Time                        // when it was chosen
-	charged []*member                        // members whose limit was charged
+	request  placement.Request
+	member   *member
+	helpers  []*member
+	keepers  []*member                        // helpers that keep a part of the prompt in memory
+	entries  map[*member]hollowgrade.Upstream // registry entry of each of them at the pick
+	share    Share                            // at the member
+	slowest  float64                          // highest known pace of its engines
+	chosenAt time.Time                        // when it was chosen
+	charged  []*member                        // members whose limit was charged
 }
 
 // upstream returns the registry entry of the chosen upstream.
@@ -74,7 +74,7 @@
 	if !ok {
 		return nil
 	}
-	p := &pick{Plan: l, request: r, member: ms[l.Target], helpers: membersAt(ms, l.Helpers), keepers: membersAt(ms, l.Keepers), since: now}
+	p := &pick{Plan: l, request: r, member: ms[l.Target], helpers: membersAt(ms, l.Helpers), keepers: membersAt(ms, l.Keepers), chosenAt: now}
 	if l.Refused {
 		return p
 	}
@@ -169,7 +169,7 @@
 	defer f.mu.Unlock()
 	if !began {
 		now := f.clock.Now()
-		f.addPrefill(p, now, -max(p.Reading-now.Sub(p.since), 0))
+		f.addPrefill(p, now, -max(p.Reading-now.Sub(p.chosenAt), 0))
 	}
 	f.add(p.member, Share{}.Minus(p.share))
 	for _, m := range p.keepers {
