--- a/core/place.go
+++ b/core/place.go
@@ -8,7 +8,7 @@
 )
 
 // loadTTL is how long an upstream's own report of its load is used.
-const loadAge = time.Second
+const loadTTL = time.Second
 
 // prefillOverhead is by how much longer prefill takes beside calls in decode: a pass executes their
 // steps as well.
@@ -146,7 +146,7 @@
 		Tried:   tried,
 		Limited: m.limit.named,
 	}
-	if now.Sub(m.loadAt) < loadAge {
+	if now.Sub(m.loadAt) < loadTTL {
 		c.Told = m.load.Running + m.load.Waiting
 	}
 	return c
