--- a/core/demand.go
+++ b/core/demand.go
@@ -120,7 +120,7 @@
 func (f *Fleet) countPeerPrefill(v *view) {
 	h := v.recentPrefill
 	if h.prefill > 0 {
-		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.prefill)/passOverhead))
+		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.prefill)/prefillOverhead))
 	}
 	v.recentPrefill = peerPrefill{}
 }
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -24,7 +24,7 @@
 func given(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
 	m := map[hollowgrade.Life]Share{}
 	for _, e := range engines {
-		m[e] = Share{Open: 1, Prefill: time.Duration(passOverhead * float64(d))}
+		m[e] = Share{Open: 1, Prefill: time.Duration(prefillOverhead * float64(d))}
 	}
 	return m
 }
--- a/core/place.go
+++ b/core/place.go
@@ -12,7 +12,7 @@
 
 // prefillOverhead is by how much longer prefill takes beside calls in decode: a pass executes their
 // steps as well.
-const passOverhead = 1.15
+const prefillOverhead = 1.15
 
 // pick is an upstream chosen for a call, with what is accounted for it.
 type pick struct {
@@ -155,7 +155,7 @@
 // addPrefill adds prefill to the backlogs of the engines of a pick, or subtracts it if negative. The
 // lock is held.
 func (f *Fleet) addPrefill(p *pick, now time.Time, reading time.Duration) {
-	d := time.Duration(passOverhead * float64(reading))
+	d := time.Duration(prefillOverhead * float64(reading))
 	for _, m := range append(p.helpers, p.member) {
 		m.addPrefill(now, d)
 		f.add(m, Share{Prefill: d})
