--- a/core/place.go
+++ b/core/place.go
@@ -35,13 +35,13 @@
 
 // retryPatienceShare is the share of the route's timeout below which a caller's remaining time shows
 // that it was refused before.
-const againShare = 0.97
+const retryPatienceShare = 0.97
 
 // newRequest returns the placement request of a call that arrived waited ago. A caller that retries
 // has less time left than the route allows: the difference is added to waited, because its goal
 // counts from its first try.
 func newRequest(s Service, r Route, c hollowgrade.Call, left, waited time.Duration) placement.Request {
-	again := c.Patience > 0 && float64(c.Patience) < againShare*float64(r.Timeout)
+	again := c.Patience > 0 && float64(c.Patience) < retryPatienceShare*float64(r.Timeout)
 	if again {
 		waited += r.Timeout - c.Patience
 	}
