--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -34,7 +34,7 @@
 		for _, m := range p.helpers {
 			requireHelps(t, f, m.Life(), 1)
 		}
-		time.Sleep(20 * partRest)
+		time.Sleep(20 * minPartTime)
 		requireHelps(t, f, "u03", 0)
 	})
 	t.Run("but are used when there are no others", func(t *testing.T) {
--- a/core/parts.go
+++ b/core/parts.go
@@ -8,12 +8,12 @@
 // minPartTime is the least time for which a part of a prompt that another engine answers counts as
 // held by an engine: the engine keeps its part until all parts of the prompt are read. Without this,
 // engines that refused a part had got twelve parts of 3 to 30 ms each in the 0.6 s before.
-const partRest = 400 * time.Millisecond
+const minPartTime = 400 * time.Millisecond
 
 // addPart records that an engine got a part of a prompt that another engine answers, whose first
 // event is predicted after first, 0 if not known. The lock is held.
 func (m *member) helping(now time.Time, first time.Duration) {
-	end := now.Add(max(partRest, first))
+	end := now.Add(max(minPartTime, first))
 	if m.busyUntil.After(end) {
 		end = m.busyUntil
 	}
