--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -40,8 +40,8 @@
 	t.Run("but are used when there are no others", func(t *testing.T) {
 		f := newFleet("e", 2)
 		for range 40 {
-			f.members["u00"].helping(time.Now(), 0)
-			f.members["u01"].helping(time.Now(), 0)
+			f.members["u00"].addPart(time.Now(), 0)
+			f.members["u01"].addPart(time.Now(), 0)
 		}
 		require.NotNil(t, f.pick("e", long(45_000), nil))
 	})
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -34,7 +34,7 @@
 	f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
 	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
-	m.helping(time.Now(), time.Second)
+	m.addPart(time.Now(), time.Second)
 	f.answered(m, "r", true, time.Time{}, hollowgrade.Head{Status: 500, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 3}})
 	f.markAtFault(m, "r", "named as at fault")
 	return f, p
--- a/core/parts.go
+++ b/core/parts.go
@@ -12,7 +12,7 @@
 
 // addPart records that an engine got a part of a prompt that another engine answers, whose first
 // event is predicted after first, 0 if not known. The lock is held.
-func (m *member) helping(now time.Time, first time.Duration) {
+func (m *member) addPart(now time.Time, first time.Duration) {
 	end := now.Add(max(minPartTime, first))
 	if m.busyUntil.After(end) {
 		end = m.busyUntil
--- a/core/place.go
+++ b/core/place.go
@@ -95,7 +95,7 @@
 	f.addPrefill(p, now, l.Reading)
 	p.slowest = p.member.pace(now)
 	for _, m := range p.helpers {
-		m.helping(now, l.First)
+		m.addPart(now, l.First)
 		f.chargeLimit(p, m)
 		p.slowest = max(p.slowest, m.pace(now))
 	}
--- a/core/share.go
+++ b/core/share.go
@@ -139,7 +139,7 @@
 			m.addPrefill(f.clock.Now(), more)
 			f.recordPeerPrefill(v, m.Service, max(more, 0))
 			if more > 0 && s.Open <= old.Open {
-				m.helping(f.clock.Now(), 0)
+				m.addPart(f.clock.Now(), 0)
 			}
 		}
 	}
