--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.Equal(t, want, f.members[id].helps(f.clock.Now()))
+	require.Equal(t, want, f.members[id].partCount(f.clock.Now()))
 }
 
 // Digests of 103 gateways were split among the same engines, which take as many parts as
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -48,7 +48,7 @@
 	now := time.Now()
 	require.Equal(t, Share{}, m.total())
 	require.Zero(t, m.prefillBacklog(now))
-	require.Zero(t, m.helps(now))
+	require.Zero(t, m.partCount(now))
 	require.Equal(t, 1.0, m.pace(now))
 	require.False(t, now.Before(m.avoidUntil))
 	require.Zero(t, m.load)
--- a/core/parts.go
+++ b/core/parts.go
@@ -21,7 +21,7 @@
 }
 
 // partCount returns how many such parts the engine is thought to hold. The lock is held.
-func (m *member) helps(now time.Time) (n int) {
+func (m *member) partCount(now time.Time) (n int) {
 	for _, t := range m.partsUntil {
 		if now.Before(t) {
 			n++
--- a/core/place.go
+++ b/core/place.go
@@ -141,7 +141,7 @@
 		Stakes:  t.Stakes,
 		Reading: m.prefillBacklog(now),
 		Pace:    m.pace(now),
-		Helps:   m.helps(now),
+		Helps:   m.partCount(now),
 		Avoided: now.Before(m.avoidUntil),
 		Tried:   tried,
 		Limited: m.limit.named,
