--- a/core/parts.go
+++ b/core/parts.go
@@ -34,7 +34,7 @@
 // process avoid one more. Most of the engines that are named as at fault are full for a moment only,
 // and the fewer are left, the more of those become full: without a bound 20 to 46 of 150 engines
 // were avoided at a time during bursts.
-const wordShare = 0.3
+const maxPeerAvoidShare = 0.3
 
 // mayAvoidForPeer reports whether one more upstream of a service may be avoided because a peer
 // reports it. The lock is held.
@@ -46,5 +46,5 @@
 			avoided++
 		}
 	}
-	return float64(avoided) < wordShare*float64(len(ms))
+	return float64(avoided) < maxPeerAvoidShare*float64(len(ms))
 }
