--- a/core/fleet.go
+++ b/core/fleet.go
@@ -416,7 +416,7 @@
 	now := f.clock.Now()
 	until := now.Add(min(d, maxAvoid))
 	m.avoidedByAllUntil = until
-	if !until.After(m.avoidUntil) || !now.Before(m.avoidUntil) && !f.takesWord(m.Service, now) {
+	if !until.After(m.avoidUntil) || !now.Before(m.avoidUntil) && !f.mayAvoidForPeer(m.Service, now) {
 		return
 	}
 	// The gateway that received the engine's answer logs this at Info; here it would be one line per
--- a/core/parts.go
+++ b/core/parts.go
@@ -38,7 +38,7 @@
 
 // mayAvoidForPeer reports whether one more upstream of a service may be avoided because a peer
 // reports it. The lock is held.
-func (f *Fleet) takesWord(service string, now time.Time) bool {
+func (f *Fleet) mayAvoidForPeer(service string, now time.Time) bool {
 	ms := f.membersOf(service)
 	avoided := 0
 	for _, m := range ms {
