--- a/core/demand.go
+++ b/core/demand.go
@@ -9,7 +9,7 @@
 
 const (
 	// demandWindow is the time constant of the rates of prompts.
-	demandMemory = 2 * time.Second
+	demandWindow = 2 * time.Second
 	// Prompts with about the same prefill time are counted together. Each kind takes longer than the
 	// one before by a factor of the square root of two.
 	shortestDemand = 10 * time.Millisecond
@@ -39,7 +39,7 @@
 		return
 	}
 	d.age(now)
-	x := decay(d.at.Sub(now)) / demandMemory.Seconds()
+	x := decay(d.at.Sub(now)) / demandWindow.Seconds()
 	k := &d.kinds[demandKind(reading)]
 	k.prompts += x
 	k.reading += x * reading.Seconds()
@@ -47,7 +47,7 @@
 
 // decay returns the remaining weight of a prompt that was counted this long ago.
 func decay(age time.Duration) float64 {
-	return math.Exp(-age.Seconds() / demandMemory.Seconds())
+	return math.Exp(-age.Seconds() / demandWindow.Seconds())
 }
 
 // demandKind returns the index of the kind of a prompt.
@@ -75,7 +75,7 @@
 // expected returns the expected demand.
 func (d *demand) expected(now time.Time) placement.Demand {
 	d.age(now)
-	e := placement.Demand{Memory: demandMemory, Known: 1 - decay(now.Sub(d.since))}
+	e := placement.Demand{Memory: demandWindow, Known: 1 - decay(now.Sub(d.since))}
 	for _, k := range d.kinds {
 		if k.prompts > forgotten {
 			e.Prompts = append(e.Prompts, placement.Expected{
