--- a/core/demand.go
+++ b/core/demand.go
@@ -12,9 +12,9 @@
 	demandWindow = 2 * time.Second
 	// Prompts with about the same prefill time are counted together. Each kind takes longer than the
 	// one before by a factor of the square root of two.
-	shortestDemand = 10 * time.Millisecond
-	kindsToDouble  = 2
-	demandKinds    = 28 // up to 160 s
+	minDemandPrefill = 10 * time.Millisecond
+	kindsToDouble    = 2
+	demandKinds      = 28 // up to 160 s
 	// promptPartsWindow is the time within which a peer's messages about the parts of one prompt
 	// arrive.
 	wordParts = 20 * time.Millisecond
@@ -35,7 +35,7 @@
 
 // note counts a prompt that takes one engine this long to prefill.
 func (d *demand) note(now time.Time, reading time.Duration) {
-	if reading < shortestDemand {
+	if reading < minDemandPrefill {
 		return
 	}
 	d.age(now)
@@ -52,7 +52,7 @@
 
 // demandKind returns the index of the kind of a prompt.
 func demandKind(reading time.Duration) int {
-	i := int(kindsToDouble * math.Log2(float64(reading)/float64(shortestDemand)))
+	i := int(kindsToDouble * math.Log2(float64(reading)/float64(minDemandPrefill)))
 	return min(max(i, 0), demandKinds-1)
 }
 
