--- a/core/demand.go
+++ b/core/demand.go
@@ -13,7 +13,7 @@
 	// Prompts with about the same prefill time are counted together. Each kind takes longer than the
 	// one before by a factor of the square root of two.
 	minDemandPrefill = 10 * time.Millisecond
-	kindsToDouble    = 2
+	kindsPerDoubling = 2
 	demandKinds      = 28 // up to 160 s
 	// promptPartsWindow is the time within which a peer's messages about the parts of one prompt
 	// arrive.
@@ -52,7 +52,7 @@
 
 // demandKind returns the index of the kind of a prompt.
 func demandKind(reading time.Duration) int {
-	i := int(kindsToDouble * math.Log2(float64(reading)/float64(minDemandPrefill)))
+	i := int(kindsPerDoubling * math.Log2(float64(reading)/float64(minDemandPrefill)))
 	return min(max(i, 0), demandKinds-1)
 }
 
