--- a/core/demand.go
+++ b/core/demand.go
@@ -17,7 +17,7 @@
 	demandKinds      = 28 // up to 160 s
 	// promptPartsWindow is the time within which a peer's messages about the parts of one prompt
 	// arrive.
-	wordParts = 20 * time.Millisecond
+	promptPartsWindow = 20 * time.Millisecond
 )
 
 // demand is the rate of prompts for the engines of a service, by prefill time.
@@ -109,7 +109,7 @@
 // another shortly concern the same prompt. The lock is held.
 func (f *Fleet) recordPeerPrefill(v *view, service string, d time.Duration) {
 	now := f.clock.Now()
-	if v.recentPrefill.service != service || now.Sub(v.recentPrefill.since) > wordParts {
+	if v.recentPrefill.service != service || now.Sub(v.recentPrefill.since) > promptPartsWindow {
 		f.countPeerPrefill(v)
 		v.recentPrefill = peerPrefill{service: service, since: now}
 	}
@@ -120,7 +120,7 @@
 func (f *Fleet) countPeerPrefill(v *view) {
 	h := v.recentPrefill
 	if h.prefill > 0 {
-		f.demandOf(h.service).note(h.since.Add(wordParts), time.Duration(float64(h.prefill)/prefillOverhead))
+		f.demandOf(h.service).note(h.since.Add(promptPartsWindow), time.Duration(float64(h.prefill)/prefillOverhead))
 	}
 	v.recentPrefill = peerPrefill{}
 }
@@ -128,7 +128,7 @@
 // expected returns the expected demand for the engines of a service. The lock is held.
 func (f *Fleet) expected(service string, now time.Time) placement.Demand {
 	for _, v := range f.views {
-		if h := v.recentPrefill; h.prefill > 0 && now.Sub(h.since) > wordParts {
+		if h := v.recentPrefill; h.prefill > 0 && now.Sub(h.since) > promptPartsWindow {
 			f.countPeerPrefill(v)
 		}
 	}
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -54,12 +54,12 @@
 		f.ReceiveView("b", given(time.Second, "u00", "u01"), false)
 		time.Sleep(5 * time.Millisecond)
 		f.ReceiveView("b", given(time.Second, "u02"), false)
-		time.Sleep(2 * wordParts)
+		time.Sleep(2 * promptPartsWindow)
 		requireExpected(t, expected(f), 0.5, 3*time.Second)
 	})
 	play("are not what another had given before it was first heard", func(t *testing.T, f *Fleet) {
 		f.ReceiveView("c", given(time.Second, "u00", "u01"), true)
-		time.Sleep(2 * wordParts)
+		time.Sleep(2 * promptPartsWindow)
 		require.Empty(t, expected(f).Prompts)
 	})
 }
