--- a/core/demand.go
+++ b/core/demand.go
@@ -24,11 +24,11 @@
 type demand struct {
 	since time.Time // when the measurement began
 	at    time.Time
-	kinds [demandKinds]rateOf
+	kinds [demandKinds]kindRate
 }
 
 // kindRate is the rate of the prompts of one kind.
-type rateOf struct {
+type kindRate struct {
 	prompts float64 // per second
 	reading float64 // seconds of prefill per second
 }
