--- a/core/demand.go
+++ b/core/demand.go
@@ -30,7 +30,7 @@
 // kindRate is the rate of the prompts of one kind.
 type kindRate struct {
 	prompts float64 // per second
-	reading float64 // seconds of prefill per second
+	prefill float64 // seconds of prefill per second
 }
 
 // note counts a prompt that takes one engine this long to prefill.
@@ -42,7 +42,7 @@
 	x := decay(d.at.Sub(now)) / demandWindow.Seconds()
 	k := &d.kinds[demandKind(reading)]
 	k.prompts += x
-	k.reading += x * reading.Seconds()
+	k.prefill += x * reading.Seconds()
 }
 
 // decay returns the remaining weight of a prompt that was counted this long ago.
@@ -64,7 +64,7 @@
 	x := decay(now.Sub(d.at))
 	for i := range d.kinds {
 		d.kinds[i].prompts *= x
-		d.kinds[i].reading *= x
+		d.kinds[i].prefill *= x
 	}
 	d.at = now
 }
@@ -80,7 +80,7 @@
 		if k.prompts > forgotten {
 			e.Prompts = append(e.Prompts, placement.Expected{
 				Rate:    k.prompts,
-				Reading: time.Duration(k.reading / k.prompts * float64(time.Second)),
+				Reading: time.Duration(k.prefill / k.prompts * float64(time.Second)),
 			})
 		}
 	}
