--- a/core/demand.go
+++ b/core/demand.go
@@ -70,14 +70,14 @@
 }
 
 // minExpectedRate is the rate per second below which a kind is ignored.
-const forgotten = 1e-3
+const minExpectedRate = 1e-3
 
 // expected returns the expected demand.
 func (d *demand) expected(now time.Time) placement.Demand {
 	d.age(now)
 	e := placement.Demand{Memory: demandWindow, Known: 1 - decay(now.Sub(d.since))}
 	for _, k := range d.kinds {
-		if k.prompts > forgotten {
+		if k.prompts > minExpectedRate {
 			e.Prompts = append(e.Prompts, placement.Expected{
 				Rate:    k.prompts,
 				Reading: time.Duration(k.prefill / k.prompts * float64(time.Second)),
