--- a/core/flow.go
+++ b/core/flow.go
@@ -21,7 +21,7 @@
 
 // waitForEngines waits until the picked engines have nearly finished their backlog, and returns how
 // long that took.
-func (f *flow) hold(ctx context.Context, p *pick) time.Duration {
+func (f *flow) waitForEngines(ctx context.Context, p *pick) time.Duration {
 	if p.Hold <= 0 {
 		return 0
 	}
@@ -155,7 +155,7 @@
 // It fails if an upstream has begun to leave meanwhile.
 func (f *flow) prepare(ctx context.Context, a *attempt) (err error) {
 	p := a.pick
-	a.held = f.hold(ctx, p)
+	a.held = f.waitForEngines(ctx, p)
 	if a.reservation, err = f.core.reserveMemory(ctx, f.call.ID, a.number, p); err != nil {
 		f.noMemory++
 		return err
