--- a/core/exchange.go
+++ b/core/exchange.go
@@ -137,7 +137,7 @@
 			return err
 		}
 		w.body = append(w.body, p.Data)
-		if size += len(p.Data); size > maxHeld {
+		if size += len(p.Data); size > maxBufferedBytes {
 			return a.long(x, w)
 		}
 	}
--- a/core/flow.go
+++ b/core/flow.go
@@ -14,7 +14,7 @@
 
 // maxBufferedBytes is the size up to which the body of a plain answer is buffered before any of it
 // is passed on, so that a broken answer can still be replaced by that of another attempt.
-const maxHeld = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // defaultAllowed bounds a call if neither its caller nor its route sets a time.
 const defaultAllowed = 30 * time.Second
