--- a/core/flow.go
+++ b/core/flow.go
@@ -32,7 +32,7 @@
 
 // maxMemoryTries bounds the attempts that fail for want of free memory: each costs a reservation
 // request to every engine involved.
-const memoryTries = 2
+const maxMemoryTries = 2
 
 var (
 	errOutOfTime = errors.New("the allowed time has passed")
@@ -140,7 +140,7 @@
 	if err != nil {
 		f.core.fleet.refundLimits(p)
 		f.core.fleet.release(p, false)
-		return Try{Err: err, Placed: f.noMemory < memoryTries, Free: true}
+		return Try{Err: err, Placed: f.noMemory < maxMemoryTries, Free: true}
 	}
 	err = a.run(ctx)
 	f.core.fleet.release(p, a.wrote)
