--- a/core/flow.go
+++ b/core/flow.go
@@ -55,7 +55,7 @@
 	deadline     time.Time
 
 	noMemory  int                       // attempts that failed for want of free memory
-	paid      atomic.Bool               // whether the next retry is already taken out of the budget
+	retryPaid atomic.Bool               // whether the next retry is already taken out of the budget
 	tried     map[hollowgrade.Life]bool // instances that were picked for the call
 	upstreams []string                  // the same, in order
 	began     bool                      // whether the caller has received a head
@@ -100,7 +100,7 @@
 
 // Spend implements [Work].
 func (f *flow) Spend() bool {
-	if f.paid.CompareAndSwap(true, false) {
+	if f.retryPaid.CompareAndSwap(true, false) {
 		return true
 	}
 	return f.budget.Spend(f.core.clock.Now())
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -44,7 +44,7 @@
 	if !f.core.fleet.hasUntried(f.service.Name, f.tried) || !f.budget.Spend(f.core.clock.Now()) {
 		return false
 	}
-	f.paid.Store(true)
+	f.retryPaid.Store(true)
 	return true
 }
 
