--- a/core/exchange.go
+++ b/core/exchange.go
@@ -233,10 +233,10 @@
 }
 
 func (f *flow) passHead(h hollowgrade.Head) error {
-	if f.began {
+	if f.headSent {
 		return nil
 	}
-	f.began = true
+	f.headSent = true
 	if err := f.sink.Head(h); err != nil {
 		return errors.Join(errSink, err)
 	}
--- a/core/flow.go
+++ b/core/flow.go
@@ -58,7 +58,7 @@
 	retryPaid atomic.Bool               // whether the next retry is already taken out of the budget
 	tried     map[hollowgrade.Life]bool // instances that were picked for the call
 	upstreams []string                  // the same, in order
-	began     bool                      // whether the caller has received a head
+	headSent  bool                      // whether the caller has received a head
 	after     string                    // id of the last event that the caller has received
 	events    int
 	first     time.Duration // until the first part
@@ -90,9 +90,9 @@
 func (f *flow) Repeatable() bool {
 	switch f.route.Repeat {
 	case Resume:
-		return !f.began || f.after != ""
+		return !f.headSent || f.after != ""
 	case Again:
-		return !f.began
+		return !f.headSent
 	default:
 		return false
 	}
@@ -120,7 +120,7 @@
 func (f *flow) send(ctx context.Context, n, left int) Try {
 	now := f.core.clock.Now()
 	r := newRequest(f.service, f.route, f.call, f.deadline.Sub(now), now.Sub(f.call.Arrived))
-	r.Begun = f.began
+	r.Begun = f.headSent
 	p := f.core.fleet.pick(f.service.Name, r, f.tried)
 	if p == nil {
 		return Try{Err: f.refuseAny()}
@@ -237,7 +237,7 @@
 
 // finish passes on an upstream's error answer if no attempt did better.
 func (f *flow) finish(err error) error {
-	if err == nil || f.failure == nil || f.began {
+	if err == nil || f.failure == nil || f.headSent {
 		return err
 	}
 	return f.pass(f.failure)
@@ -245,7 +245,7 @@
 
 // passAnswer sends a buffered answer to the caller.
 func (f *flow) pass(a *answer) error {
-	f.began = true
+	f.headSent = true
 	if err := f.sink.Head(a.head); err != nil {
 		return fault.New(fault.CallerGone, "%v", err)
 	}
