--- a/core/exchange.go
+++ b/core/exchange.go
@@ -226,10 +226,10 @@
 // noteEvent updates the longest pause between two events of all attempts.
 func (f *flow) noteEvent() {
 	now := f.core.clock.Now()
-	if !f.heard.IsZero() {
-		f.pause = max(f.pause, now.Sub(f.heard))
+	if !f.lastEventAt.IsZero() {
+		f.pause = max(f.pause, now.Sub(f.lastEventAt))
 	}
-	f.heard = now
+	f.lastEventAt = now
 }
 
 func (f *flow) passHead(h hollowgrade.Head) error {
