--- a/core/exchange.go
+++ b/core/exchange.go
@@ -227,7 +227,7 @@
 func (f *flow) noteEvent() {
 	now := f.core.clock.Now()
 	if !f.lastEventAt.IsZero() {
-		f.pause = max(f.pause, now.Sub(f.lastEventAt))
+		f.longestPause = max(f.longestPause, now.Sub(f.lastEventAt))
 	}
 	f.lastEventAt = now
 }
--- a/core/flow.go
+++ b/core/flow.go
@@ -54,18 +54,18 @@
 	budget       *retry.Window
 	deadline     time.Time
 
-	noMemory    int                       // attempts that failed for want of free memory
-	retryPaid   atomic.Bool               // whether the next retry is already taken out of the budget
-	tried       map[hollowgrade.Life]bool // instances that were picked for the call
-	upstreams   []string                  // the same, in order
-	headSent    bool                      // whether the caller has received a head
-	lastEvent   string                    // id of the last event that the caller has received
-	events      int
-	first       time.Duration // until the first part
-	lastEventAt time.Time     // when the last event arrived
-	pause       time.Duration // longest between two events
-	predicted   time.Duration // the prediction of first for the first attempt
-	failure     *answer       // an upstream's error answer, kept while another attempt may succeed
+	noMemory     int                       // attempts that failed for want of free memory
+	retryPaid    atomic.Bool               // whether the next retry is already taken out of the budget
+	tried        map[hollowgrade.Life]bool // instances that were picked for the call
+	upstreams    []string                  // the same, in order
+	headSent     bool                      // whether the caller has received a head
+	lastEvent    string                    // id of the last event that the caller has received
+	events       int
+	first        time.Duration // until the first part
+	lastEventAt  time.Time     // when the last event arrived
+	longestPause time.Duration // longest between two events
+	predicted    time.Duration // the prediction of first for the first attempt
+	failure      *answer       // an upstream's error answer, kept while another attempt may succeed
 }
 
 // answer is a complete, buffered answer.
@@ -283,7 +283,7 @@
 		"repeat", f.route.Repeat.String(), "outcome", o.Outcome, "code", o.Code, "attempts", o.Attempts, "upstreams", f.upstreams,
 		"events", o.Events, "prompt_tokens", o.PromptTokens, "goal_ms", f.route.Goal.Milliseconds(), "first_ms", o.First.Milliseconds(),
 		"pause_goal_ms", f.route.PauseGoal.Milliseconds(),
-		"pause_ms", f.pause.Milliseconds(), "took_ms", o.Took.Milliseconds(),
+		"pause_ms", f.longestPause.Milliseconds(), "took_ms", o.Took.Milliseconds(),
 		"version", v, "age_ms", f.age.Milliseconds(), "err", err)
 	f.core.observe(o)
 }
