--- a/core/flow.go
+++ b/core/flow.go
@@ -123,7 +123,7 @@
 	r.Begun = f.headSent
 	p := f.core.fleet.pick(f.service.Name, r, f.tried)
 	if p == nil {
-		return Try{Err: f.refuseAny()}
+		return Try{Err: f.noUpstreamError()}
 	}
 	if p.Refused {
 		return Try{Err: f.refuse(p)}
@@ -201,7 +201,7 @@
 
 // noUpstreamError returns the error for a call without an upstream: none is listed or untried, or
 // those that are take no call now.
-func (f *flow) refuseAny() error {
+func (f *flow) noUpstreamError() error {
 	r := f.core.fleet.unavailability(f.service.Name, f.tried)
 	if r.limited+r.paused == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
