--- a/core/flow.go
+++ b/core/flow.go
@@ -148,7 +148,7 @@
 	if err == nil {
 		return Try{Placed: true}
 	}
-	return f.judge(a, err)
+	return f.classifyFailure(a, err)
 }
 
 // prepare waits for the engines and reserves memory between the pick of an attempt and its sending.
@@ -219,7 +219,7 @@
 }
 
 // classifyFailure returns the result of a failed attempt and updates the fleet.
-func (f *flow) judge(a *attempt, err error) Try {
+func (f *flow) classifyFailure(a *attempt, err error) Try {
 	t := Try{Placed: true, Free: errors.Is(err, hollowgrade.ErrNotSent)}
 	x := a.fault(err)
 	t.Err = x
