--- a/core/exchange.go
+++ b/core/exchange.go
@@ -146,7 +146,7 @@
 		f.failure = w
 		return fault.New(fault.UpstreamFailed, "upstream %s answered with status %d", a.pick.upstream().ID, a.head.Status)
 	}
-	return f.pass(w)
+	return f.passAnswer(w)
 }
 
 // markAtFault has other upstreams preferred to the one that the answer names as the reason why the
@@ -162,7 +162,7 @@
 // passLong passes on an answer that is too long to be buffered.
 func (a *attempt) long(x hollowgrade.Exchange, w *answer) error {
 	a.begin()
-	if err := a.flow.pass(w); err != nil {
+	if err := a.flow.passAnswer(w); err != nil {
 		return errors.Join(errSink, err)
 	}
 	for {
--- a/core/flow.go
+++ b/core/flow.go
@@ -240,11 +240,11 @@
 	if err == nil || f.failure == nil || f.headSent {
 		return err
 	}
-	return f.pass(f.failure)
+	return f.passAnswer(f.failure)
 }
 
 // passAnswer sends a buffered answer to the caller.
-func (f *flow) pass(a *answer) error {
+func (f *flow) passAnswer(a *answer) error {
 	f.headSent = true
 	if err := f.sink.Head(a.head); err != nil {
 		return fault.New(fault.CallerGone, "%v", err)
