--- a/core/exchange.go
+++ b/core/exchange.go
@@ -19,7 +19,7 @@
 	number      int  // of the attempt, counted from 1
 	last        bool // whether it is the last one allowed
 	reservation *reservation
-	held        time.Duration // how long the sending was held back
+	heldBack    time.Duration // how long the sending was held back
 	sent        time.Time
 	wrote       bool // whether the answer has begun
 	head        hollowgrade.Head
--- a/core/flow.go
+++ b/core/flow.go
@@ -155,7 +155,7 @@
 // It fails if an upstream has begun to leave meanwhile.
 func (f *flow) prepare(ctx context.Context, a *attempt) (err error) {
 	p := a.pick
-	a.held = f.waitForEngines(ctx, p)
+	a.heldBack = f.waitForEngines(ctx, p)
 	if a.reservation, err = f.core.reserveMemory(ctx, f.call.ID, a.number, p); err != nil {
 		f.noMemory++
 		return err
@@ -172,7 +172,7 @@
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
 		"helpers", ids(p.helpers), "reading_ms", p.Reading.Milliseconds(), "predicted_ms", p.First.Milliseconds(),
-		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.held.Milliseconds(), "after", f.lastEvent, "left_ms", left.Milliseconds(),
+		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.heldBack.Milliseconds(), "after", f.lastEvent, "left_ms", left.Milliseconds(),
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
 
