--- a/core/exchange.go
+++ b/core/exchange.go
@@ -21,7 +21,7 @@
 	reservation *reservation
 	heldBack    time.Duration // how long the sending was held back
 	sent        time.Time
-	wrote       bool // whether the answer has begun
+	answerBegan bool // whether the answer has begun
 	head        hollowgrade.Head
 	timely      func() bool // stops the timer of an overdue first event
 }
@@ -112,7 +112,7 @@
 		return fault.New(fault.DeadlinePassed, "the allowed time passed").WithOutcome(hollowgrade.Unknown)
 	case errors.Is(err, context.Canceled):
 		return fault.New(fault.CallerGone, "the caller went away").WithOutcome(hollowgrade.Unknown)
-	case a.wrote:
+	case a.answerBegan:
 		return fault.New(fault.AnswerCut, "the answer of upstream %s was cut", id).WithOutcome(hollowgrade.Failed)
 	default:
 		return fault.New(fault.UpstreamLost, "upstream %s was lost", id).WithOutcome(hollowgrade.Unknown)
@@ -181,10 +181,10 @@
 
 // answerStarted records that the answer has begun.
 func (a *attempt) begin() {
-	if a.wrote {
+	if a.answerBegan {
 		return
 	}
-	a.wrote = true
+	a.answerBegan = true
 	a.timely()
 	if a.flow.first == 0 {
 		a.flow.first = a.flow.core.clock.Since(a.flow.call.Arrived)
--- a/core/flow.go
+++ b/core/flow.go
@@ -143,7 +143,7 @@
 		return Try{Err: err, Placed: f.noMemory < maxMemoryTries, Free: true}
 	}
 	err = a.run(ctx)
-	f.core.fleet.release(p, a.wrote)
+	f.core.fleet.release(p, a.answerBegan)
 	f.recordOutcome(ctx, a, err)
 	if err == nil {
 		return Try{Placed: true}
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -32,7 +32,7 @@
 	}
 	gap := max(giveUp, giveUpGoals*f.route.Goal, giveUpPauses*f.route.PauseGoal)
 	d := time.Duration(stallShare * float64(gap))
-	if a.wrote {
+	if a.answerBegan {
 		return d
 	}
 	return max(d, predictedMore*a.pick.First)
