--- a/core/exchange.go
+++ b/core/exchange.go
@@ -14,16 +14,16 @@
 
 // attempt is one exchange for a flow.
 type attempt struct {
-	flow        *flow
-	pick        *pick
-	number      int  // of the attempt, counted from 1
-	last        bool // whether it is the last one allowed
-	reservation *reservation
-	heldBack    time.Duration // how long the sending was held back
-	sent        time.Time
-	answerBegan bool // whether the answer has begun
-	head        hollowgrade.Head
-	timely      func() bool // stops the timer of an overdue first event
+	flow             *flow
+	pick             *pick
+	number           int  // of the attempt, counted from 1
+	last             bool // whether it is the last one allowed
+	reservation      *reservation
+	heldBack         time.Duration // how long the sending was held back
+	sent             time.Time
+	answerBegan      bool // whether the answer has begun
+	head             hollowgrade.Head
+	stopOverdueTimer func() bool // stops the timer of an overdue first event
 }
 
 func (a *attempt) sending() hollowgrade.Sending {
@@ -53,8 +53,8 @@
 		return true
 	})
 	defer w.stop()
-	a.timely = a.suspectOnceOverdue()
-	defer a.timely()
+	a.stopOverdueTimer = a.suspectOnceOverdue()
+	defer a.stopOverdueTimer()
 	x, err := a.flow.core.exchanger.Open(ctx, a.sending())
 	if err != nil {
 		return cause(ctx, err)
@@ -185,7 +185,7 @@
 		return
 	}
 	a.answerBegan = true
-	a.timely()
+	a.stopOverdueTimer()
 	if a.flow.first == 0 {
 		a.flow.first = a.flow.core.clock.Since(a.flow.call.Arrived)
 	}
