--- a/core/exchange.go
+++ b/core/exchange.go
@@ -53,7 +53,7 @@
 		return true
 	})
 	defer w.stop()
-	a.stopOverdueTimer = a.suspectOnceOverdue()
+	a.stopOverdueTimer = a.startOverdueTimer()
 	defer a.stopOverdueTimer()
 	x, err := a.flow.core.exchanger.Open(ctx, a.sending())
 	if err != nil {
@@ -70,7 +70,7 @@
 
 // startOverdueTimer has the engines of the attempt asked for their speed if the answer hasn't begun
 // when it is overdue. The returned function stops the timer.
-func (a *attempt) suspectOnceOverdue() (timely func() bool) {
+func (a *attempt) startOverdueTimer() (timely func() bool) {
 	f := a.flow
 	if f.service.Engine == nil {
 		return func() bool { return false }
