--- a/core/exchange.go
+++ b/core/exchange.go
@@ -70,7 +70,7 @@
 
 // startOverdueTimer has the engines of the attempt asked for their speed if the answer hasn't begun
 // when it is overdue. The returned function stops the timer.
-func (a *attempt) startOverdueTimer() (timely func() bool) {
+func (a *attempt) startOverdueTimer() (stop func() bool) {
 	f := a.flow
 	if f.service.Engine == nil {
 		return func() bool { return false }
