--- a/core/exchange.go
+++ b/core/exchange.go
@@ -65,7 +65,7 @@
 	if a.head.Stream && a.head.Success() {
 		return cause(ctx, a.stream(x, w))
 	}
-	return cause(ctx, a.whole(x))
+	return cause(ctx, a.passWhole(x))
 }
 
 // startOverdueTimer has the engines of the attempt asked for their speed if the answer hasn't begun
@@ -120,7 +120,7 @@
 }
 
 // passWhole reads and passes on an answer that is not a stream.
-func (a *attempt) whole(x hollowgrade.Exchange) error {
+func (a *attempt) passWhole(x hollowgrade.Exchange) error {
 	f := a.flow
 	if a.head.NotRun {
 		a.markAtFault()
