--- a/core/exchange.go
+++ b/core/exchange.go
@@ -138,7 +138,7 @@
 		}
 		w.body = append(w.body, p.Data)
 		if size += len(p.Data); size > maxBufferedBytes {
-			return a.long(x, w)
+			return a.passLong(x, w)
 		}
 	}
 	a.begin()
@@ -159,8 +159,8 @@
 	}
 }
 
-// passLong passes on an answer that is too long to be buffered.
-func (a *attempt) long(x hollowgrade.Exchange, w *answer) error {
+// passLong passes on an answer that is too passLong to be buffered.
+func (a *attempt) passLong(x hollowgrade.Exchange, w *answer) error {
 	a.begin()
 	if err := a.flow.passAnswer(w); err != nil {
 		return errors.Join(errSink, err)
