--- a/core/exchange.go
+++ b/core/exchange.go
@@ -63,7 +63,7 @@
 	a.head = x.Head()
 	a.flow.core.fleet.answered(a.pick.member, a.flow.call.ID, a.flow.service.Engine != nil, a.sent, a.head)
 	if a.head.Stream && a.head.Success() {
-		return cause(ctx, a.stream(x, w))
+		return cause(ctx, a.passStream(x, w))
 	}
 	return cause(ctx, a.passWhole(x))
 }
@@ -191,9 +191,9 @@
 	}
 }
 
-// passStream passes on the events of a stream. If the caller has received a head from an earlier
+// passStream passes on the events of a passStream. If the caller has received a head from an earlier
 // attempt, it continues after the last event.
-func (a *attempt) stream(x hollowgrade.Exchange, w *watchdog) error {
+func (a *attempt) passStream(x hollowgrade.Exchange, w *watchdog) error {
 	f := a.flow
 	for {
 		p, err := x.Next()
