--- a/core/exchange.go
+++ b/core/exchange.go
@@ -141,7 +141,7 @@
 			return a.passLong(x, w)
 		}
 	}
-	a.begin()
+	a.answerStarted()
 	if !a.head.Success() && f.Repeatable() {
 		f.failure = w
 		return fault.New(fault.UpstreamFailed, "upstream %s answered with status %d", a.pick.upstream().ID, a.head.Status)
@@ -161,7 +161,7 @@
 
 // passLong passes on an answer that is too passLong to be buffered.
 func (a *attempt) passLong(x hollowgrade.Exchange, w *answer) error {
-	a.begin()
+	a.answerStarted()
 	if err := a.flow.passAnswer(w); err != nil {
 		return errors.Join(errSink, err)
 	}
@@ -180,7 +180,7 @@
 }
 
 // answerStarted records that the answer has begun.
-func (a *attempt) begin() {
+func (a *attempt) answerStarted() {
 	if a.answerBegan {
 		return
 	}
@@ -205,7 +205,7 @@
 		}
 		w.reset(a.stall())
 		f.core.fleet.recordActivity(a.pick.member)
-		a.begin()
+		a.answerStarted()
 		f.noteEvent()
 		if !newer(p.Event, f.lastEvent) {
 			continue
