--- a/core/exchange.go
+++ b/core/exchange.go
@@ -45,7 +45,7 @@
 func (a *attempt) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	w := newWatchdog(a.flow.core.clock, a.stall(), func() bool {
+	w := newWatchdog(a.flow.core.clock, a.stallTimeout(), func() bool {
 		if !a.flow.leave() {
 			return false
 		}
@@ -203,7 +203,7 @@
 		if err != nil {
 			return err
 		}
-		w.reset(a.stall())
+		w.reset(a.stallTimeout())
 		f.core.fleet.recordActivity(a.pick.member)
 		a.answerStarted()
 		f.noteEvent()
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -22,7 +22,7 @@
 
 // stallTimeout returns how long the upstream may be silent, 0 for no bound: if no other attempt is
 // possible, the call waits for the answer to the end.
-func (a *attempt) stall() time.Duration {
+func (a *attempt) stallTimeout() time.Duration {
 	f := a.flow
 	if !f.Repeatable() || a.last {
 		return 0
