--- a/core/exchange.go
+++ b/core/exchange.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	w := newWatchdog(a.flow.core.clock, a.stallTimeout(), func() bool {
-		if !a.flow.leave() {
+		if !a.flow.abandonUpstream() {
 			return false
 		}
 		cancel(errStalled)
--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -40,7 +40,7 @@
 
 // abandonUpstream reports whether a silent upstream may be given up: there must be another one and a
 // retry in the budget, which is taken out at once.
-func (f *flow) leave() bool {
+func (f *flow) abandonUpstream() bool {
 	if !f.core.fleet.hasUntried(f.service.Name, f.tried) || !f.budget.Spend(f.core.clock.Now()) {
 		return false
 	}
