--- a/core/attempts.go
+++ b/core/attempts.go
@@ -18,9 +18,9 @@
 // with the time in which an answer is useful, and long enough for the loss of an upstream to become
 // known.
 const (
-	firstPause = 20 * time.Millisecond
-	lastPause  = time.Second
-	shortRetry = time.Second // retry-after of refusals that pass quickly
+	minRetryPause = 20 * time.Millisecond
+	lastPause     = time.Second
+	shortRetry    = time.Second // retry-after of refusals that pass quickly
 )
 
 // Work is a request for which attempts are made.
@@ -54,7 +54,7 @@
 func (a Attempts) Run(ctx context.Context, w Work) error {
 	worst := hollowgrade.NotRun
 	p := backoff.NewExponentialBackOff()
-	p.InitialInterval = firstPause
+	p.InitialInterval = minRetryPause
 	p.MaxInterval = lastPause
 	for n, left := 1, a.Max; ; n++ {
 		t := w.Try(ctx, n, left)
