--- a/core/attempts.go
+++ b/core/attempts.go
@@ -19,7 +19,7 @@
 // known.
 const (
 	minRetryPause = 20 * time.Millisecond
-	lastPause     = time.Second
+	maxRetryPause = time.Second
 	shortRetry    = time.Second // retry-after of refusals that pass quickly
 )
 
@@ -55,7 +55,7 @@
 	worst := hollowgrade.NotRun
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = minRetryPause
-	p.MaxInterval = lastPause
+	p.MaxInterval = maxRetryPause
 	for n, left := 1, a.Max; ; n++ {
 		t := w.Try(ctx, n, left)
 		if t.Err == nil {
