--- a/core/attempts.go
+++ b/core/attempts.go
@@ -18,9 +18,9 @@
 // with the time in which an answer is useful, and long enough for the loss of an upstream to become
 // known.
 const (
-	minRetryPause = 20 * time.Millisecond
-	maxRetryPause = time.Second
-	shortRetry    = time.Second // retry-after of refusals that pass quickly
+	minRetryPause   = 20 * time.Millisecond
+	maxRetryPause   = time.Second
+	shortRetryAfter = time.Second // retry-after of refusals that pass quickly
 )
 
 // Work is a request for which attempts are made.
@@ -95,7 +95,7 @@
 
 func spent(f *fault.Error) error {
 	return fault.New(fault.RetriesSpent, "%s; not tried again: the retry budget is spent", f.Message).
-		WithOutcome(f.Outcome).WithRetryAfter(shortRetry)
+		WithOutcome(f.Outcome).WithRetryAfter(shortRetryAfter)
 }
 
 // pause waits before the next attempt. It returns false without waiting if that would exceed the
--- a/core/core.go
+++ b/core/core.go
@@ -309,7 +309,7 @@
 	hollowgrade.Notice(c.clock)
 	f.catalog = c.catalog.Load()
 	if f.catalog == nil {
-		return fault.New(fault.NoConfiguration, "no configuration has been read yet").WithRetryAfter(shortRetry)
+		return fault.New(fault.NoConfiguration, "no configuration has been read yet").WithRetryAfter(shortRetryAfter)
 	}
 	known, ok := false, false
 	f.age, known = c.age()
@@ -322,7 +322,7 @@
 	}
 	if c.Outdated() {
 		return fault.New(fault.StaleConfig, "a newer configuration than version %d has been known for %s", f.catalog.Version, c.outdated().Round(time.Millisecond)).
-			WithRetryAfter(shortRetry)
+			WithRetryAfter(shortRetryAfter)
 	}
 	if f.route, ok = f.catalog.Match(f.call.Host, f.call.Path); !ok {
 		return missing(fault.New(fault.NoRoute, "no route for %s%s", f.call.Host, f.call.Path))
@@ -337,7 +337,7 @@
 	}
 	t, ok := f.route.target()
 	if !ok {
-		return fault.New(fault.NoUpstream, "the route %s leads to no service", f.route.Name).WithRetryAfter(shortRetry)
+		return fault.New(fault.NoUpstream, "the route %s leads to no service", f.route.Name).WithRetryAfter(shortRetryAfter)
 	}
 	f.service = f.catalog.Services[t]
 	f.service.Name = t
@@ -347,10 +347,10 @@
 
 func stale(f *flow, known bool) error {
 	if !known {
-		return fault.New(fault.StaleConfig, "version %d has not been confirmed yet", f.catalog.Version).WithRetryAfter(shortRetry)
+		return fault.New(fault.StaleConfig, "version %d has not been confirmed yet", f.catalog.Version).WithRetryAfter(shortRetryAfter)
 	}
 	return fault.New(fault.StaleConfig, "version %d was last confirmed %s ago", f.catalog.Version, f.age.Round(time.Millisecond)).
-		WithRetryAfter(shortRetry)
+		WithRetryAfter(shortRetryAfter)
 }
 
 // target picks one of the route's services at random by weight.
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -97,7 +97,7 @@
 	case errors.Is(err, errSink):
 		return fault.New(fault.CallerGone, "the caller went away").WithOutcome(hollowgrade.Failed)
 	case errors.Is(err, hollowgrade.ErrStopping) && errors.Is(err, hollowgrade.ErrNotSent):
-		return fault.New(fault.Draining, "this box is being stopped").WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetry)
+		return fault.New(fault.Draining, "this box is being stopped").WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetryAfter)
 	case errors.Is(err, hollowgrade.ErrStopping):
 		return fault.New(fault.Draining, "this box is being stopped, and upstream %s has not answered", id).WithOutcome(hollowgrade.Unknown)
 	case errors.Is(err, hollowgrade.ErrNotSent) && errors.Is(err, context.Canceled):
@@ -105,7 +105,7 @@
 	case errors.Is(err, hollowgrade.ErrNotSent) && errors.Is(err, errOutOfTime):
 		return fault.New(fault.DeadlinePassed, "the allowed time passed before the call could be sent").WithOutcome(hollowgrade.NotRun)
 	case errors.Is(err, hollowgrade.ErrNotSent):
-		return fault.New(fault.UpstreamLost, "upstream %s could not be reached", id).WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetry)
+		return fault.New(fault.UpstreamLost, "upstream %s could not be reached", id).WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetryAfter)
 	case errors.Is(err, errStalled):
 		return fault.New(fault.UpstreamLost, "upstream %s went silent", id).WithOutcome(hollowgrade.Unknown)
 	case errors.Is(err, errOutOfTime):
@@ -125,7 +125,7 @@
 	if a.head.NotRun {
 		a.markAtFault()
 		return fault.New(fault.Overloaded, "upstream %s did not take the call, status %d", a.pick.upstream().ID, a.head.Status).
-			WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetry)
+			WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetryAfter)
 	}
 	w := &answer{head: a.head}
 	for size := 0; ; {
--- a/core/flow.go
+++ b/core/flow.go
@@ -205,7 +205,7 @@
 	r := f.core.fleet.unavailability(f.service.Name, f.tried)
 	if r.limited+r.paused == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
-			WithRetryAfter(shortRetry)
+			WithRetryAfter(shortRetryAfter)
 	}
 	f.core.log.Info("not sent", "request", f.call.ID, "why", "upstreams ask for rest or name limits", "limited", r.limited,
 		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.retryAfter.Milliseconds())
--- a/core/reservation.go
+++ b/core/reservation.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.end()
 		return nil, fault.New(fault.Overloaded, "memory for the prompt was not free at %d engines", len(t.keepers)).
-			WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetry)
+			WithOutcome(hollowgrade.NotRun).WithRetryAfter(shortRetryAfter)
 	}
 	t.group.Go(func() { t.renew(r) })
 	return t, nil
