--- a/core/core.go
+++ b/core/core.go
@@ -40,7 +40,7 @@
 
 // minProcesses is the least number of processes that the retry budget is divided by, because the
 // list of processes may not be known yet.
-const assumedProcesses = 8
+const minProcesses = 8
 
 // budgetShare is the used part of the retry budget. The rest allows for windows of processes that
 // don't start at the same time.
@@ -242,7 +242,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.bounds.Load()
-	slack := budgetShare * b.RetrySlack / float64(max(c.processes(), assumedProcesses))
+	slack := budgetShare * b.RetrySlack / float64(max(c.processes(), minProcesses))
 	w, ok := c.budgets[service]
 	if !ok {
 		w = retry.NewWindow(b.RetryWindow, budgetShare*b.RetryRatio, slack, c.started)
