--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -11,7 +11,7 @@
 // pause goals (the platform's rule). An upstream that is silent for a part of that counts as lost,
 // and the call is sent elsewhere while the caller still waits.
 const (
-	giveUp        = 2 * time.Second
+	callerGap     = 2 * time.Second
 	giveUpGoals   = 4
 	giveUpPauses  = 8
 	stallShare    = 0.55
@@ -30,7 +30,7 @@
 	if f.route.Repeat != Resume {
 		return max(plainStall, plainGoalMore*f.route.Goal)
 	}
-	gap := max(giveUp, giveUpGoals*f.route.Goal, giveUpPauses*f.route.PauseGoal)
+	gap := max(callerGap, giveUpGoals*f.route.Goal, giveUpPauses*f.route.PauseGoal)
 	d := time.Duration(stallShare * float64(gap))
 	if a.answerBegan {
 		return d
