--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -16,7 +16,7 @@
 	callerGapPauses = 8
 	stallShare      = 0.55
 	plainStall      = 900 * time.Millisecond // for calls that may run again: 15 times the usual work of a plain service
-	plainGoalMore   = 3                      // in goals, if that is longer
+	plainStallGoals = 3                      // in goals, if that is longer
 	predictedMore   = 2                      // in predicted times to the first event: a prediction is rarely that far off
 )
 
@@ -28,7 +28,7 @@
 		return 0
 	}
 	if f.route.Repeat != Resume {
-		return max(plainStall, plainGoalMore*f.route.Goal)
+		return max(plainStall, plainStallGoals*f.route.Goal)
 	}
 	gap := max(callerGap, callerGapGoals*f.route.Goal, callerGapPauses*f.route.PauseGoal)
 	d := time.Duration(stallShare * float64(gap))
