--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -11,13 +11,13 @@
 // pause goals (the platform's rule). An upstream that is silent for a part of that counts as lost,
 // and the call is sent elsewhere while the caller still waits.
 const (
-	callerGap       = 2 * time.Second
-	callerGapGoals  = 4
-	callerGapPauses = 8
-	stallShare      = 0.55
-	plainStall      = 900 * time.Millisecond // for calls that may run again: 15 times the usual work of a plain service
-	plainStallGoals = 3                      // in goals, if that is longer
-	predictedMore   = 2                      // in predicted times to the first event: a prediction is rarely that far off
+	callerGap             = 2 * time.Second
+	callerGapGoals        = 4
+	callerGapPauses       = 8
+	stallShare            = 0.55
+	plainStall            = 900 * time.Millisecond // for calls that may run again: 15 times the usual work of a plain service
+	plainStallGoals       = 3                      // in goals, if that is longer
+	stallPredictionFactor = 2                      // in predicted times to the first event: a prediction is rarely that far off
 )
 
 // stallTimeout returns how long the upstream may be silent, 0 for no bound: if no other attempt is
@@ -35,7 +35,7 @@
 	if a.answerBegan {
 		return d
 	}
-	return max(d, predictedMore*a.pick.First)
+	return max(d, stallPredictionFactor*a.pick.First)
 }
 
 // abandonUpstream reports whether a silent upstream may be given up: there must be another one and a
