--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -51,8 +51,8 @@
 // watchdog calls a function when nothing has happened for a while, and again as long as the function
 // returns false. The function doesn't run after stop has returned.
 type watchdog struct {
-	clock hollowgrade.Clock
-	bark  func() bool
+	clock   hollowgrade.Clock
+	onStall func() bool
 
 	mu    sync.Mutex
 	timer hollowgrade.Timer
@@ -62,7 +62,7 @@
 
 // newWatchdog returns a watchdog that calls onStall after d, never if d is 0.
 func newWatchdog(c hollowgrade.Clock, d time.Duration, bark func() bool) *watchdog {
-	w := &watchdog{clock: c, bark: bark}
+	w := &watchdog{clock: c, onStall: bark}
 	w.reset(d)
 	return w
 }
@@ -83,7 +83,7 @@
 	w.timer = w.clock.AfterFunc(d, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.turn == turn && !w.ended && !w.bark() {
+		if w.turn == turn && !w.ended && !w.onStall() {
 			w.begin(d)
 		}
 	})
