--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -54,10 +54,10 @@
 	clock   hollowgrade.Clock
 	onStall func() bool
 
-	mu    sync.Mutex
-	timer hollowgrade.Timer
-	turn  int // of the current wait; the timer of an earlier one has no effect
-	ended bool
+	mu         sync.Mutex
+	timer      hollowgrade.Timer
+	generation int // of the current wait; the timer of an earlier one has no effect
+	ended      bool
 }
 
 // newWatchdog returns a watchdog that calls onStall after d, never if d is 0.
@@ -79,11 +79,11 @@
 
 // begin starts a wait. The lock is held.
 func (w *watchdog) begin(d time.Duration) {
-	turn := w.turn
+	turn := w.generation
 	w.timer = w.clock.AfterFunc(d, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.turn == turn && !w.ended && !w.onStall() {
+		if w.generation == turn && !w.ended && !w.onStall() {
 			w.begin(d)
 		}
 	})
@@ -99,7 +99,7 @@
 
 // stopTimer ends the current wait. The lock is held.
 func (w *watchdog) halt() {
-	w.turn++
+	w.generation++
 	if w.timer != nil {
 		w.timer.Stop()
 	}
