--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -71,7 +71,7 @@
 func (w *watchdog) reset(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.halt()
+	w.stopTimer()
 	if d > 0 && !w.ended {
 		w.begin(d)
 	}
@@ -94,11 +94,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
-	w.halt()
+	w.stopTimer()
 }
 
 // stopTimer ends the current wait. The lock is held.
-func (w *watchdog) halt() {
+func (w *watchdog) stopTimer() {
 	w.generation++
 	if w.timer != nil {
 		w.timer.Stop()
