--- a/core/catalog.go
+++ b/core/catalog.go
@@ -79,23 +79,23 @@
 
 // Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
-	Version  int64
-	Limits   Limits
-	Services map[string]Service
-	routes   map[string][]Route // by host, longest prefix first
-	keys     map[string]Organisation
-	closed   bool // whether any organisation is configured, so that routes need keys
+	Version      int64
+	Limits       Limits
+	Services     map[string]Service
+	routes       map[string][]Route // by host, longest prefix first
+	keys         map[string]Organisation
+	keysRequired bool // whether any organisation is configured, so that routes need keys
 }
 
 // NewCatalog returns a catalog.
 func NewCatalog(version int64, rs []Route, ss []Service, os []Organisation, l Limits) *Catalog {
 	c := &Catalog{
-		Version:  version,
-		Limits:   l,
-		Services: make(map[string]Service, len(ss)),
-		routes:   map[string][]Route{},
-		keys:     map[string]Organisation{},
-		closed:   len(os) > 0,
+		Version:      version,
+		Limits:       l,
+		Services:     make(map[string]Service, len(ss)),
+		routes:       map[string][]Route{},
+		keys:         map[string]Organisation{},
+		keysRequired: len(os) > 0,
 	}
 	for _, r := range rs {
 		h := strings.ToLower(r.Host)
@@ -136,5 +136,5 @@
 
 // NeedsKey reports whether calls on the route need a key.
 func (c *Catalog) NeedsKey(r Route) bool {
-	return c.closed && !r.Public
+	return c.keysRequired && !r.Public
 }
