--- a/core/exchange.go
+++ b/core/exchange.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// passLong passes on an answer that is too passLong to be buffered.
+// passLong passes on an answer that is too long to be buffered.
 func (a *attempt) passLong(x hollowgrade.Exchange, w *answer) error {
 	a.answerStarted()
 	if err := a.flow.passAnswer(w); err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// passStream passes on the events of a passStream. If the caller has received a head from an earlier
+// passStream passes on the events of a stream. If the caller has received a head from an earlier
 // attempt, it continues after the last event.
 func (a *attempt) passStream(x hollowgrade.Exchange, w *watchdog) error {
 	f := a.flow
--- a/core/place.go
+++ b/core/place.go
@@ -102,7 +102,7 @@
 	return p
 }
 
-// membersAt returns the members membersAt some indices.
+// membersAt returns the members at some indices.
 func membersAt(ms []*member, is []int) (l []*member) {
 	for _, i := range is {
 		l = append(l, ms[i])
