--- a/core/exchange.go
+++ b/core/exchange.go
@@ -36,7 +36,7 @@
 		Upstream:     a.pick.upstream(),
 		Organisation: f.organisation.Name,
 		Left:         left,
-		After:        f.lastEvent,
+		After:        f.lastEventID,
 		Helpers:      a.reservation.helpersOf(a.pick),
 	}
 }
@@ -207,7 +207,7 @@
 		f.core.fleet.recordActivity(a.pick.member)
 		a.answerStarted()
 		f.noteEvent()
-		if !newer(p.Event, f.lastEvent) {
+		if !newer(p.Event, f.lastEventID) {
 			continue
 		}
 		if err = f.passHead(a.head); err != nil {
@@ -218,7 +218,7 @@
 		}
 		f.events++
 		if p.Event != "" {
-			f.lastEvent = p.Event
+			f.lastEventID = p.Event
 		}
 	}
 }
--- a/core/flow.go
+++ b/core/flow.go
@@ -59,7 +59,7 @@
 	tried        map[hollowgrade.Life]bool // instances that were picked for the call
 	upstreams    []string                  // the same, in order
 	headSent     bool                      // whether the caller has received a head
-	lastEvent    string                    // id of the last event that the caller has received
+	lastEventID  string                    // id of the last event that the caller has received
 	events       int
 	first        time.Duration // until the first part
 	lastEventAt  time.Time     // when the last event arrived
@@ -90,7 +90,7 @@
 func (f *flow) Repeatable() bool {
 	switch f.route.Repeat {
 	case Resume:
-		return !f.headSent || f.lastEvent != ""
+		return !f.headSent || f.lastEventID != ""
 	case Again:
 		return !f.headSent
 	default:
@@ -172,7 +172,7 @@
 	p := a.pick
 	f.core.log.Info("sent", "request", f.call.ID, "fingerprint", f.fingerprint, "attempt", a.number, "upstream", p.upstream().ID, "service", f.service.Name,
 		"helpers", ids(p.helpers), "reading_ms", p.Reading.Milliseconds(), "predicted_ms", p.First.Milliseconds(),
-		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.heldBack.Milliseconds(), "after", f.lastEvent, "left_ms", left.Milliseconds(),
+		"times_slower", round(p.slowest), "turn", p.Turn, "held_ms", a.heldBack.Milliseconds(), "after", f.lastEventID, "left_ms", left.Milliseconds(),
 		"version", f.catalog.Version, "age_ms", f.age.Milliseconds())
 }
 
