--- a/core/exchange.go
+++ b/core/exchange.go
@@ -141,7 +141,7 @@
 			return a.passLong(x, w)
 		}
 	}
-	a.answerStarted()
+	a.recordAnswerStart()
 	if !a.head.Success() && f.Repeatable() {
 		f.failure = w
 		return fault.New(fault.UpstreamFailed, "upstream %s answered with status %d", a.pick.upstream().ID, a.head.Status)
@@ -161,7 +161,7 @@
 
 // passLong passes on an answer that is too long to be buffered.
 func (a *attempt) passLong(x hollowgrade.Exchange, w *answer) error {
-	a.answerStarted()
+	a.recordAnswerStart()
 	if err := a.flow.passAnswer(w); err != nil {
 		return errors.Join(errSink, err)
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-// answerStarted records that the answer has begun.
-func (a *attempt) answerStarted() {
+// recordAnswerStart records that the answer has begun.
+func (a *attempt) recordAnswerStart() {
 	if a.answerBegan {
 		return
 	}
@@ -205,7 +205,7 @@
 		}
 		w.reset(a.stallTimeout())
 		f.core.fleet.recordActivity(a.pick.member)
-		a.answerStarted()
+		a.recordAnswerStart()
 		f.noteEvent()
 		if !newer(p.Event, f.lastEventID) {
 			continue
