--- a/core/exchange.go
+++ b/core/exchange.go
@@ -206,7 +206,7 @@
 		w.reset(a.stallTimeout())
 		f.core.fleet.recordActivity(a.pick.member)
 		a.recordAnswerStart()
-		f.noteEvent()
+		f.recordEvent()
 		if !newer(p.Event, f.lastEventID) {
 			continue
 		}
@@ -223,8 +223,8 @@
 	}
 }
 
-// noteEvent updates the longest pause between two events of all attempts.
-func (f *flow) noteEvent() {
+// recordEvent updates the longest pause between two events of all attempts.
+func (f *flow) recordEvent() {
 	now := f.core.clock.Now()
 	if !f.lastEventAt.IsZero() {
 		f.longestPause = max(f.longestPause, now.Sub(f.lastEventAt))
