--- a/core/demand.go
+++ b/core/demand.go
@@ -33,8 +33,8 @@
 	prefill float64 // seconds of prefill per second
 }
 
-// note counts a prompt that takes one engine this long to prefill.
-func (d *demand) note(now time.Time, reading time.Duration) {
+// add counts a prompt that takes one engine this long to prefill.
+func (d *demand) add(now time.Time, reading time.Duration) {
 	if reading < minDemandPrefill {
 		return
 	}
@@ -120,7 +120,7 @@
 func (f *Fleet) countPeerPrefill(v *view) {
 	h := v.recentPrefill
 	if h.prefill > 0 {
-		f.demandOf(h.service).note(h.since.Add(promptPartsWindow), time.Duration(float64(h.prefill)/prefillOverhead))
+		f.demandOf(h.service).add(h.since.Add(promptPartsWindow), time.Duration(float64(h.prefill)/prefillOverhead))
 	}
 	v.recentPrefill = peerPrefill{}
 }
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -69,13 +69,13 @@
 	now := time.Unix(1000, 0)
 	for range 100 {
 		now = now.Add(250 * time.Millisecond)
-		d.note(now, 4*time.Second)
+		d.add(now, 4*time.Second)
 	}
 	now = now.Add(125 * time.Millisecond)
 	requireExpected(t, d.expected(now), 4, 4*time.Second)
 	t.Run("counts a word that comes late by its age", func(t *testing.T) {
 		before := d.expected(now).Prompts[0].Rate
-		d.note(now.Add(-time.Second), 4*time.Second)
+		d.add(now.Add(-time.Second), 4*time.Second)
 		require.InDelta(t, before+0.5*math.Exp(-0.5), d.expected(now).Prompts[0].Rate, 1e-9)
 	})
 }
