--- a/core/exchange.go
+++ b/core/exchange.go
@@ -61,7 +61,7 @@
 	}
 	defer x.Close()
 	a.head = x.Head()
-	a.flow.core.fleet.answered(a.pick.member, a.flow.call.ID, a.flow.service.Engine != nil, a.sent, a.head)
+	a.flow.core.fleet.recordAnswer(a.pick.member, a.flow.call.ID, a.flow.service.Engine != nil, a.sent, a.head)
 	if a.head.Stream && a.head.Success() {
 		return cause(ctx, a.passStream(x, w))
 	}
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -433,9 +433,9 @@
 	plainErrorLimit  = 3
 )
 
-// answered records the head of an upstream's answer to a call that was sent at the given time. An
+// recordAnswer records the head of an upstream's answer to a call that was sent at the given time. An
 // upstream is avoided after some consecutive error answers.
-func (f *Fleet) answered(m *member, id string, engine bool, sent time.Time, h hollowgrade.Head) {
+func (f *Fleet) recordAnswer(m *member, id string, engine bool, sent time.Time, h hollowgrade.Head) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.lastActivity = f.clock.Now()
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -82,17 +82,17 @@
 		f := newFleet("s", 2)
 		for n := range plainErrorLimit {
 			require.False(t, f.members["u00"].avoidUntil.After(time.Now()), "after %d", n)
-			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
+			f.recordAnswer(f.members["u00"], "c", false, time.Time{}, fails)
 		}
 		require.True(t, f.members["u00"].avoidUntil.After(time.Now()))
-		f.answered(f.members["u01"], "c", true, time.Time{}, fails)
+		f.recordAnswer(f.members["u01"], "c", true, time.Time{}, fails)
 		require.True(t, f.members["u01"].avoidUntil.After(time.Now()), "engines do not fail by themselves")
 		f = newFleet("s", 1)
 		for range 2 * plainErrorLimit {
-			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
-			f.answered(f.members["u00"], "c", false, time.Time{}, hollowgrade.Head{Status: 200})
-			f.answered(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 504})
-			f.answered(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 503, NotRun: true})
+			f.recordAnswer(f.members["u00"], "c", false, time.Time{}, fails)
+			f.recordAnswer(f.members["u00"], "c", false, time.Time{}, hollowgrade.Head{Status: 200})
+			f.recordAnswer(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 504})
+			f.recordAnswer(f.members["u00"], "c", true, time.Time{}, hollowgrade.Head{Status: 503, NotRun: true})
 		}
 		require.False(t, f.members["u00"].avoidUntil.After(time.Now()))
 	})
@@ -153,7 +153,7 @@
 	})
 	t.Run("an upstream's own word on its load counts", func(t *testing.T) {
 		f := newFleet("s", 2)
-		f.answered(f.members["u00"], "c", false, time.Time{}, hollowgrade.Head{Status: 200, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 4, Waiting: 2, Slots: 4}})
+		f.recordAnswer(f.members["u00"], "c", false, time.Time{}, hollowgrade.Head{Status: 200, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 4, Waiting: 2, Slots: 4}})
 		require.Equal(t, "u01", f.pick("s", plain, none).member.ID)
 	})
 }
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -124,7 +124,7 @@
 				got[u] = append(got[u], time.Now())
 				sent, says := time.Now(), p.signals(u, r)
 				time.AfterFunc(15*time.Millisecond, func() {
-					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
+					f.recordAnswer(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
 					f.release(k, true)
 				})
 				x.words += p.tell(ps, i, f.Changes(false), false, r)
@@ -247,7 +247,7 @@
 				if time.Since(begin) > named {
 					says = hollowgrade.Signals{}
 				}
-				f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
+				f.recordAnswer(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
 				f.release(k, true)
 			})
 		}
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -35,7 +35,7 @@
 	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
 	m.addPart(time.Now(), time.Second)
-	f.answered(m, "r", true, time.Time{}, hollowgrade.Head{Status: 500, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 3}})
+	f.recordAnswer(m, "r", true, time.Time{}, hollowgrade.Head{Status: 500, HasLoad: true, Load: hollowgrade.UpstreamLoad{Running: 3}})
 	f.markAtFault(m, "r", "named as at fault")
 	return f, p
 }
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -27,7 +27,7 @@
 
 // hear takes an answer of an upstream to a call that was sent at some moment.
 func hear(f *Fleet, id hollowgrade.Life, sent time.Time, h hollowgrade.Head) {
-	f.answered(f.members[id], "r", false, sent, h)
+	f.recordAnswer(f.members[id], "r", false, sent, h)
 }
 
 // refusal is an answer that asks for rest.
