--- a/core/fleet.go
+++ b/core/fleet.go
@@ -349,8 +349,8 @@
 	return slices.ContainsFunc(f.membersOf(service), func(m *member) bool { return !tried[m.instance] && f.usable(m, now) })
 }
 
-// failed records that an upstream failed a call, so that others are preferred for a while.
-func (f *Fleet) failed(m *member, id, why string) {
+// recordFailure records that an upstream recordFailure a call, so that others are preferred for a while.
+func (f *Fleet) recordFailure(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -135,7 +135,7 @@
 	t.Run("one that failed is tried last, and again after a while", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("s", 2)
-			f.failed(f.members["u00"], "c", "reset")
+			f.recordFailure(f.members["u00"], "c", "reset")
 			p := f.pick("s", plain, none)
 			require.Equal(t, "u01", p.member.ID)
 			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Life]bool{"u01": true}).member.ID)
--- a/core/flow.go
+++ b/core/flow.go
@@ -228,7 +228,7 @@
 	}
 	switch x.Code {
 	case fault.UpstreamLost, fault.AnswerCut:
-		f.core.fleet.failed(a.pick.member, f.call.ID, err.Error())
+		f.core.fleet.recordFailure(a.pick.member, f.call.ID, err.Error())
 	}
 	f.core.log.Info("attempt failed", "request", f.call.ID, "fingerprint", f.fingerprint, "upstream", a.pick.upstream().ID, "code", x.Code,
 		"outcome", x.Outcome, "events", f.events, "after_ms", f.core.clock.Since(a.pick.chosenAt).Milliseconds(), "err", err)
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -111,7 +111,7 @@
 			f, p := used(t)
 			f.Put(later)
 			require.False(t, f.stillUsable(p))
-			f.failed(p.member, "r", "it ended")
+			f.recordFailure(p.member, "r", "it ended")
 			f.release(p, false)
 			requireFresh(t, f, later.Life())
 			require.Empty(t, f.Changes(false))
