--- a/core/core.go
+++ b/core/core.go
@@ -269,7 +269,7 @@
 	// which tests replace.
 	ctx, cancel := context.WithTimeoutCause(ctx, left+answerGrace, errOutOfTime)
 	defer cancel()
-	ctx, end := c.follow(ctx, f)
+	ctx, end := c.track(ctx, f)
 	defer end()
 	f.budget = c.budget(f.service.Name)
 	f.budget.First(c.clock.Now())
@@ -277,8 +277,8 @@
 	return f.finish(a.Run(ctx, f))
 }
 
-// follow registers a call so that [Core.Resume] can end it.
-func (c *Core) follow(ctx context.Context, f *flow) (_ context.Context, end func()) {
+// track registers a call so that [Core.Resume] can end it.
+func (c *Core) track(ctx context.Context, f *flow) (_ context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
