--- a/core/pace.go
+++ b/core/pace.go
@@ -31,10 +31,10 @@
 	slowPace = 1.1
 	// maxPace bounds the reported pace.
 	maxPace = 100
-	// surveyors is the mean number of processes that ask each engine once one is found to be slow: a
+	// surveyorsPerEngine is the mean number of processes that ask each engine once one is found to be slow: a
 	// cause such as a hall or a release rarely slows a single engine, and engines with few calls are
 	// suspected late. One engine in twenty is asked by no process.
-	surveyors = 3
+	surveyorsPerEngine = 3
 	// maxPaceRequests bounds the concurrent requests of a process, as many as the helpers of two
 	// prompts.
 	maxPaceRequests = 32
@@ -140,7 +140,7 @@
 		return nil
 	}
 	f.surveyedAt[service] = now
-	part := float64(surveyors) / float64(max(len(f.views), f.peers())+1)
+	part := float64(surveyorsPerEngine) / float64(max(len(f.views), f.peers())+1)
 	for _, m := range f.usableMembers(service, now) {
 		if f.mayRequestPace(m, now) && f.chance() < part {
 			m.paceAskedAt = now
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -227,7 +227,7 @@
 	var asked []hollowgrade.Upstream
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
 	f.ReceivePace("u00", 4, 0, "b", "")
-	require.InDelta(t, 60*surveyors/10, len(asked), 2, "each of ten processes asks its part")
+	require.InDelta(t, 60*surveyorsPerEngine/10, len(asked), 2, "each of ten processes asks its part")
 	require.NotContains(t, asked, hollowgrade.Upstream{ID: "u00"}, "it has just been asked")
 	n := len(asked)
 	f.ReceivePace("u01", 4, 0, "b", "")
