--- a/core/fleet.go
+++ b/core/fleet.go
@@ -174,9 +174,9 @@
 	f.onInstanceStart = onStart
 }
 
-// SetChance replaces the source of random numbers from 0 to 1 for tie-breaking and jitter, so that a
+// SetRandom replaces the source of random numbers from 0 to 1 for tie-breaking and jitter, so that a
 // run can be repeated.
-func (f *Fleet) SetChance(chance func() float64) {
+func (f *Fleet) SetRandom(chance func() float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.chance = chance
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -229,7 +229,7 @@
 	r := rand.New(rand.NewPCG(1, 2)) // by luck alone one run in some hundred uses two engines
 	for range 20 {
 		f := newFleet("e", 60)
-		f.SetChance(r.Float64)
+		f.SetRandom(r.Float64)
 		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 9}, "u01": {Open: 8}}, true)
 		used[f.pick("e", short(), nil).member.ID]++
 	}
@@ -239,7 +239,7 @@
 // enginesOfAStream lets short calls come every 80 ms, each of which lasts two seconds,
 // and returns how many engines have any of the 25 that are open in the end.
 func enginesOfAStream(f *Fleet, r *rand.Rand) (used int) {
-	f.SetChance(r.Float64)
+	f.SetRandom(r.Float64)
 	for range 200 {
 		p := f.pick("e", short(), nil)
 		time.AfterFunc(2*time.Second, func() { f.release(p, true) })
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -62,7 +62,7 @@
 	if r.IntN(5) == 0 {
 		f = newFleet("e", 60+r.IntN(60))
 	}
-	f.SetChance(r.Float64)
+	f.SetRandom(r.Float64)
 	f.SetPeers(func() int { return 4 })
 	f.ReceiveView("b", nil, true)
 	busy := r.Float64()
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -58,7 +58,7 @@
 
 func newLimitProcess(p limitPlay, i int, r *rand.Rand) *limitProcess {
 	f := NewFleet(hollowgrade.SystemClock(), quiet())
-	f.SetChance(r.Float64)
+	f.SetRandom(r.Float64)
 	f.SetPeers(func() int { return p.processes - 1 })
 	for u := range p.limited + p.others {
 		f.Put(hollowgrade.Upstream{ID: fmt.Sprintf("u%02d", u), Service: "s", Address: "u:1", Slots: 16})
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -74,7 +74,7 @@
 	c := newCore(&fakeUpstreams{replies: []reply{late(after)}}, WithReporter(r))
 	k := Route{Name: "resume", Host: "h", Prefix: "/resume/", Repeat: Resume, Stream: true, Timeout: 10 * time.Second, Goal: 300 * time.Millisecond, Targets: []Target{{"s", 1}}, MaxAttempts: 1}
 	c.SetCatalog(NewCatalog(2, []Route{k}, []Service{{Name: "s", Engine: figures()}}, nil, Limits{}))
-	c.Fleet().SetChance(func() float64 { return 0.5 })
+	c.Fleet().SetRandom(func() float64 { return 0.5 })
 	return c, r
 }
 
@@ -223,7 +223,7 @@
 	f := newFleet("e", 60)
 	f.SetPeers(func() int { return 9 })
 	i := 0
-	f.SetChance(func() float64 { i++; return float64(i%60) / 60 })
+	f.SetRandom(func() float64 { i++; return float64(i%60) / 60 })
 	var asked []hollowgrade.Upstream
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
 	f.ReceivePace("u00", 4, 0, "b", "")
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -53,7 +53,7 @@
 	used := map[string]int{}
 	for i := range 40 {
 		f := newFleet("e", 9)
-		f.SetChance(func() float64 { return (float64(i) + 0.5) / 40 })
+		f.SetRandom(func() float64 { return (float64(i) + 0.5) / 40 })
 		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {}}, true)
 		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 300}}, false)
 		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, false)
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -405,7 +405,7 @@
 		return &naive{way: p.variant.Decisions, ids: ids, open: map[string]int{}, reading: map[string]time.Duration{}, figures: p.file.Engines.figures()}
 	}
 	f := core.NewFleet(p.clock, log.New(io.Discard), core.WithPolicy(p.policy()))
-	f.SetChance(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
+	f.SetRandom(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
 	f.SetPeers(func() int { return p.file.gateways(p.variant) - 1 })
 	for _, id := range ids {
 		f.Put(hollowgrade.Upstream{ID: id, Service: service, Slots: p.file.Engines.Slots})
