--- a/core/fleet.go
+++ b/core/fleet.go
@@ -116,7 +116,7 @@
 	surveyedAt        map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
 	requestPaces      func(us []hollowgrade.Upstream, why string) // requests speed reports; called without the lock
 	onInstanceStart   func(u hollowgrade.Upstream)                // called with the lock held for each instance that starts; must not use the fleet
-	chance            func() float64                              // random number from 0 to 1
+	random            func() float64                              // random number from 0 to 1
 	demands           map[string]*demand                          // by service
 	candidates        []placement.Candidate                       // of the last decision; the memory is reused
 }
@@ -150,7 +150,7 @@
 		peers:             func() int { return 0 },
 		requestPaces:      func([]hollowgrade.Upstream, string) {},
 		onInstanceStart:   func(hollowgrade.Upstream) {},
-		chance:            rand.Float64,
+		random:            rand.Float64,
 	}
 	for _, o := range os {
 		o(f)
@@ -179,7 +179,7 @@
 func (f *Fleet) SetRandom(chance func() float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.chance = chance
+	f.random = chance
 }
 
 // Put adds an upstream or updates it from its registry entry. An entry of another instance replaces
--- a/core/limit.go
+++ b/core/limit.go
@@ -154,7 +154,7 @@
 		return false
 	}
 	meet := sendGapFactor * peerSendDelay.Seconds() * l.wanted.value(now, wantedRateWindow)
-	return begun || f.chance()*max(meet, 1) < l.allowance
+	return begun || f.random()*max(meet, 1) < l.allowance
 }
 
 // withinLimits returns the members whose limits leave room for a request now. The lock is held.
--- a/core/pace.go
+++ b/core/pace.go
@@ -142,7 +142,7 @@
 	f.surveyedAt[service] = now
 	part := float64(surveyorsPerEngine) / float64(max(len(f.views), f.peers())+1)
 	for _, m := range f.usableMembers(service, now) {
-		if f.mayRequestPace(m, now) && f.chance() < part {
+		if f.mayRequestPace(m, now) && f.random() < part {
 			m.paceAskedAt = now
 			us = append(us, m.Upstream)
 		}
--- a/core/place.go
+++ b/core/place.go
@@ -128,7 +128,7 @@
 	for _, m := range ms {
 		f.candidates = append(f.candidates, m.candidate(tried[m.instance], now))
 	}
-	return placement.Snapshot{Candidates: f.candidates, Others: max(len(f.views), f.peers()), Heard: f.knownShare(), Chance: f.chance}
+	return placement.Snapshot{Candidates: f.candidates, Others: max(len(f.views), f.peers()), Heard: f.knownShare(), Chance: f.random}
 }
 
 // candidate returns the state of the upstream for placement.
