--- a/core/fleet.go
+++ b/core/fleet.go
@@ -176,10 +176,10 @@
 
 // SetRandom replaces the source of random numbers from 0 to 1 for tie-breaking and jitter, so that a
 // run can be repeated.
-func (f *Fleet) SetRandom(chance func() float64) {
+func (f *Fleet) SetRandom(random func() float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.random = chance
+	f.random = random
 }
 
 // Put adds an upstream or updates it from its registry entry. An entry of another instance replaces
