--- a/core/watchdog.go
+++ b/core/watchdog.go
@@ -73,18 +73,18 @@
 	defer w.mu.Unlock()
 	w.stopTimer()
 	if d > 0 && !w.ended {
-		w.begin(d)
+		w.start(d)
 	}
 }
 
-// begin starts a wait. The lock is held.
-func (w *watchdog) begin(d time.Duration) {
+// start starts a wait. The lock is held.
+func (w *watchdog) start(d time.Duration) {
 	turn := w.generation
 	w.timer = w.clock.AfterFunc(d, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.generation == turn && !w.ended && !w.onStall() {
-			w.begin(d)
+			w.start(d)
 		}
 	})
 }
