--- a/core/share.go
+++ b/core/share.go
@@ -100,7 +100,7 @@
 // ReceiveView applies a peer's report of the load that it has assigned to upstreams. A complete one
 // replaces all earlier ones. Box identifies one instance of the peer, because its counters start
 // again with each.
-func (f *Fleet) ReceiveView(box string, shares map[hollowgrade.Life]Share, whole bool) {
+func (f *Fleet) ReceiveView(box string, shares map[hollowgrade.Life]Share, complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.views[box]
@@ -109,7 +109,7 @@
 		f.views[box] = v
 	}
 	v.receivedAt = f.clock.Now()
-	if whole {
+	if complete {
 		for id := range v.shares {
 			if _, ok := shares[id]; !ok {
 				f.dropShare(v, id)
@@ -119,7 +119,7 @@
 	for id, s := range shares {
 		f.setViewShare(v, id, s)
 	}
-	v.complete = v.complete || whole
+	v.complete = v.complete || complete
 }
 
 // setViewShare replaces one share of a view. Prefill added since the last report counts from now on;
