--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -26,14 +26,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	var rested time.Time // when the first pause ends
+	var firstPauseEnd time.Time // when the first pause ends
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.pause.ended(now) || m.pause.trialPending(now):
 			r.paused++
-			if e := m.pause.nextCallAt(); rested.IsZero() || e.Before(rested) {
-				rested = e
+			if e := m.pause.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
+				firstPauseEnd = e
 			}
 		case m.limit.named:
 			r.limited++
@@ -44,7 +44,7 @@
 	case r.limited > 0:
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
 	case r.paused > 0:
-		d := rested.Sub(now)
+		d := firstPauseEnd.Sub(now)
 		r.retryAfter = max(d+time.Duration(f.random()*pauseJitter*float64(d)), minRetryAfter)
 	}
 	return r
