--- a/core/closing.go
+++ b/core/closing.go
@@ -22,9 +22,9 @@
 	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
 	// After that a call is sent again, and if it is lost, a new watch begins.
 	maxWatch = 5 * time.Second
-	// closingAvoid is how long such an upstream is avoided after each probe, and by peers after each
+	// closingAvoidTime is how long such an upstream is avoided after each probe, and by peers after each
 	// report. It covers a late probe and a lost report.
-	closingAvoid = 4 * reprobeInterval
+	closingAvoidTime = 4 * reprobeInterval
 )
 
 // watch starts to probe an upstream that closes connections, and has it avoided, until it keeps a
@@ -105,7 +105,7 @@
 		return false
 	}
 	now := f.clock.Now()
-	m.avoidUntil = now.Add(closingAvoid)
+	m.avoidUntil = now.Add(closingAvoidTime)
 	if m.avoidedByAllUntil.Sub(now) < 2*reprobeInterval {
 		m.avoidedByAllUntil, m.publishAvoidUntil = m.avoidUntil, m.avoidUntil
 		f.markChanged(m)
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -159,7 +159,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, f, _, id := lose(t, until(time.Now().Add(1500*time.Millisecond)))
 			require.Zero(t, sentTo(c, f, id, time.Second))
-			time.Sleep(reprobeInterval + closingAvoid)
+			time.Sleep(reprobeInterval + closingAvoidTime)
 			require.Positive(t, sentTo(c, f, id, 3*time.Second))
 		})
 	})
@@ -183,7 +183,7 @@
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(reprobeInterval)
 			}
-			require.LessOrEqual(t, words, int(maxWatch/(closingAvoid-2*reprobeInterval)))
+			require.LessOrEqual(t, words, int(maxWatch/(closingAvoidTime-2*reprobeInterval)))
 			require.False(t, a.markClosing("another"))
 		})
 	})
