--- a/core/closing.go
+++ b/core/closing.go
@@ -89,7 +89,7 @@
 		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
 	})
 	for _, l := range ls {
-		c.log.Info("upstream had ended, it closes connections and says nothing", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
+		c.log.Info("upstream crash confirmed, it closes connections and is silent", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
 			"ran_ms", l.Lost.Sub(l.Sent).Milliseconds(), "closed_after_ms", closedAfter.Milliseconds(), "lost_ms", c.clock.Since(l.Lost).Milliseconds())
 		c.quarantine.Lost(l)
 	}
