--- a/core/closing.go
+++ b/core/closing.go
@@ -52,7 +52,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		delete(c.watched, u.Life())
-		c.log.Info("upstream watched no more", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
+		c.log.Info("upstream no longer watched", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
 	for c.fleet.markClosing(u.Life()) && c.clock.Since(begun) < maxWatch {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
