--- a/core/share.go
+++ b/core/share.go
@@ -195,7 +195,7 @@
 			learned++
 		}
 	}
-	f.log.Info("reading of upstreams learned", "peer", box, "told", len(rs), "new", learned)
+	f.log.Info("prefill backlogs received from a peer", "peer", box, "told", len(rs), "new", learned)
 }
 
 // SyncedPeers returns the number of peers whose complete load has been received.
