--- a/core/share.go
+++ b/core/share.go
@@ -243,7 +243,7 @@
 	longest := viewTTL(f.peers())
 	for box, v := range f.views {
 		if now.Sub(v.receivedAt) > longest {
-			f.log.Info("load of a peer forgotten", "peer", box, "age_ms", now.Sub(v.receivedAt).Milliseconds())
+			f.log.Info("load report of a peer expired", "peer", box, "age_ms", now.Sub(v.receivedAt).Milliseconds())
 			f.dropView(box)
 		}
 	}
