--- a/core/pace.go
+++ b/core/pace.go
@@ -220,7 +220,7 @@
 		r, err := c.reporter.Report(context.Background(), u)
 		c.fleet.applyReport(u.Life(), request, begin, r.Signals)
 		if err != nil {
-			c.log.Info("speed of upstream not told", "upstream", u.Life(), "request", request, "err", err)
+			c.log.Info("speed report of upstream failed", "upstream", u.Life(), "request", request, "err", err)
 			return
 		}
 		if r.Born != 0 {
