--- a/core/core.go
+++ b/core/core.go
@@ -301,7 +301,7 @@
 		left := max(f.deadline.Sub(now)+answerGrace, 0)
 		c.clock.AfterFunc(left, func() { cancel(errOutOfTime) })
 	}
-	c.log.Info("times of calls set anew", "calls", len(c.flows), "why", "the machine was suspended")
+	c.log.Info("deadline timers of calls reset", "calls", len(c.flows), "why", "the machine was suspended")
 }
 
 // admit determines the route, the organisation and the service of a call, or refuses it.
