--- a/core/pause.go
+++ b/core/pause.go
@@ -60,6 +60,6 @@
 func (f *Fleet) endTrial(m *member, sent time.Time) {
 	if m.pause.onTrial && sent.After(m.pause.until) {
 		m.pause.onTrial = false
-		f.log.Info("upstream takes calls again after a rest", "upstream", m.instance, "service", m.Service)
+		f.log.Info("upstream takes calls again after a pause", "upstream", m.instance, "service", m.Service)
 	}
 }
