--- a/core/fleet.go
+++ b/core/fleet.go
@@ -349,14 +349,14 @@
 	return slices.ContainsFunc(f.membersOf(service), func(m *member) bool { return !tried[m.instance] && f.usable(m, now) })
 }
 
-// recordFailure records that an upstream recordFailure a call, so that others are preferred for a while.
+// recordFailure records that an upstream failed a call, so that others are preferred for a while.
 func (f *Fleet) recordFailure(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid(m, id, why)
 }
 
-// avoid is like failed, but the lock is held.
+// avoid is like recordFailure, but the lock is held.
 func (f *Fleet) avoid(m *member, id, why string) {
 	d := min(minAvoid<<min(m.failures, 3), maxAvoid)
 	m.failures++
