--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -7,8 +7,7 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// BenchmarkPick measures one placement by the number of engines; docs/CAPACITY.md
-// has what it showed.
+// BenchmarkPick measures one placement in fleets of different sizes; docs/CAPACITY.md has results.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 60, 180, 600} {
 		for name, d := range map[string]placement.Request{"short": short(), "long": long(210_000)} {
@@ -29,8 +28,7 @@
 	}
 }
 
-// BenchmarkList measures how long it takes to list a number of upstreams, as after
-// the start of a process.
+// BenchmarkList measures adding upstreams to an empty fleet, as after the start of a process.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -14,22 +14,18 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// The story. Something in front of upstreams goes on taking connections while they are down, and closes each. A
-// request that ended them was held only when their next lives showed it, after 1.9 s, and until then each gateway
-// sent calls to each of them that were lost at once and took retries out of the budget: of 54 calls that failed
-// beside it 38 did so within 3 ms, and 0.943 to 0.975 were served at a second try of their callers.
-//
-// The evidence: "attempt failed" 1 ms after "sent" at upstreams that another gateway had lost a call to just before;
-// with ports that refuse, nothing fails. Avoidance alone is no mend: the request that ends upstreams got the retries
-// that it left, and ended 27 to 36 of them instead of 16 to 23 (four plays).
+// These tests guard against late detection of crashes behind a proxy that accepts connections while its upstream is
+// down and closes each of them. If such a crash is known only from the start time of the next instance, 1.9 s later,
+// gateways lose calls there within 3 ms each and spend the retry budget. Avoiding the upstream alone doesn't help: the
+// retries that it saves go to the request that causes the crashes, which then crashed 27 to 36 upstreams, not 16 to 23.
 
-// front implements [hollowgrade.Prober] for upstreams with something in front of them.
+// front implements [hollowgrade.Prober] for upstreams behind a proxy.
 type front struct {
 	closes func(u hollowgrade.Upstream) bool
 	probes atomic.Int64
 }
 
-// closedAfter is how long a connection is kept that is closed.
+// closedAfter is the time after which the proxy closes a connection.
 const closedAfter = 2 * time.Millisecond
 
 func (f *front) Probe(_ context.Context, u hollowgrade.Upstream) (hollowgrade.Presence, error) {
@@ -43,19 +39,19 @@
 
 func always(hollowgrade.Upstream) bool { return true }
 
-// until closes connections until a moment.
+// until returns a predicate that closes connections until t.
 func until(t time.Time) func(hollowgrade.Upstream) bool {
 	return func(hollowgrade.Upstream) bool { return time.Now().Before(t) }
 }
 
-// newFronted returns a core whose upstreams have something in front of them. The test ends once nothing is watched any more.
+// newFronted returns a core whose upstreams are behind a proxy. The test ends after the last watch has expired.
 func newFronted(t *testing.T, f *fakeUpstreams, p *front) *Core {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + closedAfter) })
 	return newCore(f, WithProber(p))
 }
 
-// arrive lets one request come some times, and returns how often it was sent.
+// arrive serves one request several times, and returns how often it was sent to an upstream.
 func arrive(c *Core, f *fakeUpstreams, times int) (sent int) {
 	for i := range times {
 		k := call("/again/")
@@ -77,7 +73,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			sent, c := play(t, &front{closes: always}, afterAWhile(broken))
 			require.Len(t, c.Quarantine().Holds(), 1)
-			require.Equal(t, 3, sent, "as with ports that refuse")
+			require.Equal(t, 3, sent, "as many as with ports that refuse connections")
 		})
 	})
 	for name, x := range map[string]struct {
@@ -113,7 +109,7 @@
 	})
 }
 
-// chat lets an upstream send an event of some other call each 100 ms.
+// chat reports an event of another call at an upstream every 100 ms.
 func chat(ctx context.Context, f *Fleet, m *member) {
 	for hollowgrade.Sleep(ctx, hollowgrade.SystemClock(), 100*time.Millisecond) {
 		f.heard(m)
@@ -121,7 +117,7 @@
 }
 
 func TestAnUpstreamThatClosesConnectionsIsAvoided(t *testing.T) {
-	// lose loses one call at one of three upstreams, and returns that and how the others reply.
+	// lose loses one call at one of three upstreams and returns that upstream's id; later calls succeed.
 	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *front, lost string) {
 		t.Helper()
 		f = &fakeUpstreams{replies: []reply{afterAWhile(broken), status(200, "yes")}}
@@ -132,7 +128,7 @@
 		_ = c.Serve(context.Background(), k, &fakeSink{})
 		return c, f, p, f.sendings()[0].Upstream.ID
 	}
-	// sentTo returns how often an upstream is sent one of ten calls a second for some time.
+	// sentTo serves ten calls a second for some time, and returns how many were sent to an upstream.
 	sentTo := func(c *Core, f *fakeUpstreams, id string, d time.Duration) (n int) {
 		before := len(f.sendings())
 		for i := range int(10 * d.Seconds()) {
@@ -200,8 +196,8 @@
 	})
 }
 
-// A request that was lost before waits for what the end of its upstream shows, and a caller whose time runs out
-// meanwhile has its answer then: 354 and 400 ms after its arrival where it gave 150 ms, before.
+// A request that was lost before waits until probes show whether its upstream has crashed. Its caller must be answered
+// by the deadline nevertheless: without that bound a deadline of 150 ms was answered after 354 and 400 ms.
 func TestACallersTimeBoundsTheLookAtItsUpstream(t *testing.T) {
 	for name, p := range map[string]hollowgrade.Prober{
 		"that closes connections": &front{closes: always},
@@ -213,7 +209,7 @@
 				c := newCore(f, WithProber(p))
 				t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + probeTimeout) })
 				arrive(c, f, 1)
-				require.Equal(t, 1, c.Quarantine().Size(), "it is known")
+				require.Equal(t, 1, c.Quarantine().Size(), "the loss is recorded")
 				time.Sleep(2 * probedFor)
 				k := call("/once/")
 				k.ID, k.Arrived, k.Patience = "short", time.Now(), 150*time.Millisecond
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -42,7 +42,7 @@
 	return hollowgrade.Call{ID: "c1", Host: "h", Path: path, Key: "k", Arrived: time.Now(), Patience: 5 * time.Second}
 }
 
-// serve sends one call through a core whose upstreams reply in turn.
+// serve serves one call on a new core whose upstreams give the replies in turn.
 func serve(t *testing.T, path string, rs ...reply) (s *fakeSink, f *fakeUpstreams, x *fault.Error) {
 	t.Helper()
 	f = &fakeUpstreams{replies: rs}
@@ -186,9 +186,8 @@
 	})
 }
 
-// Found in the logs of korrigan-replay scale-1: the budget was spent by others
-// between an upstream's last event and the end of the patience with it, and the
-// stream was ended although its upstream might have gone on.
+// Guards against ending a stream whose upstream may still continue: while the gateway waits for a silent upstream,
+// other calls can spend the retry budget, or there is no other upstream. It has to go on waiting then.
 func TestSilenceIsWaitedForWhenNothingElseIsLeft(t *testing.T) {
 	late := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
@@ -217,7 +216,7 @@
 	})
 }
 
-// lateExchange says nothing for a while before its first part.
+// lateExchange delays its first part.
 type lateExchange struct {
 	fakeExchange
 	after time.Duration
@@ -232,8 +231,7 @@
 	}
 }
 
-// Found by the same incident: a long prompt that was held back went to an
-// upstream that had begun to leave meanwhile.
+// A long prompt that is held back must not be sent to an upstream that starts to drain meanwhile.
 func TestUpstreamThatLeavesWhileACallIsHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{events(1, 2, io.EOF)}}
@@ -293,12 +291,11 @@
 		}}}
 		err := newCore(f).Serve(ctx, call("/again/"), &fakeSink{})
 		require.Equal(t, fault.CallerGone, fault.As(err, hollowgrade.Unknown).Code)
-		require.Len(t, f.sendings(), 1, "nothing is sent for a caller that is gone")
+		require.Len(t, f.sendings(), 1, "no retry for a caller that has disconnected")
 	})
 }
 
-// Found in the logs of korrigan-replay scale-1: callers that left while a
-// connection was being opened made healthy upstreams look lost.
+// A caller that disconnects while a connection is being opened must not count as a failure of the upstream.
 func TestCallerThatLeavesBeforeAnythingIsSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fakeUpstreams{replies: []reply{func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
@@ -371,8 +368,8 @@
 		known = false
 		require.Equal(t, fault.StaleConfig, code(same))
 	})
-	// A call on a route without a key was handled by a version that had been replaced
-	// eight seconds before: freshness is asked for with keys only.
+	// The age of the configuration is checked for keys only, so that a call on a route without a key was
+	// served by a version that had been replaced eight seconds before.
 	t.Run("older than one that is known", func(t *testing.T) {
 		age, known = 0, true
 		c.outdated = func() time.Duration { return DefaultBounds().Freshness - outdatedMargin + time.Millisecond }
@@ -381,7 +378,7 @@
 		require.Equal(t, fault.StaleConfig, code(same))
 		require.True(t, c.Outdated())
 		c.outdated = func() time.Duration { return DefaultBounds().Freshness - outdatedMargin }
-		require.Empty(t, code(public), "for a moment it decides on")
+		require.Empty(t, code(public), "within the allowed time the older version is still used")
 	})
 	t.Run("no configuration", func(t *testing.T) {
 		err := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(quiet())).Serve(context.Background(), call("/again/"), &fakeSink{})
@@ -408,7 +405,7 @@
 	spent := 0
 	for i := range calls {
 		k := call("/again/")
-		k.Body = fmt.Append(nil, i) // one request that is lost again and again is held
+		k.Body = fmt.Append(nil, i) // one request that is lost repeatedly is quarantined
 		x := fault.As(c.Serve(context.Background(), k, &fakeSink{}), hollowgrade.Unknown)
 		require.Equal(t, hollowgrade.Unknown, x.Outcome)
 		if x.Code == fault.RetriesSpent {
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -12,7 +12,7 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// requireExpected checks that prompts of one length are expected, and how many a second.
+// requireExpected checks that prompts of one length are expected, their rate and their prefill time.
 func requireExpected(t *testing.T, d placement.Demand, perSecond float64, reading time.Duration) {
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
@@ -20,7 +20,7 @@
 	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
 }
 
-// given returns another process's word that it has given reading to some engines.
+// given returns the shares of a peer that has placed prefill work of duration d on each of some engines.
 func given(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
 	m := map[hollowgrade.Life]Share{}
 	for _, e := range engines {
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -15,23 +15,22 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// quiet is a logger that says nothing.
+// quiet returns a logger that discards its output.
 func quiet() *log.Logger {
 	return log.New(io.Discard)
 }
 
-// reply is what a fake upstream does with one sending.
+// reply answers one call that is sent to a fake upstream.
 type reply func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error)
 
-// fakeUpstreams implements [hollowgrade.Exchanger]. Replies are taken in turn,
-// the last one again and again.
+// fakeUpstreams implements [hollowgrade.Exchanger]. It uses its replies in order and repeats the last one.
 type fakeUpstreams struct {
 	mu      sync.Mutex
 	replies []reply
 	sent    []hollowgrade.Sending
-	memory  map[string]map[string]int // tokens set aside, by upstream and id
-	full    map[string]bool           // upstreams that have no memory free
-	orders  int
+	memory  map[string]map[string]int // reserved tokens, by upstream and id
+	full    map[string]bool           // upstreams without free memory
+	orders  int                       // calls of Reserve and Release
 }
 
 // Reserve implements [hollowgrade.Reserver].
@@ -61,7 +60,7 @@
 	return nil
 }
 
-// held returns the memory that is set aside at all upstreams together.
+// held returns the sum of the tokens reserved at all upstreams.
 func (f *fakeUpstreams) held() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,12 +86,12 @@
 	return append([]hollowgrade.Sending(nil), f.sent...)
 }
 
-// fakeExchange gives parts and then ends with an error.
+// fakeExchange returns its parts and then an error.
 type fakeExchange struct {
 	ctx   context.Context
 	head  hollowgrade.Head
 	parts []hollowgrade.Part
-	end   error // io.EOF if whole; errSilent to say nothing until ctx ends
+	end   error // io.EOF for a complete answer; errSilent blocks until ctx ends
 }
 
 var (
@@ -148,8 +147,8 @@
 	return nil, ctx.Err()
 }
 
-// events replies with the events from to to, then ends with err. An upstream
-// that goes on leaves out what the caller has.
+// events replies with the events from through to, then ends with err. An upstream that resumes a stream omits the
+// events that the caller has.
 func events(from, to int, err error) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		x := &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{"From": {s.Upstream.ID}}, Sealed: true, Stream: true}, end: err}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -14,9 +14,9 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// What decisions of package placement are expected to keep to.
+// Bounds that the decisions of package placement are expected to respect.
 const (
-	longestAlone = 8_999 // tokens of a prompt that one engine reads
+	longestAlone = 8_999 // of a prompt that one engine prefills
 	mostHelpers  = 16
 )
 
@@ -60,9 +60,8 @@
 			require.NotNil(t, f.pick("s", plain, none))
 		})
 	})
-	// Found by hunt on sbn-push, trouble-1 --seed 1014552827330: a gateway that the
-	// store had turned away took an upstream that left, 1.2 s after, for one that
-	// had lapsed, and used it until 2.17 s after it had left.
+	// An upstream that leaves well after the store rejected a gateway must not be taken for one whose entry
+	// expired because of that: without this bound it was used until 2.17 s after it had left.
 	t.Run("and not beyond the time for which that can be the cause", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("s", 1)
@@ -72,11 +71,10 @@
 			time.Sleep(time.Millisecond)
 			require.Nil(t, f.pick("s", plain, none))
 			f.Put(hollowgrade.Upstream{ID: "u01", Service: "s", Slots: 4})
-			require.Equal(t, 1, f.Size(), "it is not kept for ever")
+			require.Equal(t, 1, f.Size(), "it is removed from the table")
 		})
 	})
-	// Found on scale-2 of korrigan-replay-grown: four engines that failed all calls
-	// got ever more of them, since they were never busy.
+	// Engines that fail every call are never busy, so that they would get more and more calls.
 	t.Run("one that fails calls in a row is avoided", func(t *testing.T) {
 		fails := hollowgrade.Head{Status: 500}
 		f := newFleet("s", 2)
@@ -86,7 +84,7 @@
 		}
 		require.True(t, f.members["u00"].avoid.After(time.Now()))
 		f.answered(f.members["u01"], "c", true, time.Time{}, fails)
-		require.True(t, f.members["u01"].avoid.After(time.Now()), "engines do not fail by themselves")
+		require.True(t, f.members["u01"].avoid.After(time.Now()), "one failure is enough for an engine")
 		f = newFleet("s", 1)
 		for range 2 * plainErrors {
 			f.answered(f.members["u00"], "c", false, time.Time{}, fails)
@@ -96,8 +94,7 @@
 		}
 		require.False(t, f.members["u00"].avoid.After(time.Now()))
 	})
-	// Found by inc-f456 of sbn-push-grown: while the store was away each of 28
-	// gateways found out for itself that four engines were leaving.
+	// While the store is away, each gateway would otherwise have to find out for itself that an engine leaves.
 	t.Run("one that an engine named as at fault is avoided by others too, for as long", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := newFleet("e", 2), newFleet("e", 2)
@@ -107,14 +104,14 @@
 			for id, d := range blamed(a) {
 				b.TakeBlame("a", id, d)
 			}
-			require.Empty(t, blamed(b), "what others say is not told again")
+			require.Empty(t, blamed(b), "reports of peers are not forwarded")
 			require.Equal(t, "u01", b.pick("e", long(30_000), nil).member.ID)
 			time.Sleep(firstAvoid)
 			require.Empty(t, blamed(a))
 			require.False(t, time.Now().Before(b.members["u00"].avoid))
 			b.TakeBlame("a", "u00", time.Hour)
 			time.Sleep(lastAvoid)
-			require.False(t, time.Now().Before(b.members["u00"].avoid), "no word of a peer lasts")
+			require.False(t, time.Now().Before(b.members["u00"].avoid), "the time that a peer reports is bounded")
 			b.TakeBlame("a", "unknown", time.Hour)
 		})
 	})
@@ -175,8 +172,8 @@
 	}
 }
 
-// Found on scale-1 of sbn-push-grown: seven long prompts that were given up after
-// 8.8 s took their reading back, and with it that of others.
+// A call that ends may take back only prefill work that is still pending. Long prompts that were given up after 8.8 s
+// took back work that the engine had done already, and with it pending work of others.
 func TestReadingIsTakenBackOnlyWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
@@ -212,8 +209,8 @@
 	require.Equal(t, p.member.own.Given, p.helpers[0].own.Given)
 }
 
-// requirePacked checks that requests are on few engines, the first of the common
-// order, and that none of them has more than it is meant to.
+// requirePacked checks that requests are on few engines, which come first in the common order, and that none of them
+// has more than most.
 func requirePacked(t *testing.T, used map[string]int, most, engines int) {
 	t.Helper()
 	require.LessOrEqual(t, len(used), engines)
@@ -223,10 +220,10 @@
 	}
 }
 
-// Many gateways pick at one moment, before they hear of each other.
+// Gateways that pick at the same time, before they receive each other's updates, must not all pick the same engine.
 func TestPicksOfOneMomentSpread(t *testing.T) {
 	used := map[string]int{}
-	r := rand.New(rand.NewPCG(1, 2)) // by luck alone one run in some hundred uses two engines
+	r := rand.New(rand.NewPCG(1, 2)) // fixed: with a random seed one run in some hundred uses only two engines
 	for range 20 {
 		f := newFleet("e", 60)
 		f.SetChance(r.Float64)
@@ -236,8 +233,8 @@
 	require.Greater(t, len(used), 2)
 }
 
-// enginesOfAStream lets short calls come every 80 ms, each of which lasts two seconds,
-// and returns how many engines have any of the 25 that are open in the end.
+// enginesOfAStream places a short call every 80 ms, each of which lasts two seconds, and returns how many engines have
+// any of the 25 calls that are open at the end.
 func enginesOfAStream(f *Fleet, r *rand.Rand) (used int) {
 	f.SetChance(r.Float64)
 	for range 200 {
@@ -268,8 +265,8 @@
 			requirePacked(t, spaced(newFleet("e", 18), 20), 10, 12)
 		})
 	})
-	// Found in the logs of scale-1 of ampct-valico: 24 short calls were open on eight
-	// engines, three on each, since chance made up for the order of the engines.
+	// Guards against random tie-breaking that outweighs the order of the engines: 24 short calls were
+	// open on eight engines, three on each.
 	t.Run("by chance they do not spread beyond those with room", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			const seeds = 20
@@ -356,8 +353,8 @@
 		f.DropView("c")
 		require.Equal(t, 1, m.total().Open)
 	})
-	// Found on scale-1 of sbn-push-grown: the first prompt that each of 28 gateways
-	// gave to an engine was left out, so that many gave theirs to the same engines.
+	// When the first prompt that each of 28 gateways placed on an engine wasn't counted, many of them
+	// chose the same engines.
 	t.Run("the first reading that another gives to an engine counts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
@@ -378,7 +375,7 @@
 		f := newFleet("e", 1)
 		m := f.members["u00"]
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Given: time.Hour}}, true)
-		require.Zero(t, m.reading(time.Now()), "what was given before is not known to be unread")
+		require.Zero(t, m.reading(time.Now()), "work placed before the first view may be done already")
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + time.Minute}}, false)
 		require.InDelta(t, 60, m.reading(time.Now()).Seconds(), 1)
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Given: time.Hour + 40*time.Second}}, false)
@@ -423,7 +420,7 @@
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
 	require.True(t, p.Full)
-	require.Equal(t, Share{}, f.members["u00"].own, "nothing is accounted for")
+	require.Equal(t, Share{}, f.members["u00"].own, "a refused request is not accounted for")
 	f.TakeView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
 	require.False(t, p.Refused)
@@ -449,8 +446,7 @@
 		require.True(t, refused(huge, 2*time.Second))
 		require.False(t, refused(long(100_000), 500*time.Millisecond))
 	})
-	// Found on scale-2 of korrigan-replay-grown: 17 engines read long prompts while
-	// short ones waited for slots at the others.
+	// Guards against 17 engines that prefill long prompts while short ones wait for slots on the others.
 	t.Run("are refused while slots are short, although nothing waits to be read", func(t *testing.T) {
 		f := newFleet("e", 18)
 		f.TakeView("b", map[hollowgrade.Life]Share{}, true)
@@ -485,7 +481,7 @@
 	})
 }
 
-// blamed returns for how long others are told to avoid upstreams.
+// blamed returns for how long peers are asked to avoid upstreams.
 func blamed(f *Fleet) map[hollowgrade.Life]time.Duration {
 	bs := map[hollowgrade.Life]time.Duration{}
 	for l, s := range f.Seen(f.Shares()) {
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -21,10 +21,10 @@
 
 var update = flag.Bool("update", false, "write the files of expected results anew")
 
-// goldenPlans is how many drawn situations the expected file has.
+// goldenPlans is the number of random cases in the golden file.
 const goldenPlans = 400
 
-// drawnFigures are the published figures of two kinds of engines.
+// drawnFigures returns the published figures of one of two kinds of engines.
 func drawnFigures(r *rand.Rand) *engine.Figures {
 	f := &engine.Figures{
 		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerWriter: 5 * time.Microsecond,
@@ -37,7 +37,7 @@
 	return f
 }
 
-// drawnRequest is a call of one of three kinds, or one for a plain service.
+// drawnRequest returns a call of one of three kinds, or one for a plain service.
 func drawnRequest(r *rand.Rand) placement.Request {
 	d := placement.Request{Engine: drawnFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
 	switch r.IntN(7) {
@@ -56,7 +56,7 @@
 	return d
 }
 
-// drawnFleet is a fleet of engines that have much or little to do.
+// drawnFleet returns a fleet of engines with random load.
 func drawnFleet(r *rand.Rand, now time.Time) *Fleet {
 	f := newFleet("e", 1+r.IntN(30))
 	if r.IntN(5) == 0 {
@@ -88,7 +88,7 @@
 	return f
 }
 
-// describe writes a decision as one line.
+// describe formats a decision as one line.
 func describe(p *pick) string {
 	if p == nil {
 		return "none"
@@ -97,8 +97,8 @@
 		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.Kept, p.Reading, p.First, p.Wait, p.Cost, p.Refused)
 }
 
-// The decisions for drawn situations are those of the file. A change of policy
-// writes it anew, with -update; one that only moves code does not change it.
+// The decisions for random cases must match the golden file. A change of policy rewrites it with -update; a
+// refactoring must not change it.
 func TestDecisionsAreThoseOfTheFile(t *testing.T) {
 	path := filepath.Join("testdata", "plans.txt")
 	synctest.Test(t, func(t *testing.T) {
@@ -121,8 +121,7 @@
 	})
 }
 
-// requireSameLines checks that texts are the same, and shows the first line that
-// differs.
+// requireSameLines checks that texts are equal, and reports the first line that differs.
 func requireSameLines(t *testing.T, want, got string) {
 	t.Helper()
 	ws, gs := strings.Split(want, "\n"), strings.Split(got, "\n")
