--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -60,7 +60,7 @@
 			require.NotNil(t, f.pick("s", plain, none))
 		})
 	})
-	// An upstream that leaves well after the store rejected a gateway must not be taken for one whose entry
+	// An upstream that leaves 1.2 s after the store rejected a gateway must not be taken for one whose entry
 	// expired because of that: without this bound it was used until 2.17 s after it had left.
 	t.Run("and not beyond the time for which that can be the cause", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -16,11 +16,11 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// apart is the time between two calls: losses are judged once what ended beside them is known.
+// apart is the time between two calls. A loss is judged once it is known which other calls were lost with it.
 const apart = 500 * time.Millisecond
 
-// repeat sends one request some times, in virtual time, to upstreams that do the same each time, and
-// returns what its callers were told.
+// repeat serves one request several times, in virtual time, by upstreams that reply the same each time, and returns
+// the errors that its callers got.
 func repeat(t *testing.T, path string, times int, change func(*hollowgrade.Call), r reply) (xs []*fault.Error, c *Core, f *fakeUpstreams) {
 	t.Helper()
 	f = &fakeUpstreams{replies: []reply{r}}
@@ -60,14 +60,14 @@
 				require.Len(t, k.Quarantine().Holds(), 1)
 				last := xs[len(xs)-1]
 				requireFault(t, last, fault.Quarantined, hollowgrade.NotRun)
-				require.Greater(t, last.RetryAfter, 9*time.Minute, "it would bring the same answer sooner")
+				require.Greater(t, last.RetryAfter, 9*time.Minute, "an earlier retry would be refused too")
 				require.Contains(t, last.Message, "ended one after another under this request")
 			})
 		})
 	}
 }
 
-// afterAWhile lets an upstream take a while until it does what it does.
+// afterAWhile delays a reply by 100 ms.
 func afterAWhile(r reply) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(100 * time.Millisecond)
@@ -75,7 +75,7 @@
 	}
 }
 
-// stillThere implements [hollowgrade.Prober] for upstreams that go on.
+// stillThere implements [hollowgrade.Prober] for upstreams that keep running.
 type stillThere struct{ looks atomic.Int64 }
 
 func (s *stillThere) Probe(context.Context, hollowgrade.Upstream) (hollowgrade.Presence, error) {
@@ -83,7 +83,7 @@
 	return hollowgrade.Present, nil
 }
 
-// gone implements it for upstreams that have ended, and of which some say nothing at all.
+// gone implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer probes.
 type gone struct{ silent bool }
 
 func (g gone) Probe(ctx context.Context, _ hollowgrade.Upstream) (hollowgrade.Presence, error) {
@@ -170,13 +170,13 @@
 	return nil, fmt.Errorf("%w: it is for another", hollowgrade.ErrNotAnAnswer)
 }
 
-// differ gives each call a body of its own.
+// differ returns a change that gives each call a body of its own.
 func differ() func(*hollowgrade.Call) {
 	n := 0
 	return func(c *hollowgrade.Call) { n++; c.Body = fmt.Append(nil, n) }
 }
 
-// turns lets upstreams do one and the other.
+// turns uses some replies in turn.
 func turns(rs ...reply) reply {
 	n := 0
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
@@ -193,7 +193,7 @@
 	})
 }
 
-// A prompt that several engines read counts by the upstream that answers it, for a longer time at risk.
+// A prompt that several engines prefill counts for the upstream that answers it, with a longer time at risk.
 func TestSplitPromptsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
@@ -216,8 +216,8 @@
 	})
 }
 
-// BenchmarkLeave measures what a request that harms nobody pays beside its fingerprint: before, nothing;
-// after, 50 to 60 ns and no allocation, also while a thousand others are remembered.
+// BenchmarkLeave measures the cost of tracking losses for a harmless request, without its fingerprint: 50 to 60 ns and
+// no allocation, also while a thousand other requests are remembered.
 func BenchmarkLeave(b *testing.B) {
 	c := newCore(&fakeUpstreams{})
 	f := hollowgrade.NewFingerprint("o", call("/again/"))
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -10,7 +10,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requireHelps checks how many parts an engine is thought to hold for others.
+// requireHelps checks how many parts of prompts an engine is estimated to hold for others.
 func requireHelps(t *testing.T, f *Fleet, id hollowgrade.Life, want int) {
 	t.Helper()
 	f.mu.Lock()
@@ -18,8 +18,8 @@
 	require.Equal(t, want, f.members[id].helps(f.clock.Now()))
 }
 
-// Digests of 103 gateways were split among the same engines, which take as many parts as
-// they have slots and refuse a prompt for want of one of them.
+// Guards against many gateways (103 in one case) that split prompts among the same engines: an engine holds at most as
+// many parts as it has slots, and a prompt is refused if one engine has no slot for its part.
 func TestEnginesTakeFewPartsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 17)
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -14,42 +14,43 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// What an upstream that names a limit may get in any window, by the users' rule.
+// The users' rule: in any window an upstream that names a limit may get limitFactor times the limit, and limitExtra
+// requests more.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
-	// limitKnown is from when on all processes know the limits.
+	// limitKnown is the time after which all processes know the limits.
 	limitKnown = 2 * time.Second
-	// leastUse is the part of what limits allow that is used where more is asked for.
+	// leastUse is the least part of the allowed requests that has to be served when there are more calls.
 	leastUse = 0.5
 )
 
-// limitPlay is processes before some upstreams that name a limit, beside others that do not.
+// limitPlay simulates processes that share upstreams, some of which name a limit.
 type limitPlay struct {
 	processes int
 	limited   int
 	others    int
 	limit     float64
-	varies    float64       // by how much answers name another, more or less, as a part of it
-	calls     float64       // a second, at all processes together
-	toFirst   float64       // part of the calls that come to one process
-	pause     time.Duration // without calls, in the middle of the play
-	told      time.Duration // after which a change is known to others
-	lost      float64       // part of the packets that are lost; heartbeats tell the same
-	cut       bool          // two halves of the processes hear nothing of each other
+	varies    float64       // by which part of it the named limit varies, up or down
+	calls     float64       // a second, of all processes
+	toFirst   float64       // part of the calls that reach the first process
+	pause     time.Duration // without calls, in the middle
+	told      time.Duration // until peers receive a change
+	lost      float64       // part of the packets that are lost; heartbeats repeat their content
+	cut       bool          // two halves of the processes can't reach each other
 	play      time.Duration
 }
 
-// limitResult is what a play came to.
+// limitResult is the result of a simulation.
 type limitResult struct {
-	most    float64 // that an upstream got in a window, as a part of what the rule allows
-	use     float64 // part of what the limits allow that was used
+	most    float64 // requests of an upstream in a window, as a part of what the rule allows
+	use     float64 // used part of what the limits allow
 	refused float64 // part of the calls
-	words   int     // views told
+	words   int     // sent to peers
 }
 
-// process is one of the processes of a play.
+// limitProcess is one of the simulated processes.
 type limitProcess struct {
 	fleet *Fleet
 	box   string
@@ -67,7 +68,7 @@
 	return &limitProcess{f, fmt.Sprint("b", i), time.Now().Add(time.Duration(r.Float64() * float64(h)))}
 }
 
-// tell lets others hear a process's shares.
+// tell sends shares of a process to the others.
 func (p limitPlay) tell(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
 	seen := ps[from].fleet.Seen(cs)
 	var to []*Fleet
@@ -90,7 +91,7 @@
 	return len(to)
 }
 
-// run plays calls that are answered after 15 ms.
+// run simulates calls that are answered after 15 ms.
 func (p limitPlay) run(t *testing.T, seed uint64) (x limitResult) {
 	synctest.Test(t, func(*testing.T) {
 		r := rand.New(rand.NewPCG(seed, 42))
@@ -146,12 +147,12 @@
 			x.most = max(x.most, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
 		}
 		x.use = float64(used) / (p.limit * float64(p.limited) * (p.play - limitKnown).Seconds())
-		time.Sleep(10 * time.Second) // what is on its way
+		time.Sleep(10 * time.Second) // answers and updates in flight
 	})
 	return x
 }
 
-// rest lets time pass without calls.
+// rest lets time pass with heartbeats and without calls.
 func (p limitPlay) rest(ps []*limitProcess, r *rand.Rand) {
 	for end := time.Now().Add(p.pause); time.Now().Before(end); {
 		time.Sleep(Heartbeat(p.processes))
@@ -168,7 +169,7 @@
 	return s
 }
 
-// mostWithin returns the most moments in a window that ends at a time or later.
+// mostWithin returns the most times within any window that ends at from or later.
 func mostWithin(ts []time.Time, from time.Time) (n int) {
 	for i, t := range ts {
 		if t.Before(from) {
@@ -206,7 +207,7 @@
 			p.told, p.play = 40*time.Millisecond, 20*time.Second
 			seeds := uint64(2)
 			if p.processes > 100 {
-				p.play, seeds = 6*time.Second, 1 // each tells all others of itself each second
+				p.play, seeds = 6*time.Second, 1 // each process sends its shares to all others every second
 			}
 			for seed := range seeds {
 				x := p.run(t, seed)
@@ -220,7 +221,8 @@
 	}
 }
 
-// Each hop makes a word on a limit look younger by the time that it took.
+// Guards against a limit that never expires: each hop makes a reported limit look younger by the time of the transfer,
+// so that processes could renew it among each other after its upstream has ceased to name it.
 func TestALimitThatProcessesTellEachOtherEndsWithItsUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 42))
@@ -252,7 +254,7 @@
 			})
 		}
 		for _, o := range ps {
-			require.False(t, o.fleet.members["u00"].limit.named, "%s still keeps it", o.box)
+			require.False(t, o.fleet.members["u00"].limit.named, "%s still has the limit", o.box)
 		}
 		time.Sleep(time.Second)
 	})
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -13,16 +13,16 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// born is when the first life began, Unix ms.
+// born is the start time of the first instance, Unix ms.
 const born = 1_773_628_201_234
 
-// lifeAt returns an upstream that started some time after that.
+// lifeAt returns an upstream that started ms after the first instance.
 func lifeAt(ms int64) hollowgrade.Upstream {
 	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: born + ms}
 }
 
-// used returns a table with one upstream of which all is known that can be: calls of this process and
-// of another, reading, parts of prompts, failures, its load and its speed.
+// used returns a table with one upstream that has all kinds of state: calls of this process and of a peer, prefill work,
+// parts of prompts, failures, its load and its pace.
 func used(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), quiet())
@@ -40,11 +40,11 @@
 	return f, p
 }
 
-// requireFresh shows that nothing is known of the upstream's present life.
+// requireFresh checks that an upstream's present instance has no state.
 func requireFresh(t *testing.T, f *Fleet, l hollowgrade.Life) {
 	t.Helper()
 	m := f.members[l]
-	require.NotNil(t, m, "the life that is known is another")
+	require.NotNil(t, m, "another instance is listed")
 	now := time.Now()
 	require.Equal(t, Share{}, m.total())
 	require.Zero(t, m.reading(now))
@@ -70,7 +70,7 @@
 			f, _ := used(t)
 			f.Born("u", later.Born)
 			requireFresh(t, f, later.Life())
-			f.Put(lifeAt(0)) // an entry of the life before that comes late
+			f.Put(lifeAt(0)) // a late entry of the previous instance
 			requireFresh(t, f, later.Life())
 			f.Put(later)
 			requireFresh(t, f, later.Life())
@@ -162,7 +162,7 @@
 	})
 }
 
-// bornReporter implements [hollowgrade.Reporter]: the upstream has started again.
+// bornReporter implements [hollowgrade.Reporter] for an upstream that has restarted.
 type bornReporter struct{ born int64 }
 
 func (r bornReporter) Report(context.Context, hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
@@ -177,14 +177,14 @@
 		synctest.Wait()
 		l := lifeAt(5000).Life()
 		require.NotNil(t, c.fleet.members[l])
-		require.Equal(t, 3.0, c.fleet.members[l].pace(time.Now()), "the word is of the life that said it")
+		require.Equal(t, 3.0, c.fleet.members[l].pace(time.Now()), "a report counts for the instance that sent it")
 		c.fleet.Drop("u", time.Time{})
 		time.Sleep(2 * PaceAgain)
 	})
 }
 
-// BenchmarkPickOfLives measures a pick among 150 upstreams that tell their start: 55 us and 175 allocations when
-// each made the name of its life anew, 40 us and 12 since it keeps it.
+// BenchmarkPickOfLives measures a pick among 150 upstreams that report their start time. Each member keeps its Life: to
+// build it on every pick took 55 us and 175 allocations instead of 40 us and 12.
 func BenchmarkPickOfLives(b *testing.B) {
 	f := newFleet("e", 0)
 	for i := range 150 {
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -38,7 +38,7 @@
 	return hollowgrade.UpstreamReport{Pace: 1}, nil
 }
 
-// set lets an upstream say how many times as long as published it takes.
+// set sets how many times longer than published an upstream takes.
 func (f *fakeReports) set(id string, pace float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +51,7 @@
 	return f.asked[id]
 }
 
-// requirePace checks how slow an upstream is thought to be.
+// requirePace checks the pace that an upstream is estimated to have.
 func requirePace(t *testing.T, f *Fleet, id hollowgrade.Life, want float64) {
 	t.Helper()
 	f.mu.Lock()
@@ -59,7 +59,7 @@
 	require.InDelta(t, want, f.members[id].pace(f.clock.Now()), 1e-9)
 }
 
-// late is a reply whose first event comes after a while.
+// late replies with a stream whose first event is delayed.
 func late(after time.Duration) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(after)
@@ -67,8 +67,7 @@
 	}
 }
 
-// engineCore returns a core before three engines that answer a first event after a while, and
-// what says how fast they are.
+// engineCore returns a core with three engines whose first event is delayed, and the reporter of their paces.
 func engineCore(after time.Duration) (*Core, *fakeReports) {
 	r := &fakeReports{paces: map[string]float64{}}
 	c := newCore(&fakeUpstreams{replies: []reply{late(after)}}, WithReporter(r))
@@ -78,7 +77,7 @@
 	return c, r
 }
 
-// serveEngine sends a call of 5,000 tokens, which is predicted to begin after some 0.13 s.
+// serveEngine serves a call of 5,000 tokens, whose first event is predicted after some 0.13 s.
 func serveEngine(t *testing.T, c *Core) {
 	t.Helper()
 	k := call("/resume/")
@@ -94,7 +93,7 @@
 			serveEngine(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
 			require.InDelta(t, 2.7, c.Fleet().Seen(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
-			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "the others are told")
+			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "peers are informed")
 			r.set("u1", 1)
 			time.Sleep(2 * PaceAgain)
 			synctest.Wait()
@@ -113,7 +112,7 @@
 			r.set("u1", 1)
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
-			require.InDelta(t, 12, r.times("u1"), 1, "not once it is at speed")
+			require.InDelta(t, 12, r.times("u1"), 1, "not asked once it is at its usual pace")
 		})
 	})
 	t.Run("not when it comes as predicted", func(t *testing.T) {
@@ -162,7 +161,7 @@
 		for _, s := range f.Seen(map[hollowgrade.Life]Share{"u00": {}}) {
 			require.Zero(t, s.Pace)
 		}
-		require.False(t, f.StillSlow("u00"), "the one that was told asks again")
+		require.False(t, f.StillSlow("u00"), "only the process that asked the engine asks again")
 	})
 	t.Run("do not live for ever", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -184,7 +183,7 @@
 			time.Sleep(time.Second)
 			f.TakePace("u00", 3, 0, "b", "")
 			requirePace(t, f, "u00", 3)
-			require.False(t, f.StillSlow("u00"), "another has asked it since")
+			require.False(t, f.StillSlow("u00"), "a peer has asked it since")
 		})
 	})
 	t.Run("of the future are of now", func(t *testing.T) {
@@ -227,11 +226,11 @@
 	var asked []hollowgrade.Upstream
 	f.SetAsker(func(us []hollowgrade.Upstream, _ string) { asked = append(asked, us...) })
 	f.TakePace("u00", 4, 0, "b", "")
-	require.InDelta(t, 60*surveyors/10, len(asked), 2, "each of ten processes asks its part")
+	require.InDelta(t, 60*surveyors/10, len(asked), 2, "each of ten processes asks a part of them")
 	require.NotContains(t, asked, hollowgrade.Upstream{ID: "u00"}, "it has just been asked")
 	n := len(asked)
 	f.TakePace("u01", 4, 0, "b", "")
-	require.Len(t, asked, n, "once a second")
+	require.Len(t, asked, n, "at most once a second")
 }
 
 func TestSlowEngines(t *testing.T) {
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -11,7 +11,7 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// newSignalFleet returns a table with some upstreams of one service.
+// newSignalFleet returns a table with upstreams of one service.
 func newSignalFleet(ids ...string) *Fleet {
 	f := NewFleet(hollowgrade.SystemClock(), quiet(), func(f *Fleet) { f.chance = func() float64 { return 0.999 } })
 	for _, id := range ids {
@@ -20,17 +20,17 @@
 	return f
 }
 
-// give picks an upstream for a call, nil if there is none.
+// give picks an upstream for a call; it returns nil if there is none.
 func give(f *Fleet) *pick {
 	return f.pick("s", placement.Request{Left: 10 * time.Second}, nil)
 }
 
-// hear takes an answer of an upstream to a call that was sent at some moment.
+// hear handles an upstream's answer to a call that was sent at a given time.
 func hear(f *Fleet, id hollowgrade.Life, sent time.Time, h hollowgrade.Head) {
 	f.answered(f.members[id], "r", false, sent, h)
 }
 
-// refusal is an answer that asks for rest.
+// refusal is an answer with a retry delay.
 func refusal(d time.Duration) hollowgrade.Head {
 	return hollowgrade.Head{Status: 503, NotRun: true, Signals: hollowgrade.Signals{Rest: d}}
 }
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -13,7 +13,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// suspendable is a machine that can be suspended, in virtual time.
+// suspendable simulates a machine that can be suspended, in virtual time.
 type suspendable struct {
 	started time.Time
 	lost    atomic.Int64
@@ -28,12 +28,12 @@
 	return s
 }
 
-// suspend stops the machine for a while: no time passes on its steady clock.
+// suspend suspends the machine: no time passes on its steady clock.
 func (s *suspendable) suspend(d time.Duration) {
 	s.lost.Add(int64(d))
 }
 
-// core returns a core on the machine, with the age of a configuration that was confirmed just now.
+// core returns a core on the machine, whose configuration was confirmed just now.
 func (s *suspendable) core(f *fakeUpstreams) *Core {
 	confirmed := s.Now()
 	c := newCore(f, WithClock(s.WorldClock), WithAge(func() (time.Duration, bool) { return s.Since(confirmed), true }))
@@ -71,7 +71,7 @@
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
-			require.Less(t, time.Since(begin), 1500*time.Millisecond, "on the steady clock; its caller waited for 5 s")
+			require.Less(t, time.Since(begin), 1500*time.Millisecond, "on the steady clock; for its caller 5 s have passed")
 			require.Empty(t, c.flows)
 		})
 	})
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -15,13 +15,13 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// oversized sends a prompt of 900,000 tokens to engines of 450,000.
+// oversized serves a prompt of 900,000 tokens on engines with memory for 450,000.
 func oversized(t *testing.T, f *fakeUpstreams, engines int) *fault.Error {
 	t.Helper()
 	return prompt(t, f, engines, 900_000)
 }
 
-// prompt sends a prompt to engines of 450,000.
+// prompt serves a prompt on engines with memory for 450,000 tokens.
 func prompt(t *testing.T, f *fakeUpstreams, engines, tokens int) *fault.Error {
 	t.Helper()
 	c := New(f, f, WithLogger(quiet()))
@@ -40,7 +40,7 @@
 	return fault.As(err, hollowgrade.Unknown)
 }
 
-// slowly answers with a stream after a while.
+// slowly replies with a stream after d, and calls look with the reserved tokens before.
 func slowly(f *fakeUpstreams, d time.Duration, look func(held int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
@@ -56,13 +56,13 @@
 			held := 0
 			f.replies = []reply{slowly(f, 5*time.Second, func(n int) { held = n })}
 			require.Nil(t, oversized(t, f, 18))
-			require.InDelta(t, 4*180_000, held, 10, "the rest is kept by the first")
+			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
 			synctest.Wait()
 			require.Zero(t, f.held())
 			s := f.sendings()[0]
 			require.Len(t, s.Helpers, mostHelpers)
 			for i, h := range s.Helpers {
-				require.Equal(t, i < 4, h.Ticket != "", "those that keep parts come first")
+				require.Equal(t, i < 4, h.Ticket != "", "engines that keep parts come first")
 			}
 			require.Equal(t, 4*(1+4+1), f.orders)
 		})
@@ -99,8 +99,8 @@
 	})
 }
 
-// Found on scale-1 of sbn-push-grown: an engine that drained unseen was a helper
-// of both attempts, and the call was refused although all others were well.
+// Guards against an engine that drains unnoticed and is a helper of both attempts: the call was refused although all
+// other engines were healthy.
 func TestAHelperThatIsAtFaultIsLeftOut(t *testing.T) {
 	for _, name := range []string{"id", "address"} {
 		t.Run("named by "+name, func(t *testing.T) {
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -10,8 +10,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requireUnheard checks how many calls of a service others are thought to have placed
-// unheard.
+// requireUnheard checks how many calls of a service peers are estimated to have placed that they haven't reported yet.
 func requireUnheard(t *testing.T, f *Fleet, service string, want float64) {
 	t.Helper()
 	f.mu.Lock()
@@ -47,8 +46,8 @@
 	})
 }
 
-// Of two gateways that decide at one moment while others place a hundred calls a
-// second, each knows that the other's call may be on its way.
+// Gateways that pick at the same time while peers place a hundred calls a second have to allow for calls of each other
+// that aren't reported yet, and pick different engines.
 func TestUnheardCallsLetPicksDiffer(t *testing.T) {
 	used := map[string]int{}
 	for i := range 40 {
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -13,8 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// lostOnce serves a call whose connection breaks at an upstream that goes on accepting, and returns how many
-// requests are remembered for it once the upstream's entry has been written anew by what follows.
+// lostOnce serves a call whose connection breaks at an upstream that keeps accepting connections, applies what follows
+// to the upstream, and returns how many requests the quarantine then remembers.
 func lostOnce(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -35,7 +35,7 @@
 	return remembered
 }
 
-// starts writes the entry of another life some time later.
+// starts lists the entry of another instance after some time; later is the difference of the start times in ms.
 func starts(after time.Duration, later int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
 		time.Sleep(after)
@@ -84,6 +84,6 @@
 		for i := range 100 {
 			p.add(hollowgrade.Upstream{ID: fmt.Sprint("o", i), Born: 1}, quarantine.Loss{Lost: time.Now()})
 		}
-		require.Len(t, p.losses, 100, "what is too old to be proved is forgotten")
+		require.Len(t, p.losses, 100, "losses that are too old to be confirmed are dropped")
 	})
 }
--- a/core/watchdog_test.go
+++ b/core/watchdog_test.go
@@ -35,8 +35,8 @@
 			require.Zero(t, n)
 		})
 	})
-	// The function looks at the upstreams that were tried, which the next attempt
-	// changes; it must not run beside it.
+	// The function reads the set of tried upstreams, which the next attempt changes; the two must not
+	// run at the same time.
 	t.Run("stop waits for a bark that is under way", func(t *testing.T) {
 		entered, release := make(chan struct{}), make(chan struct{})
 		done := false
