--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -14,10 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// These tests guard against late detection of crashes behind a proxy that accepts connections while its upstream is
-// down and closes each of them. If such a crash is known only from the start time of the next instance, 1.9 s later,
-// gateways lose calls there within 3 ms each and spend the retry budget. Avoiding the upstream alone doesn't help: the
-// retries that it saves go to the request that causes the crashes, which then crashed 27 to 36 upstreams, not 16 to 23.
+// These tests guard against late detection of crashes behind a proxy that accepts connections while
+// its upstream is down and closes each of them. If such a crash is known only from the start time
+// of the next instance, 1.9 s later, gateways lose calls there within 3 ms each and spend the retry
+// budget. Avoiding the upstream alone doesn't help: the retries that it saves go to the request
+// that causes the crashes, which then crashed 27 to 36 upstreams, not 16 to 23.
 
 // front implements [hollowgrade.Prober] for upstreams behind a proxy.
 type front struct {
@@ -44,7 +45,8 @@
 	return func(hollowgrade.Upstream) bool { return time.Now().Before(t) }
 }
 
-// newFronted returns a core whose upstreams are behind a proxy. The test ends after the last watch has expired.
+// newFronted returns a core whose upstreams are behind a proxy. The test ends after the last watch
+// has expired.
 func newFronted(t *testing.T, f *fakeUpstreams, p *front) *Core {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + closedAfter) })
@@ -117,7 +119,8 @@
 }
 
 func TestAnUpstreamThatClosesConnectionsIsAvoided(t *testing.T) {
-	// lose loses one call at one of three upstreams and returns that upstream's id; later calls succeed.
+	// lose loses one call at one of three upstreams and returns that upstream's id; later calls
+	// succeed.
 	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *front, lost string) {
 		t.Helper()
 		f = &fakeUpstreams{replies: []reply{afterAWhile(broken), status(200, "yes")}}
@@ -196,8 +199,9 @@
 	})
 }
 
-// A request that was lost before waits until probes show whether its upstream has crashed. Its caller must be answered
-// by the deadline nevertheless: without that bound a deadline of 150 ms was answered after 354 and 400 ms.
+// A request that was lost before waits until probes show whether its upstream has crashed. Its
+// caller must be answered by the deadline nevertheless: without that bound a deadline of 150 ms was
+// answered after 354 and 400 ms.
 func TestACallersTimeBoundsTheLookAtItsUpstream(t *testing.T) {
 	for name, p := range map[string]hollowgrade.Prober{
 		"that closes connections": &front{closes: always},
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -186,8 +186,9 @@
 	})
 }
 
-// Guards against ending a stream whose upstream may still continue: while the gateway waits for a silent upstream,
-// other calls can spend the retry budget, or there is no other upstream. It has to go on waiting then.
+// Guards against ending a stream whose upstream may still continue: while the gateway waits for a
+// silent upstream, other calls can spend the retry budget, or there is no other upstream. It has to
+// go on waiting then.
 func TestSilenceIsWaitedForWhenNothingElseIsLeft(t *testing.T) {
 	late := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
@@ -295,7 +296,8 @@
 	})
 }
 
-// A caller that disconnects while a connection is being opened must not count as a failure of the upstream.
+// A caller that disconnects while a connection is being opened must not count as a failure of the
+// upstream.
 func TestCallerThatLeavesBeforeAnythingIsSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fakeUpstreams{replies: []reply{func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
@@ -368,8 +370,8 @@
 		known = false
 		require.Equal(t, fault.StaleConfig, code(same))
 	})
-	// The age of the configuration is checked for keys only, so that a call on a route without a key was
-	// served by a version that had been replaced eight seconds before.
+	// The age of the configuration is checked for keys only, so that a call on a route without a
+	// key was served by a version that had been replaced eight seconds before.
 	t.Run("older than one that is known", func(t *testing.T) {
 		age, known = 0, true
 		c.outdated = func() time.Duration { return DefaultBounds().Freshness - outdatedMargin + time.Millisecond }
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -20,7 +20,8 @@
 	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
 }
 
-// given returns the shares of a peer that has placed prefill work of duration d on each of some engines.
+// given returns the shares of a peer that has placed prefill work of duration d on each of some
+// engines.
 func given(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
 	m := map[hollowgrade.Life]Share{}
 	for _, e := range engines {
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -23,7 +23,8 @@
 // reply answers one call that is sent to a fake upstream.
 type reply func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error)
 
-// fakeUpstreams implements [hollowgrade.Exchanger]. It uses its replies in order and repeats the last one.
+// fakeUpstreams implements [hollowgrade.Exchanger]. It uses its replies in order and repeats the
+// last one.
 type fakeUpstreams struct {
 	mu      sync.Mutex
 	replies []reply
@@ -147,8 +148,8 @@
 	return nil, ctx.Err()
 }
 
-// events replies with the events from through to, then ends with err. An upstream that resumes a stream omits the
-// events that the caller has.
+// events replies with the events from through to, then ends with err. An upstream that resumes a
+// stream omits the events that the caller has.
 func events(from, to int, err error) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		x := &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{"From": {s.Upstream.ID}}, Sealed: true, Stream: true}, end: err}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -60,8 +60,9 @@
 			require.NotNil(t, f.pick("s", plain, none))
 		})
 	})
-	// An upstream that leaves 1.2 s after the store rejected a gateway must not be taken for one whose entry
-	// expired because of that: without this bound it was used until 2.17 s after it had left.
+	// An upstream that leaves 1.2 s after the store rejected a gateway must not be taken for one
+	// whose entry expired because of that: without this bound it was used until 2.17 s after it had
+	// left.
 	t.Run("and not beyond the time for which that can be the cause", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("s", 1)
@@ -94,7 +95,8 @@
 		}
 		require.False(t, f.members["u00"].avoid.After(time.Now()))
 	})
-	// While the store is away, each gateway would otherwise have to find out for itself that an engine leaves.
+	// While the store is away, each gateway would otherwise have to find out for itself that an
+	// engine leaves.
 	t.Run("one that an engine named as at fault is avoided by others too, for as long", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := newFleet("e", 2), newFleet("e", 2)
@@ -172,8 +174,9 @@
 	}
 }
 
-// A call that ends may take back only prefill work that is still pending. Long prompts that were given up after 8.8 s
-// took back work that the engine had done already, and with it pending work of others.
+// A call that ends may take back only prefill work that is still pending. Long prompts that were
+// given up after 8.8 s took back work that the engine had done already, and with it pending work of
+// others.
 func TestReadingIsTakenBackOnlyWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
@@ -209,8 +212,8 @@
 	require.Equal(t, p.member.own.Given, p.helpers[0].own.Given)
 }
 
-// requirePacked checks that requests are on few engines, which come first in the common order, and that none of them
-// has more than most.
+// requirePacked checks that requests are on few engines, which come first in the common order, and
+// that none of them has more than most.
 func requirePacked(t *testing.T, used map[string]int, most, engines int) {
 	t.Helper()
 	require.LessOrEqual(t, len(used), engines)
@@ -220,7 +223,8 @@
 	}
 }
 
-// Gateways that pick at the same time, before they receive each other's updates, must not all pick the same engine.
+// Gateways that pick at the same time, before they receive each other's updates, must not all pick
+// the same engine.
 func TestPicksOfOneMomentSpread(t *testing.T) {
 	used := map[string]int{}
 	r := rand.New(rand.NewPCG(1, 2)) // fixed: with a random seed one run in some hundred uses only two engines
@@ -233,8 +237,8 @@
 	require.Greater(t, len(used), 2)
 }
 
-// enginesOfAStream places a short call every 80 ms, each of which lasts two seconds, and returns how many engines have
-// any of the 25 calls that are open at the end.
+// enginesOfAStream places a short call every 80 ms, each of which lasts two seconds, and returns
+// how many engines have any of the 25 calls that are open at the end.
 func enginesOfAStream(f *Fleet, r *rand.Rand) (used int) {
 	f.SetChance(r.Float64)
 	for range 200 {
@@ -446,7 +450,8 @@
 		require.True(t, refused(huge, 2*time.Second))
 		require.False(t, refused(long(100_000), 500*time.Millisecond))
 	})
-	// Guards against 17 engines that prefill long prompts while short ones wait for slots on the others.
+	// Guards against 17 engines that prefill long prompts while short ones wait for slots on the
+	// others.
 	t.Run("are refused while slots are short, although nothing waits to be read", func(t *testing.T) {
 		f := newFleet("e", 18)
 		f.TakeView("b", map[hollowgrade.Life]Share{}, true)
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -97,8 +97,8 @@
 		strings.Join(ids(p.helpers), ","), strings.Join(ids(p.keepers), ","), p.Kept, p.Reading, p.First, p.Wait, p.Cost, p.Refused)
 }
 
-// The decisions for random cases must match the golden file. A change of policy rewrites it with -update; a
-// refactoring must not change it.
+// The decisions for random cases must match the golden file. A change of policy rewrites it with
+// -update; a refactoring must not change it.
 func TestDecisionsAreThoseOfTheFile(t *testing.T) {
 	path := filepath.Join("testdata", "plans.txt")
 	synctest.Test(t, func(t *testing.T) {
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -16,11 +16,12 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// apart is the time between two calls. A loss is judged once it is known which other calls were lost with it.
+// apart is the time between two calls. A loss is judged once it is known which other calls were
+// lost with it.
 const apart = 500 * time.Millisecond
 
-// repeat serves one request several times, in virtual time, by upstreams that reply the same each time, and returns
-// the errors that its callers got.
+// repeat serves one request several times, in virtual time, by upstreams that reply the same each
+// time, and returns the errors that its callers got.
 func repeat(t *testing.T, path string, times int, change func(*hollowgrade.Call), r reply) (xs []*fault.Error, c *Core, f *fakeUpstreams) {
 	t.Helper()
 	f = &fakeUpstreams{replies: []reply{r}}
@@ -83,7 +84,8 @@
 	return hollowgrade.Present, nil
 }
 
-// gone implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer probes.
+// gone implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer
+// probes.
 type gone struct{ silent bool }
 
 func (g gone) Probe(ctx context.Context, _ hollowgrade.Upstream) (hollowgrade.Presence, error) {
@@ -193,7 +195,8 @@
 	})
 }
 
-// A prompt that several engines prefill counts for the upstream that answers it, with a longer time at risk.
+// A prompt that several engines prefill counts for the upstream that answers it, with a longer time
+// at risk.
 func TestSplitPromptsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
@@ -216,8 +219,8 @@
 	})
 }
 
-// BenchmarkLeave measures the cost of tracking losses for a harmless request, without its fingerprint: 50 to 60 ns and
-// no allocation, also while a thousand other requests are remembered.
+// BenchmarkLeave measures the cost of tracking losses for a harmless request, without its
+// fingerprint: 50 to 60 ns and no allocation, also while a thousand other requests are remembered.
 func BenchmarkLeave(b *testing.B) {
 	c := newCore(&fakeUpstreams{})
 	f := hollowgrade.NewFingerprint("o", call("/again/"))
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -18,8 +18,9 @@
 	require.Equal(t, want, f.members[id].helps(f.clock.Now()))
 }
 
-// Guards against many gateways (103 in one case) that split prompts among the same engines: an engine holds at most as
-// many parts as it has slots, and a prompt is refused if one engine has no slot for its part.
+// Guards against many gateways (103 in one case) that split prompts among the same engines: an
+// engine holds at most as many parts as it has slots, and a prompt is refused if one engine has no
+// slot for its part.
 func TestEnginesTakeFewPartsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 17)
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -14,15 +14,16 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// The users' rule: in any window an upstream that names a limit may get limitFactor times the limit, and limitExtra
-// requests more.
+// The users' rule: in any window an upstream that names a limit may get limitFactor times the
+// limit, and limitExtra requests more.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
 	// limitKnown is the time after which all processes know the limits.
 	limitKnown = 2 * time.Second
-	// leastUse is the least part of the allowed requests that has to be served when there are more calls.
+	// leastUse is the least part of the allowed requests that has to be served when there are more
+	// calls.
 	leastUse = 0.5
 )
 
@@ -221,8 +222,9 @@
 	}
 }
 
-// Guards against a limit that never expires: each hop makes a reported limit look younger by the time of the transfer,
-// so that processes could renew it among each other after its upstream has ceased to name it.
+// Guards against a limit that never expires: each hop makes a reported limit look younger by the
+// time of the transfer, so that processes could renew it among each other after its upstream has
+// ceased to name it.
 func TestALimitThatProcessesTellEachOtherEndsWithItsUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 42))
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -21,8 +21,8 @@
 	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: born + ms}
 }
 
-// used returns a table with one upstream that has all kinds of state: calls of this process and of a peer, prefill work,
-// parts of prompts, failures, its load and its pace.
+// used returns a table with one upstream that has all kinds of state: calls of this process and of
+// a peer, prefill work, parts of prompts, failures, its load and its pace.
 func used(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), quiet())
@@ -183,8 +183,9 @@
 	})
 }
 
-// BenchmarkPickOfLives measures a pick among 150 upstreams that report their start time. Each member keeps its Life: to
-// build it on every pick took 55 us and 175 allocations instead of 40 us and 12.
+// BenchmarkPickOfLives measures a pick among 150 upstreams that report their start time. Each
+// member keeps its Life: to build it on every pick took 55 us and 175 allocations instead of 40 us
+// and 12.
 func BenchmarkPickOfLives(b *testing.B) {
 	f := newFleet("e", 0)
 	for i := range 150 {
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// engineCore returns a core with three engines whose first event is delayed, and the reporter of their paces.
+// engineCore returns a core with three engines whose first event is delayed, and the reporter of
+// their paces.
 func engineCore(after time.Duration) (*Core, *fakeReports) {
 	r := &fakeReports{paces: map[string]float64{}}
 	c := newCore(&fakeUpstreams{replies: []reply{late(after)}}, WithReporter(r))
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// Guards against an engine that drains unnoticed and is a helper of both attempts: the call was refused although all
-// other engines were healthy.
+// Guards against an engine that drains unnoticed and is a helper of both attempts: the call was
+// refused although all other engines were healthy.
 func TestAHelperThatIsAtFaultIsLeftOut(t *testing.T) {
 	for _, name := range []string{"id", "address"} {
 		t.Run("named by "+name, func(t *testing.T) {
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -10,7 +10,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requireUnheard checks how many calls of a service peers are estimated to have placed that they haven't reported yet.
+// requireUnheard checks how many calls of a service peers are estimated to have placed that they
+// haven't reported yet.
 func requireUnheard(t *testing.T, f *Fleet, service string, want float64) {
 	t.Helper()
 	f.mu.Lock()
@@ -46,8 +47,8 @@
 	})
 }
 
-// Gateways that pick at the same time while peers place a hundred calls a second have to allow for calls of each other
-// that aren't reported yet, and pick different engines.
+// Gateways that pick at the same time while peers place a hundred calls a second have to allow for
+// calls of each other that aren't reported yet, and pick different engines.
 func TestUnheardCallsLetPicksDiffer(t *testing.T) {
 	used := map[string]int{}
 	for i := range 40 {
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -13,8 +13,9 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// lostOnce serves a call whose connection breaks at an upstream that keeps accepting connections, applies what follows
-// to the upstream, and returns how many requests the quarantine then remembers.
+// lostOnce serves a call whose connection breaks at an upstream that keeps accepting connections,
+// applies what follows to the upstream, and returns how many requests the quarantine then
+// remembers.
 func lostOnce(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -35,7 +36,8 @@
 	return remembered
 }
 
-// starts lists the entry of another instance after some time; later is the difference of the start times in ms.
+// starts lists the entry of another instance after some time; later is the difference of the start
+// times in ms.
 func starts(after time.Duration, later int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
 		time.Sleep(after)
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -17,12 +17,13 @@
 	"github.com/hollowgrade/hollowgrade/setting"
 )
 
-// These tests guard against a request that crashes each upstream that runs it. Attempts were bounded by arrival only:
-// the same request came twice a second under new ids, and crashed 43 engines of a pool of 18 within a minute, each back
-// after two seconds. Other calls on these engines were cut, and sent on to engines that crashed next.
+// These tests guard against a request that crashes each upstream that runs it. Attempts were
+// bounded by arrival only: the same request came twice a second under new ids, and crashed 43
+// engines of a pool of 18 within a minute, each back after two seconds. Other calls on these
+// engines were cut, and sent on to engines that crashed next.
 
-// knownWithin is the time within which all gateways have to know of a request that has crashed three upstreams, and
-// toleratedSends is how often it may be sent after that.
+// knownWithin is the time within which all gateways have to know of a request that has crashed
+// three upstreams, and toleratedSends is how often it may be sent after that.
 const (
 	knownWithin    = 3 * time.Second
 	toleratedSends = 3
@@ -152,8 +153,8 @@
 	}
 }
 
-// late returns how often a crashing request reached upstreams after all gateways have to know of it, and how many
-// upstreams it has crashed in all.
+// late returns how often a crashing request reached upstreams after all gateways have to know of
+// it, and how many upstreams it has crashed in all.
 func (m *mortals) late() (sends, ended int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,8 +254,9 @@
 	requireKnownSoon(t, s, newMortals(t, s.store, 24, 1500*time.Millisecond))
 }
 
-// requireKnownSoon runs three gateways whose callers send the crashing request ten times a second beside fifty others.
-// It checks that the request is soon sent to no upstream any more and that the others are served.
+// requireKnownSoon runs three gateways whose callers send the crashing request ten times a second
+// beside fifty others. It checks that the request is soon sent to no upstream any more and that the
+// others are served.
 func requireKnownSoon(t *testing.T, s *scene, m *mortals) {
 	t.Helper()
 	c := newCrowd(t, s.store, 3)
@@ -269,9 +271,10 @@
 	require.GreaterOrEqual(t, c.share(), 0.95, "others of the same path and caller are served")
 }
 
-// Guards against crashes that aren't detected behind a proxy, a relay or a supervisor's socket that keeps accepting
-// connections while its upstream is down. Each connection ends without an answer, as at an upstream with too many, so
-// that a probe doesn't show a crash; the request was sent 45 times after 3 s, and half of the others failed.
+// Guards against crashes that aren't detected behind a proxy, a relay or a supervisor's socket that
+// keeps accepting connections while its upstream is down. Each connection ends without an answer,
+// as at an upstream with too many, so that a probe doesn't show a crash; the request was sent 45
+// times after 3 s, and half of the others failed.
 func TestRequestThatEndsUpstreamsBehindRelays(t *testing.T) {
 	s := newScene(t)
 	m := newMortals(t, s.store, 0, 1500*time.Millisecond)
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -80,7 +80,8 @@
 	return l.Addr().String()
 }
 
-// portTries bounds the tries to get free ports: any process may take a free port before the gateway listens on it.
+// portTries bounds the tries to get free ports: any process may take a free port before the gateway
+// listens on it.
 const portTries = 5
 
 func startGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway) {
@@ -349,8 +350,8 @@
 	require.Empty(t, s.workers[0].Seen())
 }
 
-// Guards against an outage of the store that stops all calls: during one of eight seconds no call was served for three
-// of them, although the settings allow keys to stay valid that long.
+// Guards against an outage of the store that stops all calls: during one of eight seconds no call
+// was served for three of them, although the settings allow keys to stay valid that long.
 func TestKeysStayGoodThroughAnOutageWhereThatIsAllowed(t *testing.T) {
 	s := newScene(t, platformtest.Echo)
 	g := startGateway(t, s.store.Address(), func(c *setting.Gateway) {
@@ -372,8 +373,8 @@
 	})
 }
 
-// Guards against calls that are refused right after the start of a gateway (34 within 15 ms), before it has read its first
-// configuration.
+// Guards against calls that are refused right after the start of a gateway (34 within 15 ms),
+// before it has read its first configuration.
 func TestCallersWaitForTheConfiguration(t *testing.T) {
 	s := newScene(t, platformtest.Echo)
 	for range 5 {
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -13,7 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// leavingKnown is the time after which no request may reach an upstream that has reported that it leaves.
+// leavingKnown is the time after which no request may reach an upstream that has reported that it
+// leaves.
 const leavingKnown = 2 * time.Second
 
 // leaving is the header by which an upstream reports that it leaves.
@@ -27,7 +28,8 @@
 	m.since = time.Now()
 }
 
-// after returns how many requests reached the upstream later than d after its first answer with these headers.
+// after returns how many requests reached the upstream later than d after its first answer with
+// these headers.
 func (m *meter) after(d time.Duration) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,8 +47,8 @@
 	return n
 }
 
-// requireLeft checks that an upstream gets no more requests soon after it has reported that it leaves, and that
-// callers are served.
+// requireLeft checks that an upstream gets no more requests soon after it has reported that it
+// leaves, and that callers are served.
 func (f *meteredFleet) requireLeft(t *testing.T, m *meter) {
 	t.Helper()
 	f.crowd.every(4*time.Second, 20*time.Millisecond, f.call)
@@ -57,8 +59,8 @@
 	require.GreaterOrEqual(t, f.share(), 0.99)
 }
 
-// Guards against requests to an upstream that leaves while its entry doesn't show it: the store was away, and five
-// gateways ignored what its answers reported.
+// Guards against requests to an upstream that leaves while its entry doesn't show it: the store was
+// away, and five gateways ignored what its answers reported.
 func TestNothingIsSentToAnUpstreamWhoseAnswersSayThatItLeaves(t *testing.T) {
 	t.Run("while the store is away", func(t *testing.T) {
 		t.Parallel()
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -17,15 +17,16 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// The users' rule: in any window an upstream that names a limit may get limitFactor times the limit, and limitExtra
-// requests more.
+// The users' rule: in any window an upstream that names a limit may get limitFactor times the
+// limit, and limitExtra requests more.
 const (
 	limitWindow  = 4 * time.Second
 	limitFactor  = 1.5
 	limitExtra   = 5
 	limitFrom    = 3 * time.Second // after the limit is first named, until the rule is checked
 	limitToldAgo = 500 * time.Millisecond
-	// leastUse is the least part of the allowed requests that has to be served when there are more calls.
+	// leastUse is the least part of the allowed requests that has to be served when there are more
+	// calls.
 	leastUse = 0.5
 )
 
@@ -92,8 +93,8 @@
 	}
 }
 
-// most returns the most requests that reached it within a window from gateways that knew its limit, and its requests
-// per second since it first named the limit.
+// most returns the most requests that reached it within a window from gateways that knew its limit,
+// and its requests per second since it first named the limit.
 func (m *meter) most() (n int, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +117,8 @@
 	return n, float64(since) / time.Since(m.since).Seconds()
 }
 
-// requireLimitKept checks that an upstream got no more than its limit allows, and at least leastUse of it.
+// requireLimitKept checks that an upstream got no more than its limit allows, and at least leastUse
+// of it.
 func requireLimitKept(t *testing.T, m *meter) {
 	t.Helper()
 	n, use := m.most()
@@ -205,8 +207,8 @@
 	return float64(f.statuses[http.StatusOK]) / float64(max(all, 1))
 }
 
-// Guards against a limit that gateways ignore or apply each for itself: two of six engines named 1.4 requests a second
-// and got 5 and 6 from five gateways.
+// Guards against a limit that gateways ignore or apply each for itself: two of six engines named
+// 1.4 requests a second and got 5 and 6 from five gateways.
 func TestALimitOfAnUpstreamHoldsForAllGatewaysTogether(t *testing.T) {
 	const callEvery = 20 * time.Millisecond
 	t.Run("two of six upstreams name one", func(t *testing.T) {
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// At most restMost requests of a gateway may reach an upstream from restNoticed after a refusal until the end of its
-// retry delay.
+// At most restMost requests of a gateway may reach an upstream from restNoticed after a refusal
+// until the end of its retry delay.
 const (
 	restNoticed = 500 * time.Millisecond
 	restMost    = 2
@@ -104,8 +104,8 @@
 	return newFleetOf(t, gateways, ms), ts
 }
 
-// Guards against upstreams that attract calls by refusing them: an engine that refused calls with a retry delay of 3 s
-// got nine calls a second, and had got none before.
+// Guards against upstreams that attract calls by refusing them: an engine that refused calls with a
+// retry delay of 3 s got nine calls a second, and had got none before.
 func TestAnUpstreamThatAsksForRestIsLeftAlone(t *testing.T) {
 	t.Run("one of four", func(t *testing.T) {
 		t.Parallel()
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -16,7 +16,8 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// telling listens as a peer that sends a snapshot in pieces, with a pause before each, and stops after some of them.
+// telling listens as a peer that sends a snapshot in pieces, with a pause before each, and stops
+// after some of them.
 func telling(t *testing.T, pieces, sent int, pause time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +42,9 @@
 	return l.Addr().String()
 }
 
-// Guards against a bound on the total time of an answer: a large configuration was cut and requested again without
-// end. The same held for the snapshot that a box requests while the log is unavailable.
+// Guards against a bound on the total time of an answer: a large configuration was cut and
+// requested again without end. The same held for the snapshot that a box requests while the log is
+// unavailable.
 func TestSnapshotsOfPeers(t *testing.T) {
 	const pieces, pause, patience = 10, 30 * time.Millisecond, 150 * time.Millisecond
 	ask := func(address string) ([]byte, error) {
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -11,10 +11,11 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// These tests guard against a gateway that takes callers without a configuration because its process was paused. The
-// wait of 0.7 s for the configuration was measured on the clock. In a process that was paused (0.45 s at a time) it was
-// over before the process could handle what had arrived meanwhile (the configuration was read 0.1 to 16 ms later), or
-// before a configuration in force counted as confirmed. Calls were refused with 503 although the store served.
+// These tests guard against a gateway that takes callers without a configuration because its
+// process was paused. The wait of 0.7 s for the configuration was measured on the clock. In a
+// process that was paused (0.45 s at a time) it was over before the process could handle what had
+// arrived meanwhile (the configuration was read 0.1 to 16 ms later), or before a configuration in
+// force counted as confirmed. Calls were refused with 503 although the store served.
 
 // standing is the clock of a process that is paused once.
 type standing struct {
@@ -34,8 +35,9 @@
 }
 
 func TestCallersAreTakenOnceEnoughIsKnown(t *testing.T) {
-	// waited returns for how long the process ran until callers were taken, and whether the configuration was known
-	// then. The arguments known and heard are the running times after which these conditions hold.
+	// waited returns for how long the process ran until callers were taken, and whether the
+	// configuration was known then. The arguments known and heard are the running times after which
+	// these conditions hold.
 	waited := func(t *testing.T, known, heard, still time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -12,9 +12,10 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// Guards against calls whose connections are closed without an answer when a gateway is stopped. A stopping gateway
-// still takes callers for one second; a call of that time whose upstream didn't answer had a deadline 0.35 s after the
-// end of the stop, wasn't told that it was given up, and was logged as caller_gone although its caller still waited.
+// Guards against calls whose connections are closed without an answer when a gateway is stopped. A
+// stopping gateway still takes callers for one second; a call of that time whose upstream didn't
+// answer had a deadline 0.35 s after the end of the stop, wasn't told that it was given up, and was
+// logged as caller_gone although its caller still waited.
 func TestCallsThatAreOpenAtTheEndOfAStopAreAnswered(t *testing.T) {
 	const drain = time.Second
 	type answer struct {
@@ -23,7 +24,8 @@
 		err    error
 		at     time.Time
 	}
-	// stopWith stops a gateway with one open call, and returns the call's answer and when the stop began.
+	// stopWith stops a gateway with one open call, and returns the call's answer and when the stop
+	// began.
 	stopWith := func(t *testing.T, path string, b platformtest.Behaviour) (a answer, begun time.Time) {
 		t.Helper()
 		s := newScene(t)
