--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -20,8 +20,8 @@
 // budget. Avoiding the upstream alone doesn't help: the retries that it saves go to the request
 // that causes the crashes, which then crashed 27 to 36 upstreams, not 16 to 23.
 
-// front implements [hollowgrade.Prober] for upstreams behind a proxy.
-type front struct {
+// proxyProber implements [hollowgrade.Prober] for upstreams behind a proxy.
+type proxyProber struct {
 	closes func(u hollowgrade.Upstream) bool
 	probes atomic.Int64
 }
@@ -29,7 +29,7 @@
 // closedAfter is the time after which the proxy closes a connection.
 const closedAfter = 2 * time.Millisecond
 
-func (f *front) Probe(_ context.Context, u hollowgrade.Upstream) (hollowgrade.Presence, error) {
+func (f *proxyProber) Probe(_ context.Context, u hollowgrade.Upstream) (hollowgrade.Presence, error) {
 	f.probes.Add(1)
 	if f.closes(u) {
 		time.Sleep(closedAfter)
@@ -47,7 +47,7 @@
 
 // newFronted returns a core whose upstreams are behind a proxy. The test ends after the last watch
 // has expired.
-func newFronted(t *testing.T, f *fakeUpstreams, p *front) *Core {
+func newFronted(t *testing.T, f *fakeUpstreams, p *proxyProber) *Core {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + closedAfter) })
 	return newCore(f, WithProber(p))
@@ -65,7 +65,7 @@
 }
 
 func TestAnEndIsSeenByConnectionsThatAreClosed(t *testing.T) {
-	play := func(t *testing.T, p *front, r reply) (sent int, c *Core) {
+	play := func(t *testing.T, p *proxyProber, r reply) (sent int, c *Core) {
 		t.Helper()
 		f := &fakeUpstreams{replies: []reply{r}}
 		c = newFronted(t, f, p)
@@ -73,7 +73,7 @@
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			sent, c := play(t, &front{closes: always}, afterAWhile(broken))
+			sent, c := play(t, &proxyProber{closes: always}, afterAWhile(broken))
 			require.Len(t, c.Quarantine().Holds(), 1)
 			require.Equal(t, 3, sent, "as many as with ports that refuse connections")
 		})
@@ -91,7 +91,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, c := play(t, &front{closes: x.closes()}, x.reply)
+				_, c := play(t, &proxyProber{closes: x.closes()}, x.reply)
 				require.Zero(t, c.Quarantine().Size())
 			})
 		})
@@ -99,7 +99,7 @@
 	t.Run("nor of one that goes on with others", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
-			c := newFronted(t, f, &front{closes: always})
+			c := newFronted(t, f, &proxyProber{closes: always})
 			ctx, stop := context.WithCancel(context.Background())
 			for _, m := range c.Fleet().members {
 				go chat(ctx, c.Fleet(), m)
@@ -121,10 +121,10 @@
 func TestAnUpstreamThatClosesConnectionsIsAvoided(t *testing.T) {
 	// lose loses one call at one of three upstreams and returns that upstream's id; later calls
 	// succeed.
-	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *front, lost string) {
+	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *proxyProber, lost string) {
 		t.Helper()
 		f = &fakeUpstreams{replies: []reply{afterAWhile(broken), status(200, "yes")}}
-		p = &front{closes: closes}
+		p = &proxyProber{closes: closes}
 		c = newFronted(t, f, p)
 		k := call("/again/")
 		k.ID, k.Arrived = "lost", time.Now()
@@ -204,7 +204,7 @@
 // answered after 354 and 400 ms.
 func TestACallersTimeBoundsTheLookAtItsUpstream(t *testing.T) {
 	for name, p := range map[string]hollowgrade.Prober{
-		"that closes connections": &front{closes: always},
+		"that closes connections": &proxyProber{closes: always},
 		"that says nothing":       gone{silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
