--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -26,13 +26,13 @@
 	probes atomic.Int64
 }
 
-// closedAfter is the time after which the proxy closes a connection.
-const closedAfter = 2 * time.Millisecond
+// proxyCloseDelay is the time after which the proxy closes a connection.
+const proxyCloseDelay = 2 * time.Millisecond
 
 func (f *proxyProber) Probe(_ context.Context, u hollowgrade.Upstream) (hollowgrade.Presence, error) {
 	f.probes.Add(1)
 	if f.closes(u) {
-		time.Sleep(closedAfter)
+		time.Sleep(proxyCloseDelay)
 		return hollowgrade.Closing, nil
 	}
 	return hollowgrade.Present, nil
@@ -49,7 +49,7 @@
 // has expired.
 func newFronted(t *testing.T, f *fakeUpstreams, p *proxyProber) *Core {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + closedAfter) })
+	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + proxyCloseDelay) })
 	return newCore(f, WithProber(p))
 }
 
