--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -38,7 +38,7 @@
 	return hollowgrade.Present, nil
 }
 
-func always(hollowgrade.Upstream) bool { return true }
+func alwaysCloses(hollowgrade.Upstream) bool { return true }
 
 // until returns a predicate that closes connections until t.
 func until(t time.Time) func(hollowgrade.Upstream) bool {
@@ -73,7 +73,7 @@
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			sent, c := play(t, &proxyProber{closes: always}, afterAWhile(broken))
+			sent, c := play(t, &proxyProber{closes: alwaysCloses}, afterAWhile(broken))
 			require.Len(t, c.Quarantine().Holds(), 1)
 			require.Equal(t, 3, sent, "as many as with ports that refuse connections")
 		})
@@ -83,7 +83,7 @@
 		reply  reply
 	}{
 		"but not of what was closed as it came, as by one with too many connections": {
-			func() func(hollowgrade.Upstream) bool { return always }, broken,
+			func() func(hollowgrade.Upstream) bool { return alwaysCloses }, broken,
 		},
 		"nor of one that keeps the next connection": {
 			func() func(hollowgrade.Upstream) bool { return until(time.Now().Add(probeAgain / 2)) }, afterAWhile(broken),
@@ -99,7 +99,7 @@
 	t.Run("nor of one that goes on with others", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
-			c := newFronted(t, f, &proxyProber{closes: always})
+			c := newFronted(t, f, &proxyProber{closes: alwaysCloses})
 			ctx, stop := context.WithCancel(context.Background())
 			for _, m := range c.Fleet().members {
 				go chat(ctx, c.Fleet(), m)
@@ -149,7 +149,7 @@
 	}
 	t.Run("while it does, with four probes a second", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, p, id := lose(t, always)
+			c, f, p, id := lose(t, alwaysCloses)
 			require.Zero(t, sentTo(c, f, id, watchedFor))
 			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/probeAgain)+2)
 		})
@@ -188,7 +188,7 @@
 	})
 	t.Run("but used when there is no other", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, _, id := lose(t, always)
+			c, f, _, id := lose(t, alwaysCloses)
 			for _, u := range []string{"u1", "u2", "u3"} {
 				if u != id {
 					c.Fleet().Drop(u, time.Time{})
@@ -204,7 +204,7 @@
 // answered after 354 and 400 ms.
 func TestACallersTimeBoundsTheLookAtItsUpstream(t *testing.T) {
 	for name, p := range map[string]hollowgrade.Prober{
-		"that closes connections": &proxyProber{closes: always},
+		"that closes connections": &proxyProber{closes: alwaysCloses},
 		"that says nothing":       gone{silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
