--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -40,8 +40,8 @@
 
 func alwaysCloses(hollowgrade.Upstream) bool { return true }
 
-// until returns a predicate that closes connections until t.
-func until(t time.Time) func(hollowgrade.Upstream) bool {
+// closesUntil returns a predicate that closes connections closesUntil t.
+func closesUntil(t time.Time) func(hollowgrade.Upstream) bool {
 	return func(hollowgrade.Upstream) bool { return time.Now().Before(t) }
 }
 
@@ -86,7 +86,7 @@
 			func() func(hollowgrade.Upstream) bool { return alwaysCloses }, broken,
 		},
 		"nor of one that keeps the next connection": {
-			func() func(hollowgrade.Upstream) bool { return until(time.Now().Add(probeAgain / 2)) }, afterAWhile(broken),
+			func() func(hollowgrade.Upstream) bool { return closesUntil(time.Now().Add(probeAgain / 2)) }, afterAWhile(broken),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -156,7 +156,7 @@
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, _, id := lose(t, until(time.Now().Add(1500*time.Millisecond)))
+			c, f, _, id := lose(t, closesUntil(time.Now().Add(1500*time.Millisecond)))
 			require.Zero(t, sentTo(c, f, id, time.Second))
 			time.Sleep(probeAgain + closingAvoid)
 			require.Positive(t, sentTo(c, f, id, 3*time.Second))
