--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -45,9 +45,9 @@
 	return func(hollowgrade.Upstream) bool { return time.Now().Before(t) }
 }
 
-// newFronted returns a core whose upstreams are behind a proxy. The test ends after the last watch
+// newProxiedCore returns a core whose upstreams are behind a proxy. The test ends after the last watch
 // has expired.
-func newFronted(t *testing.T, f *fakeUpstreams, p *proxyProber) *Core {
+func newProxiedCore(t *testing.T, f *fakeUpstreams, p *proxyProber) *Core {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + proxyCloseDelay) })
 	return newCore(f, WithProber(p))
@@ -68,7 +68,7 @@
 	play := func(t *testing.T, p *proxyProber, r reply) (sent int, c *Core) {
 		t.Helper()
 		f := &fakeUpstreams{replies: []reply{r}}
-		c = newFronted(t, f, p)
+		c = newProxiedCore(t, f, p)
 		return arrive(c, f, 8), c
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
@@ -99,7 +99,7 @@
 	t.Run("nor of one that goes on with others", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
-			c := newFronted(t, f, &proxyProber{closes: alwaysCloses})
+			c := newProxiedCore(t, f, &proxyProber{closes: alwaysCloses})
 			ctx, stop := context.WithCancel(context.Background())
 			for _, m := range c.Fleet().members {
 				go chat(ctx, c.Fleet(), m)
@@ -125,7 +125,7 @@
 		t.Helper()
 		f = &fakeUpstreams{replies: []reply{afterAWhile(broken), status(200, "yes")}}
 		p = &proxyProber{closes: closes}
-		c = newFronted(t, f, p)
+		c = newProxiedCore(t, f, p)
 		k := call("/again/")
 		k.ID, k.Arrived = "lost", time.Now()
 		_ = c.Serve(context.Background(), k, &fakeSink{})
