--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -53,8 +53,8 @@
 	return newCore(f, WithProber(p))
 }
 
-// arrive serves one request several times, and returns how often it was sent to an upstream.
-func arrive(c *Core, f *fakeUpstreams, times int) (sent int) {
+// serveRepeatedly serves one request several times, and returns how often it was sent to an upstream.
+func serveRepeatedly(c *Core, f *fakeUpstreams, times int) (sent int) {
 	for i := range times {
 		k := call("/again/")
 		k.ID, k.Arrived = fmt.Sprint("c", i), time.Now()
@@ -69,7 +69,7 @@
 		t.Helper()
 		f := &fakeUpstreams{replies: []reply{r}}
 		c = newProxiedCore(t, f, p)
-		return arrive(c, f, 8), c
+		return serveRepeatedly(c, f, 8), c
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -104,7 +104,7 @@
 			for _, m := range c.Fleet().members {
 				go chat(ctx, c.Fleet(), m)
 			}
-			arrive(c, f, 8)
+			serveRepeatedly(c, f, 8)
 			stop()
 			require.Zero(t, c.Quarantine().Size())
 		})
@@ -212,7 +212,7 @@
 				f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
 				c := newCore(f, WithProber(p))
 				t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + probeTimeout) })
-				arrive(c, f, 1)
+				serveRepeatedly(c, f, 1)
 				require.Equal(t, 1, c.Quarantine().Size(), "the loss is recorded")
 				time.Sleep(2 * probedFor)
 				k := call("/once/")
