--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -102,7 +102,7 @@
 			c := newProxiedCore(t, f, &proxyProber{closes: alwaysCloses})
 			ctx, stop := context.WithCancel(context.Background())
 			for _, m := range c.Fleet().members {
-				go chat(ctx, c.Fleet(), m)
+				go sendEvents(ctx, c.Fleet(), m)
 			}
 			serveRepeatedly(c, f, 8)
 			stop()
@@ -111,8 +111,8 @@
 	})
 }
 
-// chat reports an event of another call at an upstream every 100 ms.
-func chat(ctx context.Context, f *Fleet, m *member) {
+// sendEvents reports an event of another call at an upstream every 100 ms.
+func sendEvents(ctx context.Context, f *Fleet, m *member) {
 	for hollowgrade.Sleep(ctx, hollowgrade.SystemClock(), 100*time.Millisecond) {
 		f.heard(m)
 	}
