--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -73,7 +73,7 @@
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			sent, c := play(t, &proxyProber{closes: alwaysCloses}, afterAWhile(broken))
+			sent, c := play(t, &proxyProber{closes: alwaysCloses}, delayed(broken))
 			require.Len(t, c.Quarantine().Holds(), 1)
 			require.Equal(t, 3, sent, "as many as with ports that refuse connections")
 		})
@@ -86,7 +86,7 @@
 			func() func(hollowgrade.Upstream) bool { return alwaysCloses }, broken,
 		},
 		"nor of one that keeps the next connection": {
-			func() func(hollowgrade.Upstream) bool { return closesUntil(time.Now().Add(probeAgain / 2)) }, afterAWhile(broken),
+			func() func(hollowgrade.Upstream) bool { return closesUntil(time.Now().Add(probeAgain / 2)) }, delayed(broken),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 	}
 	t.Run("nor of one that goes on with others", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
+			f := &fakeUpstreams{replies: []reply{delayed(broken)}}
 			c := newProxiedCore(t, f, &proxyProber{closes: alwaysCloses})
 			ctx, stop := context.WithCancel(context.Background())
 			for _, m := range c.Fleet().members {
@@ -123,7 +123,7 @@
 	// succeed.
 	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *proxyProber, lost string) {
 		t.Helper()
-		f = &fakeUpstreams{replies: []reply{afterAWhile(broken), status(200, "yes")}}
+		f = &fakeUpstreams{replies: []reply{delayed(broken), status(200, "yes")}}
 		p = &proxyProber{closes: closes}
 		c = newProxiedCore(t, f, p)
 		k := call("/again/")
@@ -209,7 +209,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
+				f := &fakeUpstreams{replies: []reply{delayed(broken)}}
 				c := newCore(f, WithProber(p))
 				t.Cleanup(func() { time.Sleep(watchedFor + probeAgain + probeTimeout) })
 				serveRepeatedly(c, f, 1)
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -46,13 +46,13 @@
 		end  reply
 		sent int
 	}{
-		"that are lost before their first event":      {"/resume/", afterAWhile(broken), 3},
-		"that are cut in the middle of the answer":    {"/resume/", afterAWhile(events(1, 3, errBroken)), 3},
-		"whose connection ends without a word":        {"/resume/", afterAWhile(events(1, 3, io.ErrUnexpectedEOF)), 3},
-		"that may be repeated":                        {"/again/", afterAWhile(broken), 3},
-		"that may not be repeated, at each arrival":   {"/once/", afterAWhile(broken), 3},
-		"that are sent to one upstream at the most":   {"/single/", afterAWhile(broken), 3},
-		"of callers without a key, at plain services": {"/public/", afterAWhile(broken), 3},
+		"that are lost before their first event":      {"/resume/", delayed(broken), 3},
+		"that are cut in the middle of the answer":    {"/resume/", delayed(events(1, 3, errBroken)), 3},
+		"whose connection ends without a word":        {"/resume/", delayed(events(1, 3, io.ErrUnexpectedEOF)), 3},
+		"that may be repeated":                        {"/again/", delayed(broken), 3},
+		"that may not be repeated, at each arrival":   {"/once/", delayed(broken), 3},
+		"that are sent to one upstream at the most":   {"/single/", delayed(broken), 3},
+		"of callers without a key, at plain services": {"/public/", delayed(broken), 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// afterAWhile delays a reply by 100 ms.
-func afterAWhile(r reply) reply {
+// delayed delays a reply by 100 ms.
+func delayed(r reply) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(100 * time.Millisecond)
 		return r(ctx, s)
@@ -99,7 +99,7 @@
 func TestConnectionsThatBreakAreLookedInto(t *testing.T) {
 	play := func(t *testing.T, p hollowgrade.Prober) *Core {
 		t.Helper()
-		c := newCore(&fakeUpstreams{replies: []reply{afterAWhile(broken)}}, WithProber(p))
+		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(p))
 		for i := range 6 {
 			k := call("/again/")
 			k.ID, k.Arrived = fmt.Sprint(i), time.Now()
@@ -153,8 +153,8 @@
 		"that their upstream fails":                 {"/again/", nil, status(500, "no")},
 		"whose upstream is silent":                  {"/again/", nil, mute},
 		"whose upstream sends what is no answer":    {"/again/", nil, noAnswer},
-		"that differ in their body":                 {"/again/", differ(), afterAWhile(broken)},
-		"that are lost and answered by turns":       {"/again/", nil, turns(afterAWhile(broken), status(200, "yes"))},
+		"that differ in their body":                 {"/again/", differ(), delayed(broken)},
+		"that are lost and answered by turns":       {"/again/", nil, turns(delayed(broken), status(200, "yes"))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -189,7 +189,7 @@
 
 func TestWhatACallThatRanIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		xs, _, f := repeat(t, "/again/", 2, nil, afterAWhile(broken))
+		xs, _, f := repeat(t, "/again/", 2, nil, delayed(broken))
 		require.Len(t, f.sendings(), 3)
 		requireFault(t, xs[1], fault.Quarantined, hollowgrade.Unknown)
 	})
@@ -199,7 +199,7 @@
 // at risk.
 func TestSplitPromptsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeUpstreams{replies: []reply{afterAWhile(broken)}}
+		f := &fakeUpstreams{replies: []reply{delayed(broken)}}
 		c := newCore(f)
 		e := &engine.Figures{Slots: 16, Capacity: 450_000, Step: time.Millisecond, ReadRate: 256_000, PerMillion: 91_700 * time.Nanosecond, Stride: 46}
 		rs := []Route{{Name: "long", Host: "h", Prefix: "/", Repeat: Resume, Stream: true, Timeout: 20 * time.Second, Goal: 3 * time.Second, PauseGoal: time.Second, Targets: []Target{{"s", 1}}, MaxAttempts: 2}}
