--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -59,7 +59,7 @@
 		k := call("/again/")
 		k.ID, k.Arrived = fmt.Sprint("c", i), time.Now()
 		_ = c.Serve(context.Background(), k, &fakeSink{})
-		time.Sleep(apart)
+		time.Sleep(callInterval)
 	}
 	return len(f.sendings())
 }
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -16,9 +16,9 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// apart is the time between two calls. A loss is judged once it is known which other calls were
+// callInterval is the time between two calls. A loss is judged once it is known which other calls were
 // lost with it.
-const apart = 500 * time.Millisecond
+const callInterval = 500 * time.Millisecond
 
 // repeat serves one request several times, in virtual time, by upstreams that reply the same each
 // time, and returns the errors that its callers got.
@@ -35,7 +35,7 @@
 		err := c.Serve(context.Background(), k, &fakeSink{})
 		x, _ := err.(*fault.Error) //nolint:errorlint // Serve returns nothing else
 		xs = append(xs, x)
-		time.Sleep(apart)
+		time.Sleep(callInterval)
 	}
 	return xs, c, f
 }
@@ -104,7 +104,7 @@
 			k := call("/again/")
 			k.ID, k.Arrived = fmt.Sprint(i), time.Now()
 			_ = c.Serve(context.Background(), k, &fakeSink{})
-			time.Sleep(apart)
+			time.Sleep(callInterval)
 		}
 		return c
 	}
