--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -20,9 +20,9 @@
 // lost with it.
 const callInterval = 500 * time.Millisecond
 
-// repeat serves one request several times, in virtual time, by upstreams that reply the same each
+// serveOnNewCore serves one request several times, in virtual time, by upstreams that reply the same each
 // time, and returns the errors that its callers got.
-func repeat(t *testing.T, path string, times int, change func(*hollowgrade.Call), r reply) (xs []*fault.Error, c *Core, f *fakeUpstreams) {
+func serveOnNewCore(t *testing.T, path string, times int, change func(*hollowgrade.Call), r reply) (xs []*fault.Error, c *Core, f *fakeUpstreams) {
 	t.Helper()
 	f = &fakeUpstreams{replies: []reply{r}}
 	c = newCore(f)
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				xs, k, f := repeat(t, c.path, 8, nil, c.end)
+				xs, k, f := serveOnNewCore(t, c.path, 8, nil, c.end)
 				require.Len(t, f.sendings(), c.sent)
 				require.Len(t, k.Quarantine().Holds(), 1)
 				last := xs[len(xs)-1]
@@ -158,7 +158,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				xs, k, _ := repeat(t, c.path, 8, c.change, c.end)
+				xs, k, _ := serveOnNewCore(t, c.path, 8, c.change, c.end)
 				require.Empty(t, k.Quarantine().Holds())
 				for _, x := range xs {
 					require.True(t, x == nil || x.Code != fault.Quarantined)
@@ -189,7 +189,7 @@
 
 func TestWhatACallThatRanIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		xs, _, f := repeat(t, "/again/", 2, nil, delayed(broken))
+		xs, _, f := serveOnNewCore(t, "/again/", 2, nil, delayed(broken))
 		require.Len(t, f.sendings(), 3)
 		requireFault(t, xs[1], fault.Quarantined, hollowgrade.Unknown)
 	})
