--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// stillThere implements [hollowgrade.Prober] for upstreams that keep running.
-type stillThere struct{ looks atomic.Int64 }
+// presentProber implements [hollowgrade.Prober] for upstreams that keep running.
+type presentProber struct{ looks atomic.Int64 }
 
-func (s *stillThere) Probe(context.Context, hollowgrade.Upstream) (hollowgrade.Presence, error) {
+func (s *presentProber) Probe(context.Context, hollowgrade.Upstream) (hollowgrade.Presence, error) {
 	s.looks.Add(1)
 	return hollowgrade.Present, nil
 }
@@ -110,7 +110,7 @@
 	}
 	t.Run("those of upstreams that go on speak against no request", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &stillThere{}
+			p := &presentProber{}
 			require.Zero(t, play(t, p).Quarantine().Size())
 			require.Positive(t, p.looks.Load())
 		})
@@ -127,7 +127,7 @@
 	})
 	t.Run("one look is enough for all calls that were lost with an upstream", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &stillThere{}
+			p := &presentProber{}
 			c := newCore(&fakeUpstreams{}, WithProber(p))
 			u := hollowgrade.Upstream{ID: "u1"}
 			for range 20 {
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -19,7 +19,7 @@
 func lostOnce(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&stillThere{}))
+		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&presentProber{}))
 		u := hollowgrade.Upstream{ID: "u1", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: born}
 		for _, m := range c.Fleet().members {
 			c.Fleet().Drop(m.ID, time.Time{})
