--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -77,10 +77,10 @@
 }
 
 // presentProber implements [hollowgrade.Prober] for upstreams that keep running.
-type presentProber struct{ looks atomic.Int64 }
+type presentProber struct{ probes atomic.Int64 }
 
 func (s *presentProber) Probe(context.Context, hollowgrade.Upstream) (hollowgrade.Presence, error) {
-	s.looks.Add(1)
+	s.probes.Add(1)
 	return hollowgrade.Present, nil
 }
 
@@ -112,7 +112,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := &presentProber{}
 			require.Zero(t, play(t, p).Quarantine().Size())
-			require.Positive(t, p.looks.Load())
+			require.Positive(t, p.probes.Load())
 		})
 	})
 	t.Run("those of upstreams that ended do", func(t *testing.T) {
@@ -134,10 +134,10 @@
 				go c.probeOnce(u, "r")
 			}
 			synctest.Wait()
-			require.EqualValues(t, 1, p.looks.Load())
+			require.EqualValues(t, 1, p.probes.Load())
 			time.Sleep(2 * probedFor)
 			c.probeOnce(u, "r")
-			require.EqualValues(t, 2, p.looks.Load())
+			require.EqualValues(t, 2, p.probes.Load())
 		})
 	})
 }
