--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -205,7 +205,7 @@
 func TestACallersTimeBoundsTheLookAtItsUpstream(t *testing.T) {
 	for name, p := range map[string]hollowgrade.Prober{
 		"that closes connections": &proxyProber{closes: alwaysCloses},
-		"that says nothing":       gone{silent: true},
+		"that says nothing":       absentProber{silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -84,11 +84,11 @@
 	return hollowgrade.Present, nil
 }
 
-// gone implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer
+// absentProber implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer
 // probes.
-type gone struct{ silent bool }
+type absentProber struct{ silent bool }
 
-func (g gone) Probe(ctx context.Context, _ hollowgrade.Upstream) (hollowgrade.Presence, error) {
+func (g absentProber) Probe(ctx context.Context, _ hollowgrade.Upstream) (hollowgrade.Presence, error) {
 	if !g.silent {
 		return hollowgrade.Absent, nil
 	}
@@ -117,12 +117,12 @@
 	})
 	t.Run("those of upstreams that ended do", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, gone{}).Quarantine().Holds(), 1)
+			require.Len(t, play(t, absentProber{}).Quarantine().Holds(), 1)
 		})
 	})
 	t.Run("and those of upstreams that say nothing", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, gone{silent: true}).Quarantine().Holds(), 1)
+			require.Len(t, play(t, absentProber{silent: true}).Quarantine().Holds(), 1)
 		})
 	})
 	t.Run("one look is enough for all calls that were lost with an upstream", func(t *testing.T) {
