--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -152,7 +152,7 @@
 		"that are turned away":                      {"/again/", nil, shed},
 		"that their upstream fails":                 {"/again/", nil, status(500, "no")},
 		"whose upstream is silent":                  {"/again/", nil, mute},
-		"whose upstream sends what is no answer":    {"/again/", nil, noAnswer},
+		"whose upstream sends what is no answer":    {"/again/", nil, invalidAnswer},
 		"that differ in their body":                 {"/again/", differ(), delayed(broken)},
 		"that are lost and answered by turns":       {"/again/", nil, turns(delayed(broken), status(200, "yes"))},
 	} {
@@ -168,7 +168,7 @@
 	}
 }
 
-func noAnswer(context.Context, hollowgrade.Sending) (hollowgrade.Exchange, error) {
+func invalidAnswer(context.Context, hollowgrade.Sending) (hollowgrade.Exchange, error) {
 	return nil, fmt.Errorf("%w: it is for another", hollowgrade.ErrNotAnAnswer)
 }
 
