--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -153,7 +153,7 @@
 		"that their upstream fails":                 {"/again/", nil, status(500, "no")},
 		"whose upstream is silent":                  {"/again/", nil, mute},
 		"whose upstream sends what is no answer":    {"/again/", nil, invalidAnswer},
-		"that differ in their body":                 {"/again/", differ(), delayed(broken)},
+		"that differ in their body":                 {"/again/", distinctBodies(), delayed(broken)},
 		"that are lost and answered by turns":       {"/again/", nil, turns(delayed(broken), status(200, "yes"))},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -172,8 +172,8 @@
 	return nil, fmt.Errorf("%w: it is for another", hollowgrade.ErrNotAnAnswer)
 }
 
-// differ returns a change that gives each call a body of its own.
-func differ() func(*hollowgrade.Call) {
+// distinctBodies returns a change that gives each call a body of its own.
+func distinctBodies() func(*hollowgrade.Call) {
 	n := 0
 	return func(c *hollowgrade.Call) { n++; c.Body = fmt.Append(nil, n) }
 }
