--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -154,7 +154,7 @@
 		"whose upstream is silent":                  {"/again/", nil, mute},
 		"whose upstream sends what is no answer":    {"/again/", nil, invalidAnswer},
 		"that differ in their body":                 {"/again/", distinctBodies(), delayed(broken)},
-		"that are lost and answered by turns":       {"/again/", nil, turns(delayed(broken), status(200, "yes"))},
+		"that are lost and answered by turns":       {"/again/", nil, alternate(delayed(broken), status(200, "yes"))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,8 +178,8 @@
 	return func(c *hollowgrade.Call) { n++; c.Body = fmt.Append(nil, n) }
 }
 
-// turns uses some replies in turn.
-func turns(rs ...reply) reply {
+// alternate uses some replies in turn.
+func alternate(rs ...reply) reply {
 	n := 0
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		n++
