--- a/core/core_test.go
+++ b/core/core_test.go
@@ -131,7 +131,7 @@
 	})
 	t.Run("a silent upstream is given up for another", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			s, _, x := serve(t, "/again/", mute, status(200, "hello"))
+			s, _, x := serve(t, "/again/", unresponsive, status(200, "hello"))
 			require.Nil(t, x)
 			require.Equal(t, "hello", s.body.String())
 		})
@@ -265,14 +265,14 @@
 func TestEnds(t *testing.T) {
 	t.Run("at the caller's deadline", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			_, f, x := serve(t, "/once/", mute)
+			_, f, x := serve(t, "/once/", unresponsive)
 			requireFault(t, x, fault.DeadlinePassed, hollowgrade.Unknown)
 			require.Equal(t, 5*time.Second, f.sendings()[0].Left)
 		})
 	})
 	t.Run("what is left is passed on, not what was left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fakeUpstreams{replies: []reply{mute, status(200, "x")}}
+			f := &fakeUpstreams{replies: []reply{unresponsive, status(200, "x")}}
 			require.NoError(t, newCore(f).Serve(context.Background(), call("/again/"), &fakeSink{}))
 			require.Less(t, f.sendings()[1].Left, f.sendings()[0].Left-500*time.Millisecond)
 		})
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -143,7 +143,7 @@
 	return nil, errBroken
 }
 
-func mute(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
+func unresponsive(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -151,7 +151,7 @@
 		"that their upstream cannot be reached for": {"/again/", nil, unreachable},
 		"that are turned away":                      {"/again/", nil, shed},
 		"that their upstream fails":                 {"/again/", nil, status(500, "no")},
-		"whose upstream is silent":                  {"/again/", nil, mute},
+		"whose upstream is silent":                  {"/again/", nil, unresponsive},
 		"whose upstream sends what is no answer":    {"/again/", nil, invalidAnswer},
 		"that differ in their body":                 {"/again/", distinctBodies(), delayed(broken)},
 		"that are lost and answered by turns":       {"/again/", nil, alternate(delayed(broken), status(200, "yes"))},
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -61,7 +61,7 @@
 	})
 	t.Run("ends calls whose time has passed meanwhile", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{mute}}
+			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{unresponsive}}
 			c := s.core(f)
 			begin := time.Now()
 			go func() {
@@ -77,7 +77,7 @@
 	})
 	t.Run("ends others in time, no later than they would have", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{mute}}
+			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{unresponsive}}
 			c := s.core(f)
 			begin := s.Now()
 			go func() {
