--- a/core/core_test.go
+++ b/core/core_test.go
@@ -29,7 +29,7 @@
 
 // newCore returns a core with three upstreams of the service s.
 func newCore(f *fakeUpstreams, os ...Option) *Core {
-	c := New(f, f, append([]Option{WithLogger(quiet())}, os...)...)
+	c := New(f, f, append([]Option{WithLogger(discardLogger())}, os...)...)
 	c.started = c.started.Add(-time.Minute) // a process that has run for a while
 	c.SetCatalog(someCatalog(1))
 	for _, id := range []string{"u1", "u2", "u3"} {
@@ -236,7 +236,7 @@
 func TestUpstreamThatLeavesWhileACallIsHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{events(1, 2, io.EOF)}}
-		c := New(f, f, WithLogger(quiet()))
+		c := New(f, f, WithLogger(discardLogger()))
 		r := Route{Name: "r", Host: "h", Prefix: "/", Repeat: Resume, Stream: true, Timeout: 10 * time.Second, Goal: 3 * time.Second, PauseGoal: 800 * time.Millisecond, Targets: []Target{{"e", 1}}, MaxAttempts: 2}
 		c.SetCatalog(NewCatalog(1, []Route{r}, []Service{{Name: "e", Engine: figures()}}, nil, Limits{}))
 		for _, id := range []string{"u1", "u2"} {
@@ -383,7 +383,7 @@
 		require.Empty(t, code(public), "within the allowed time the older version is still used")
 	})
 	t.Run("no configuration", func(t *testing.T) {
-		err := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(quiet())).Serve(context.Background(), call("/again/"), &fakeSink{})
+		err := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger())).Serve(context.Background(), call("/again/"), &fakeSink{})
 		require.Equal(t, fault.NoConfiguration, fault.As(err, hollowgrade.Unknown).Code)
 	})
 	t.Run("out of time before it is sent", func(t *testing.T) {
@@ -393,7 +393,7 @@
 }
 
 func TestCatalogNeverGoesBack(t *testing.T) {
-	c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(quiet()))
+	c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()))
 	require.True(t, c.SetCatalog(someCatalog(5)))
 	require.False(t, c.SetCatalog(someCatalog(4)))
 	require.False(t, c.SetCatalog(someCatalog(5)))
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// quiet returns a logger that discards its output.
-func quiet() *log.Logger {
+// discardLogger returns a logger that discards its output.
+func discardLogger() *log.Logger {
 	return log.New(io.Discard)
 }
 
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -25,7 +25,7 @@
 }
 
 func newFleet(service string, n int) *Fleet {
-	f := NewFleet(hollowgrade.SystemClock(), quiet())
+	f := NewFleet(hollowgrade.SystemClock(), discardLogger())
 	for i := range n {
 		f.Put(hollowgrade.Upstream{ID: fmt.Sprintf("u%02d", i), Service: service, Address: fmt.Sprintf("10.0.0.%d:1", i), Slots: 4})
 	}
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -59,7 +59,7 @@
 }
 
 func newLimitProcess(p limitPlay, i int, r *rand.Rand) *limitProcess {
-	f := NewFleet(hollowgrade.SystemClock(), quiet())
+	f := NewFleet(hollowgrade.SystemClock(), discardLogger())
 	f.SetChance(r.Float64)
 	f.SetPeers(func() int { return p.processes - 1 })
 	for u := range p.limited + p.others {
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -25,7 +25,7 @@
 // a peer, prefill work, parts of prompts, failures, its load and its pace.
 func used(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
-	f = NewFleet(hollowgrade.SystemClock(), quiet())
+	f = NewFleet(hollowgrade.SystemClock(), discardLogger())
 	f.Put(lifeAt(0))
 	l := lifeAt(0).Life()
 	p = f.pick("s", placement.Request{Prompt: 100, Answer: 10, Left: time.Second}, nil)
@@ -171,7 +171,7 @@
 
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(quiet()), WithReporter(bornReporter{born + 5000}))
+		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(bornReporter{born + 5000}))
 		c.Fleet().Put(lifeAt(0))
 		c.askPaces([]hollowgrade.Upstream{lifeAt(0)}, "r")
 		synctest.Wait()
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -13,7 +13,7 @@
 
 // newSignalFleet returns a table with upstreams of one service.
 func newSignalFleet(ids ...string) *Fleet {
-	f := NewFleet(hollowgrade.SystemClock(), quiet(), func(f *Fleet) { f.chance = func() float64 { return 0.999 } })
+	f := NewFleet(hollowgrade.SystemClock(), discardLogger(), func(f *Fleet) { f.chance = func() float64 { return 0.999 } })
 	for _, id := range ids {
 		f.Put(hollowgrade.Upstream{ID: id, Service: "s", Address: id + ":1", Slots: 4})
 	}
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -24,7 +24,7 @@
 // prompt serves a prompt on engines with memory for 450,000 tokens.
 func prompt(t *testing.T, f *fakeUpstreams, engines, tokens int) *fault.Error {
 	t.Helper()
-	c := New(f, f, WithLogger(quiet()))
+	c := New(f, f, WithLogger(discardLogger()))
 	c.started = c.started.Add(-time.Minute)
 	r := Route{Name: "r", Host: "h", Prefix: "/", Repeat: Resume, Stream: true, Timeout: 20 * time.Second, Goal: 3 * time.Second, PauseGoal: 800 * time.Millisecond, Targets: []Target{{"e", 1}}, MaxAttempts: 2}
 	c.SetCatalog(NewCatalog(1, []Route{r}, []Service{{Name: "e", Engine: figures()}}, nil, Limits{}))
