--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -26,19 +26,19 @@
 // fakeUpstreams implements [hollowgrade.Exchanger]. It uses its replies in order and repeats the
 // last one.
 type fakeUpstreams struct {
-	mu      sync.Mutex
-	replies []reply
-	sent    []hollowgrade.Sending
-	memory  map[string]map[string]int // reserved tokens, by upstream and id
-	full    map[string]bool           // upstreams without free memory
-	orders  int                       // calls of Reserve and Release
+	mu          sync.Mutex
+	replies     []reply
+	sent        []hollowgrade.Sending
+	memory      map[string]map[string]int // reserved tokens, by upstream and id
+	full        map[string]bool           // upstreams without free memory
+	memoryCalls int                       // calls of Reserve and Release
 }
 
 // Reserve implements [hollowgrade.Reserver].
 func (f *fakeUpstreams) Reserve(_ context.Context, u hollowgrade.Upstream, id string, tokens int, _ time.Duration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders++
+	f.memoryCalls++
 	if f.full[u.ID] {
 		return hollowgrade.ErrNoMemory
 	}
@@ -56,7 +56,7 @@
 func (f *fakeUpstreams) Release(_ context.Context, u hollowgrade.Upstream, id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders++
+	f.memoryCalls++
 	delete(f.memory[u.ID], id)
 	return nil
 }
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -64,7 +64,7 @@
 			for i, h := range s.Helpers {
 				require.Equal(t, i < 4, h.Ticket != "", "engines that keep parts come first")
 			}
-			require.Equal(t, 4*(1+4+1), f.orders)
+			require.Equal(t, 4*(1+4+1), f.memoryCalls)
 		})
 	})
 	t.Run("are refused as not run when no memory is free", func(t *testing.T) {
