--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// held returns the sum of the tokens reserved at all upstreams.
-func (f *fakeUpstreams) held() (n int) {
+// reservedTokens returns the sum of the tokens reserved at all upstreams.
+func (f *fakeUpstreams) reservedTokens() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.memory {
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -44,7 +44,7 @@
 func slowly(f *fakeUpstreams, d time.Duration, look func(held int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
-		look(f.held())
+		look(f.reservedTokens())
 		return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{}, Sealed: true, Stream: true}, end: io.EOF}, nil
 	}
 }
@@ -58,7 +58,7 @@
 			require.Nil(t, oversized(t, f, 18))
 			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
 			synctest.Wait()
-			require.Zero(t, f.held())
+			require.Zero(t, f.reservedTokens())
 			s := f.sendings()[0]
 			require.Len(t, s.Helpers, mostHelpers)
 			for i, h := range s.Helpers {
@@ -76,7 +76,7 @@
 			requireFault(t, oversized(t, f, 18), fault.Overloaded, hollowgrade.NotRun)
 			synctest.Wait()
 			require.Empty(t, f.sendings())
-			require.Zero(t, f.held())
+			require.Zero(t, f.reservedTokens())
 		})
 	})
 	t.Run("leave nothing behind when an engine is lost", func(t *testing.T) {
@@ -84,7 +84,7 @@
 			f := &fakeUpstreams{replies: []reply{broken}}
 			require.NotNil(t, oversized(t, f, 18))
 			synctest.Wait()
-			require.Zero(t, f.held())
+			require.Zero(t, f.reservedTokens())
 			require.Len(t, f.sendings(), 2)
 			require.NotEqual(t, f.sendings()[0].Helpers[0].Ticket, f.sendings()[1].Helpers[0].Ticket)
 		})
