--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -61,7 +61,7 @@
 		_ = c.Serve(context.Background(), k, &fakeSink{})
 		time.Sleep(callInterval)
 	}
-	return len(f.sendings())
+	return len(f.sentCalls())
 }
 
 func TestAnEndIsSeenByConnectionsThatAreClosed(t *testing.T) {
@@ -129,18 +129,18 @@
 		k := call("/again/")
 		k.ID, k.Arrived = "lost", time.Now()
 		_ = c.Serve(context.Background(), k, &fakeSink{})
-		return c, f, p, f.sendings()[0].Upstream.ID
+		return c, f, p, f.sentCalls()[0].Upstream.ID
 	}
 	// sentTo serves ten calls a second for some time, and returns how many were sent to an upstream.
 	sentTo := func(c *Core, f *fakeUpstreams, id string, d time.Duration) (n int) {
-		before := len(f.sendings())
+		before := len(f.sentCalls())
 		for i := range int(10 * d.Seconds()) {
 			k := call("/again/")
 			k.ID, k.Arrived, k.Body = fmt.Sprint(i), time.Now(), fmt.Append(nil, i)
 			_ = c.Serve(context.Background(), k, &fakeSink{})
 			time.Sleep(100 * time.Millisecond)
 		}
-		for _, s := range f.sendings()[before:] {
+		for _, s := range f.sentCalls()[before:] {
 			if s.Upstream.ID == id {
 				n++
 			}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -66,36 +66,36 @@
 		s, f, x := serve(t, "/once/", status(200, "hello"))
 		require.Nil(t, x)
 		require.Equal(t, "hello", s.body.String())
-		require.Equal(t, "o", f.sendings()[0].Organisation)
+		require.Equal(t, "o", f.sentCalls()[0].Organisation)
 	})
 	t.Run("its failure is passed on as it is", func(t *testing.T) {
 		s, f, x := serve(t, "/once/", status(500, "no"), status(200, "hello"))
 		require.Nil(t, x)
 		require.Equal(t, 500, s.head.Status)
-		require.Len(t, f.sendings(), 1)
+		require.Len(t, f.sentCalls(), 1)
 	})
 	t.Run("what was not run goes elsewhere", func(t *testing.T) {
 		s, f, x := serve(t, "/once/", shed, status(200, "hello"))
 		require.Nil(t, x)
 		require.Equal(t, "hello", s.body.String())
-		require.NotEqual(t, f.sendings()[0].Upstream.ID, f.sendings()[1].Upstream.ID)
+		require.NotEqual(t, f.sentCalls()[0].Upstream.ID, f.sentCalls()[1].Upstream.ID)
 	})
 	t.Run("what may have run does not", func(t *testing.T) {
 		s, f, x := serve(t, "/once/", broken, status(200, "hello"))
 		requireFault(t, x, fault.UpstreamLost, hollowgrade.Unknown)
-		require.Len(t, f.sendings(), 1)
+		require.Len(t, f.sentCalls(), 1)
 		require.Nil(t, s.head)
 	})
 	t.Run("no more upstreams than allowed are sent to", func(t *testing.T) {
 		_, f, x := serve(t, "/single/", shed)
 		requireFault(t, x, fault.Overloaded, hollowgrade.NotRun)
-		require.Len(t, f.sendings(), 1)
+		require.Len(t, f.sentCalls(), 1)
 	})
 	t.Run("an upstream that cannot be reached does not count", func(t *testing.T) {
 		s, f, x := serve(t, "/single/", unreachable, unreachable, status(200, "hello"))
 		require.Nil(t, x)
 		require.Equal(t, "hello", s.body.String())
-		require.Len(t, f.sendings(), 3)
+		require.Len(t, f.sentCalls(), 3)
 	})
 	t.Run("when all refuse it has not run", func(t *testing.T) {
 		_, _, x := serve(t, "/once/", shed)
@@ -114,7 +114,7 @@
 		s, f, x := serve(t, "/again/", status(500, "no"))
 		require.Nil(t, x)
 		require.Equal(t, 500, s.head.Status)
-		require.Equal(t, f.sendings()[1].Upstream.ID, s.head.Header.Get("From"))
+		require.Equal(t, f.sentCalls()[1].Upstream.ID, s.head.Header.Get("From"))
 		require.Equal(t, "no", s.body.String())
 	})
 	t.Run("a cut answer is replaced", func(t *testing.T) {
@@ -148,8 +148,8 @@
 		s, f, x := serve(t, "/resume/", events(1, 2, errBroken), events(3, 4, io.EOF))
 		require.Nil(t, x)
 		require.Equal(t, "1,2,3,4,", s.body.String())
-		require.Equal(t, "2", f.sendings()[1].After)
-		require.Equal(t, f.sendings()[0].Upstream.ID, s.head.Header.Get("From"))
+		require.Equal(t, "2", f.sentCalls()[1].After)
+		require.Equal(t, f.sentCalls()[0].Upstream.ID, s.head.Header.Get("From"))
 	})
 	t.Run("what the caller has is not passed on again", func(t *testing.T) {
 		s, _, x := serve(t, "/resume/", events(1, 2, errBroken), events(1, 4, io.EOF))
@@ -180,7 +180,7 @@
 			s, f, x := serve(t, "/once/", events(1, 2, errSilent))
 			requireFault(t, x, fault.DeadlinePassed, hollowgrade.Unknown)
 			require.Equal(t, "1,2,", s.body.String())
-			require.Len(t, f.sendings(), 1)
+			require.Len(t, f.sentCalls(), 1)
 			require.Equal(t, 5*time.Second+answerGrace, time.Since(begin))
 		})
 	})
@@ -202,7 +202,7 @@
 				c.budget("s").Spend(time.Now())
 			}()
 			require.NoError(t, c.Serve(context.Background(), call("/resume/"), &fakeSink{}))
-			require.Len(t, f.sendings(), 1)
+			require.Len(t, f.sentCalls(), 1)
 		})
 	})
 	t.Run("there is no other upstream", func(t *testing.T) {
@@ -212,7 +212,7 @@
 			c.Fleet().Drop("u2", time.Time{})
 			c.Fleet().Drop("u3", time.Time{})
 			require.NoError(t, c.Serve(context.Background(), call("/resume/"), &fakeSink{}))
-			require.Len(t, f.sendings(), 1)
+			require.Len(t, f.sentCalls(), 1)
 		})
 	})
 }
@@ -256,9 +256,9 @@
 		k := call("/x")
 		k.PromptTokens, k.MaxTokens, k.Patience = 100_000, 100, 9*time.Second
 		require.NoError(t, c.Serve(context.Background(), k, &fakeSink{}))
-		require.Len(t, f.sendings(), 1)
-		require.False(t, f.sendings()[0].Upstream.Draining)
-		require.False(t, c.fleet.members[f.sendings()[0].Upstream.Life()].Draining)
+		require.Len(t, f.sentCalls(), 1)
+		require.False(t, f.sentCalls()[0].Upstream.Draining)
+		require.False(t, c.fleet.members[f.sentCalls()[0].Upstream.Life()].Draining)
 	})
 }
 
@@ -267,21 +267,21 @@
 		synctest.Test(t, func(t *testing.T) {
 			_, f, x := serve(t, "/once/", unresponsive)
 			requireFault(t, x, fault.DeadlinePassed, hollowgrade.Unknown)
-			require.Equal(t, 5*time.Second, f.sendings()[0].Left)
+			require.Equal(t, 5*time.Second, f.sentCalls()[0].Left)
 		})
 	})
 	t.Run("what is left is passed on, not what was left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{unresponsive, status(200, "x")}}
 			require.NoError(t, newCore(f).Serve(context.Background(), call("/again/"), &fakeSink{}))
-			require.Less(t, f.sendings()[1].Left, f.sendings()[0].Left-500*time.Millisecond)
+			require.Less(t, f.sentCalls()[1].Left, f.sentCalls()[0].Left-500*time.Millisecond)
 		})
 	})
 	t.Run("when the caller is gone", func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{events(1, 3, io.EOF)}}
 		err := newCore(f).Serve(context.Background(), call("/resume/"), &fakeSink{gone: true})
 		require.Equal(t, fault.CallerGone, fault.As(err, hollowgrade.Unknown).Code)
-		require.Len(t, f.sendings(), 1)
+		require.Len(t, f.sentCalls(), 1)
 	})
 	t.Run("when the caller leaves while an upstream is silent", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -292,7 +292,7 @@
 		}}}
 		err := newCore(f).Serve(ctx, call("/again/"), &fakeSink{})
 		require.Equal(t, fault.CallerGone, fault.As(err, hollowgrade.Unknown).Code)
-		require.Len(t, f.sendings(), 1, "no retry for a caller that has disconnected")
+		require.Len(t, f.sentCalls(), 1, "no retry for a caller that has disconnected")
 	})
 }
 
@@ -414,7 +414,7 @@
 			spent++
 		}
 	}
-	again := len(f.sendings()) - calls
+	again := len(f.sentCalls()) - calls
 	require.LessOrEqual(t, again, calls/5+3)
 	require.GreaterOrEqual(t, again, 20)
 	require.Equal(t, calls, again+spent)
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -81,7 +81,7 @@
 	return r(ctx, s)
 }
 
-func (f *fakeUpstreams) sendings() []hollowgrade.Sending {
+func (f *fakeUpstreams) sentCalls() []hollowgrade.Sending {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]hollowgrade.Sending(nil), f.sent...)
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -57,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				xs, k, f := serveOnNewCore(t, c.path, 8, nil, c.end)
-				require.Len(t, f.sendings(), c.sent)
+				require.Len(t, f.sentCalls(), c.sent)
 				require.Len(t, k.Quarantine().Holds(), 1)
 				last := xs[len(xs)-1]
 				requireFault(t, last, fault.Quarantined, hollowgrade.NotRun)
@@ -190,7 +190,7 @@
 func TestWhatACallThatRanIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		xs, _, f := serveOnNewCore(t, "/again/", 2, nil, delayed(broken))
-		require.Len(t, f.sendings(), 3)
+		require.Len(t, f.sentCalls(), 3)
 		requireFault(t, xs[1], fault.Quarantined, hollowgrade.Unknown)
 	})
 }
@@ -211,7 +211,7 @@
 			_ = c.Serve(context.Background(), k, &fakeSink{})
 			time.Sleep(5 * time.Second)
 		}
-		for _, s := range f.sendings() {
+		for _, s := range f.sentCalls() {
 			helpers += len(s.Helpers)
 		}
 		require.Positive(t, helpers)
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -56,7 +56,7 @@
 			s.suspend(10 * time.Second)
 			err := c.Serve(context.Background(), s.call("/again/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.StaleConfig, hollowgrade.NotRun)
-			require.Len(t, f.sendings(), 1)
+			require.Len(t, f.sentCalls(), 1)
 		})
 	})
 	t.Run("ends calls whose time has passed meanwhile", func(t *testing.T) {
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -59,7 +59,7 @@
 			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
-			s := f.sendings()[0]
+			s := f.sentCalls()[0]
 			require.Len(t, s.Helpers, mostHelpers)
 			for i, h := range s.Helpers {
 				require.Equal(t, i < 4, h.Ticket != "", "engines that keep parts come first")
@@ -75,7 +75,7 @@
 			}
 			requireFault(t, oversized(t, f, 18), fault.Overloaded, hollowgrade.NotRun)
 			synctest.Wait()
-			require.Empty(t, f.sendings())
+			require.Empty(t, f.sentCalls())
 			require.Zero(t, f.reservedTokens())
 		})
 	})
@@ -85,8 +85,8 @@
 			require.NotNil(t, oversized(t, f, 18))
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
-			require.Len(t, f.sendings(), 2)
-			require.NotEqual(t, f.sendings()[0].Helpers[0].Ticket, f.sendings()[1].Helpers[0].Ticket)
+			require.Len(t, f.sentCalls(), 2)
+			require.NotEqual(t, f.sentCalls()[0].Helpers[0].Ticket, f.sentCalls()[1].Helpers[0].Ticket)
 		})
 	})
 }
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{broken}}
 		requireFault(t, oversized(t, f, 4), fault.NoUpstream, hollowgrade.NotRun)
-		require.Empty(t, f.sendings())
+		require.Empty(t, f.sentCalls())
 	})
 }
 
@@ -117,11 +117,11 @@
 				events(1, 1, io.EOF),
 			}}
 			require.Nil(t, prompt(t, f, 18, 300_000))
-			require.Len(t, f.sendings(), 2)
-			for _, h := range f.sendings()[1].Helpers {
+			require.Len(t, f.sentCalls(), 2)
+			for _, h := range f.sentCalls()[1].Helpers {
 				require.NotEqual(t, bad, h.Address)
 			}
-			require.NotEqual(t, bad, f.sendings()[1].Upstream.Address)
+			require.NotEqual(t, bad, f.sentCalls()[1].Upstream.Address)
 		})
 	}
 }
