--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -16,8 +16,8 @@
 
 // Bounds that the decisions of package placement are expected to respect.
 const (
-	longestAlone = 8_999 // of a prompt that one engine prefills
-	mostHelpers  = 16
+	maxUnsplitPromptTokens = 8_999 // of a prompt that one engine prefills
+	mostHelpers            = 16
 )
 
 func figures() *engine.Figures {
@@ -181,12 +181,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
 		m := f.members["u00"]
-		p := f.pick("e", long(longestAlone), nil)
+		p := f.pick("e", long(maxUnsplitPromptTokens), nil)
 		f.over(p, false)
 		require.Zero(t, m.reading(time.Now()), "refused at once")
-		p = f.pick("e", long(longestAlone), nil)
+		p = f.pick("e", long(maxUnsplitPromptTokens), nil)
 		time.Sleep(8 * time.Second)
-		f.pick("e", long(longestAlone), nil)
+		f.pick("e", long(maxUnsplitPromptTokens), nil)
 		rest := m.reading(time.Now())
 		require.NotZero(t, rest)
 		f.over(p, false)
@@ -204,7 +204,7 @@
 
 func TestLongPromptsAreSplit(t *testing.T) {
 	f := newFleet("e", 20)
-	require.Empty(t, f.pick("e", long(longestAlone), nil).helpers)
+	require.Empty(t, f.pick("e", long(maxUnsplitPromptTokens), nil).helpers)
 	f = newFleet("e", 20)
 	p := f.pick("e", long(210_000), nil)
 	require.Len(t, p.helpers, mostHelpers)
