--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -17,7 +17,7 @@
 // Bounds that the decisions of package placement are expected to respect.
 const (
 	maxUnsplitPromptTokens = 8_999 // of a prompt that one engine prefills
-	mostHelpers            = 16
+	maxHelpers             = 16
 )
 
 func figures() *engine.Figures {
@@ -129,7 +129,7 @@
 			}
 		}
 		require.Equal(t, 9, avoided)
-		require.Len(t, f.pick("e", long(210_000), nil).helpers, mostHelpers)
+		require.Len(t, f.pick("e", long(210_000), nil).helpers, maxHelpers)
 	})
 	t.Run("one that failed is tried last, and again after a while", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -207,7 +207,7 @@
 	require.Empty(t, f.pick("e", long(maxUnsplitPromptTokens), nil).helpers)
 	f = newFleet("e", 20)
 	p := f.pick("e", long(210_000), nil)
-	require.Len(t, p.helpers, mostHelpers)
+	require.Len(t, p.helpers, maxHelpers)
 	require.NotContains(t, p.helpers, p.member)
 	require.Equal(t, p.member.own.Given, p.helpers[0].own.Given)
 }
@@ -326,7 +326,7 @@
 			f := newFleet("e", 18)
 			spaced(f, 100)
 			time.Sleep(time.Second)
-			require.Len(t, f.pick("e", long(45_000), nil).helpers, mostHelpers)
+			require.Len(t, f.pick("e", long(45_000), nil).helpers, maxHelpers)
 		})
 	})
 	t.Run("memory that is full is avoided", func(t *testing.T) {
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -60,7 +60,7 @@
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
 			s := f.sentCalls()[0]
-			require.Len(t, s.Helpers, mostHelpers)
+			require.Len(t, s.Helpers, maxHelpers)
 			for i, h := range s.Helpers {
 				require.Equal(t, i < 4, h.Ticket != "", "engines that keep parts come first")
 			}
