--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -237,9 +237,9 @@
 	require.Greater(t, len(used), 2)
 }
 
-// enginesOfAStream places a short call every 80 ms, each of which lasts two seconds, and returns
+// countEnginesInUse places a short call every 80 ms, each of which lasts two seconds, and returns
 // how many engines have any of the 25 calls that are open at the end.
-func enginesOfAStream(f *Fleet, r *rand.Rand) (used int) {
+func countEnginesInUse(f *Fleet, r *rand.Rand) (used int) {
 	f.SetChance(r.Float64)
 	for range 200 {
 		p := f.pick("e", short(), nil)
@@ -276,7 +276,7 @@
 			const seeds = 20
 			used, most := 0, 0
 			for seed := range uint64(seeds) {
-				n := enginesOfAStream(newFleet("e", 18), rand.New(rand.NewPCG(seed, 1)))
+				n := countEnginesInUse(newFleet("e", 18), rand.New(rand.NewPCG(seed, 1)))
 				used += n
 				most = max(most, n)
 			}
