--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -170,7 +170,7 @@
 				for l := range from.Changes(false) {
 					words++
 					for _, f := range to {
-						f.TakeBlame("box", l, blamed(from)[l])
+						f.TakeBlame("box", l, avoidDurations(from)[l])
 					}
 				}
 			}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -103,13 +103,13 @@
 			a.blame(a.members["u00"], "c", "named by u01")
 			<-a.Changed()
 			require.Contains(t, a.Changes(false), hollowgrade.Life("u00"))
-			for id, d := range blamed(a) {
+			for id, d := range avoidDurations(a) {
 				b.TakeBlame("a", id, d)
 			}
-			require.Empty(t, blamed(b), "reports of peers are not forwarded")
+			require.Empty(t, avoidDurations(b), "reports of peers are not forwarded")
 			require.Equal(t, "u01", b.pick("e", long(30_000), nil).member.ID)
 			time.Sleep(firstAvoid)
-			require.Empty(t, blamed(a))
+			require.Empty(t, avoidDurations(a))
 			require.False(t, time.Now().Before(b.members["u00"].avoid))
 			b.TakeBlame("a", "u00", time.Hour)
 			time.Sleep(lastAvoid)
@@ -486,8 +486,8 @@
 	})
 }
 
-// blamed returns for how long peers are asked to avoid upstreams.
-func blamed(f *Fleet) map[hollowgrade.Life]time.Duration {
+// avoidDurations returns for how long peers are asked to avoid upstreams.
+func avoidDurations(f *Fleet) map[hollowgrade.Life]time.Duration {
 	bs := map[hollowgrade.Life]time.Duration{}
 	for l, s := range f.Seen(f.Shares()) {
 		if s.Avoid > 0 {
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -52,7 +52,7 @@
 	require.Equal(t, 1.0, m.pace(now))
 	require.False(t, now.Before(m.avoid))
 	require.Zero(t, m.load)
-	require.Empty(t, blamed(f))
+	require.Empty(t, avoidDurations(f))
 	require.Len(t, f.of("s"), 1)
 }
 
