--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -21,8 +21,8 @@
 
 var update = flag.Bool("update", false, "write the files of expected results anew")
 
-// goldenPlans is the number of random cases in the golden file.
-const goldenPlans = 400
+// goldenCases is the number of random cases in the golden file.
+const goldenCases = 400
 
 // drawnFigures returns the published figures of one of two kinds of engines.
 func drawnFigures(r *rand.Rand) *engine.Figures {
@@ -103,7 +103,7 @@
 	path := filepath.Join("testdata", "plans.txt")
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
-		for seed := range uint64(goldenPlans) {
+		for seed := range uint64(goldenCases) {
 			r := rand.New(rand.NewPCG(seed, 1))
 			f := drawnFleet(r, time.Now())
 			tried := map[hollowgrade.Life]bool{}
