--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -24,8 +24,8 @@
 // goldenCases is the number of random cases in the golden file.
 const goldenCases = 400
 
-// drawnFigures returns the published figures of one of two kinds of engines.
-func drawnFigures(r *rand.Rand) *engine.Figures {
+// randomFigures returns the published figures of one of two kinds of engines.
+func randomFigures(r *rand.Rand) *engine.Figures {
 	f := &engine.Figures{
 		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerWriter: 5 * time.Microsecond,
 		StepPerContext: 2540 * time.Nanosecond, ReadRate: 256_000, PerMillion: 91_700 * time.Nanosecond, Chunk: 2048,
@@ -39,7 +39,7 @@
 
 // drawnRequest returns a call of one of three kinds, or one for a plain service.
 func drawnRequest(r *rand.Rand) placement.Request {
-	d := placement.Request{Engine: drawnFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
+	d := placement.Request{Engine: randomFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
 	switch r.IntN(7) {
 	case 0:
 		d.Engine = nil
