--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -37,8 +37,8 @@
 	return f
 }
 
-// drawnRequest returns a call of one of three kinds, or one for a plain service.
-func drawnRequest(r *rand.Rand) placement.Request {
+// randomRequest returns a call of one of three kinds, or one for a plain service.
+func randomRequest(r *rand.Rand) placement.Request {
 	d := placement.Request{Engine: randomFigures(r), Left: time.Duration(r.IntN(15_000)) * time.Millisecond}
 	switch r.IntN(7) {
 	case 0:
@@ -110,7 +110,7 @@
 			if r.IntN(6) == 0 {
 				tried["u00"] = true
 			}
-			fmt.Fprintf(&b, "%d %s\n", seed, describe(f.pick("e", drawnRequest(r), tried)))
+			fmt.Fprintf(&b, "%d %s\n", seed, describe(f.pick("e", randomRequest(r), tried)))
 		}
 		if *update {
 			require.NoError(t, os.WriteFile(path, b.Bytes(), 0o600))
