--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -56,8 +56,8 @@
 	return d
 }
 
-// drawnFleet returns a fleet of engines with random load.
-func drawnFleet(r *rand.Rand, now time.Time) *Fleet {
+// randomFleet returns a fleet of engines with random load.
+func randomFleet(r *rand.Rand, now time.Time) *Fleet {
 	f := newFleet("e", 1+r.IntN(30))
 	if r.IntN(5) == 0 {
 		f = newFleet("e", 60+r.IntN(60))
@@ -105,7 +105,7 @@
 		var b bytes.Buffer
 		for seed := range uint64(goldenCases) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			f := drawnFleet(r, time.Now())
+			f := randomFleet(r, time.Now())
 			tried := map[hollowgrade.Life]bool{}
 			if r.IntN(6) == 0 {
 				tried["u00"] = true
