--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -20,9 +20,9 @@
 	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
 }
 
-// given returns the shares of a peer that has placed prefill work of duration d on each of some
+// prefillShares returns the shares of a peer that has placed prefill work of duration d on each of some
 // engines.
-func given(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
+func prefillShares(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
 	m := map[hollowgrade.Life]Share{}
 	for _, e := range engines {
 		m[e] = Share{Open: 1, Given: time.Duration(passOverhead * float64(d))}
@@ -52,14 +52,14 @@
 	})
 	play("are those that others placed, whose parts come in several packets", func(t *testing.T, f *Fleet) {
 		f.TakeView("b", nil, true)
-		f.TakeView("b", given(time.Second, "u00", "u01"), false)
+		f.TakeView("b", prefillShares(time.Second, "u00", "u01"), false)
 		time.Sleep(5 * time.Millisecond)
-		f.TakeView("b", given(time.Second, "u02"), false)
+		f.TakeView("b", prefillShares(time.Second, "u02"), false)
 		time.Sleep(2 * wordParts)
 		requireExpected(t, expected(f), 0.5, 3*time.Second)
 	})
 	play("are not what another had given before it was first heard", func(t *testing.T, f *Fleet) {
-		f.TakeView("c", given(time.Second, "u00", "u01"), true)
+		f.TakeView("c", prefillShares(time.Second, "u00", "u01"), true)
 		time.Sleep(2 * wordParts)
 		require.Empty(t, expected(f).Prompts)
 	})
