--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -12,8 +12,8 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// requireExpected checks that prompts of one length are expected, their rate and their prefill time.
-func requireExpected(t *testing.T, d placement.Demand, perSecond float64, reading time.Duration) {
+// requireExpectedPrompts checks that prompts of one length are expected, their rate and their prefill time.
+func requireExpectedPrompts(t *testing.T, d placement.Demand, perSecond float64, reading time.Duration) {
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
 	require.InDelta(t, perSecond, d.Prompts[0].Rate, 0.1)
@@ -45,7 +45,7 @@
 	play("are those that this process placed, until no more come", func(t *testing.T, f *Fleet) {
 		p := f.pick("e", long(210_000), nil)
 		require.False(t, p.Refused)
-		requireExpected(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
+		requireExpectedPrompts(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
 		time.Sleep(20 * time.Second)
 		require.Empty(t, expected(f).Prompts)
 		require.Greater(t, expected(f).Known, 0.99)
@@ -56,7 +56,7 @@
 		time.Sleep(5 * time.Millisecond)
 		f.TakeView("b", prefillShares(time.Second, "u02"), false)
 		time.Sleep(2 * wordParts)
-		requireExpected(t, expected(f), 0.5, 3*time.Second)
+		requireExpectedPrompts(t, expected(f), 0.5, 3*time.Second)
 	})
 	play("are not what another had given before it was first heard", func(t *testing.T, f *Fleet) {
 		f.TakeView("c", prefillShares(time.Second, "u00", "u01"), true)
@@ -73,7 +73,7 @@
 		d.note(now, 4*time.Second)
 	}
 	now = now.Add(125 * time.Millisecond)
-	requireExpected(t, d.expected(now), 4, 4*time.Second)
+	requireExpectedPrompts(t, d.expected(now), 4, 4*time.Second)
 	t.Run("counts a word that comes late by its age", func(t *testing.T) {
 		before := d.expected(now).Prompts[0].Rate
 		d.note(now.Add(-time.Second), 4*time.Second)
