--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -10,8 +10,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requireHelps checks how many parts of prompts an engine is estimated to hold for others.
-func requireHelps(t *testing.T, f *Fleet, id hollowgrade.Life, want int) {
+// requireHelperParts checks how many parts of prompts an engine is estimated to hold for others.
+func requireHelperParts(t *testing.T, f *Fleet, id hollowgrade.Life, want int) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,15 +28,15 @@
 		for n := range 16 {
 			f.TakeView("b", map[hollowgrade.Life]Share{"u03": {Given: time.Duration(n+1) * time.Microsecond}}, false)
 		}
-		requireHelps(t, f, "u03", 16)
+		requireHelperParts(t, f, "u03", 16)
 		p := f.pick("e", long(45_000), nil)
 		require.NotContains(t, p.helpers, f.members["u03"])
 		require.NotEqual(t, "u03", p.member.ID)
 		for _, m := range p.helpers {
-			requireHelps(t, f, m.Life(), 1)
+			requireHelperParts(t, f, m.Life(), 1)
 		}
 		time.Sleep(20 * partRest)
-		requireHelps(t, f, "u03", 0)
+		requireHelperParts(t, f, "u03", 0)
 	})
 	t.Run("but are used when there are no others", func(t *testing.T) {
 		f := newFleet("e", 2)
