--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -20,8 +20,8 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
-	// limitKnown is the time after which all processes know the limits.
-	limitKnown = 2 * time.Second
+	// limitSettleTime is the time after which all processes know the limits.
+	limitSettleTime = 2 * time.Second
 	// leastUse is the least part of the allowed requests that has to be served when there are more
 	// calls.
 	leastUse = 0.5
@@ -142,12 +142,12 @@
 		used := 0
 		for u := range p.limited {
 			at := got[fmt.Sprintf("u%02d", u)]
-			known := begin.Add(limitKnown)
+			known := begin.Add(limitSettleTime)
 			at = slices.DeleteFunc(at, func(t time.Time) bool { return t.Before(known) })
 			used += len(at)
 			x.most = max(x.most, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
 		}
-		x.use = float64(used) / (p.limit * float64(p.limited) * (p.play - limitKnown).Seconds())
+		x.use = float64(used) / (p.limit * float64(p.limited) * (p.play - limitSettleTime).Seconds())
 		time.Sleep(10 * time.Second) // answers and updates in flight
 	})
 	return x
