--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -22,9 +22,9 @@
 	limitExtra  = 5
 	// limitSettleTime is the time after which all processes know the limits.
 	limitSettleTime = 2 * time.Second
-	// leastUse is the least part of the allowed requests that has to be served when there are more
+	// minLimitUse is the least part of the allowed requests that has to be served when there are more
 	// calls.
-	leastUse = 0.5
+	minLimitUse = 0.5
 )
 
 // limitPlay simulates processes that share upstreams, some of which name a limit.
@@ -215,7 +215,7 @@
 				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.most, x.use, x.refused, x.words)
 				require.LessOrEqual(t, x.most, 1.0)
 				if p.pause == 0 {
-					require.GreaterOrEqual(t, x.use, leastUse)
+					require.GreaterOrEqual(t, x.use, minLimitUse)
 				}
 			}
 		})
