--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -27,8 +27,8 @@
 	minLimitUse = 0.5
 )
 
-// limitPlay simulates processes that share upstreams, some of which name a limit.
-type limitPlay struct {
+// limitScenario simulates processes that share upstreams, some of which name a limit.
+type limitScenario struct {
 	processes int
 	limited   int
 	others    int
@@ -58,7 +58,7 @@
 	next  time.Time // heartbeat
 }
 
-func newLimitProcess(p limitPlay, i int, r *rand.Rand) *limitProcess {
+func newLimitProcess(p limitScenario, i int, r *rand.Rand) *limitProcess {
 	f := NewFleet(hollowgrade.SystemClock(), discardLogger())
 	f.SetChance(r.Float64)
 	f.SetPeers(func() int { return p.processes - 1 })
@@ -70,7 +70,7 @@
 }
 
 // tell sends shares of a process to the others.
-func (p limitPlay) tell(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
+func (p limitScenario) tell(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
 	seen := ps[from].fleet.Seen(cs)
 	var to []*Fleet
 	for i, o := range ps {
@@ -93,7 +93,7 @@
 }
 
 // run simulates calls that are answered after 15 ms.
-func (p limitPlay) run(t *testing.T, seed uint64) (x limitResult) {
+func (p limitScenario) run(t *testing.T, seed uint64) (x limitResult) {
 	synctest.Test(t, func(*testing.T) {
 		r := rand.New(rand.NewPCG(seed, 42))
 		var ps []*limitProcess
@@ -154,7 +154,7 @@
 }
 
 // rest lets time pass with heartbeats and without calls.
-func (p limitPlay) rest(ps []*limitProcess, r *rand.Rand) {
+func (p limitScenario) rest(ps []*limitProcess, r *rand.Rand) {
 	for end := time.Now().Add(p.pause); time.Now().Before(end); {
 		time.Sleep(Heartbeat(p.processes))
 		for i, o := range ps {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (p limitPlay) signals(u string, r *rand.Rand) (s hollowgrade.Signals) {
+func (p limitScenario) signals(u string, r *rand.Rand) (s hollowgrade.Signals) {
 	if u < fmt.Sprintf("u%02d", p.limited) {
 		s.Limited, s.Limit = true, p.limit*(1+p.varies*(2*r.Float64()-1))
 	}
@@ -188,7 +188,7 @@
 }
 
 func TestLimitsAreSharedByManyProcesses(t *testing.T) {
-	for name, p := range map[string]limitPlay{
+	for name, p := range map[string]limitScenario{
 		"0.2 before 5":                        {processes: 5, limited: 2, others: 4, limit: 0.2, calls: 50},
 		"1.4 before 5":                        {processes: 5, limited: 2, others: 4, limit: 1.4, calls: 50},
 		"1.4 of all before 5":                 {processes: 5, limited: 3, limit: 1.4, calls: 50},
@@ -228,7 +228,7 @@
 func TestALimitThatProcessesTellEachOtherEndsWithItsUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 42))
-		p := limitPlay{processes: 5, limited: 1, others: 1, limit: 3, calls: 50, told: 40 * time.Millisecond}
+		p := limitScenario{processes: 5, limited: 1, others: 1, limit: 3, calls: 50, told: 40 * time.Millisecond}
 		var ps []*limitProcess
 		for i := range p.processes {
 			ps = append(ps, newLimitProcess(p, i, r))
