--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -29,18 +29,18 @@
 
 // limitScenario simulates processes that share upstreams, some of which name a limit.
 type limitScenario struct {
-	processes int
-	limited   int
-	others    int
-	limit     float64
-	varies    float64       // by which part of it the named limit varies, up or down
-	calls     float64       // a second, of all processes
-	toFirst   float64       // part of the calls that reach the first process
-	pause     time.Duration // without calls, in the middle
-	told      time.Duration // until peers receive a change
-	lost      float64       // part of the packets that are lost; heartbeats repeat their content
-	cut       bool          // two halves of the processes can't reach each other
-	play      time.Duration
+	processes      int
+	limited        int
+	others         int
+	limit          float64
+	limitVariation float64       // by which part of it the named limit varies, up or down
+	calls          float64       // a second, of all processes
+	toFirst        float64       // part of the calls that reach the first process
+	pause          time.Duration // without calls, in the middle
+	told           time.Duration // until peers receive a change
+	lost           float64       // part of the packets that are lost; heartbeats repeat their content
+	cut            bool          // two halves of the processes can't reach each other
+	play           time.Duration
 }
 
 // limitResult is the result of a simulation.
@@ -165,7 +165,7 @@
 
 func (p limitScenario) signals(u string, r *rand.Rand) (s hollowgrade.Signals) {
 	if u < fmt.Sprintf("u%02d", p.limited) {
-		s.Limited, s.Limit = true, p.limit*(1+p.varies*(2*r.Float64()-1))
+		s.Limited, s.Limit = true, p.limit*(1+p.limitVariation*(2*r.Float64()-1))
 	}
 	return s
 }
@@ -201,7 +201,7 @@
 		"1.4 of all before 28, lossy":         {processes: 28, limited: 6, limit: 1.4, calls: 300, lost: 0.1},
 		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, calls: 50, cut: true},
 		"1.4 of all before 420":               {processes: 420, limited: 3, limit: 1.4, calls: 700},
-		"2 more or less before 5":             {processes: 5, limited: 2, others: 4, limit: 2, calls: 50, varies: 0.4},
+		"2 more or less before 5":             {processes: 5, limited: 2, others: 4, limit: 2, calls: 50, limitVariation: 0.4},
 		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, calls: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
