--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -34,7 +34,7 @@
 	others         int
 	limit          float64
 	limitVariation float64       // by which part of it the named limit varies, up or down
-	calls          float64       // a second, of all processes
+	callsPerSecond float64       // a second, of all processes
 	toFirst        float64       // part of the calls that reach the first process
 	pause          time.Duration // without calls, in the middle
 	told           time.Duration // until peers receive a change
@@ -107,7 +107,7 @@
 		got := map[string][]time.Time{}
 		refused, calls, begin := 0, 0, time.Now()
 		for time.Since(begin) < p.play {
-			time.Sleep(time.Duration(r.ExpFloat64() / p.calls * float64(time.Second)))
+			time.Sleep(time.Duration(r.ExpFloat64() / p.callsPerSecond * float64(time.Second)))
 			i := r.IntN(len(ps))
 			if r.Float64() < p.toFirst {
 				i = 0
@@ -189,20 +189,20 @@
 
 func TestLimitsAreSharedByManyProcesses(t *testing.T) {
 	for name, p := range map[string]limitScenario{
-		"0.2 before 5":                        {processes: 5, limited: 2, others: 4, limit: 0.2, calls: 50},
-		"1.4 before 5":                        {processes: 5, limited: 2, others: 4, limit: 1.4, calls: 50},
-		"1.4 of all before 5":                 {processes: 5, limited: 3, limit: 1.4, calls: 50},
-		"1.4 before 5, uneven":                {processes: 5, limited: 2, others: 4, limit: 1.4, calls: 50, toFirst: 0.5},
-		"1.4 of all, all calls to one of 28":  {processes: 28, limited: 6, limit: 1.4, calls: 50, toFirst: 1},
-		"1.4 of all before 28, after a pause": {processes: 28, limited: 6, limit: 1.4, calls: 300, pause: 30 * time.Second},
-		"1.4 of all before 28":                {processes: 28, limited: 6, limit: 1.4, calls: 300},
-		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, calls: 300, toFirst: 0.5},
-		"20 of all before 28":                 {processes: 28, limited: 6, limit: 20, calls: 300},
-		"1.4 of all before 28, lossy":         {processes: 28, limited: 6, limit: 1.4, calls: 300, lost: 0.1},
-		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, calls: 50, cut: true},
-		"1.4 of all before 420":               {processes: 420, limited: 3, limit: 1.4, calls: 700},
-		"2 more or less before 5":             {processes: 5, limited: 2, others: 4, limit: 2, calls: 50, limitVariation: 0.4},
-		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, calls: 700},
+		"0.2 before 5":                        {processes: 5, limited: 2, others: 4, limit: 0.2, callsPerSecond: 50},
+		"1.4 before 5":                        {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50},
+		"1.4 of all before 5":                 {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50},
+		"1.4 before 5, uneven":                {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50, toFirst: 0.5},
+		"1.4 of all, all calls to one of 28":  {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 50, toFirst: 1},
+		"1.4 of all before 28, after a pause": {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, pause: 30 * time.Second},
+		"1.4 of all before 28":                {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300},
+		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, callsPerSecond: 300, toFirst: 0.5},
+		"20 of all before 28":                 {processes: 28, limited: 6, limit: 20, callsPerSecond: 300},
+		"1.4 of all before 28, lossy":         {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, lost: 0.1},
+		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50, cut: true},
+		"1.4 of all before 420":               {processes: 420, limited: 3, limit: 1.4, callsPerSecond: 700},
+		"2 more or less before 5":             {processes: 5, limited: 2, others: 4, limit: 2, callsPerSecond: 50, limitVariation: 0.4},
+		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, callsPerSecond: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p.told, p.play = 40*time.Millisecond, 20*time.Second
@@ -228,7 +228,7 @@
 func TestALimitThatProcessesTellEachOtherEndsWithItsUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 42))
-		p := limitScenario{processes: 5, limited: 1, others: 1, limit: 3, calls: 50, told: 40 * time.Millisecond}
+		p := limitScenario{processes: 5, limited: 1, others: 1, limit: 3, callsPerSecond: 50, told: 40 * time.Millisecond}
 		var ps []*limitProcess
 		for i := range p.processes {
 			ps = append(ps, newLimitProcess(p, i, r))
