--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -29,18 +29,18 @@
 
 // limitScenario simulates processes that share upstreams, some of which name a limit.
 type limitScenario struct {
-	processes      int
-	limited        int
-	others         int
-	limit          float64
-	limitVariation float64       // by which part of it the named limit varies, up or down
-	callsPerSecond float64       // a second, of all processes
-	toFirst        float64       // part of the calls that reach the first process
-	pause          time.Duration // without calls, in the middle
-	told           time.Duration // until peers receive a change
-	lost           float64       // part of the packets that are lost; heartbeats repeat their content
-	cut            bool          // two halves of the processes can't reach each other
-	play           time.Duration
+	processes         int
+	limited           int
+	others            int
+	limit             float64
+	limitVariation    float64       // by which part of it the named limit varies, up or down
+	callsPerSecond    float64       // a second, of all processes
+	firstProcessShare float64       // part of the calls that reach the first process
+	pause             time.Duration // without calls, in the middle
+	told              time.Duration // until peers receive a change
+	lost              float64       // part of the packets that are lost; heartbeats repeat their content
+	cut               bool          // two halves of the processes can't reach each other
+	play              time.Duration
 }
 
 // limitResult is the result of a simulation.
@@ -109,7 +109,7 @@
 		for time.Since(begin) < p.play {
 			time.Sleep(time.Duration(r.ExpFloat64() / p.callsPerSecond * float64(time.Second)))
 			i := r.IntN(len(ps))
-			if r.Float64() < p.toFirst {
+			if r.Float64() < p.firstProcessShare {
 				i = 0
 			}
 			if p.pause > 0 && time.Since(begin) > p.play/2 {
@@ -192,11 +192,11 @@
 		"0.2 before 5":                        {processes: 5, limited: 2, others: 4, limit: 0.2, callsPerSecond: 50},
 		"1.4 before 5":                        {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50},
 		"1.4 of all before 5":                 {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50},
-		"1.4 before 5, uneven":                {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50, toFirst: 0.5},
-		"1.4 of all, all calls to one of 28":  {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 50, toFirst: 1},
+		"1.4 before 5, uneven":                {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50, firstProcessShare: 0.5},
+		"1.4 of all, all calls to one of 28":  {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 50, firstProcessShare: 1},
 		"1.4 of all before 28, after a pause": {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, pause: 30 * time.Second},
 		"1.4 of all before 28":                {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300},
-		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, callsPerSecond: 300, toFirst: 0.5},
+		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, callsPerSecond: 300, firstProcessShare: 0.5},
 		"20 of all before 28":                 {processes: 28, limited: 6, limit: 20, callsPerSecond: 300},
 		"1.4 of all before 28, lossy":         {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, lost: 0.1},
 		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50, cut: true},
