--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -37,7 +37,7 @@
 	callsPerSecond    float64       // a second, of all processes
 	firstProcessShare float64       // part of the calls that reach the first process
 	pause             time.Duration // without calls, in the middle
-	told              time.Duration // until peers receive a change
+	updateDelay       time.Duration // until peers receive a change
 	lost              float64       // part of the packets that are lost; heartbeats repeat their content
 	cut               bool          // two halves of the processes can't reach each other
 	play              time.Duration
@@ -79,7 +79,7 @@
 		}
 		to = append(to, o.fleet)
 	}
-	time.AfterFunc(p.told, func() {
+	time.AfterFunc(p.updateDelay, func() {
 		for _, f := range to {
 			f.TakeView(ps[from].box, cs, whole)
 			for l, s := range seen {
@@ -205,7 +205,7 @@
 		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, callsPerSecond: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p.told, p.play = 40*time.Millisecond, 20*time.Second
+			p.updateDelay, p.play = 40*time.Millisecond, 20*time.Second
 			seeds := uint64(2)
 			if p.processes > 100 {
 				p.play, seeds = 6*time.Second, 1 // each process sends its shares to all others every second
@@ -228,7 +228,7 @@
 func TestALimitThatProcessesTellEachOtherEndsWithItsUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 42))
-		p := limitScenario{processes: 5, limited: 1, others: 1, limit: 3, callsPerSecond: 50, told: 40 * time.Millisecond}
+		p := limitScenario{processes: 5, limited: 1, others: 1, limit: 3, callsPerSecond: 50, updateDelay: 40 * time.Millisecond}
 		var ps []*limitProcess
 		for i := range p.processes {
 			ps = append(ps, newLimitProcess(p, i, r))
