--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -39,7 +39,7 @@
 	pause             time.Duration // without calls, in the middle
 	updateDelay       time.Duration // until peers receive a change
 	packetLoss        float64       // part of the packets that are lost; heartbeats repeat their content
-	cut               bool          // two halves of the processes can't reach each other
+	partitioned       bool          // two halves of the processes can't reach each other
 	play              time.Duration
 }
 
@@ -74,7 +74,7 @@
 	seen := ps[from].fleet.Seen(cs)
 	var to []*Fleet
 	for i, o := range ps {
-		if i == from || p.cut && (i < len(ps)/2) != (from < len(ps)/2) || !whole && r.Float64() < p.packetLoss {
+		if i == from || p.partitioned && (i < len(ps)/2) != (from < len(ps)/2) || !whole && r.Float64() < p.packetLoss {
 			continue
 		}
 		to = append(to, o.fleet)
@@ -199,7 +199,7 @@
 		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, callsPerSecond: 300, firstProcessShare: 0.5},
 		"20 of all before 28":                 {processes: 28, limited: 6, limit: 20, callsPerSecond: 300},
 		"1.4 of all before 28, lossy":         {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, packetLoss: 0.1},
-		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50, cut: true},
+		"1.4 of all before 5, halves":         {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50, partitioned: true},
 		"1.4 of all before 420":               {processes: 420, limited: 3, limit: 1.4, callsPerSecond: 700},
 		"2 more or less before 5":             {processes: 5, limited: 2, others: 4, limit: 2, callsPerSecond: 50, limitVariation: 0.4},
 		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, callsPerSecond: 700},
