--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -40,7 +40,7 @@
 	updateDelay       time.Duration // until peers receive a change
 	packetLoss        float64       // part of the packets that are lost; heartbeats repeat their content
 	partitioned       bool          // two halves of the processes can't reach each other
-	play              time.Duration
+	duration          time.Duration
 }
 
 // limitResult is the result of a simulation.
@@ -106,15 +106,15 @@
 		time.Sleep(time.Second)
 		got := map[string][]time.Time{}
 		refused, calls, begin := 0, 0, time.Now()
-		for time.Since(begin) < p.play {
+		for time.Since(begin) < p.duration {
 			time.Sleep(time.Duration(r.ExpFloat64() / p.callsPerSecond * float64(time.Second)))
 			i := r.IntN(len(ps))
 			if r.Float64() < p.firstProcessShare {
 				i = 0
 			}
-			if p.pause > 0 && time.Since(begin) > p.play/2 {
+			if p.pause > 0 && time.Since(begin) > p.duration/2 {
 				p.rest(ps, r)
-				p.play, p.pause = p.play+p.pause, 0
+				p.duration, p.pause = p.duration+p.pause, 0
 			}
 			calls++
 			f := ps[i].fleet
@@ -147,7 +147,7 @@
 			used += len(at)
 			x.most = max(x.most, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
 		}
-		x.use = float64(used) / (p.limit * float64(p.limited) * (p.play - limitSettleTime).Seconds())
+		x.use = float64(used) / (p.limit * float64(p.limited) * (p.duration - limitSettleTime).Seconds())
 		time.Sleep(10 * time.Second) // answers and updates in flight
 	})
 	return x
@@ -205,10 +205,10 @@
 		"20 of all before 420":                {processes: 420, limited: 3, limit: 20, callsPerSecond: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p.updateDelay, p.play = 40*time.Millisecond, 20*time.Second
+			p.updateDelay, p.duration = 40*time.Millisecond, 20*time.Second
 			seeds := uint64(2)
 			if p.processes > 100 {
-				p.play, seeds = 6*time.Second, 1 // each process sends its shares to all others every second
+				p.duration, seeds = 6*time.Second, 1 // each process sends its shares to all others every second
 			}
 			for seed := range seeds {
 				x := p.run(t, seed)
