--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -69,8 +69,8 @@
 	return &limitProcess{f, fmt.Sprint("b", i), time.Now().Add(time.Duration(r.Float64() * float64(h)))}
 }
 
-// tell sends shares of a process to the others.
-func (p limitScenario) tell(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
+// sendShares sends shares of a process to the others.
+func (p limitScenario) sendShares(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (words int) {
 	seen := ps[from].fleet.Seen(cs)
 	var to []*Fleet
 	for i, o := range ps {
@@ -101,7 +101,7 @@
 			ps = append(ps, newLimitProcess(p, i, r))
 		}
 		for i, o := range ps {
-			p.tell(ps, i, o.fleet.Shares(), true, r)
+			p.sendShares(ps, i, o.fleet.Shares(), true, r)
 		}
 		time.Sleep(time.Second)
 		got := map[string][]time.Time{}
@@ -129,12 +129,12 @@
 					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
 					f.over(k, true)
 				})
-				x.words += p.tell(ps, i, f.Changes(false), false, r)
+				x.words += p.sendShares(ps, i, f.Changes(false), false, r)
 			}
 			for j, o := range ps {
 				if !time.Now().Before(o.next) {
 					o.next = o.next.Add(Heartbeat(p.processes))
-					x.words += p.tell(ps, j, o.fleet.Shares(), true, r)
+					x.words += p.sendShares(ps, j, o.fleet.Shares(), true, r)
 				}
 			}
 		}
@@ -158,7 +158,7 @@
 	for end := time.Now().Add(p.pause); time.Now().Before(end); {
 		time.Sleep(Heartbeat(p.processes))
 		for i, o := range ps {
-			p.tell(ps, i, o.fleet.Shares(), true, r)
+			p.sendShares(ps, i, o.fleet.Shares(), true, r)
 		}
 	}
 }
@@ -232,14 +232,14 @@
 		var ps []*limitProcess
 		for i := range p.processes {
 			ps = append(ps, newLimitProcess(p, i, r))
-			p.tell(ps, i, ps[i].fleet.Shares(), true, r)
+			p.sendShares(ps, i, ps[i].fleet.Shares(), true, r)
 		}
 		begin := time.Now()
 		const named, after = 4 * time.Second, 6 * time.Second
 		for time.Since(begin) < named+after {
 			time.Sleep(25 * time.Millisecond)
 			for i, o := range ps {
-				p.tell(ps, i, o.fleet.Shares(), true, r)
+				p.sendShares(ps, i, o.fleet.Shares(), true, r)
 			}
 			f := ps[r.IntN(len(ps))].fleet
 			k := f.pick("s", placement.Request{Left: time.Second}, nil)
