--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -113,7 +113,7 @@
 				i = 0
 			}
 			if p.pause > 0 && time.Since(begin) > p.duration/2 {
-				p.rest(ps, r)
+				p.idle(ps, r)
 				p.duration, p.pause = p.duration+p.pause, 0
 			}
 			calls++
@@ -153,8 +153,8 @@
 	return x
 }
 
-// rest lets time pass with heartbeats and without calls.
-func (p limitScenario) rest(ps []*limitProcess, r *rand.Rand) {
+// idle lets time pass with heartbeats and without calls.
+func (p limitScenario) idle(ps []*limitProcess, r *rand.Rand) {
 	for end := time.Now().Add(p.pause); time.Now().Before(end); {
 		time.Sleep(Heartbeat(p.processes))
 		for i, o := range ps {
