--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -45,7 +45,7 @@
 
 // limitResult is the result of a simulation.
 type limitResult struct {
-	most    float64 // requests of an upstream in a window, as a part of what the rule allows
+	peak    float64 // requests of an upstream in a window, as a part of what the rule allows
 	use     float64 // used part of what the limits allow
 	refused float64 // part of the calls
 	words   int     // sent to peers
@@ -145,7 +145,7 @@
 			known := begin.Add(limitSettleTime)
 			at = slices.DeleteFunc(at, func(t time.Time) bool { return t.Before(known) })
 			used += len(at)
-			x.most = max(x.most, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
+			x.peak = max(x.peak, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
 		}
 		x.use = float64(used) / (p.limit * float64(p.limited) * (p.duration - limitSettleTime).Seconds())
 		time.Sleep(10 * time.Second) // answers and updates in flight
@@ -212,8 +212,8 @@
 			}
 			for seed := range seeds {
 				x := p.run(t, seed)
-				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.most, x.use, x.refused, x.words)
-				require.LessOrEqual(t, x.most, 1.0)
+				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.peak, x.use, x.refused, x.words)
+				require.LessOrEqual(t, x.peak, 1.0)
 				if p.pause == 0 {
 					require.GreaterOrEqual(t, x.use, minLimitUse)
 				}
