--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -48,7 +48,7 @@
 	peak    float64 // requests of an upstream in a window, as a part of what the rule allows
 	use     float64 // used part of what the limits allow
 	refused float64 // part of the calls
-	words   int     // sent to peers
+	updates int     // sent to peers
 }
 
 // limitProcess is one of the simulated processes.
@@ -129,12 +129,12 @@
 					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
 					f.over(k, true)
 				})
-				x.words += p.sendShares(ps, i, f.Changes(false), false, r)
+				x.updates += p.sendShares(ps, i, f.Changes(false), false, r)
 			}
 			for j, o := range ps {
 				if !time.Now().Before(o.next) {
 					o.next = o.next.Add(Heartbeat(p.processes))
-					x.words += p.sendShares(ps, j, o.fleet.Shares(), true, r)
+					x.updates += p.sendShares(ps, j, o.fleet.Shares(), true, r)
 				}
 			}
 		}
@@ -212,7 +212,7 @@
 			}
 			for seed := range seeds {
 				x := p.run(t, seed)
-				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.peak, x.use, x.refused, x.words)
+				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.peak, x.use, x.refused, x.updates)
 				require.LessOrEqual(t, x.peak, 1.0)
 				if p.pause == 0 {
 					require.GreaterOrEqual(t, x.use, minLimitUse)
