--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -145,7 +145,7 @@
 			known := begin.Add(limitSettleTime)
 			at = slices.DeleteFunc(at, func(t time.Time) bool { return t.Before(known) })
 			used += len(at)
-			x.peak = max(x.peak, float64(mostWithin(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
+			x.peak = max(x.peak, float64(maxInWindow(at, known))/(limitFactor*p.limit*limitWindow.Seconds()+limitExtra))
 		}
 		x.use = float64(used) / (p.limit * float64(p.limited) * (p.duration - limitSettleTime).Seconds())
 		time.Sleep(10 * time.Second) // answers and updates in flight
@@ -170,8 +170,8 @@
 	return s
 }
 
-// mostWithin returns the most times within any window that ends at from or later.
-func mostWithin(ts []time.Time, from time.Time) (n int) {
+// maxInWindow returns the most times within any window that ends at from or later.
+func maxInWindow(ts []time.Time, from time.Time) (n int) {
 	for i, t := range ts {
 		if t.Before(from) {
 			continue
