--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -13,12 +13,12 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// born is the start time of the first instance, Unix ms.
-const born = 1_773_628_201_234
+// firstStartMillis is the start time of the first instance, Unix ms.
+const firstStartMillis = 1_773_628_201_234
 
 // lifeAt returns an upstream that started ms after the first instance.
 func lifeAt(ms int64) hollowgrade.Upstream {
-	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: born + ms}
+	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: firstStartMillis + ms}
 }
 
 // used returns a table with one upstream that has all kinds of state: calls of this process and of
@@ -171,7 +171,7 @@
 
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(bornReporter{born + 5000}))
+		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(bornReporter{firstStartMillis + 5000}))
 		c.Fleet().Put(lifeAt(0))
 		c.askPaces([]hollowgrade.Upstream{lifeAt(0)}, "r")
 		synctest.Wait()
