--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -16,8 +16,8 @@
 // firstStartMillis is the start time of the first instance, Unix ms.
 const firstStartMillis = 1_773_628_201_234
 
-// lifeAt returns an upstream that started ms after the first instance.
-func lifeAt(ms int64) hollowgrade.Upstream {
+// upstreamStartedAt returns an upstream that started ms after the first instance.
+func upstreamStartedAt(ms int64) hollowgrade.Upstream {
 	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: firstStartMillis + ms}
 }
 
@@ -26,8 +26,8 @@
 func used(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), discardLogger())
-	f.Put(lifeAt(0))
-	l := lifeAt(0).Life()
+	f.Put(upstreamStartedAt(0))
+	l := upstreamStartedAt(0).Life()
 	p = f.pick("s", placement.Request{Prompt: 100, Answer: 10, Left: time.Second}, nil)
 	require.NotNil(t, p)
 	f.TakeView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
@@ -57,7 +57,7 @@
 }
 
 func TestUpstreamThatStartsAgain(t *testing.T) {
-	later := lifeAt(5000)
+	later := upstreamStartedAt(5000)
 	t.Run("by its entry nothing of before is known of it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
@@ -70,7 +70,7 @@
 			f, _ := used(t)
 			f.Born("u", later.Born)
 			requireFresh(t, f, later.Life())
-			f.Put(lifeAt(0)) // a late entry of the previous instance
+			f.Put(upstreamStartedAt(0)) // a late entry of the previous instance
 			requireFresh(t, f, later.Life())
 			f.Put(later)
 			requireFresh(t, f, later.Life())
@@ -80,7 +80,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
 			f.Put(later)
-			old := lifeAt(0).Life()
+			old := upstreamStartedAt(0).Life()
 			f.TakeView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
 			f.TakeBlame("b", old, time.Second)
@@ -129,15 +129,15 @@
 	t.Run("a start that lay in the future does no harm", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := used(t)
-			ahead := lifeAt(3_600_000)
+			ahead := upstreamStartedAt(3_600_000)
 			f.Put(ahead)
 			requireFresh(t, f, ahead.Life())
 			f.Put(later) // its clock is right again
 			requireFresh(t, f, later.Life())
 			f.Born("u", ahead.Born)
 			time.Sleep(entryLag)
-			f.Put(lifeAt(6000))
-			requireFresh(t, f, lifeAt(6000).Life())
+			f.Put(upstreamStartedAt(6000))
+			requireFresh(t, f, upstreamStartedAt(6000).Life())
 		})
 	})
 	t.Run("one that goes takes its life with it", func(t *testing.T) {
@@ -172,10 +172,10 @@
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(bornReporter{firstStartMillis + 5000}))
-		c.Fleet().Put(lifeAt(0))
-		c.askPaces([]hollowgrade.Upstream{lifeAt(0)}, "r")
+		c.Fleet().Put(upstreamStartedAt(0))
+		c.askPaces([]hollowgrade.Upstream{upstreamStartedAt(0)}, "r")
 		synctest.Wait()
-		l := lifeAt(5000).Life()
+		l := upstreamStartedAt(5000).Life()
 		require.NotNil(t, c.fleet.members[l])
 		require.Equal(t, 3.0, c.fleet.members[l].pace(time.Now()), "a report counts for the instance that sent it")
 		c.fleet.Drop("u", time.Time{})
@@ -189,7 +189,7 @@
 func BenchmarkPickOfLives(b *testing.B) {
 	f := newFleet("e", 0)
 	for i := range 150 {
-		u := lifeAt(int64(i))
+		u := upstreamStartedAt(int64(i))
 		u.ID, u.Service = fmt.Sprintf("i-%010d", i), "e"
 		f.Put(u)
 	}
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -115,9 +115,9 @@
 	t.Run("is over with its life", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet()
-			f.Put(lifeAt(0))
-			hear(f, lifeAt(0).Life(), time.Now(), refusal(time.Hour))
-			f.Put(lifeAt(5000))
+			f.Put(upstreamStartedAt(0))
+			hear(f, upstreamStartedAt(0).Life(), time.Now(), refusal(time.Hour))
+			f.Put(upstreamStartedAt(5000))
 			require.NotNil(t, give(f))
 		})
 	})
