--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -21,9 +21,9 @@
 	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: firstStartMillis + ms}
 }
 
-// used returns a table with one upstream that has all kinds of state: calls of this process and of
+// newUsedFleet returns a table with one upstream that has all kinds of state: calls of this process and of
 // a peer, prefill work, parts of prompts, failures, its load and its pace.
-func used(t *testing.T) (f *Fleet, p *pick) {
+func newUsedFleet(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), discardLogger())
 	f.Put(upstreamStartedAt(0))
@@ -60,14 +60,14 @@
 	later := upstreamStartedAt(5000)
 	t.Run("by its entry nothing of before is known of it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.Put(later)
 			requireFresh(t, f, later.Life())
 		})
 	})
 	t.Run("by its own word, before its entry says so", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.Born("u", later.Born)
 			requireFresh(t, f, later.Life())
 			f.Put(upstreamStartedAt(0)) // a late entry of the previous instance
@@ -78,7 +78,7 @@
 	})
 	t.Run("words of peers on the life before don't bring it back", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.Put(later)
 			old := upstreamStartedAt(0).Life()
 			f.TakeView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
@@ -90,7 +90,7 @@
 	})
 	t.Run("words of peers on a life that isn't known yet hold once it is", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.TakeView("b", map[hollowgrade.Life]Share{later.Life(): {Open: 2}}, false)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.Put(later)
@@ -100,7 +100,7 @@
 	})
 	t.Run("and as well where it says itself that it began", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
 			f.Born("u", later.Born)
 			require.Equal(t, time.Second, f.members[later.Life()].reading(time.Now()))
@@ -108,7 +108,7 @@
 	})
 	t.Run("calls of the life before end without a trace, and are not sent to the next", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, p := used(t)
+			f, p := newUsedFleet(t)
 			f.Put(later)
 			require.False(t, f.stillUsable(p))
 			f.failed(p.member, "r", "it ended")
@@ -119,7 +119,7 @@
 	})
 	t.Run("a call that was lost with one life may go to the next", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, p := used(t)
+			f, p := newUsedFleet(t)
 			tried := map[hollowgrade.Life]bool{p.member.Life(): true}
 			require.False(t, f.another("s", tried))
 			f.Put(later)
@@ -128,7 +128,7 @@
 	})
 	t.Run("a start that lay in the future does no harm", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			ahead := upstreamStartedAt(3_600_000)
 			f.Put(ahead)
 			requireFresh(t, f, ahead.Life())
@@ -141,7 +141,7 @@
 		})
 	})
 	t.Run("one that goes takes its life with it", func(t *testing.T) {
-		f, _ := used(t)
+		f, _ := newUsedFleet(t)
 		f.Drop("u", time.Time{})
 		require.Zero(t, f.Size())
 		f.Put(later)
@@ -149,7 +149,7 @@
 	})
 	t.Run("one that lapsed and started again is not taken for the one that lapsed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, _ := used(t)
+			f, _ := newUsedFleet(t)
 			f.Drop("u", time.Now().Add(time.Second))
 			f.Put(later)
 			requireFresh(t, f, later.Life())
