--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -40,8 +40,8 @@
 	return f, p
 }
 
-// requireFresh checks that an upstream's present instance has no state.
-func requireFresh(t *testing.T, f *Fleet, l hollowgrade.Life) {
+// requireNoHistory checks that an upstream's present instance has no state.
+func requireNoHistory(t *testing.T, f *Fleet, l hollowgrade.Life) {
 	t.Helper()
 	m := f.members[l]
 	require.NotNil(t, m, "another instance is listed")
@@ -62,18 +62,18 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Put(later)
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 		})
 	})
 	t.Run("by its own word, before its entry says so", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Born("u", later.Born)
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 			f.Put(upstreamStartedAt(0)) // a late entry of the previous instance
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 			f.Put(later)
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 		})
 	})
 	t.Run("words of peers on the life before don't bring it back", func(t *testing.T) {
@@ -85,7 +85,7 @@
 			f.TakeReadings("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
 			f.TakeBlame("b", old, time.Second)
 			f.TakePace(old, 9, 0, "b", "")
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 		})
 	})
 	t.Run("words of peers on a life that isn't known yet hold once it is", func(t *testing.T) {
@@ -113,7 +113,7 @@
 			require.False(t, f.stillUsable(p))
 			f.failed(p.member, "r", "it ended")
 			f.over(p, false)
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 			require.Empty(t, f.Changes(false))
 		})
 	})
@@ -131,13 +131,13 @@
 			f, _ := newUsedFleet(t)
 			ahead := upstreamStartedAt(3_600_000)
 			f.Put(ahead)
-			requireFresh(t, f, ahead.Life())
+			requireNoHistory(t, f, ahead.Life())
 			f.Put(later) // its clock is right again
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 			f.Born("u", ahead.Born)
 			time.Sleep(entryLag)
 			f.Put(upstreamStartedAt(6000))
-			requireFresh(t, f, upstreamStartedAt(6000).Life())
+			requireNoHistory(t, f, upstreamStartedAt(6000).Life())
 		})
 	})
 	t.Run("one that goes takes its life with it", func(t *testing.T) {
@@ -145,14 +145,14 @@
 		f.Drop("u", time.Time{})
 		require.Zero(t, f.Size())
 		f.Put(later)
-		requireFresh(t, f, later.Life())
+		requireNoHistory(t, f, later.Life())
 	})
 	t.Run("one that lapsed and started again is not taken for the one that lapsed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Drop("u", time.Now().Add(time.Second))
 			f.Put(later)
-			requireFresh(t, f, later.Life())
+			requireNoHistory(t, f, later.Life())
 			time.Sleep(10 * time.Second)
 			require.Equal(t, 1, f.Size())
 		})
