--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -162,16 +162,16 @@
 	})
 }
 
-// bornReporter implements [hollowgrade.Reporter] for an upstream that has restarted.
-type bornReporter struct{ born int64 }
+// startTimeReporter implements [hollowgrade.Reporter] for an upstream that has restarted.
+type startTimeReporter struct{ born int64 }
 
-func (r bornReporter) Report(context.Context, hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
+func (r startTimeReporter) Report(context.Context, hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
 	return hollowgrade.UpstreamReport{Pace: 3, Born: r.born}, nil
 }
 
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(bornReporter{firstStartMillis + 5000}))
+		c := New(&fakeUpstreams{}, &fakeUpstreams{}, WithLogger(discardLogger()), WithReporter(startTimeReporter{firstStartMillis + 5000}))
 		c.Fleet().Put(upstreamStartedAt(0))
 		c.askPaces([]hollowgrade.Upstream{upstreamStartedAt(0)}, "r")
 		synctest.Wait()
