--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -163,10 +163,10 @@
 }
 
 // startTimeReporter implements [hollowgrade.Reporter] for an upstream that has restarted.
-type startTimeReporter struct{ born int64 }
+type startTimeReporter struct{ startMillis int64 }
 
 func (r startTimeReporter) Report(context.Context, hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
-	return hollowgrade.UpstreamReport{Pace: 3, Born: r.born}, nil
+	return hollowgrade.UpstreamReport{Pace: 3, Born: r.startMillis}, nil
 }
 
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
