--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -14,15 +14,15 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// fakeReports implements [hollowgrade.Reporter].
-type fakeReports struct {
+// fakeReporter implements [hollowgrade.Reporter].
+type fakeReporter struct {
 	mu    sync.Mutex
 	paces map[string]float64 // by upstream; 1 if it is not named
 	lost  bool
 	asked map[string]int
 }
 
-func (f *fakeReports) Report(_ context.Context, u hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
+func (f *fakeReporter) Report(_ context.Context, u hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.asked == nil {
@@ -39,13 +39,13 @@
 }
 
 // set sets how many times longer than published an upstream takes.
-func (f *fakeReports) set(id string, pace float64) {
+func (f *fakeReporter) set(id string, pace float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.paces[id] = pace
 }
 
-func (f *fakeReports) times(id string) int {
+func (f *fakeReporter) times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asked[id]
@@ -69,8 +69,8 @@
 
 // engineCore returns a core with three engines whose first event is delayed, and the reporter of
 // their paces.
-func engineCore(after time.Duration) (*Core, *fakeReports) {
-	r := &fakeReports{paces: map[string]float64{}}
+func engineCore(after time.Duration) (*Core, *fakeReporter) {
+	r := &fakeReporter{paces: map[string]float64{}}
 	c := newCore(&fakeUpstreams{replies: []reply{late(after)}}, WithReporter(r))
 	k := Route{Name: "resume", Host: "h", Prefix: "/resume/", Repeat: Resume, Stream: true, Timeout: 10 * time.Second, Goal: 300 * time.Millisecond, Targets: []Target{{"s", 1}}, MaxAttempts: 1}
 	c.SetCatalog(NewCatalog(2, []Route{k}, []Service{{Name: "s", Engine: figures()}}, nil, Limits{}))
@@ -146,7 +146,7 @@
 	})
 	t.Run("plain services are not asked", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			r := &fakeReports{paces: map[string]float64{}}
+			r := &fakeReporter{paces: map[string]float64{}}
 			c := newCore(&fakeUpstreams{replies: []reply{late(3 * time.Second)}}, WithReporter(r))
 			require.NoError(t, c.Serve(context.Background(), call("/resume/"), &fakeSink{}))
 			require.Empty(t, r.asked)
