--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -16,10 +16,10 @@
 
 // fakeReporter implements [hollowgrade.Reporter].
 type fakeReporter struct {
-	mu    sync.Mutex
-	paces map[string]float64 // by upstream; 1 if it is not named
-	lost  bool
-	asked map[string]int
+	mu      sync.Mutex
+	paces   map[string]float64 // by upstream; 1 if it is not named
+	failing bool
+	asked   map[string]int
 }
 
 func (f *fakeReporter) Report(_ context.Context, u hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
@@ -29,7 +29,7 @@
 		f.asked = map[string]int{}
 	}
 	f.asked[u.ID]++
-	if f.lost {
+	if f.failing {
 		return hollowgrade.UpstreamReport{}, errors.New("lost")
 	}
 	if p := f.paces[u.ID]; p > 0 {
@@ -127,7 +127,7 @@
 	t.Run("one that says nothing counts as it did", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
-			r.lost = true
+			r.failing = true
 			serveEngine(t, c)
 			synctest.Wait()
 			require.Equal(t, 1, r.times("u1"))
