--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -16,19 +16,19 @@
 
 // fakeReporter implements [hollowgrade.Reporter].
 type fakeReporter struct {
-	mu      sync.Mutex
-	paces   map[string]float64 // by upstream; 1 if it is not named
-	failing bool
-	asked   map[string]int
+	mu       sync.Mutex
+	paces    map[string]float64 // by upstream; 1 if it is not named
+	failing  bool
+	requests map[string]int
 }
 
 func (f *fakeReporter) Report(_ context.Context, u hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.asked == nil {
-		f.asked = map[string]int{}
+	if f.requests == nil {
+		f.requests = map[string]int{}
 	}
-	f.asked[u.ID]++
+	f.requests[u.ID]++
 	if f.failing {
 		return hollowgrade.UpstreamReport{}, errors.New("lost")
 	}
@@ -48,7 +48,7 @@
 func (f *fakeReporter) times(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked[id]
+	return f.requests[id]
 }
 
 // requirePace checks the pace that an upstream is estimated to have.
@@ -121,7 +121,7 @@
 			c, r := engineCore(100 * time.Millisecond)
 			serveEngine(t, c)
 			time.Sleep(10 * PaceAgain)
-			require.Empty(t, r.asked)
+			require.Empty(t, r.requests)
 		})
 	})
 	t.Run("one that says nothing counts as it did", func(t *testing.T) {
@@ -149,7 +149,7 @@
 			r := &fakeReporter{paces: map[string]float64{}}
 			c := newCore(&fakeUpstreams{replies: []reply{late(3 * time.Second)}}, WithReporter(r))
 			require.NoError(t, c.Serve(context.Background(), call("/resume/"), &fakeSink{}))
-			require.Empty(t, r.asked)
+			require.Empty(t, r.requests)
 		})
 	})
 }
