--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -38,8 +38,8 @@
 	return hollowgrade.UpstreamReport{Pace: 1}, nil
 }
 
-// set sets how many times longer than published an upstream takes.
-func (f *fakeReporter) set(id string, pace float64) {
+// setPace sets how many times longer than published an upstream takes.
+func (f *fakeReporter) setPace(id string, pace float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.paces[id] = pace
@@ -90,12 +90,12 @@
 	t.Run("when a first event is overdue", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
-			r.set("u1", 2.7)
+			r.setPace("u1", 2.7)
 			serveEngine(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
 			require.InDelta(t, 2.7, c.Fleet().Seen(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
 			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "peers are informed")
-			r.set("u1", 1)
+			r.setPace("u1", 1)
 			time.Sleep(2 * PaceAgain)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u1", 1)
@@ -104,13 +104,13 @@
 	t.Run("again and again while they are slow", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
-			r.set("u1", 5)
+			r.setPace("u1", 5)
 			serveEngine(t, c)
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u1", 5)
 			require.InDelta(t, 11, r.times("u1"), 1)
-			r.set("u1", 1)
+			r.setPace("u1", 1)
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
 			require.InDelta(t, 12, r.times("u1"), 1, "not asked once it is at its usual pace")
@@ -137,8 +137,8 @@
 	t.Run("and the others once one is slow", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
-			r.set("u1", 3)
-			r.set("u3", 3)
+			r.setPace("u1", 3)
+			r.setPace("u3", 3)
 			serveEngine(t, c)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u3", 3)
