--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -45,7 +45,7 @@
 	f.paces[id] = pace
 }
 
-func (f *fakeReporter) times(id string) int {
+func (f *fakeReporter) requestCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests[id]
@@ -109,11 +109,11 @@
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u1", 5)
-			require.InDelta(t, 11, r.times("u1"), 1)
+			require.InDelta(t, 11, r.requestCount("u1"), 1)
 			r.setPace("u1", 1)
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
-			require.InDelta(t, 12, r.times("u1"), 1, "not asked once it is at its usual pace")
+			require.InDelta(t, 12, r.requestCount("u1"), 1, "not asked once it is at its usual pace")
 		})
 	})
 	t.Run("not when it comes as predicted", func(t *testing.T) {
@@ -130,7 +130,7 @@
 			r.failing = true
 			serveEngine(t, c)
 			synctest.Wait()
-			require.Equal(t, 1, r.times("u1"))
+			require.Equal(t, 1, r.requestCount("u1"))
 			requirePace(t, c.Fleet(), "u1", 1)
 		})
 	})
