--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -59,8 +59,8 @@
 	require.InDelta(t, want, f.members[id].pace(f.clock.Now()), 1e-9)
 }
 
-// late replies with a stream whose first event is delayed.
-func late(after time.Duration) reply {
+// delayedStream replies with a stream whose first event is delayed.
+func delayedStream(after time.Duration) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(after)
 		return events(1, 2, io.EOF)(ctx, s)
@@ -71,7 +71,7 @@
 // their paces.
 func engineCore(after time.Duration) (*Core, *fakeReporter) {
 	r := &fakeReporter{paces: map[string]float64{}}
-	c := newCore(&fakeUpstreams{replies: []reply{late(after)}}, WithReporter(r))
+	c := newCore(&fakeUpstreams{replies: []reply{delayedStream(after)}}, WithReporter(r))
 	k := Route{Name: "resume", Host: "h", Prefix: "/resume/", Repeat: Resume, Stream: true, Timeout: 10 * time.Second, Goal: 300 * time.Millisecond, Targets: []Target{{"s", 1}}, MaxAttempts: 1}
 	c.SetCatalog(NewCatalog(2, []Route{k}, []Service{{Name: "s", Engine: figures()}}, nil, Limits{}))
 	c.Fleet().SetChance(func() float64 { return 0.5 })
@@ -147,7 +147,7 @@
 	t.Run("plain services are not asked", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			r := &fakeReporter{paces: map[string]float64{}}
-			c := newCore(&fakeUpstreams{replies: []reply{late(3 * time.Second)}}, WithReporter(r))
+			c := newCore(&fakeUpstreams{replies: []reply{delayedStream(3 * time.Second)}}, WithReporter(r))
 			require.NoError(t, c.Serve(context.Background(), call("/resume/"), &fakeSink{}))
 			require.Empty(t, r.requests)
 		})
