--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -78,8 +78,8 @@
 	return c, r
 }
 
-// serveEngine serves a call of 5,000 tokens, whose first event is predicted after some 0.13 s.
-func serveEngine(t *testing.T, c *Core) {
+// serveShortPrompt serves a call of 5,000 tokens, whose first event is predicted after some 0.13 s.
+func serveShortPrompt(t *testing.T, c *Core) {
 	t.Helper()
 	k := call("/resume/")
 	k.PromptTokens, k.MaxTokens = 5_000, 1_500
@@ -91,7 +91,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
 			r.setPace("u1", 2.7)
-			serveEngine(t, c)
+			serveShortPrompt(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
 			require.InDelta(t, 2.7, c.Fleet().Seen(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
 			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "peers are informed")
@@ -105,7 +105,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
 			r.setPace("u1", 5)
-			serveEngine(t, c)
+			serveShortPrompt(t, c)
 			time.Sleep(10 * PaceAgain)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u1", 5)
@@ -119,7 +119,7 @@
 	t.Run("not when it comes as predicted", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(100 * time.Millisecond)
-			serveEngine(t, c)
+			serveShortPrompt(t, c)
 			time.Sleep(10 * PaceAgain)
 			require.Empty(t, r.requests)
 		})
@@ -128,7 +128,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, r := engineCore(900 * time.Millisecond)
 			r.failing = true
-			serveEngine(t, c)
+			serveShortPrompt(t, c)
 			synctest.Wait()
 			require.Equal(t, 1, r.requestCount("u1"))
 			requirePace(t, c.Fleet(), "u1", 1)
@@ -139,7 +139,7 @@
 			c, r := engineCore(900 * time.Millisecond)
 			r.setPace("u1", 3)
 			r.setPace("u3", 3)
-			serveEngine(t, c)
+			serveShortPrompt(t, c)
 			synctest.Wait()
 			requirePace(t, c.Fleet(), "u3", 3)
 		})
