--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -20,8 +20,8 @@
 	return f
 }
 
-// give picks an upstream for a call; it returns nil if there is none.
-func give(f *Fleet) *pick {
+// pickForCall picks an upstream for a call; it returns nil if there is none.
+func pickForCall(f *Fleet) *pick {
 	return f.pick("s", placement.Request{Left: 10 * time.Second}, nil)
 }
 
@@ -45,9 +45,9 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), refusal(rest))
 			time.Sleep(rest - time.Millisecond)
-			require.Nil(t, give(f))
+			require.Nil(t, pickForCall(f))
 			time.Sleep(longest - rest + time.Millisecond)
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 		})
 	})
 	t.Run("is not cut by a shorter one", func(t *testing.T) {
@@ -56,7 +56,7 @@
 			hear(f, "u", time.Now(), refusal(rest))
 			hear(f, "u", time.Now(), refusal(time.Second))
 			time.Sleep(rest - time.Millisecond)
-			require.Nil(t, give(f))
+			require.Nil(t, pickForCall(f))
 		})
 	})
 	t.Run("is not ended by the answer to a call of before", func(t *testing.T) {
@@ -66,7 +66,7 @@
 			hear(f, "u", sent, refusal(rest))
 			time.Sleep(time.Second)
 			hear(f, "u", sent, served)
-			require.Nil(t, give(f))
+			require.Nil(t, pickForCall(f))
 		})
 	})
 	t.Run("is followed by one call, and by others once that is answered", func(t *testing.T) {
@@ -74,13 +74,13 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), refusal(rest))
 			time.Sleep(longest)
-			require.NotNil(t, give(f))
-			require.Nil(t, give(f))
+			require.NotNil(t, pickForCall(f))
+			require.Nil(t, pickForCall(f))
 			sent := time.Now()
 			time.Sleep(10 * time.Millisecond)
 			hear(f, "u", sent, served)
-			require.NotNil(t, give(f))
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
+			require.NotNil(t, pickForCall(f))
 		})
 	})
 	t.Run("is followed by another call if the first gets no answer", func(t *testing.T) {
@@ -88,15 +88,15 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), refusal(rest))
 			time.Sleep(longest)
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 			time.Sleep(proveFor)
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 		})
 	})
 	t.Run("holds also for a call that was held back for it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			p := give(f)
+			p := pickForCall(f)
 			hear(f, "u", time.Now(), refusal(rest))
 			require.False(t, f.stillUsable(p))
 		})
@@ -118,7 +118,7 @@
 			f.Put(upstreamStartedAt(0))
 			hear(f, upstreamStartedAt(0).Life(), time.Now(), refusal(time.Hour))
 			f.Put(upstreamStartedAt(5000))
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 		})
 	})
 }
@@ -140,7 +140,7 @@
 				f := newSignalFleet()
 				tell(f)
 				f.Put(hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4})
-				require.Nil(t, give(f))
+				require.Nil(t, pickForCall(f))
 			})
 		})
 	}
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newSignalFleet("u")
 		f.hearReport("u", "r", time.Now(), hollowgrade.Signals{Leaving: true})
-		require.Nil(t, give(f))
+		require.Nil(t, pickForCall(f))
 		f.hearReport("another", "r", time.Now(), hollowgrade.Signals{Leaving: true})
 	})
 }
@@ -186,7 +186,7 @@
 			sent := time.Now()
 			time.Sleep(time.Millisecond)
 			hear(f, "u", sent, served)
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 			require.False(t, f.members["u"].limit.named)
 		})
 	})
@@ -217,11 +217,11 @@
 			f := newSignalFleet("u")
 			hear(f, "u", time.Now(), named)
 			time.Sleep(time.Minute)
-			p := give(f)
+			p := pickForCall(f)
 			require.NotNil(t, p)
 			f.unsent(p)
 			require.Zero(t, f.members["u"].own.Sent)
-			require.NotNil(t, give(f))
+			require.NotNil(t, pickForCall(f))
 		})
 	})
 	t.Run("callers get places one after another", func(t *testing.T) {
