--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -25,8 +25,8 @@
 	return f.pick("s", placement.Request{Left: 10 * time.Second}, nil)
 }
 
-// hear handles an upstream's answer to a call that was sent at a given time.
-func hear(f *Fleet, id hollowgrade.Life, sent time.Time, h hollowgrade.Head) {
+// receiveAnswer handles an upstream's answer to a call that was sent at a given time.
+func receiveAnswer(f *Fleet, id hollowgrade.Life, sent time.Time, h hollowgrade.Head) {
 	f.answered(f.members[id], "r", false, sent, h)
 }
 
@@ -43,7 +43,7 @@
 	t.Run("ends after its time and not much later", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
 			time.Sleep(rest - time.Millisecond)
 			require.Nil(t, pickForCall(f))
 			time.Sleep(longest - rest + time.Millisecond)
@@ -53,8 +53,8 @@
 	t.Run("is not cut by a shorter one", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), refusal(rest))
-			hear(f, "u", time.Now(), refusal(time.Second))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusal(time.Second))
 			time.Sleep(rest - time.Millisecond)
 			require.Nil(t, pickForCall(f))
 		})
@@ -63,22 +63,22 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			sent := time.Now()
-			hear(f, "u", sent, refusal(rest))
+			receiveAnswer(f, "u", sent, refusal(rest))
 			time.Sleep(time.Second)
-			hear(f, "u", sent, served)
+			receiveAnswer(f, "u", sent, served)
 			require.Nil(t, pickForCall(f))
 		})
 	})
 	t.Run("is followed by one call, and by others once that is answered", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			require.Nil(t, pickForCall(f))
 			sent := time.Now()
 			time.Sleep(10 * time.Millisecond)
-			hear(f, "u", sent, served)
+			receiveAnswer(f, "u", sent, served)
 			require.NotNil(t, pickForCall(f))
 			require.NotNil(t, pickForCall(f))
 		})
@@ -86,7 +86,7 @@
 	t.Run("is followed by another call if the first gets no answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			time.Sleep(proveFor)
@@ -97,15 +97,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			p := pickForCall(f)
-			hear(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
 			require.False(t, f.stillUsable(p))
 		})
 	})
 	t.Run("of all upstreams lets callers come back when the first ends", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u", "v")
-			hear(f, "u", time.Now(), refusal(rest))
-			hear(f, "v", time.Now(), refusal(10*time.Second))
+			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "v", time.Now(), refusal(10*time.Second))
 			r := f.room("s", nil)
 			require.Equal(t, 2, r.resting)
 			require.GreaterOrEqual(t, r.comeBack, rest)
@@ -116,7 +116,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet()
 			f.Put(upstreamStartedAt(0))
-			hear(f, upstreamStartedAt(0).Life(), time.Now(), refusal(time.Hour))
+			receiveAnswer(f, upstreamStartedAt(0).Life(), time.Now(), refusal(time.Hour))
 			f.Put(upstreamStartedAt(5000))
 			require.NotNil(t, pickForCall(f))
 		})
@@ -158,7 +158,7 @@
 func TestTheLoadOfAnotherAtTheAddressIsNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSignalFleet("u")
-		hear(f, "u", time.Now(), hollowgrade.Head{Status: 421, NotRun: true, HasLoad: true,
+		receiveAnswer(f, "u", time.Now(), hollowgrade.Head{Status: 421, NotRun: true, HasLoad: true,
 			Load: hollowgrade.UpstreamLoad{Running: 3}, Signals: hollowgrade.Signals{Foreign: true}})
 		require.Zero(t, f.members["u"].load)
 	})
@@ -171,9 +171,9 @@
 			f := newSignalFleet("u")
 			sent := time.Now()
 			time.Sleep(time.Millisecond)
-			hear(f, "u", sent, named)
+			receiveAnswer(f, "u", sent, named)
 			time.Sleep(time.Millisecond)
-			hear(f, "u", sent, served)
+			receiveAnswer(f, "u", sent, served)
 			require.True(t, f.members["u"].limit.named)
 		})
 	})
@@ -181,11 +181,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			time.Sleep(time.Millisecond)
-			hear(f, "u", time.Now(), named)
+			receiveAnswer(f, "u", time.Now(), named)
 			time.Sleep(time.Millisecond)
 			sent := time.Now()
 			time.Sleep(time.Millisecond)
-			hear(f, "u", sent, served)
+			receiveAnswer(f, "u", sent, served)
 			require.NotNil(t, pickForCall(f))
 			require.False(t, f.members["u"].limit.named)
 		})
@@ -194,9 +194,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			time.Sleep(time.Millisecond)
-			hear(f, "u", time.Now(), named)
+			receiveAnswer(f, "u", time.Now(), named)
 			time.Sleep(time.Second)
-			hear(f, "u", time.Now(), hollowgrade.Head{Status: 421, NotRun: true, Signals: hollowgrade.Signals{Foreign: true}})
+			receiveAnswer(f, "u", time.Now(), hollowgrade.Head{Status: 421, NotRun: true, Signals: hollowgrade.Signals{Foreign: true}})
 			require.True(t, f.members["u"].limit.named)
 		})
 	})
@@ -204,7 +204,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			time.Sleep(time.Minute)
-			hear(f, "u", time.Now(), named)
+			receiveAnswer(f, "u", time.Now(), named)
 			f.TakeLimit("b", "u", RateLimit{Age: time.Second})
 			require.True(t, f.members["u"].limit.named)
 			time.Sleep(2 * time.Second)
@@ -215,7 +215,7 @@
 	t.Run("what was not sent is given back", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), named)
+			receiveAnswer(f, "u", time.Now(), named)
 			time.Sleep(time.Minute)
 			p := pickForCall(f)
 			require.NotNil(t, p)
@@ -227,7 +227,7 @@
 	t.Run("callers get places one after another", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			hear(f, "u", time.Now(), named)
+			receiveAnswer(f, "u", time.Now(), named)
 			apart := time.Duration(float64(time.Second) / f.members["u"].limit.rate())
 			first := f.room("s", nil).comeBack
 			require.InDelta(t, float64(first+apart), float64(f.room("s", nil).comeBack), float64(time.Microsecond))
