--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -30,8 +30,8 @@
 	f.answered(f.members[id], "r", false, sent, h)
 }
 
-// refusal is an answer with a retry delay.
-func refusal(d time.Duration) hollowgrade.Head {
+// refusalWithRetryAfter is an answer with a retry delay.
+func refusalWithRetryAfter(d time.Duration) hollowgrade.Head {
 	return hollowgrade.Head{Status: 503, NotRun: true, Signals: hollowgrade.Signals{Rest: d}}
 }
 
@@ -43,7 +43,7 @@
 	t.Run("ends after its time and not much later", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
 			time.Sleep(rest - time.Millisecond)
 			require.Nil(t, pickForCall(f))
 			time.Sleep(longest - rest + time.Millisecond)
@@ -53,8 +53,8 @@
 	t.Run("is not cut by a shorter one", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
-			receiveAnswer(f, "u", time.Now(), refusal(time.Second))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(time.Second))
 			time.Sleep(rest - time.Millisecond)
 			require.Nil(t, pickForCall(f))
 		})
@@ -63,7 +63,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			sent := time.Now()
-			receiveAnswer(f, "u", sent, refusal(rest))
+			receiveAnswer(f, "u", sent, refusalWithRetryAfter(rest))
 			time.Sleep(time.Second)
 			receiveAnswer(f, "u", sent, served)
 			require.Nil(t, pickForCall(f))
@@ -72,7 +72,7 @@
 	t.Run("is followed by one call, and by others once that is answered", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			require.Nil(t, pickForCall(f))
@@ -86,7 +86,7 @@
 	t.Run("is followed by another call if the first gets no answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			time.Sleep(proveFor)
@@ -97,15 +97,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			p := pickForCall(f)
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
 			require.False(t, f.stillUsable(p))
 		})
 	})
 	t.Run("of all upstreams lets callers come back when the first ends", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u", "v")
-			receiveAnswer(f, "u", time.Now(), refusal(rest))
-			receiveAnswer(f, "v", time.Now(), refusal(10*time.Second))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "v", time.Now(), refusalWithRetryAfter(10*time.Second))
 			r := f.room("s", nil)
 			require.Equal(t, 2, r.resting)
 			require.GreaterOrEqual(t, r.comeBack, rest)
@@ -116,7 +116,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet()
 			f.Put(upstreamStartedAt(0))
-			receiveAnswer(f, upstreamStartedAt(0).Life(), time.Now(), refusal(time.Hour))
+			receiveAnswer(f, upstreamStartedAt(0).Life(), time.Now(), refusalWithRetryAfter(time.Hour))
 			f.Put(upstreamStartedAt(5000))
 			require.NotNil(t, pickForCall(f))
 		})
