--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -15,22 +15,22 @@
 
 // suspendable simulates a machine that can be suspended, in virtual time.
 type suspendable struct {
-	started time.Time
-	lost    atomic.Int64
+	started   time.Time
+	suspended atomic.Int64
 	*hollowgrade.WorldClock
 }
 
 func newSuspendable() *suspendable {
 	s := &suspendable{started: time.Now()}
 	s.WorldClock = hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) {
-		return time.Since(s.started) + time.Duration(s.lost.Load()), nil
+		return time.Since(s.started) + time.Duration(s.suspended.Load()), nil
 	}))
 	return s
 }
 
 // suspend suspends the machine: no time passes on its steady clock.
 func (s *suspendable) suspend(d time.Duration) {
-	s.lost.Add(int64(d))
+	s.suspended.Add(int64(d))
 }
 
 // core returns a core on the machine, whose configuration was confirmed just now.
