--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// oversized serves a prompt of 900,000 tokens on engines with memory for 450,000.
-func oversized(t *testing.T, f *fakeUpstreams, engines int) *fault.Error {
+// serveOversizedPrompt serves a prompt of 900,000 tokens on engines with memory for 450,000.
+func serveOversizedPrompt(t *testing.T, f *fakeUpstreams, engines int) *fault.Error {
 	t.Helper()
 	return prompt(t, f, engines, 900_000)
 }
@@ -55,7 +55,7 @@
 			f := &fakeUpstreams{}
 			held := 0
 			f.replies = []reply{slowly(f, 5*time.Second, func(n int) { held = n })}
-			require.Nil(t, oversized(t, f, 18))
+			require.Nil(t, serveOversizedPrompt(t, f, 18))
 			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
@@ -73,7 +73,7 @@
 			for id := range newFleet("e", 18).members {
 				f.full[string(id)] = true
 			}
-			requireFault(t, oversized(t, f, 18), fault.Overloaded, hollowgrade.NotRun)
+			requireFault(t, serveOversizedPrompt(t, f, 18), fault.Overloaded, hollowgrade.NotRun)
 			synctest.Wait()
 			require.Empty(t, f.sentCalls())
 			require.Zero(t, f.reservedTokens())
@@ -82,7 +82,7 @@
 	t.Run("leave nothing behind when an engine is lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{broken}}
-			require.NotNil(t, oversized(t, f, 18))
+			require.NotNil(t, serveOversizedPrompt(t, f, 18))
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
 			require.Len(t, f.sentCalls(), 2)
@@ -94,7 +94,7 @@
 func TestFewerEnginesThanAPromptNeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{broken}}
-		requireFault(t, oversized(t, f, 4), fault.NoUpstream, hollowgrade.NotRun)
+		requireFault(t, serveOversizedPrompt(t, f, 4), fault.NoUpstream, hollowgrade.NotRun)
 		require.Empty(t, f.sentCalls())
 	})
 }
