--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -18,11 +18,11 @@
 // serveOversizedPrompt serves a prompt of 900,000 tokens on engines with memory for 450,000.
 func serveOversizedPrompt(t *testing.T, f *fakeUpstreams, engines int) *fault.Error {
 	t.Helper()
-	return prompt(t, f, engines, 900_000)
+	return servePrompt(t, f, engines, 900_000)
 }
 
-// prompt serves a prompt on engines with memory for 450,000 tokens.
-func prompt(t *testing.T, f *fakeUpstreams, engines, tokens int) *fault.Error {
+// servePrompt serves a servePrompt on engines with memory for 450,000 tokens.
+func servePrompt(t *testing.T, f *fakeUpstreams, engines, tokens int) *fault.Error {
 	t.Helper()
 	c := New(f, f, WithLogger(discardLogger()))
 	c.started = c.started.Add(-time.Minute)
@@ -116,7 +116,7 @@
 				},
 				events(1, 1, io.EOF),
 			}}
-			require.Nil(t, prompt(t, f, 18, 300_000))
+			require.Nil(t, servePrompt(t, f, 18, 300_000))
 			require.Len(t, f.sentCalls(), 2)
 			for _, h := range f.sentCalls()[1].Helpers {
 				require.NotEqual(t, bad, h.Address)
