--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -40,8 +40,8 @@
 	return fault.As(err, hollowgrade.Unknown)
 }
 
-// slowly replies with a stream after d, and calls look with the reserved tokens before.
-func slowly(f *fakeUpstreams, d time.Duration, look func(held int)) reply {
+// slowStream replies with a stream after d, and calls look with the reserved tokens before.
+func slowStream(f *fakeUpstreams, d time.Duration, look func(held int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
 		look(f.reservedTokens())
@@ -54,7 +54,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{}
 			held := 0
-			f.replies = []reply{slowly(f, 5*time.Second, func(n int) { held = n })}
+			f.replies = []reply{slowStream(f, 5*time.Second, func(n int) { held = n })}
 			require.Nil(t, serveOversizedPrompt(t, f, 18))
 			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
 			synctest.Wait()
