--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -10,9 +10,9 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requireUnheard checks how many calls of a service peers are estimated to have placed that they
+// requirePendingCalls checks how many calls of a service peers are estimated to have placed that they
 // haven't reported yet.
-func requireUnheard(t *testing.T, f *Fleet, service string, want float64) {
+func requirePendingCalls(t *testing.T, f *Fleet, service string, want float64) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,22 +28,22 @@
 				time.Sleep(2 * time.Millisecond)
 				f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: n + 1}}, false)
 			}
-			requireUnheard(t, f, "e", 500*unheardFor.Seconds())
-			requireUnheard(t, f, "another", 0)
+			requirePendingCalls(t, f, "e", 500*unheardFor.Seconds())
+			requirePendingCalls(t, f, "another", 0)
 			time.Sleep(10 * rateMemory)
-			requireUnheard(t, f, "e", 0)
+			requirePendingCalls(t, f, "e", 0)
 		})
 	})
 	t.Run("are not what stood when a process was first heard", func(t *testing.T) {
 		f := newFleet("e", 2)
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 50}}, true)
-		requireUnheard(t, f, "e", 0)
+		requirePendingCalls(t, f, "e", 0)
 	})
 	t.Run("are not those that end", func(t *testing.T) {
 		f := newFleet("e", 2)
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 50}}, true)
 		f.TakeView("b", map[hollowgrade.Life]Share{"u00": {Open: 20}}, false)
-		requireUnheard(t, f, "e", 0)
+		requirePendingCalls(t, f, "e", 0)
 	})
 }
 
