--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -36,9 +36,9 @@
 	return remembered
 }
 
-// starts lists the entry of another instance after some time; later is the difference of the start
+// restartEntry lists the entry of another instance after some time; later is the difference of the start
 // times in ms.
-func starts(after time.Duration, later int64) func(f *Fleet, u hollowgrade.Upstream) {
+func restartEntry(after time.Duration, later int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
 		time.Sleep(after)
 		u.Born += later
@@ -49,7 +49,7 @@
 func TestAnEndIsSeenByTheNextLife(t *testing.T) {
 	const born = 1_773_628_201_234
 	t.Run("in the entry of the upstream", func(t *testing.T) {
-		require.Equal(t, 1, lostOnce(t, born, starts(2*time.Second, 1500)))
+		require.Equal(t, 1, lostOnce(t, born, restartEntry(2*time.Second, 1500)))
 	})
 	t.Run("in its own word", func(t *testing.T) {
 		require.Equal(t, 1, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, born+1) }))
@@ -61,16 +61,16 @@
 		}))
 	})
 	t.Run("nor for one whose life seems to have begun earlier", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, starts(time.Second, -1500)))
+		require.Zero(t, lostOnce(t, born, restartEntry(time.Second, -1500)))
 	})
 	t.Run("nor for one that is replaced some time after a connection broke", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, starts(provedWithin+time.Second, 1500)))
+		require.Zero(t, lostOnce(t, born, restartEntry(provedWithin+time.Second, 1500)))
 	})
 	t.Run("nor for one that is taken away", func(t *testing.T) {
 		require.Zero(t, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
 	})
 	t.Run("nor for one that does not tell its lives", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, 0, starts(time.Second, 1500)))
+		require.Zero(t, lostOnce(t, 0, restartEntry(time.Second, 1500)))
 	})
 }
 
