--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -13,10 +13,10 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// lostOnce serves a call whose connection breaks at an upstream that keeps accepting connections,
+// serveLostCall serves a call whose connection breaks at an upstream that keeps accepting connections,
 // applies what follows to the upstream, and returns how many requests the quarantine then
 // remembers.
-func lostOnce(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
+func serveLostCall(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&presentProber{}))
@@ -49,28 +49,28 @@
 func TestAnEndIsSeenByTheNextLife(t *testing.T) {
 	const born = 1_773_628_201_234
 	t.Run("in the entry of the upstream", func(t *testing.T) {
-		require.Equal(t, 1, lostOnce(t, born, restartEntry(2*time.Second, 1500)))
+		require.Equal(t, 1, serveLostCall(t, born, restartEntry(2*time.Second, 1500)))
 	})
 	t.Run("in its own word", func(t *testing.T) {
-		require.Equal(t, 1, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, born+1) }))
+		require.Equal(t, 1, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, born+1) }))
 	})
 	t.Run("and counts nothing for an upstream that went on", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) {
+		require.Zero(t, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) {
 			u.Draining = true
 			f.Put(u)
 		}))
 	})
 	t.Run("nor for one whose life seems to have begun earlier", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, restartEntry(time.Second, -1500)))
+		require.Zero(t, serveLostCall(t, born, restartEntry(time.Second, -1500)))
 	})
 	t.Run("nor for one that is replaced some time after a connection broke", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, restartEntry(provedWithin+time.Second, 1500)))
+		require.Zero(t, serveLostCall(t, born, restartEntry(provedWithin+time.Second, 1500)))
 	})
 	t.Run("nor for one that is taken away", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
+		require.Zero(t, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
 	})
 	t.Run("nor for one that does not tell its lives", func(t *testing.T) {
-		require.Zero(t, lostOnce(t, 0, restartEntry(time.Second, 1500)))
+		require.Zero(t, serveLostCall(t, 0, restartEntry(time.Second, 1500)))
 	})
 }
 
