--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -16,11 +16,11 @@
 // serveLostCall serves a call whose connection breaks at an upstream that keeps accepting connections,
 // applies what follows to the upstream, and returns how many requests the quarantine then
 // remembers.
-func serveLostCall(t *testing.T, born int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
+func serveLostCall(t *testing.T, startMillis int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&presentProber{}))
-		u := hollowgrade.Upstream{ID: "u1", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: born}
+		u := hollowgrade.Upstream{ID: "u1", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: startMillis}
 		for _, m := range c.Fleet().members {
 			c.Fleet().Drop(m.ID, time.Time{})
 		}
