--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -47,27 +47,27 @@
 }
 
 func TestAnEndIsSeenByTheNextLife(t *testing.T) {
-	const born = 1_773_628_201_234
+	const startMillis = 1_773_628_201_234
 	t.Run("in the entry of the upstream", func(t *testing.T) {
-		require.Equal(t, 1, serveLostCall(t, born, restartEntry(2*time.Second, 1500)))
+		require.Equal(t, 1, serveLostCall(t, startMillis, restartEntry(2*time.Second, 1500)))
 	})
 	t.Run("in its own word", func(t *testing.T) {
-		require.Equal(t, 1, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, born+1) }))
+		require.Equal(t, 1, serveLostCall(t, startMillis, func(f *Fleet, u hollowgrade.Upstream) { f.Born(u.ID, startMillis+1) }))
 	})
 	t.Run("and counts nothing for an upstream that went on", func(t *testing.T) {
-		require.Zero(t, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) {
+		require.Zero(t, serveLostCall(t, startMillis, func(f *Fleet, u hollowgrade.Upstream) {
 			u.Draining = true
 			f.Put(u)
 		}))
 	})
 	t.Run("nor for one whose life seems to have begun earlier", func(t *testing.T) {
-		require.Zero(t, serveLostCall(t, born, restartEntry(time.Second, -1500)))
+		require.Zero(t, serveLostCall(t, startMillis, restartEntry(time.Second, -1500)))
 	})
 	t.Run("nor for one that is replaced some time after a connection broke", func(t *testing.T) {
-		require.Zero(t, serveLostCall(t, born, restartEntry(provedWithin+time.Second, 1500)))
+		require.Zero(t, serveLostCall(t, startMillis, restartEntry(provedWithin+time.Second, 1500)))
 	})
 	t.Run("nor for one that is taken away", func(t *testing.T) {
-		require.Zero(t, serveLostCall(t, born, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
+		require.Zero(t, serveLostCall(t, startMillis, func(f *Fleet, u hollowgrade.Upstream) { f.Drop(u.ID, time.Time{}) }))
 	})
 	t.Run("nor for one that does not tell its lives", func(t *testing.T) {
 		require.Zero(t, serveLostCall(t, 0, restartEntry(time.Second, 1500)))
