--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -38,9 +38,9 @@
 
 // restartEntry lists the entry of another instance after some time; later is the difference of the start
 // times in ms.
-func restartEntry(after time.Duration, startDelta int64) func(f *Fleet, u hollowgrade.Upstream) {
+func restartEntry(delay time.Duration, startDelta int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
-		time.Sleep(after)
+		time.Sleep(delay)
 		u.Born += startDelta
 		f.Put(u)
 	}
