--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestAnEndIsSeenByConnectionsThatAreClosed(t *testing.T) {
-	play := func(t *testing.T, p *proxyProber, r reply) (sent int, c *Core) {
+	run := func(t *testing.T, p *proxyProber, r reply) (sent int, c *Core) {
 		t.Helper()
 		f := &fakeUpstreams{replies: []reply{r}}
 		c = newProxiedCore(t, f, p)
@@ -73,7 +73,7 @@
 	}
 	t.Run("of what ran there, so that its request is held", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			sent, c := play(t, &proxyProber{closes: alwaysCloses}, delayed(broken))
+			sent, c := run(t, &proxyProber{closes: alwaysCloses}, delayed(broken))
 			require.Len(t, c.Quarantine().Holds(), 1)
 			require.Equal(t, 3, sent, "as many as with ports that refuse connections")
 		})
@@ -91,7 +91,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, c := play(t, &proxyProber{closes: x.closes()}, x.reply)
+				_, c := run(t, &proxyProber{closes: x.closes()}, x.reply)
 				require.Zero(t, c.Quarantine().Size())
 			})
 		})
