--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -119,9 +119,9 @@
 }
 
 func TestAnUpstreamThatClosesConnectionsIsAvoided(t *testing.T) {
-	// lose loses one call at one of three upstreams and returns that upstream's id; later calls
+	// loseCall loses one call at one of three upstreams and returns that upstream's id; later calls
 	// succeed.
-	lose := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *proxyProber, lost string) {
+	loseCall := func(t *testing.T, closes func(hollowgrade.Upstream) bool) (c *Core, f *fakeUpstreams, p *proxyProber, lost string) {
 		t.Helper()
 		f = &fakeUpstreams{replies: []reply{delayed(broken), status(200, "yes")}}
 		p = &proxyProber{closes: closes}
@@ -149,14 +149,14 @@
 	}
 	t.Run("while it does, with four probes a second", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, p, id := lose(t, alwaysCloses)
+			c, f, p, id := loseCall(t, alwaysCloses)
 			require.Zero(t, sentTo(c, f, id, watchedFor))
 			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/probeAgain)+2)
 		})
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, _, id := lose(t, closesUntil(time.Now().Add(1500*time.Millisecond)))
+			c, f, _, id := loseCall(t, closesUntil(time.Now().Add(1500*time.Millisecond)))
 			require.Zero(t, sentTo(c, f, id, time.Second))
 			time.Sleep(probeAgain + closingAvoid)
 			require.Positive(t, sentTo(c, f, id, 3*time.Second))
@@ -188,7 +188,7 @@
 	})
 	t.Run("but used when there is no other", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, f, _, id := lose(t, alwaysCloses)
+			c, f, _, id := loseCall(t, alwaysCloses)
 			for _, u := range []string{"u1", "u2", "u3"} {
 				if u != id {
 					c.Fleet().Drop(u, time.Time{})
