--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -131,8 +131,8 @@
 		_ = c.Serve(context.Background(), k, &fakeSink{})
 		return c, f, p, f.sentCalls()[0].Upstream.ID
 	}
-	// sentTo serves ten calls a second for some time, and returns how many were sent to an upstream.
-	sentTo := func(c *Core, f *fakeUpstreams, id string, d time.Duration) (n int) {
+	// countSent serves ten calls a second for some time, and returns how many were sent to an upstream.
+	countSent := func(c *Core, f *fakeUpstreams, id string, d time.Duration) (n int) {
 		before := len(f.sentCalls())
 		for i := range int(10 * d.Seconds()) {
 			k := call("/again/")
@@ -150,16 +150,16 @@
 	t.Run("while it does, with four probes a second", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, f, p, id := loseCall(t, alwaysCloses)
-			require.Zero(t, sentTo(c, f, id, watchedFor))
+			require.Zero(t, countSent(c, f, id, watchedFor))
 			require.LessOrEqual(t, p.probes.Load(), int64(watchedFor/probeAgain)+2)
 		})
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, f, _, id := loseCall(t, closesUntil(time.Now().Add(1500*time.Millisecond)))
-			require.Zero(t, sentTo(c, f, id, time.Second))
+			require.Zero(t, countSent(c, f, id, time.Second))
 			time.Sleep(probeAgain + closingAvoid)
-			require.Positive(t, sentTo(c, f, id, 3*time.Second))
+			require.Positive(t, countSent(c, f, id, 3*time.Second))
 		})
 	})
 	t.Run("by others too, who are told of it once however many lost calls there", func(t *testing.T) {
@@ -194,7 +194,7 @@
 					c.Fleet().Drop(u, time.Time{})
 				}
 			}
-			require.Positive(t, sentTo(c, f, id, time.Second))
+			require.Positive(t, countSent(c, f, id, time.Second))
 		})
 	})
 }
