--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -165,10 +165,10 @@
 	t.Run("by others too, who are told of it once however many lost calls there", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a, b, c := newFleet("s", 4), newFleet("s", 4), newFleet("s", 4)
-			words := 0
+			updates := 0
 			tell := func(from *Fleet, to ...*Fleet) {
 				for l := range from.Changes(false) {
-					words++
+					updates++
 					for _, f := range to {
 						f.TakeBlame("box", l, avoidDurations(from)[l])
 					}
@@ -182,7 +182,7 @@
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(probeAgain)
 			}
-			require.LessOrEqual(t, words, int(watchedFor/(closingAvoid-2*probeAgain)))
+			require.LessOrEqual(t, updates, int(watchedFor/(closingAvoid-2*probeAgain)))
 			require.False(t, a.closing("another"))
 		})
 	})
