--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -166,7 +166,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			a, b, c := newFleet("s", 4), newFleet("s", 4), newFleet("s", 4)
 			updates := 0
-			tell := func(from *Fleet, to ...*Fleet) {
+			sendChanges := func(from *Fleet, to ...*Fleet) {
 				for l := range from.Changes(false) {
 					updates++
 					for _, f := range to {
@@ -176,9 +176,9 @@
 			}
 			for range watchedFor / probeAgain {
 				require.True(t, a.closing("u00"))
-				tell(a, b, c)
+				sendChanges(a, b, c)
 				require.True(t, b.closing("u00"))
-				tell(b, a, c)
+				sendChanges(b, a, c)
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(probeAgain)
 			}
