--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestConnectionsThatBreakAreLookedInto(t *testing.T) {
-	play := func(t *testing.T, p hollowgrade.Prober) *Core {
+	run := func(t *testing.T, p hollowgrade.Prober) *Core {
 		t.Helper()
 		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(p))
 		for i := range 6 {
@@ -111,18 +111,18 @@
 	t.Run("those of upstreams that go on speak against no request", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &presentProber{}
-			require.Zero(t, play(t, p).Quarantine().Size())
+			require.Zero(t, run(t, p).Quarantine().Size())
 			require.Positive(t, p.probes.Load())
 		})
 	})
 	t.Run("those of upstreams that ended do", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, absentProber{}).Quarantine().Holds(), 1)
+			require.Len(t, run(t, absentProber{}).Quarantine().Holds(), 1)
 		})
 	})
 	t.Run("and those of upstreams that say nothing", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			require.Len(t, play(t, absentProber{silent: true}).Quarantine().Holds(), 1)
+			require.Len(t, run(t, absentProber{silent: true}).Quarantine().Holds(), 1)
 		})
 	})
 	t.Run("one look is enough for all calls that were lost with an upstream", func(t *testing.T) {
