--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -32,7 +32,7 @@
 
 func TestExpectedPrompts(t *testing.T) {
 	expected := func(f *Fleet) placement.Demand { return f.expected("e", f.clock.Now()) }
-	play := func(name string, do func(t *testing.T, f *Fleet)) {
+	run := func(name string, do func(t *testing.T, f *Fleet)) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet("e", 18)
@@ -42,7 +42,7 @@
 			})
 		})
 	}
-	play("are those that this process placed, until no more come", func(t *testing.T, f *Fleet) {
+	run("are those that this process placed, until no more come", func(t *testing.T, f *Fleet) {
 		p := f.pick("e", long(210_000), nil)
 		require.False(t, p.Refused)
 		requireExpectedPrompts(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
@@ -50,7 +50,7 @@
 		require.Empty(t, expected(f).Prompts)
 		require.Greater(t, expected(f).Known, 0.99)
 	})
-	play("are those that others placed, whose parts come in several packets", func(t *testing.T, f *Fleet) {
+	run("are those that others placed, whose parts come in several packets", func(t *testing.T, f *Fleet) {
 		f.TakeView("b", nil, true)
 		f.TakeView("b", prefillShares(time.Second, "u00", "u01"), false)
 		time.Sleep(5 * time.Millisecond)
@@ -58,7 +58,7 @@
 		time.Sleep(2 * wordParts)
 		requireExpectedPrompts(t, expected(f), 0.5, 3*time.Second)
 	})
-	play("are not what another had given before it was first heard", func(t *testing.T, f *Fleet) {
+	run("are not what another had given before it was first heard", func(t *testing.T, f *Fleet) {
 		f.TakeView("c", prefillShares(time.Second, "u00", "u01"), true)
 		time.Sleep(2 * wordParts)
 		require.Empty(t, expected(f).Prompts)
