--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -256,7 +256,7 @@
 }
 
 func TestShortAndLongKeepApart(t *testing.T) {
-	spaced := func(f *Fleet, n int) (used map[string]int) {
+	pickSpaced := func(f *Fleet, n int) (used map[string]int) {
 		used = map[string]int{}
 		for range n {
 			used[f.pick("e", short(), nil).member.ID]++
@@ -266,7 +266,7 @@
 	}
 	t.Run("short ones are packed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			requirePacked(t, spaced(newFleet("e", 18), 20), 10, 12)
+			requirePacked(t, pickSpaced(newFleet("e", 18), 20), 10, 12)
 		})
 	})
 	// Guards against random tie-breaking that outweighs the order of the engines: 24 short calls were
@@ -288,17 +288,17 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 18)
 			f.SetPeers(func() int { return 4 })
-			requirePacked(t, spaced(f, 8), 2, 14)
+			requirePacked(t, pickSpaced(f, 8), 2, 14)
 			for _, box := range []string{"b", "c", "d", "e"} {
 				f.TakeView(box, nil, true)
 			}
-			requirePacked(t, spaced(f, 12), 10, 14)
+			requirePacked(t, pickSpaced(f, 12), 10, 14)
 		})
 	})
 	t.Run("a long one leaves engines alone on which short ones write", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 18)
-			spaced(f, 20)
+			pickSpaced(f, 20)
 			p := f.pick("e", long(210_000), nil)
 			for _, m := range append(p.helpers, p.member) {
 				require.Zero(t, m.own.Stakes.Lost(0, 300*time.Millisecond), m.ID)
@@ -324,7 +324,7 @@
 	t.Run("parts that hold nobody up go everywhere", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 18)
-			spaced(f, 100)
+			pickSpaced(f, 100)
 			time.Sleep(time.Second)
 			require.Len(t, f.pick("e", long(45_000), nil).helpers, maxHelpers)
 		})
