--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -124,7 +124,7 @@
 }
 
 func TestWordsOfPeersOnUpstreamsThatAreNotListedYet(t *testing.T) {
-	for name, tell := range map[string]func(f *Fleet){
+	for name, report := range map[string]func(f *Fleet){
 		"that it leaves":            func(f *Fleet) { f.TakeLeaving("b", "u") },
 		"that it takes no requests": func(f *Fleet) { f.TakeLimit("b", "u", RateLimit{Named: true}) },
 		"both, one after the other": func(f *Fleet) { f.TakeLimit("b", "u", RateLimit{Named: true}); f.TakeLeaving("b", "u") },
@@ -138,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newSignalFleet()
-				tell(f)
+				report(f)
 				f.Put(hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4})
 				require.Nil(t, pickForCall(f))
 			})
