--- a/core/core_test.go
+++ b/core/core_test.go
@@ -414,10 +414,10 @@
 			spent++
 		}
 	}
-	again := len(f.sentCalls()) - calls
-	require.LessOrEqual(t, again, calls/5+3)
-	require.GreaterOrEqual(t, again, 20)
-	require.Equal(t, calls, again+spent)
+	retries := len(f.sentCalls()) - calls
+	require.LessOrEqual(t, retries, calls/5+3)
+	require.GreaterOrEqual(t, retries, 20)
+	require.Equal(t, calls, retries+spent)
 }
 
 func TestWeights(t *testing.T) {
