--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -41,7 +41,7 @@
 }
 
 // slowStream replies with a stream after d, and calls look with the reserved tokens before.
-func slowStream(f *fakeUpstreams, d time.Duration, look func(held int)) reply {
+func slowStream(f *fakeUpstreams, d time.Duration, look func(reserved int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
 		look(f.reservedTokens())
