--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -41,10 +41,10 @@
 }
 
 // slowStream replies with a stream after d, and calls look with the reserved tokens before.
-func slowStream(f *fakeUpstreams, d time.Duration, look func(reserved int)) reply {
+func slowStream(f *fakeUpstreams, d time.Duration, check func(reserved int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
-		look(f.reservedTokens())
+		check(f.reservedTokens())
 		return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{}, Sealed: true, Stream: true}, end: io.EOF}, nil
 	}
 }
