--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -53,10 +53,10 @@
 	t.Run("are kept at several, renewed while they run and freed after", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{}
-			held := 0
-			f.replies = []reply{slowStream(f, 5*time.Second, func(n int) { held = n })}
+			reserved := 0
+			f.replies = []reply{slowStream(f, 5*time.Second, func(n int) { reserved = n })}
 			require.Nil(t, serveOversizedPrompt(t, f, 18))
-			require.InDelta(t, 4*180_000, held, 10, "the first engine keeps the rest")
+			require.InDelta(t, 4*180_000, reserved, 10, "the first engine keeps the rest")
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
 			s := f.sentCalls()[0]
