--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -124,9 +124,9 @@
 			} else {
 				u := k.member.ID
 				got[u] = append(got[u], time.Now())
-				sent, says := time.Now(), p.signals(u, r)
+				sent, signals := time.Now(), p.signals(u, r)
 				time.AfterFunc(15*time.Millisecond, func() {
-					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
+					f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: signals})
 					f.over(k, true)
 				})
 				x.updates += p.sendShares(ps, i, f.Changes(false), false, r)
