--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -246,12 +246,12 @@
 			if k == nil {
 				continue
 			}
-			sent, says := time.Now(), p.signals(k.member.ID, r)
+			sent, signals := time.Now(), p.signals(k.member.ID, r)
 			time.AfterFunc(60*time.Millisecond, func() {
 				if time.Since(begin) > named {
-					says = hollowgrade.Signals{}
+					signals = hollowgrade.Signals{}
 				}
-				f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: says})
+				f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: signals})
 				f.over(k, true)
 			})
 		}
