--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -235,8 +235,8 @@
 			p.sendShares(ps, i, ps[i].fleet.Shares(), true, r)
 		}
 		begin := time.Now()
-		const named, after = 4 * time.Second, 6 * time.Second
-		for time.Since(begin) < named+after {
+		const namedFor, after = 4 * time.Second, 6 * time.Second
+		for time.Since(begin) < namedFor+after {
 			time.Sleep(25 * time.Millisecond)
 			for i, o := range ps {
 				p.sendShares(ps, i, o.fleet.Shares(), true, r)
@@ -248,7 +248,7 @@
 			}
 			sent, signals := time.Now(), p.signals(k.member.ID, r)
 			time.AfterFunc(60*time.Millisecond, func() {
-				if time.Since(begin) > named {
+				if time.Since(begin) > namedFor {
 					signals = hollowgrade.Signals{}
 				}
 				f.answered(k.member, "r", false, sent, hollowgrade.Head{Status: 200, Signals: signals})
