--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -13,11 +13,11 @@
 )
 
 // requireExpectedPrompts checks that prompts of one length are expected, their rate and their prefill time.
-func requireExpectedPrompts(t *testing.T, d placement.Demand, perSecond float64, reading time.Duration) {
+func requireExpectedPrompts(t *testing.T, d placement.Demand, perSecond float64, prefill time.Duration) {
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
 	require.InDelta(t, perSecond, d.Prompts[0].Rate, 0.1)
-	require.InDelta(t, reading.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
+	require.InDelta(t, prefill.Seconds(), d.Prompts[0].Reading.Seconds(), 0.05)
 }
 
 // prefillShares returns the shares of a peer that has placed prefill work of duration d on each of some
