--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -22,11 +22,11 @@
 // engines of a pool of 18 within a minute, each back after two seconds. Other calls on these
 // engines were cut, and sent on to engines that crashed next.
 
-// knownWithin is the time within which all gateways have to know of a request that has crashed
+// quarantineDelay is the time within which all gateways have to know of a request that has crashed
 // three upstreams, and toleratedSends is how often it may be sent after that.
 const (
-	knownWithin    = 3 * time.Second
-	toleratedSends = 3
+	quarantineDelay = 3 * time.Second
+	toleratedSends  = 3
 )
 
 // killing is the body of a request that crashes each upstream that runs it.
@@ -161,7 +161,7 @@
 	if len(m.ended) < 3 {
 		return 0, len(m.ended)
 	}
-	known := m.ended[2].Add(knownWithin)
+	known := m.ended[2].Add(quarantineDelay)
 	for _, t := range m.sent {
 		if t.After(known) {
 			sends++
@@ -265,7 +265,7 @@
 	c.every(plays, 100*time.Millisecond, c.kill)
 	c.group.Wait()
 	sends, ended := m.late()
-	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, knownWithin, ended, c.share(), c.refusals)
+	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
 	require.GreaterOrEqual(t, ended, 3, "it has to crash some upstreams to be detected")
 	require.LessOrEqual(t, sends, toleratedSends)
 	require.GreaterOrEqual(t, c.share(), 0.95, "others of the same path and caller are served")
@@ -299,7 +299,7 @@
 	t.Helper()
 	before := m.reached()
 	for i, g := range gs {
-		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) > 0 }, knownWithin, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) > 0 }, quarantineDelay, 5*time.Millisecond)
 		st, body, err := g.post("/stream/x", fmt.Sprint("known", i), "k1", killing)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, st, "it was not run")
@@ -351,7 +351,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusNoContent, a.StatusCode)
 		for _, g := range c.gateways {
-			require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) == 0 }, knownWithin, 5*time.Millisecond)
+			require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) == 0 }, quarantineDelay, 5*time.Millisecond)
 		}
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) == "" }, 10*time.Second, 5*time.Millisecond)
 	})
