--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -23,10 +23,10 @@
 // engines were cut, and sent on to engines that crashed next.
 
 // quarantineDelay is the time within which all gateways have to know of a request that has crashed
-// three upstreams, and toleratedSends is how often it may be sent after that.
+// three upstreams, and maxLateSends is how often it may be sent after that.
 const (
 	quarantineDelay = 3 * time.Second
-	toleratedSends  = 3
+	maxLateSends    = 3
 )
 
 // killing is the body of a request that crashes each upstream that runs it.
@@ -267,7 +267,7 @@
 	sends, ended := m.late()
 	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
 	require.GreaterOrEqual(t, ended, 3, "it has to crash some upstreams to be detected")
-	require.LessOrEqual(t, sends, toleratedSends)
+	require.LessOrEqual(t, sends, maxLateSends)
 	require.GreaterOrEqual(t, c.share(), 0.95, "others of the same path and caller are served")
 }
 
