--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -29,8 +29,8 @@
 	maxLateSends    = 3
 )
 
-// killing is the body of a request that crashes each upstream that runs it.
-const killing = "this ends you"
+// crashingBody is the body of a request that crashes each upstream that runs it.
+const crashingBody = "this ends you"
 
 // mortals is a pool of upstreams that crash when they run such a request, and restart under another id.
 type mortals struct {
@@ -90,7 +90,7 @@
 
 func (m *mortals) behave(w *platformtest.Worker, c net.Conn, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
-	if string(b) == killing {
+	if string(b) == crashingBody {
 		m.mu.Lock()
 		m.sent = append(m.sent, time.Now())
 		m.mu.Unlock()
@@ -214,7 +214,7 @@
 
 // kill sends the crashing request.
 func (c *crowd) kill() {
-	st, b, err := c.any(killing)
+	st, b, err := c.any(crashingBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && st != http.StatusOK {
@@ -300,7 +300,7 @@
 	before := m.reached()
 	for i, g := range gs {
 		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) > 0 }, quarantineDelay, 5*time.Millisecond)
-		st, body, err := g.post("/stream/x", fmt.Sprint("known", i), "k1", killing)
+		st, body, err := g.post("/stream/x", fmt.Sprint("known", i), "k1", crashingBody)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, st, "it was not run")
 		require.Contains(t, body, "HG2010")
