--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -32,8 +32,8 @@
 // crashingBody is the body of a request that crashes each upstream that runs it.
 const crashingBody = "this ends you"
 
-// mortals is a pool of upstreams that crash when they run such a request, and restart under another id.
-type mortals struct {
+// crashingPool is a pool of upstreams that crash when they run such a request, and restart under another id.
+type crashingPool struct {
 	t     *testing.T
 	store *platformtest.Store
 	down  time.Duration
@@ -48,8 +48,8 @@
 	group   sync.WaitGroup
 }
 
-func newMortals(t *testing.T, s *platformtest.Store, n int, down time.Duration) *mortals {
-	m := &mortals{t: t, store: s, down: down, workers: map[string]*platformtest.Worker{}}
+func newMortals(t *testing.T, s *platformtest.Store, n int, down time.Duration) *crashingPool {
+	m := &crashingPool{t: t, store: s, down: down, workers: map[string]*platformtest.Worker{}}
 	for range n {
 		m.start()
 	}
@@ -58,7 +58,7 @@
 }
 
 // start starts an upstream.
-func (m *mortals) start() {
+func (m *crashingPool) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -71,7 +71,7 @@
 }
 
 // list writes the entry of an upstream that starts.
-func (m *mortals) list(w *platformtest.Worker) {
+func (m *crashingPool) list(w *platformtest.Worker) {
 	r := w.Record("s", "ready")
 	if m.relay {
 		r["born"] = time.Now().UnixMilli()
@@ -88,7 +88,7 @@
 	killTime = 80 * time.Millisecond
 )
 
-func (m *mortals) behave(w *platformtest.Worker, c net.Conn, r *http.Request) {
+func (m *crashingPool) behave(w *platformtest.Worker, c net.Conn, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	if string(b) == crashingBody {
 		m.mu.Lock()
@@ -103,7 +103,7 @@
 }
 
 // end crashes an upstream, by a request or otherwise. Its entry is removed after the downtime.
-func (m *mortals) end(id string, byRequest bool) {
+func (m *crashingPool) end(id string, byRequest bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w := m.workers[id]
@@ -127,7 +127,7 @@
 }
 
 // endBehind crashes an upstream whose proxy keeps accepting connections, and restarts it.
-func (m *mortals) endBehind(w *platformtest.Worker) {
+func (m *crashingPool) endBehind(w *platformtest.Worker) {
 	w.EndBehind()
 	time.Sleep(m.down)
 	w.BeginAgain()
@@ -141,7 +141,7 @@
 	m.list(w)
 }
 
-func (m *mortals) close() {
+func (m *crashingPool) close() {
 	m.mu.Lock()
 	m.closed = true
 	ws := m.workers
@@ -155,7 +155,7 @@
 
 // late returns how often a crashing request reached upstreams after all gateways have to know of
 // it, and how many upstreams it has crashed in all.
-func (m *mortals) late() (sends, ended int) {
+func (m *crashingPool) late() (sends, ended int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.ended) < 3 {
@@ -257,7 +257,7 @@
 // requireKnownSoon runs three gateways whose callers send the crashing request ten times a second
 // beside fifty others. It checks that the request is soon sent to no upstream any more and that the
 // others are served.
-func requireKnownSoon(t *testing.T, s *scene, m *mortals) {
+func requireKnownSoon(t *testing.T, s *scene, m *crashingPool) {
 	t.Helper()
 	c := newCrowd(t, s.store, 3)
 	const plays = 8 * time.Second
@@ -295,7 +295,7 @@
 }
 
 // requireKnown checks that gateways refuse the crashing request and that it reaches no upstream.
-func requireKnown(t *testing.T, m *mortals, gs ...*gateway) {
+func requireKnown(t *testing.T, m *crashingPool, gs ...*gateway) {
 	t.Helper()
 	before := m.reached()
 	for i, g := range gs {
@@ -309,7 +309,7 @@
 }
 
 // reached returns how often a crashing request has reached an upstream.
-func (m *mortals) reached() int {
+func (m *crashingPool) reached() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.sent)
