--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -34,10 +34,10 @@
 
 // crashingPool is a pool of upstreams that crash when they run such a request, and restart under another id.
 type crashingPool struct {
-	t     *testing.T
-	store *platformtest.Store
-	down  time.Duration
-	relay bool // a proxy before each keeps accepting connections, and it restarts under its id
+	t       *testing.T
+	store   *platformtest.Store
+	down    time.Duration
+	proxied bool // a proxy before each keeps accepting connections, and it restarts under its id
 
 	mu      sync.Mutex
 	workers map[string]*platformtest.Worker
@@ -73,7 +73,7 @@
 // list writes the entry of an upstream that starts.
 func (m *crashingPool) list(w *platformtest.Worker) {
 	r := w.Record("s", "ready")
-	if m.relay {
+	if m.proxied {
 		r["born"] = time.Now().UnixMilli()
 	}
 	m.store.PutJSON("keyed.servers", w.ID, r)
@@ -115,7 +115,7 @@
 		m.ended = append(m.ended, time.Now())
 	}
 	m.group.Go(func() {
-		if m.relay {
+		if m.proxied {
 			m.endBehind(w)
 			return
 		}
@@ -278,7 +278,7 @@
 func TestRequestThatEndsUpstreamsBehindRelays(t *testing.T) {
 	s := newScene(t)
 	m := newMortals(t, s.store, 0, 1500*time.Millisecond)
-	m.relay = true
+	m.proxied = true
 	for range 24 {
 		m.start()
 	}
