--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -41,7 +41,7 @@
 
 	mu      sync.Mutex
 	workers map[string]*platformtest.Worker
-	lives   int
+	started int
 	sent    []time.Time // when a crashing request reached an upstream
 	ended   []time.Time // when upstreams crashed by one
 	closed  bool
@@ -64,8 +64,8 @@
 	if m.closed {
 		return
 	}
-	m.lives++
-	w := platformtest.NewWorker(fmt.Sprintf("i-%d", m.lives), m.behave)
+	m.started++
+	w := platformtest.NewWorker(fmt.Sprintf("i-%d", m.started), m.behave)
 	m.workers[w.ID] = w
 	m.list(w)
 }
