--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -39,13 +39,13 @@
 	down    time.Duration
 	proxied bool // a proxy before each keeps accepting connections, and it restarts under its id
 
-	mu      sync.Mutex
-	workers map[string]*platformtest.Worker
-	started int
-	sent    []time.Time // when a crashing request reached an upstream
-	ended   []time.Time // when upstreams crashed by one
-	closed  bool
-	group   sync.WaitGroup
+	mu         sync.Mutex
+	workers    map[string]*platformtest.Worker
+	started    int
+	crashSends []time.Time // when a crashing request reached an upstream
+	ended      []time.Time // when upstreams crashed by one
+	closed     bool
+	group      sync.WaitGroup
 }
 
 func newMortals(t *testing.T, s *platformtest.Store, n int, down time.Duration) *crashingPool {
@@ -92,7 +92,7 @@
 	b, _ := io.ReadAll(r.Body)
 	if string(b) == crashingBody {
 		m.mu.Lock()
-		m.sent = append(m.sent, time.Now())
+		m.crashSends = append(m.crashSends, time.Now())
 		m.mu.Unlock()
 		time.Sleep(readTime + killTime)
 		m.end(w.ID, true)
@@ -162,7 +162,7 @@
 		return 0, len(m.ended)
 	}
 	known := m.ended[2].Add(quarantineDelay)
-	for _, t := range m.sent {
+	for _, t := range m.crashSends {
 		if t.After(known) {
 			sends++
 		}
@@ -312,7 +312,7 @@
 func (m *crashingPool) reached() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.sent)
+	return len(m.crashSends)
 }
 
 func TestAHeldRequestIsKnown(t *testing.T) {
