--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -43,7 +43,7 @@
 	workers    map[string]*platformtest.Worker
 	started    int
 	crashSends []time.Time // when a crashing request reached an upstream
-	ended      []time.Time // when upstreams crashed by one
+	crashes    []time.Time // when upstreams crashed by one
 	closed     bool
 	group      sync.WaitGroup
 }
@@ -112,7 +112,7 @@
 	}
 	delete(m.workers, id)
 	if byRequest {
-		m.ended = append(m.ended, time.Now())
+		m.crashes = append(m.crashes, time.Now())
 	}
 	m.group.Go(func() {
 		if m.proxied {
@@ -158,16 +158,16 @@
 func (m *crashingPool) late() (sends, ended int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.ended) < 3 {
-		return 0, len(m.ended)
+	if len(m.crashes) < 3 {
+		return 0, len(m.crashes)
 	}
-	known := m.ended[2].Add(quarantineDelay)
+	known := m.crashes[2].Add(quarantineDelay)
 	for _, t := range m.crashSends {
 		if t.After(known) {
 			sends++
 		}
 	}
-	return sends, len(m.ended)
+	return sends, len(m.crashes)
 }
 
 // crowd simulates the callers of some gateways.
