--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -95,15 +95,15 @@
 		m.crashSends = append(m.crashSends, time.Now())
 		m.mu.Unlock()
 		time.Sleep(readTime + killTime)
-		m.end(w.ID, true)
+		m.crash(w.ID, true)
 		return
 	}
 	time.Sleep(readTime)
 	platformtest.PacedStream(eventCount, eventTime)(w, c, r)
 }
 
-// end crashes an upstream, by a request or otherwise. Its entry is removed after the downtime.
-func (m *crashingPool) end(id string, byRequest bool) {
+// crash crashes an upstream, by a request or otherwise. Its entry is removed after the downtime.
+func (m *crashingPool) crash(id string, byRequest bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w := m.workers[id]
