--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -116,7 +116,7 @@
 	}
 	m.group.Go(func() {
 		if m.proxied {
-			m.endBehind(w)
+			m.crashBehindProxy(w)
 			return
 		}
 		w.Close()
@@ -126,8 +126,8 @@
 	})
 }
 
-// endBehind crashes an upstream whose proxy keeps accepting connections, and restarts it.
-func (m *crashingPool) endBehind(w *platformtest.Worker) {
+// crashBehindProxy crashes an upstream whose proxy keeps accepting connections, and restarts it.
+func (m *crashingPool) crashBehindProxy(w *platformtest.Worker) {
 	w.EndBehind()
 	time.Sleep(m.down)
 	w.BeginAgain()
