--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// late returns how often a crashing request reached upstreams after all gateways have to know of
+// lateSends returns how often a crashing request reached upstreams after all gateways have to know of
 // it, and how many upstreams it has crashed in all.
-func (m *crashingPool) late() (sends, ended int) {
+func (m *crashingPool) lateSends() (sends, ended int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.crashes) < 3 {
@@ -264,7 +264,7 @@
 	c.every(plays, 20*time.Millisecond, c.innocent)
 	c.every(plays, 100*time.Millisecond, c.kill)
 	c.group.Wait()
-	sends, ended := m.late()
+	sends, ended := m.lateSends()
 	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
 	require.GreaterOrEqual(t, ended, 3, "it has to crash some upstreams to be detected")
 	require.LessOrEqual(t, sends, maxLateSends)
