--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -297,7 +297,7 @@
 // requireKnown checks that gateways refuse the crashing request and that it reaches no upstream.
 func requireKnown(t *testing.T, m *crashingPool, gs ...*gateway) {
 	t.Helper()
-	before := m.reached()
+	before := m.sendCount()
 	for i, g := range gs {
 		require.Eventually(t, func() bool { return len(g.Core.Quarantine().Holds()) > 0 }, quarantineDelay, 5*time.Millisecond)
 		st, body, err := g.post("/stream/x", fmt.Sprint("known", i), "k1", crashingBody)
@@ -305,11 +305,11 @@
 		require.Equal(t, http.StatusServiceUnavailable, st, "it was not run")
 		require.Contains(t, body, "HG2010")
 	}
-	require.Equal(t, before, m.reached())
+	require.Equal(t, before, m.sendCount())
 }
 
-// reached returns how often a crashing request has reached an upstream.
-func (m *crashingPool) reached() int {
+// sendCount returns how often a crashing request has sendCount an upstream.
+func (m *crashingPool) sendCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.crashSends)
