--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -65,7 +65,7 @@
 		return
 	}
 	m.started++
-	w := platformtest.NewWorker(fmt.Sprintf("i-%d", m.started), m.behave)
+	w := platformtest.NewWorker(fmt.Sprintf("i-%d", m.started), m.serve)
 	m.workers[w.ID] = w
 	m.list(w)
 }
@@ -88,7 +88,7 @@
 	killTime = 80 * time.Millisecond
 )
 
-func (m *crashingPool) behave(w *platformtest.Worker, c net.Conn, r *http.Request) {
+func (m *crashingPool) serve(w *platformtest.Worker, c net.Conn, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	if string(b) == crashingBody {
 		m.mu.Lock()
