--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -81,9 +81,9 @@
 
 // The times that an upstream takes to prefill a prompt and between two events.
 const (
-	readTime   = 30 * time.Millisecond
-	eventTime  = 30 * time.Millisecond
-	eventCount = 8
+	prefillTime = 30 * time.Millisecond
+	eventTime   = 30 * time.Millisecond
+	eventCount  = 8
 	// killTime is the time from the end of the prefill until the crash.
 	killTime = 80 * time.Millisecond
 )
@@ -94,11 +94,11 @@
 		m.mu.Lock()
 		m.crashSends = append(m.crashSends, time.Now())
 		m.mu.Unlock()
-		time.Sleep(readTime + killTime)
+		time.Sleep(prefillTime + killTime)
 		m.crash(w.ID, true)
 		return
 	}
-	time.Sleep(readTime)
+	time.Sleep(prefillTime)
 	platformtest.PacedStream(eventCount, eventTime)(w, c, r)
 }
 
