--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -81,9 +81,9 @@
 
 // The times that an upstream takes to prefill a prompt and between two events.
 const (
-	prefillTime = 30 * time.Millisecond
-	eventTime   = 30 * time.Millisecond
-	eventCount  = 8
+	prefillTime   = 30 * time.Millisecond
+	eventInterval = 30 * time.Millisecond
+	eventCount    = 8
 	// killTime is the time from the end of the prefill until the crash.
 	killTime = 80 * time.Millisecond
 )
@@ -99,7 +99,7 @@
 		return
 	}
 	time.Sleep(prefillTime)
-	platformtest.PacedStream(eventCount, eventTime)(w, c, r)
+	platformtest.PacedStream(eventCount, eventInterval)(w, c, r)
 }
 
 // crash crashes an upstream, by a request or otherwise. Its entry is removed after the downtime.
