--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -84,8 +84,8 @@
 	prefillTime   = 30 * time.Millisecond
 	eventInterval = 30 * time.Millisecond
 	eventCount    = 8
-	// killTime is the time from the end of the prefill until the crash.
-	killTime = 80 * time.Millisecond
+	// crashDelay is the time from the end of the prefill until the crash.
+	crashDelay = 80 * time.Millisecond
 )
 
 func (m *crashingPool) serve(w *platformtest.Worker, c net.Conn, r *http.Request) {
@@ -94,7 +94,7 @@
 		m.mu.Lock()
 		m.crashSends = append(m.crashSends, time.Now())
 		m.mu.Unlock()
-		time.Sleep(prefillTime + killTime)
+		time.Sleep(prefillTime + crashDelay)
 		m.crash(w.ID, true)
 		return
 	}
