--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -251,13 +251,13 @@
 
 func TestRequestThatEndsUpstreams(t *testing.T) {
 	s := newScene(t)
-	requireKnownSoon(t, s, newMortals(t, s.store, 24, 1500*time.Millisecond))
+	requireQuickQuarantine(t, s, newMortals(t, s.store, 24, 1500*time.Millisecond))
 }
 
-// requireKnownSoon runs three gateways whose callers send the crashing request ten times a second
+// requireQuickQuarantine runs three gateways whose callers send the crashing request ten times a second
 // beside fifty others. It checks that the request is soon sent to no upstream any more and that the
 // others are served.
-func requireKnownSoon(t *testing.T, s *scene, m *crashingPool) {
+func requireQuickQuarantine(t *testing.T, s *scene, m *crashingPool) {
 	t.Helper()
 	c := newCrowd(t, s.store, 3)
 	const plays = 8 * time.Second
@@ -282,7 +282,7 @@
 	for range 24 {
 		m.start()
 	}
-	requireKnownSoon(t, s, m)
+	requireQuickQuarantine(t, s, m)
 }
 
 // untilHeld sends the crashing request until the first gateway blocks it.
