--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -294,8 +294,8 @@
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
-// requireKnown checks that gateways refuse the crashing request and that it reaches no upstream.
-func requireKnown(t *testing.T, m *crashingPool, gs ...*gateway) {
+// requireQuarantined checks that gateways refuse the crashing request and that it reaches no upstream.
+func requireQuarantined(t *testing.T, m *crashingPool, gs ...*gateway) {
 	t.Helper()
 	before := m.sendCount()
 	for i, g := range gs {
@@ -324,7 +324,7 @@
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
 		after := startGateway(t, s.store.Address(), func(c *setting.Gateway) { c.Peers = "" }) // no peer informs it
 		after.waitReady(t)
-		requireKnown(t, m, after)
+		requireQuarantined(t, m, after)
 	})
 	t.Run("while the store is away, also by those at which it never came", func(t *testing.T) {
 		s := newScene(t)
@@ -334,7 +334,7 @@
 		all := c.gateways
 		c.gateways = all[:1]
 		c.untilHeld()
-		requireKnown(t, m, all...)
+		requireQuarantined(t, m, all...)
 		s.store.SetMode(platformtest.Serving)
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 20*time.Second, 5*time.Millisecond)
 	})
@@ -343,7 +343,7 @@
 		m := newMortals(t, s.store, 8, 300*time.Millisecond)
 		c := newCrowd(t, s.store, 2)
 		c.untilHeld()
-		requireKnown(t, m, c.gateways...)
+		requireQuarantined(t, m, c.gateways...)
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
 		r, err := http.NewRequest(http.MethodDelete, "http://"+c.gateways[1].Operators+QuarantinePath+"/"+c.fingerprint(), nil)
 		require.NoError(t, err)
