--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -260,9 +260,9 @@
 func requireQuickQuarantine(t *testing.T, s *scene, m *crashingPool) {
 	t.Helper()
 	c := newCrowd(t, s.store, 3)
-	const plays = 8 * time.Second
-	c.every(plays, 20*time.Millisecond, c.innocent)
-	c.every(plays, 100*time.Millisecond, c.kill)
+	const duration = 8 * time.Second
+	c.every(duration, 20*time.Millisecond, c.innocent)
+	c.every(duration, 100*time.Millisecond, c.kill)
 	c.group.Wait()
 	sends, ended := m.lateSends()
 	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
