--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -11,8 +11,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// strange returns invalid entries of another writer, with the address of an upstream that would answer.
-func strange(w *platformtest.Worker) map[string][]byte {
+// invalidEntries returns invalid entries of another writer, with the address of an upstream that would answer.
+func invalidEntries(w *platformtest.Worker) map[string][]byte {
 	with := func(old, n string) []byte {
 		e := fmt.Sprintf(`{"service":"s","address":"%s","zone":"z1","version":"v1","slots":4,"state":"ready","coldLeftMs":0,"callSeq":0}`, w.Address())
 		return []byte(strings.Replace(e, old, n, 1))
@@ -35,11 +35,11 @@
 	s := newScene(t, platformtest.Echo)
 	other := platformtest.NewWorker("other", platformtest.Echo)
 	t.Cleanup(other.Close)
-	for id, v := range strange(other) {
+	for id, v := range invalidEntries(other) {
 		s.store.Put("keyed.servers", id, v)
 	}
 	g := s.gateway
-	n := len(strange(other))
+	n := len(invalidEntries(other))
 	require.Eventually(t, func() bool { return g.unused.Load() == int64(n) }, 20*time.Second, time.Millisecond)
 	for i := range 50 {
 		st, body, err := g.call(t, "/once/x", fmt.Sprint("a", i), "k1")
