--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// At most restMost requests of a gateway may reach an upstream from restNoticed after a refusal
+// At most restMost requests of a gateway may reach an upstream from retryAfterNoticed after a refusal
 // until the end of its retry delay.
 const (
-	restNoticed = 500 * time.Millisecond
-	restMost    = 2
+	retryAfterNoticed = 500 * time.Millisecond
+	restMost          = 2
 )
 
 // tired is an upstream that refuses requests with a retry delay while it is overloaded.
@@ -67,7 +67,7 @@
 	defer s.mu.Unlock()
 	for g, rs := range s.rests {
 		for _, at := range rs {
-			most = max(most, s.arrived(g, at.Add(restNoticed), at.Add(s.asks)))
+			most = max(most, s.arrived(g, at.Add(retryAfterNoticed), at.Add(s.asks)))
 		}
 	}
 	return most
