--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// At most restMost requests of a gateway may reach an upstream from retryAfterNoticed after a refusal
+// At most maxRequestsInRetryAfter requests of a gateway may reach an upstream from retryAfterNoticed after a refusal
 // until the end of its retry delay.
 const (
-	retryAfterNoticed = 500 * time.Millisecond
-	restMost          = 2
+	retryAfterNoticed       = 500 * time.Millisecond
+	maxRequestsInRetryAfter = 2
 )
 
 // tired is an upstream that refuses requests with a retry delay while it is overloaded.
@@ -115,7 +115,7 @@
 		f.crowd.group.Wait()
 		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].disturbed(), f.share(), f.statuses)
 		require.NotEmpty(t, ts[0].rests)
-		require.LessOrEqual(t, ts[0].disturbed(), restMost)
+		require.LessOrEqual(t, ts[0].disturbed(), maxRequestsInRetryAfter)
 		require.Positive(t, ts[0].within(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
 		require.GreaterOrEqual(t, f.share(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
 	})
@@ -130,7 +130,7 @@
 		f.crowd.group.Wait()
 		t.Logf("%v, slowest refusal %s, %d without a retry delay", f.statuses, f.slowest, f.untold)
 		for _, s := range ts {
-			require.LessOrEqual(t, s.disturbed(), restMost)
+			require.LessOrEqual(t, s.disturbed(), maxRequestsInRetryAfter)
 		}
 		require.Zero(t, f.untold)
 		require.Less(t, f.slowest, 500*time.Millisecond)
