--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -21,8 +21,8 @@
 	maxRequestsInRetryAfter = 2
 )
 
-// tired is an upstream that refuses requests with a retry delay while it is overloaded.
-type tired struct {
+// overloaded is an upstream that refuses requests with a retry delay while it is overloaded.
+type overloaded struct {
 	*meter
 
 	from, until atomic.Int64 // Unix ms
@@ -31,8 +31,8 @@
 }
 
 // newTired returns an upstream for a fleet that isn't started yet.
-func newTired(t *testing.T, id string, asks time.Duration) *tired {
-	s := &tired{asks: asks, rests: map[string][]time.Time{}}
+func newTired(t *testing.T, id string, asks time.Duration) *overloaded {
+	s := &overloaded{asks: asks, rests: map[string][]time.Time{}}
 	s.meter = newMeter(t, id, meterWork)
 	calm := s.serve(meterWork)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
@@ -45,7 +45,7 @@
 	return s
 }
 
-func (s *tired) refuse(c net.Conn, gateway string) {
+func (s *overloaded) refuse(c net.Conn, gateway string) {
 	now := time.Now()
 	s.mu.Lock()
 	s.arrivals = append(s.arrivals, metered{now, gateway})
@@ -56,13 +56,13 @@
 }
 
 // tire makes the upstream overloaded for some time.
-func (s *tired) tire(d time.Duration) {
+func (s *overloaded) tire(d time.Duration) {
 	s.from.Store(time.Now().UnixMilli())
 	s.until.Store(time.Now().Add(d).UnixMilli())
 }
 
 // disturbed returns the most requests of one gateway that reached it within a retry delay.
-func (s *tired) disturbed() (most int) {
+func (s *overloaded) disturbed() (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for g, rs := range s.rests {
@@ -74,7 +74,7 @@
 }
 
 // arrived counts the requests of a gateway between two times. The caller holds s.mu.
-func (s *tired) arrived(gateway string, from, to time.Time) (n int) {
+func (s *overloaded) arrived(gateway string, from, to time.Time) (n int) {
 	for _, a := range s.arrivals {
 		if a.gateway == gateway && a.at.After(from) && a.at.Before(to) {
 			n++
@@ -84,7 +84,7 @@
 }
 
 // within returns how many requests reached it within d after from.
-func (s *tired) within(from time.Time, d time.Duration) (n int) {
+func (s *overloaded) within(from time.Time, d time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.arrivals {
@@ -95,7 +95,7 @@
 	return n
 }
 
-func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *meteredFleet, ts []*tired) {
+func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *meteredFleet, ts []*overloaded) {
 	var ms []*meter
 	for i := range upstreams {
 		s := newTired(t, fmt.Sprintf("i-%d", i), asks)
