--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -26,13 +26,13 @@
 	*meter
 
 	from, until atomic.Int64 // Unix ms
-	asks        time.Duration
+	retryAfter  time.Duration
 	rests       map[string][]time.Time // times of refusals, by gateway
 }
 
 // newTired returns an upstream for a fleet that isn't started yet.
 func newTired(t *testing.T, id string, asks time.Duration) *overloaded {
-	s := &overloaded{asks: asks, rests: map[string][]time.Time{}}
+	s := &overloaded{retryAfter: asks, rests: map[string][]time.Time{}}
 	s.meter = newMeter(t, id, meterWork)
 	calm := s.serve(meterWork)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
@@ -52,7 +52,7 @@
 	s.rests[gateway] = append(s.rests[gateway], now)
 	s.mu.Unlock()
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n",
-		strconv.FormatFloat(s.asks.Seconds(), 'f', -1, 64))
+		strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
 }
 
 // tire makes the upstream overloaded for some time.
@@ -67,7 +67,7 @@
 	defer s.mu.Unlock()
 	for g, rs := range s.rests {
 		for _, at := range rs {
-			most = max(most, s.arrived(g, at.Add(retryAfterNoticed), at.Add(s.asks)))
+			most = max(most, s.arrived(g, at.Add(retryAfterNoticed), at.Add(s.retryAfter)))
 		}
 	}
 	return most
