--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -27,12 +27,12 @@
 
 	from, until atomic.Int64 // Unix ms
 	retryAfter  time.Duration
-	rests       map[string][]time.Time // times of refusals, by gateway
+	refusals    map[string][]time.Time // times of refusals, by gateway
 }
 
 // newTired returns an upstream for a fleet that isn't started yet.
 func newTired(t *testing.T, id string, asks time.Duration) *overloaded {
-	s := &overloaded{retryAfter: asks, rests: map[string][]time.Time{}}
+	s := &overloaded{retryAfter: asks, refusals: map[string][]time.Time{}}
 	s.meter = newMeter(t, id, meterWork)
 	calm := s.serve(meterWork)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
@@ -49,7 +49,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	s.arrivals = append(s.arrivals, metered{now, gateway})
-	s.rests[gateway] = append(s.rests[gateway], now)
+	s.refusals[gateway] = append(s.refusals[gateway], now)
 	s.mu.Unlock()
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n",
 		strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
@@ -65,7 +65,7 @@
 func (s *overloaded) disturbed() (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for g, rs := range s.rests {
+	for g, rs := range s.refusals {
 		for _, at := range rs {
 			most = max(most, s.arrived(g, at.Add(retryAfterNoticed), at.Add(s.retryAfter)))
 		}
@@ -114,7 +114,7 @@
 		f.crowd.every(8*time.Second, 12500*time.Microsecond, f.call)
 		f.crowd.group.Wait()
 		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].disturbed(), f.share(), f.statuses)
-		require.NotEmpty(t, ts[0].rests)
+		require.NotEmpty(t, ts[0].refusals)
 		require.LessOrEqual(t, ts[0].disturbed(), maxRequestsInRetryAfter)
 		require.Positive(t, ts[0].within(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
 		require.GreaterOrEqual(t, f.share(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
