--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -55,8 +55,8 @@
 		strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
 }
 
-// tire makes the upstream overloaded for some time.
-func (s *overloaded) tire(d time.Duration) {
+// overloadFor makes the upstream overloaded for some time.
+func (s *overloaded) overloadFor(d time.Duration) {
 	s.from.Store(time.Now().UnixMilli())
 	s.until.Store(time.Now().Add(d).UnixMilli())
 }
@@ -110,7 +110,7 @@
 	t.Run("one of four", func(t *testing.T) {
 		t.Parallel()
 		f, ts := newTiredFleet(t, 4, 3, 2500*time.Millisecond)
-		ts[0].tire(4 * time.Second)
+		ts[0].overloadFor(4 * time.Second)
 		f.crowd.every(8*time.Second, 12500*time.Microsecond, f.call)
 		f.crowd.group.Wait()
 		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].disturbed(), f.share(), f.statuses)
@@ -123,7 +123,7 @@
 		t.Parallel()
 		f, ts := newTiredFleet(t, 3, 3, 2*time.Second)
 		for _, s := range ts {
-			s.tire(1900 * time.Millisecond)
+			s.overloadFor(1900 * time.Millisecond)
 		}
 		begin := time.Now()
 		f.crowd.every(5*time.Second, 12500*time.Microsecond, f.call)
