--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -61,8 +61,8 @@
 	s.until.Store(time.Now().Add(d).UnixMilli())
 }
 
-// disturbed returns the most requests of one gateway that reached it within a retry delay.
-func (s *overloaded) disturbed() (most int) {
+// peakInRetryAfter returns the most requests of one gateway that reached it within a retry delay.
+func (s *overloaded) peakInRetryAfter() (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for g, rs := range s.refusals {
@@ -113,9 +113,9 @@
 		ts[0].overloadFor(4 * time.Second)
 		f.crowd.every(8*time.Second, 12500*time.Microsecond, f.call)
 		f.crowd.group.Wait()
-		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].disturbed(), f.share(), f.statuses)
+		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].peakInRetryAfter(), f.share(), f.statuses)
 		require.NotEmpty(t, ts[0].refusals)
-		require.LessOrEqual(t, ts[0].disturbed(), maxRequestsInRetryAfter)
+		require.LessOrEqual(t, ts[0].peakInRetryAfter(), maxRequestsInRetryAfter)
 		require.Positive(t, ts[0].within(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
 		require.GreaterOrEqual(t, f.share(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
 	})
@@ -130,7 +130,7 @@
 		f.crowd.group.Wait()
 		t.Logf("%v, slowest refusal %s, %d without a retry delay", f.statuses, f.slowest, f.untold)
 		for _, s := range ts {
-			require.LessOrEqual(t, s.disturbed(), maxRequestsInRetryAfter)
+			require.LessOrEqual(t, s.peakInRetryAfter(), maxRequestsInRetryAfter)
 		}
 		require.Zero(t, f.untold)
 		require.Less(t, f.slowest, 500*time.Millisecond)
