--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -67,14 +67,14 @@
 	defer s.mu.Unlock()
 	for g, rs := range s.refusals {
 		for _, at := range rs {
-			most = max(most, s.arrived(g, at.Add(retryAfterNoticed), at.Add(s.retryAfter)))
+			most = max(most, s.countArrivals(g, at.Add(retryAfterNoticed), at.Add(s.retryAfter)))
 		}
 	}
 	return most
 }
 
-// arrived counts the requests of a gateway between two times. The caller holds s.mu.
-func (s *overloaded) arrived(gateway string, from, to time.Time) (n int) {
+// countArrivals counts the requests of a gateway between two times. The caller holds s.mu.
+func (s *overloaded) countArrivals(gateway string, from, to time.Time) (n int) {
 	for _, a := range s.arrivals {
 		if a.gateway == gateway && a.at.After(from) && a.at.Before(to) {
 			n++
