--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -83,8 +83,8 @@
 	return n
 }
 
-// within returns how many requests reached it within d after from.
-func (s *overloaded) within(from time.Time, d time.Duration) (n int) {
+// countAfter returns how many requests reached it countAfter d after from.
+func (s *overloaded) countAfter(from time.Time, d time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.arrivals {
@@ -116,7 +116,7 @@
 		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].peakInRetryAfter(), f.share(), f.statuses)
 		require.NotEmpty(t, ts[0].refusals)
 		require.LessOrEqual(t, ts[0].peakInRetryAfter(), maxRequestsInRetryAfter)
-		require.Positive(t, ts[0].within(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
+		require.Positive(t, ts[0].countAfter(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
 		require.GreaterOrEqual(t, f.share(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
 	})
 	t.Run("all of a service", func(t *testing.T) {
@@ -136,7 +136,7 @@
 		require.Less(t, f.slowest, 500*time.Millisecond)
 		served := 0
 		for _, s := range ts {
-			served += s.within(begin.Add(2*time.Second), 3*time.Second)
+			served += s.countAfter(begin.Add(2*time.Second), 3*time.Second)
 		}
 		require.GreaterOrEqual(t, served, 120, "half of the calls after the retry delay")
 	})
