--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -16,9 +16,9 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// telling listens as a peer that sends a snapshot in pieces, with a pause before each, and stops
+// listenSnapshotPeer listens as a peer that sends a snapshot in pieces, with a pause before each, and stops
 // after some of them.
-func telling(t *testing.T, pieces, sent int, pause time.Duration) string {
+func listenSnapshotPeer(t *testing.T, pieces, sent int, pause time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,12 +51,12 @@
 		return askSnapshot(context.Background(), peer.TCP(), address, 0, patience)
 	}
 	t.Run("one that takes longer in all than a peer may be silent", func(t *testing.T) {
-		b, err := ask(telling(t, pieces, pieces, pause))
+		b, err := ask(listenSnapshotPeer(t, pieces, pieces, pause))
 		require.NoError(t, err)
 		require.Equal(t, strings.Repeat("piece", pieces), string(b))
 	})
 	t.Run("a peer that goes silent is left", func(t *testing.T) {
-		b, err := ask(telling(t, pieces, 3, pause))
+		b, err := ask(listenSnapshotPeer(t, pieces, 3, pause))
 		require.Error(t, err)
 		require.Equal(t, strings.Repeat("piece", 3), string(b))
 	})
@@ -69,13 +69,13 @@
 		}
 	}
 	t.Run("one copy is enough", func(t *testing.T) {
-		a := telling(t, 1, 1, 0)
+		a := listenSnapshotPeer(t, 1, 1, 0)
 		bs := Snapshots(boxes(a, a, a), peer.TCP(), log.New(io.Discard))(context.Background(), 0)
 		require.Len(t, bs, 1)
 	})
 	t.Run("the log names a peer that does not send one", func(t *testing.T) {
 		l := &lines{}
-		bs := Snapshots(boxes(telling(t, 1, 1, 0), "127.0.0.1:1"), peer.TCP(), log.New(l))(context.Background(), 0)
+		bs := Snapshots(boxes(listenSnapshotPeer(t, 1, 1, 0), "127.0.0.1:1"), peer.TCP(), log.New(l))(context.Background(), 0)
 		require.Len(t, bs, 1)
 		require.Contains(t, l.String(), "snapshot of a peer not received")
 		require.Contains(t, l.String(), "127.0.0.1:1")
