--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -17,8 +17,8 @@
 // arrived meanwhile (the configuration was read 0.1 to 16 ms later), or before a configuration in
 // force counted as confirmed. Calls were refused with 503 although the store served.
 
-// standing is the clock of a process that is paused once.
-type standing struct {
+// pausedClock is the clock of a process that is paused once.
+type pausedClock struct {
 	hollowgrade.Clock
 	begun time.Time
 	after time.Duration // until the pause
@@ -26,7 +26,7 @@
 }
 
 // Now implements [hollowgrade.Clock].
-func (s standing) Now() time.Time {
+func (s pausedClock) Now() time.Time {
 	now := s.Clock.Now()
 	if now.Sub(s.begun) >= s.after {
 		now = now.Add(s.still)
@@ -45,7 +45,7 @@
 			after := func(d time.Duration) func() bool {
 				return func() bool { return time.Since(begin) >= d }
 			}
-			c := standing{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, still}
+			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, still}
 			opening{c, after(known), after(heard)}.wait(context.Background())
 			ran = time.Since(begin)
 			ready = after(known)()
