--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -20,7 +20,7 @@
 // pausedClock is the clock of a process that is paused once.
 type pausedClock struct {
 	hollowgrade.Clock
-	begun time.Time
+	start time.Time
 	after time.Duration // until the pause
 	still time.Duration // length of the pause
 }
@@ -28,7 +28,7 @@
 // Now implements [hollowgrade.Clock].
 func (s pausedClock) Now() time.Time {
 	now := s.Clock.Now()
-	if now.Sub(s.begun) >= s.after {
+	if now.Sub(s.start) >= s.after {
 		now = now.Add(s.still)
 	}
 	return now
