--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -20,15 +20,15 @@
 // pausedClock is the clock of a process that is paused once.
 type pausedClock struct {
 	hollowgrade.Clock
-	start time.Time
-	after time.Duration // until the pause
-	still time.Duration // length of the pause
+	start      time.Time
+	pauseAfter time.Duration // until the pause
+	still      time.Duration // length of the pause
 }
 
 // Now implements [hollowgrade.Clock].
 func (s pausedClock) Now() time.Time {
 	now := s.Clock.Now()
-	if now.Sub(s.start) >= s.after {
+	if now.Sub(s.start) >= s.pauseAfter {
 		now = now.Add(s.still)
 	}
 	return now
