--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -22,14 +22,14 @@
 	hollowgrade.Clock
 	start      time.Time
 	pauseAfter time.Duration // until the pause
-	still      time.Duration // length of the pause
+	pause      time.Duration // length of the pause
 }
 
 // Now implements [hollowgrade.Clock].
 func (s pausedClock) Now() time.Time {
 	now := s.Clock.Now()
 	if now.Sub(s.start) >= s.pauseAfter {
-		now = now.Add(s.still)
+		now = now.Add(s.pause)
 	}
 	return now
 }
