--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -35,10 +35,10 @@
 }
 
 func TestCallersAreTakenOnceEnoughIsKnown(t *testing.T) {
-	// waited returns for how long the process ran until callers were taken, and whether the
+	// wait returns for how long the process ran until callers were taken, and whether the
 	// configuration was known then. The arguments known and heard are the running times after which
 	// these conditions hold.
-	waited := func(t *testing.T, known, heard, still time.Duration) (ran time.Duration, ready bool) {
+	wait := func(t *testing.T, known, heard, still time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
 			begin := time.Now()
@@ -53,27 +53,27 @@
 		return ran, ready
 	}
 	t.Run("at once", func(t *testing.T) {
-		ran, ready := waited(t, 30*time.Millisecond, 60*time.Millisecond, 0)
+		ran, ready := wait(t, 30*time.Millisecond, 60*time.Millisecond, 0)
 		require.True(t, ready)
 		require.Equal(t, 60*time.Millisecond, ran)
 	})
 	t.Run("also if the process stood still for longer than the wait", func(t *testing.T) {
-		ran, ready := waited(t, 30*time.Millisecond, 60*time.Millisecond, 10*time.Second)
+		ran, ready := wait(t, 30*time.Millisecond, 60*time.Millisecond, 10*time.Second)
 		require.True(t, ready)
 		require.Equal(t, 60*time.Millisecond, ran)
 	})
 	t.Run("without what some that are listed never tell", func(t *testing.T) {
-		ran, ready := waited(t, 30*time.Millisecond, time.Hour, 0)
+		ran, ready := wait(t, 30*time.Millisecond, time.Hour, 0)
 		require.True(t, ready)
 		require.InDelta(t, (30*time.Millisecond + hearWithin).Seconds(), ran.Seconds(), openPoll.Seconds())
 	})
 	t.Run("and without the store after a while", func(t *testing.T) {
-		ran, ready := waited(t, time.Hour, 0, 0)
+		ran, ready := wait(t, time.Hour, 0, 0)
 		require.False(t, ready)
 		require.Equal(t, openWithin, ran)
 	})
 	t.Run("as long as without standing still", func(t *testing.T) {
-		ran, ready := waited(t, time.Hour, 0, 10*time.Second)
+		ran, ready := wait(t, time.Hour, 0, 10*time.Second)
 		require.False(t, ready)
 		require.InDelta(t, openWithin.Seconds(), ran.Seconds(), latePoll.Seconds())
 	})
