--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -20,11 +20,11 @@
 // The users' rule: in any window an upstream that names a limit may get limitFactor times the
 // limit, and limitExtra requests more.
 const (
-	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitExtra   = 5
-	limitFrom    = 3 * time.Second // after the limit is first named, until the rule is checked
-	limitToldAgo = 500 * time.Millisecond
+	limitWindow     = 4 * time.Second
+	limitFactor     = 1.5
+	limitExtra      = 5
+	limitSettleTime = 3 * time.Second // after the limit is first named, until the rule is checked
+	limitToldAgo    = 500 * time.Millisecond
 	// leastUse is the least part of the allowed requests that has to be served when there are more
 	// calls.
 	leastUse = 0.5
@@ -103,7 +103,7 @@
 		if a.at.After(m.since) {
 			since++
 		}
-		if a.at.Sub(m.since) < limitFrom {
+		if a.at.Sub(m.since) < limitSettleTime {
 			continue
 		}
 		in := 0
