--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -24,7 +24,7 @@
 	limitFactor     = 1.5
 	limitExtra      = 5
 	limitSettleTime = 3 * time.Second // after the limit is first named, until the rule is checked
-	limitToldAgo    = 500 * time.Millisecond
+	limitNoticed    = 500 * time.Millisecond
 	// leastUse is the least part of the allowed requests that has to be served when there are more
 	// calls.
 	leastUse = 0.5
@@ -108,7 +108,7 @@
 		}
 		in := 0
 		for _, b := range m.arrivals[:i+1] {
-			if t, ok := m.told[b.gateway]; ok && a.at.Sub(t) >= limitToldAgo && a.at.Sub(b.at) < limitWindow {
+			if t, ok := m.told[b.gateway]; ok && a.at.Sub(t) >= limitNoticed && a.at.Sub(b.at) < limitWindow {
 				in++
 			}
 		}
