--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -25,9 +25,9 @@
 	limitExtra      = 5
 	limitSettleTime = 3 * time.Second // after the limit is first named, until the rule is checked
 	limitNoticed    = 500 * time.Millisecond
-	// leastUse is the least part of the allowed requests that has to be served when there are more
+	// minLimitUse is the least part of the allowed requests that has to be served when there are more
 	// calls.
-	leastUse = 0.5
+	minLimitUse = 0.5
 )
 
 // through is the header by which callers name the gateway that they call.
@@ -124,7 +124,7 @@
 	n, use := m.most()
 	t.Logf("%s: %d in %s at a limit of %g a second, %.2f a second since it was named", m.ID, n, limitWindow, m.limit, use)
 	require.LessOrEqual(t, float64(n), limitFactor*m.limit*limitWindow.Seconds()+limitExtra)
-	require.GreaterOrEqual(t, use, leastUse*m.limit)
+	require.GreaterOrEqual(t, use, minLimitUse*m.limit)
 }
 
 // meteredFleet has the upstreams of one service, some gateways and their callers.
