--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -30,8 +30,8 @@
 	minLimitUse = 0.5
 )
 
-// through is the header by which callers name the gateway that they call.
-const through = "X-Through"
+// gatewayHeader is the header by which callers name the gateway that they call.
+const gatewayHeader = "X-Through"
 
 // meter is an upstream that may name a limit, and records the requests that reach it.
 type meter struct {
@@ -63,7 +63,7 @@
 // serve records a request and answers it after the given time.
 func (m *meter) serve(work time.Duration) platformtest.Behaviour {
 	return func(w *platformtest.Worker, c net.Conn, r *http.Request) {
-		g := r.Header.Get(through)
+		g := r.Header.Get(gatewayHeader)
 		m.mu.Lock()
 		m.arrivals = append(m.arrivals, metered{time.Now(), g})
 		m.mu.Unlock()
@@ -170,7 +170,7 @@
 		return
 	}
 	r.Host = "h"
-	for k, v := range map[string]string{"Attempt-Id": fmt.Sprint("m", n), "Deadline-Ms": "4000", "Authorization": "Bearer k1", through: g.callers} {
+	for k, v := range map[string]string{"Attempt-Id": fmt.Sprint("m", n), "Deadline-Ms": "4000", "Authorization": "Bearer k1", gatewayHeader: g.callers} {
 		r.Header.Set(k, v)
 	}
 	begin := time.Now()
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -40,7 +40,7 @@
 			calm(w, c, r)
 			return
 		}
-		s.refuse(c, r.Header.Get(through))
+		s.refuse(c, r.Header.Get(gatewayHeader))
 	})
 	return s
 }
