--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -21,7 +21,7 @@
 var leaving = http.Header{"Server-Leaving": {"1"}}
 
 // say sets the headers of all answers from now on, and records when.
-func (m *meter) say(h http.Header) {
+func (m *recordingUpstream) say(h http.Header) {
 	m.SetHeaders(h)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,7 +30,7 @@
 
 // after returns how many requests reached the upstream later than d after its first answer with
 // these headers.
-func (m *meter) after(d time.Duration) (n int) {
+func (m *recordingUpstream) after(d time.Duration) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first := time.Now()
@@ -49,7 +49,7 @@
 
 // requireLeft checks that an upstream gets no more requests soon after it has reported that it
 // leaves, and that callers are served.
-func (f *meteredFleet) requireLeft(t *testing.T, m *meter) {
+func (f *meteredFleet) requireLeft(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	f.crowd.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.crowd.group.Wait()
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -33,8 +33,8 @@
 // gatewayHeader is the header by which callers name the gateway that they call.
 const gatewayHeader = "X-Through"
 
-// meter is an upstream that may name a limit, and records the requests that reach it.
-type meter struct {
+// recordingUpstream is an upstream that may name a limit, and records the requests that reach it.
+type recordingUpstream struct {
 	*platformtest.Worker
 
 	mu       sync.Mutex
@@ -53,15 +53,15 @@
 	gateway string
 }
 
-func newMeter(t *testing.T, id string, work time.Duration) *meter {
-	m := &meter{told: map[string]time.Time{}}
+func newMeter(t *testing.T, id string, work time.Duration) *recordingUpstream {
+	m := &recordingUpstream{told: map[string]time.Time{}}
 	m.Worker = platformtest.NewWorker(id, m.serve(work))
 	t.Cleanup(m.Close)
 	return m
 }
 
 // serve records a request and answers it after the given time.
-func (m *meter) serve(work time.Duration) platformtest.Behaviour {
+func (m *recordingUpstream) serve(work time.Duration) platformtest.Behaviour {
 	return func(w *platformtest.Worker, c net.Conn, r *http.Request) {
 		g := r.Header.Get(gatewayHeader)
 		m.mu.Lock()
@@ -74,7 +74,7 @@
 }
 
 // answers records that a gateway is about to get an answer.
-func (m *meter) answers(gateway string) {
+func (m *recordingUpstream) answers(gateway string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.told[gateway]; !ok && !m.since.IsZero() {
@@ -83,7 +83,7 @@
 }
 
 // name sets the limit that all answers name from now on.
-func (m *meter) name(limit float64) {
+func (m *recordingUpstream) name(limit float64) {
 	m.SetHeaders(http.Header{"Server-Limit": {strconv.FormatFloat(limit, 'f', -1, 64)}})
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +95,7 @@
 
 // most returns the most requests that reached it within a window from gateways that knew its limit,
 // and its requests per second since it first named the limit.
-func (m *meter) most() (n int, perSecond float64) {
+func (m *recordingUpstream) most() (n int, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	since := 0
@@ -119,7 +119,7 @@
 
 // requireLimitKept checks that an upstream got no more than its limit allows, and at least leastUse
 // of it.
-func requireLimitKept(t *testing.T, m *meter) {
+func requireLimitKept(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	n, use := m.most()
 	t.Logf("%s: %d in %s at a limit of %g a second, %.2f a second since it was named", m.ID, n, limitWindow, m.limit, use)
@@ -130,7 +130,7 @@
 // meteredFleet has the upstreams of one service, some gateways and their callers.
 type meteredFleet struct {
 	scene  *scene
-	meters []*meter
+	meters []*recordingUpstream
 	crowd  *crowd
 	ids    atomic.Int64
 
@@ -141,7 +141,7 @@
 }
 
 func newMeteredFleet(t *testing.T, upstreams, gateways int) *meteredFleet {
-	var ms []*meter
+	var ms []*recordingUpstream
 	for i := range upstreams {
 		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), meterWork))
 	}
@@ -149,7 +149,7 @@
 }
 
 // newFleetOf starts gateways with the given upstreams.
-func newFleetOf(t *testing.T, gateways int, ms []*meter) *meteredFleet {
+func newFleetOf(t *testing.T, gateways int, ms []*recordingUpstream) *meteredFleet {
 	f := &meteredFleet{scene: newScene(t), statuses: map[int]int{}, meters: ms}
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -23,7 +23,7 @@
 
 // overloaded is an upstream that refuses requests with a retry delay while it is overloaded.
 type overloaded struct {
-	*meter
+	*recordingUpstream
 
 	from, until atomic.Int64 // Unix ms
 	retryAfter  time.Duration
@@ -33,7 +33,7 @@
 // newTired returns an upstream for a fleet that isn't started yet.
 func newTired(t *testing.T, id string, asks time.Duration) *overloaded {
 	s := &overloaded{retryAfter: asks, refusals: map[string][]time.Time{}}
-	s.meter = newMeter(t, id, meterWork)
+	s.recordingUpstream = newMeter(t, id, meterWork)
 	calm := s.serve(meterWork)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
 		if now := time.Now().UnixMilli(); now < s.from.Load() || now >= s.until.Load() {
@@ -96,10 +96,10 @@
 }
 
 func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *meteredFleet, ts []*overloaded) {
-	var ms []*meter
+	var ms []*recordingUpstream
 	for i := range upstreams {
 		s := newTired(t, fmt.Sprintf("i-%d", i), asks)
-		ts, ms = append(ts, s), append(ms, s.meter)
+		ts, ms = append(ts, s), append(ms, s.recordingUpstream)
 	}
 	return newFleetOf(t, gateways, ms), ts
 }
