--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -25,7 +25,7 @@
 	m.SetHeaders(h)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.since = time.Now()
+	m.announcedAt = time.Now()
 }
 
 // after returns how many requests reached the upstream later than d after its first answer with
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -37,11 +37,11 @@
 type recordingUpstream struct {
 	*platformtest.Worker
 
-	mu       sync.Mutex
-	limit    float64
-	since    time.Time            // when it first named a limit
-	told     map[string]time.Time // when a gateway first got an answer that names it
-	arrivals []metered
+	mu          sync.Mutex
+	limit       float64
+	announcedAt time.Time            // when it first named a limit
+	told        map[string]time.Time // when a gateway first got an answer that names it
+	arrivals    []metered
 }
 
 // meterWork is the time that it takes to serve a request.
@@ -77,7 +77,7 @@
 func (m *recordingUpstream) answers(gateway string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, ok := m.told[gateway]; !ok && !m.since.IsZero() {
+	if _, ok := m.told[gateway]; !ok && !m.announcedAt.IsZero() {
 		m.told[gateway] = time.Now()
 	}
 }
@@ -88,8 +88,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limit = limit
-	if m.since.IsZero() {
-		m.since = time.Now()
+	if m.announcedAt.IsZero() {
+		m.announcedAt = time.Now()
 	}
 }
 
@@ -100,10 +100,10 @@
 	defer m.mu.Unlock()
 	since := 0
 	for i, a := range m.arrivals {
-		if a.at.After(m.since) {
+		if a.at.After(m.announcedAt) {
 			since++
 		}
-		if a.at.Sub(m.since) < limitSettleTime {
+		if a.at.Sub(m.announcedAt) < limitSettleTime {
 			continue
 		}
 		in := 0
@@ -114,7 +114,7 @@
 		}
 		n = max(n, in)
 	}
-	return n, float64(since) / time.Since(m.since).Seconds()
+	return n, float64(since) / time.Since(m.announcedAt).Seconds()
 }
 
 // requireLimitKept checks that an upstream got no more than its limit allows, and at least leastUse
@@ -252,7 +252,7 @@
 		f.crowd.group.Wait()
 		m := f.meters[0]
 		m.answers(g.callers)
-		m.told[g.callers] = m.since // it has to know the limit without an answer
+		m.told[g.callers] = m.announcedAt // it has to know the limit without an answer
 		requireLimitKept(t, m)
 	})
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
