--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -34,7 +34,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first := time.Now()
-	for _, t := range m.told {
+	for _, t := range m.informedAt {
 		if t.Before(first) {
 			first = t
 		}
@@ -53,7 +53,7 @@
 	t.Helper()
 	f.crowd.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.crowd.group.Wait()
-	require.NotEmpty(t, m.told, "a gateway has to receive the report")
+	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
 	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingKnown), leavingKnown, f.share())
 	require.Zero(t, m.after(leavingKnown))
 	require.GreaterOrEqual(t, f.share(), 0.99)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -40,7 +40,7 @@
 	mu          sync.Mutex
 	limit       float64
 	announcedAt time.Time            // when it first named a limit
-	told        map[string]time.Time // when a gateway first got an answer that names it
+	informedAt  map[string]time.Time // when a gateway first got an answer that names it
 	arrivals    []metered
 }
 
@@ -54,7 +54,7 @@
 }
 
 func newMeter(t *testing.T, id string, work time.Duration) *recordingUpstream {
-	m := &recordingUpstream{told: map[string]time.Time{}}
+	m := &recordingUpstream{informedAt: map[string]time.Time{}}
 	m.Worker = platformtest.NewWorker(id, m.serve(work))
 	t.Cleanup(m.Close)
 	return m
@@ -77,8 +77,8 @@
 func (m *recordingUpstream) answers(gateway string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, ok := m.told[gateway]; !ok && !m.announcedAt.IsZero() {
-		m.told[gateway] = time.Now()
+	if _, ok := m.informedAt[gateway]; !ok && !m.announcedAt.IsZero() {
+		m.informedAt[gateway] = time.Now()
 	}
 }
 
@@ -108,7 +108,7 @@
 		}
 		in := 0
 		for _, b := range m.arrivals[:i+1] {
-			if t, ok := m.told[b.gateway]; ok && a.at.Sub(t) >= limitNoticed && a.at.Sub(b.at) < limitWindow {
+			if t, ok := m.informedAt[b.gateway]; ok && a.at.Sub(t) >= limitNoticed && a.at.Sub(b.at) < limitWindow {
 				in++
 			}
 		}
@@ -252,7 +252,7 @@
 		f.crowd.group.Wait()
 		m := f.meters[0]
 		m.answers(g.callers)
-		m.told[g.callers] = m.announcedAt // it has to know the limit without an answer
+		m.informedAt[g.callers] = m.announcedAt // it has to know the limit without an answer
 		requireLimitKept(t, m)
 	})
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
