--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -68,13 +68,13 @@
 		m.arrivals = append(m.arrivals, metered{time.Now(), g})
 		m.mu.Unlock()
 		time.Sleep(work)
-		m.answers(g)
+		m.recordAnswer(g)
 		platformtest.Answer(http.StatusOK, w.ID)(w, c, r)
 	}
 }
 
-// answers records that a gateway is about to get an answer.
-func (m *recordingUpstream) answers(gateway string) {
+// recordAnswer records that a gateway is about to get an answer.
+func (m *recordingUpstream) recordAnswer(gateway string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.informedAt[gateway]; !ok && !m.announcedAt.IsZero() {
@@ -251,7 +251,7 @@
 		f.crowd.every(4*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
 		m := f.meters[0]
-		m.answers(g.callers)
+		m.recordAnswer(g.callers)
 		m.informedAt[g.callers] = m.announcedAt // it has to know the limit without an answer
 		requireLimitKept(t, m)
 	})
