--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// name sets the limit that all answers name from now on.
-func (m *recordingUpstream) name(limit float64) {
+// setLimit sets the limit that all answers setLimit from now on.
+func (m *recordingUpstream) setLimit(limit float64) {
 	m.SetHeaders(http.Header{"Server-Limit": {strconv.FormatFloat(limit, 'f', -1, 64)}})
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,8 +214,8 @@
 	t.Run("two of six upstreams name one", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 6, 5)
-		f.meters[0].name(1.4)
-		f.meters[1].name(1.4)
+		f.meters[0].setLimit(1.4)
+		f.meters[1].setLimit(1.4)
 		f.crowd.every(9*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
 		requireLimitKept(t, f.meters[0])
@@ -226,7 +226,7 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 5)
 		for _, m := range f.meters {
-			m.name(1.4)
+			m.setLimit(1.4)
 		}
 		f.crowd.every(9*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
@@ -240,7 +240,7 @@
 	t.Run("a gateway that starts later knows it", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 1, 2)
-		f.meters[0].name(0.5)
+		f.meters[0].setLimit(0.5)
 		f.crowd.every(4*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
 		f.crowd.gateways = append(f.crowd.gateways, startGateway(t, f.scene.store.Address(), nil))
@@ -258,7 +258,7 @@
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 3)
-		f.meters[0].name(0)
+		f.meters[0].setLimit(0)
 		f.crowd.every(3*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
 		f.meters[0].SetHeaders(nil)
