--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// most returns the most requests that reached it within a window from gateways that knew its limit,
+// peakRequests returns the peakRequests requests that reached it within a window from gateways that knew its limit,
 // and its requests per second since it first named the limit.
-func (m *recordingUpstream) most() (n int, perSecond float64) {
+func (m *recordingUpstream) peakRequests() (n int, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	since := 0
@@ -121,7 +121,7 @@
 // of it.
 func requireLimitKept(t *testing.T, m *recordingUpstream) {
 	t.Helper()
-	n, use := m.most()
+	n, use := m.peakRequests()
 	t.Logf("%s: %d in %s at a limit of %g a second, %.2f a second since it was named", m.ID, n, limitWindow, m.limit, use)
 	require.LessOrEqual(t, float64(n), limitFactor*m.limit*limitWindow.Seconds()+limitExtra)
 	require.GreaterOrEqual(t, use, minLimitUse*m.limit)
