--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -44,8 +44,8 @@
 	arrivals    []metered
 }
 
-// meterWork is the time that it takes to serve a request.
-const meterWork = 15 * time.Millisecond
+// serviceTime is the time that it takes to serve a request.
+const serviceTime = 15 * time.Millisecond
 
 // metered is a request that reached an upstream.
 type metered struct {
@@ -143,7 +143,7 @@
 func newMeteredFleet(t *testing.T, upstreams, gateways int) *meteredFleet {
 	var ms []*recordingUpstream
 	for i := range upstreams {
-		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), meterWork))
+		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), serviceTime))
 	}
 	return newFleetOf(t, gateways, ms)
 }
