--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -41,14 +41,14 @@
 	limit       float64
 	announcedAt time.Time            // when it first named a limit
 	informedAt  map[string]time.Time // when a gateway first got an answer that names it
-	arrivals    []metered
+	arrivals    []arrival
 }
 
 // serviceTime is the time that it takes to serve a request.
 const serviceTime = 15 * time.Millisecond
 
-// metered is a request that reached an upstream.
-type metered struct {
+// arrival is a request that reached an upstream.
+type arrival struct {
 	at      time.Time
 	gateway string
 }
@@ -65,7 +65,7 @@
 	return func(w *platformtest.Worker, c net.Conn, r *http.Request) {
 		g := r.Header.Get(gatewayHeader)
 		m.mu.Lock()
-		m.arrivals = append(m.arrivals, metered{time.Now(), g})
+		m.arrivals = append(m.arrivals, arrival{time.Now(), g})
 		m.mu.Unlock()
 		time.Sleep(work)
 		m.recordAnswer(g)
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -48,7 +48,7 @@
 func (s *overloaded) refuse(c net.Conn, gateway string) {
 	now := time.Now()
 	s.mu.Lock()
-	s.arrivals = append(s.arrivals, metered{now, gateway})
+	s.arrivals = append(s.arrivals, arrival{now, gateway})
 	s.refusals[gateway] = append(s.refusals[gateway], now)
 	s.mu.Unlock()
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n",
