--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -49,7 +49,7 @@
 
 // requireLeft checks that an upstream gets no more requests soon after it has reported that it
 // leaves, and that callers are served.
-func (f *meteredFleet) requireLeft(t *testing.T, m *recordingUpstream) {
+func (f *recordingFleet) requireLeft(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	f.crowd.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.crowd.group.Wait()
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -127,8 +127,8 @@
 	require.GreaterOrEqual(t, use, minLimitUse*m.limit)
 }
 
-// meteredFleet has the upstreams of one service, some gateways and their callers.
-type meteredFleet struct {
+// recordingFleet has the upstreams of one service, some gateways and their callers.
+type recordingFleet struct {
 	scene  *scene
 	meters []*recordingUpstream
 	crowd  *crowd
@@ -140,7 +140,7 @@
 	untold   int           // refusals without a retry delay
 }
 
-func newMeteredFleet(t *testing.T, upstreams, gateways int) *meteredFleet {
+func newMeteredFleet(t *testing.T, upstreams, gateways int) *recordingFleet {
 	var ms []*recordingUpstream
 	for i := range upstreams {
 		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), serviceTime))
@@ -149,8 +149,8 @@
 }
 
 // newFleetOf starts gateways with the given upstreams.
-func newFleetOf(t *testing.T, gateways int, ms []*recordingUpstream) *meteredFleet {
-	f := &meteredFleet{scene: newScene(t), statuses: map[int]int{}, meters: ms}
+func newFleetOf(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
+	f := &recordingFleet{scene: newScene(t), statuses: map[int]int{}, meters: ms}
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
@@ -162,7 +162,7 @@
 }
 
 // call sends a request to the gateways in turn.
-func (f *meteredFleet) call() {
+func (f *recordingFleet) call() {
 	n := int(f.ids.Add(1))
 	g := f.crowd.gateways[n%len(f.crowd.gateways)]
 	r, err := http.NewRequest(http.MethodPost, "http://"+g.callers+"/once/x", strings.NewReader("hello"))
@@ -183,7 +183,7 @@
 	f.note(a, time.Since(begin))
 }
 
-func (f *meteredFleet) note(a *http.Response, took time.Duration) {
+func (f *recordingFleet) note(a *http.Response, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.statuses[a.StatusCode]++
@@ -197,7 +197,7 @@
 }
 
 // share returns the ratio of the calls that were served.
-func (f *meteredFleet) share() float64 {
+func (f *recordingFleet) share() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := 0
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -95,7 +95,7 @@
 	return n
 }
 
-func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *meteredFleet, ts []*overloaded) {
+func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *recordingFleet, ts []*overloaded) {
 	var ms []*recordingUpstream
 	for i := range upstreams {
 		s := newTired(t, fmt.Sprintf("i-%d", i), asks)
