--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -145,11 +145,11 @@
 	for i := range upstreams {
 		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), serviceTime))
 	}
-	return newFleetOf(t, gateways, ms)
+	return newFleetWith(t, gateways, ms)
 }
 
-// newFleetOf starts gateways with the given upstreams.
-func newFleetOf(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
+// newFleetWith starts gateways with the given upstreams.
+func newFleetWith(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
 	f := &recordingFleet{scene: newScene(t), statuses: map[int]int{}, meters: ms}
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -101,7 +101,7 @@
 		s := newTired(t, fmt.Sprintf("i-%d", i), asks)
 		ts, ms = append(ts, s), append(ms, s.recordingUpstream)
 	}
-	return newFleetOf(t, gateways, ms), ts
+	return newFleetWith(t, gateways, ms), ts
 }
 
 // Guards against upstreams that attract calls by refusing them: an engine that refused calls with a
