--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -66,20 +66,20 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 5)
 		f.scene.store.SetMode(platformtest.Away)
-		f.meters[0].say(leaving)
-		f.requireLeft(t, f.meters[0])
+		f.upstreams[0].say(leaving)
+		f.requireLeft(t, f.upstreams[0])
 	})
 	t.Run("while its entry says that it is ready", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 2)
-		f.meters[0].say(leaving)
-		f.scene.store.PutJSON("keyed.servers", "i-0", f.meters[0].Record("s", "ready"))
-		f.requireLeft(t, f.meters[0])
+		f.upstreams[0].say(leaving)
+		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
+		f.requireLeft(t, f.upstreams[0])
 	})
 	t.Run("by a gateway that starts later", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 2)
-		m := f.meters[0]
+		m := f.upstreams[0]
 		m.say(leaving)
 		f.requireLeft(t, m)
 		g := startGateway(t, f.scene.store.Address(), nil)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -129,10 +129,10 @@
 
 // recordingFleet has the upstreams of one service, some gateways and their callers.
 type recordingFleet struct {
-	scene  *scene
-	meters []*recordingUpstream
-	crowd  *crowd
-	ids    atomic.Int64
+	scene     *scene
+	upstreams []*recordingUpstream
+	crowd     *crowd
+	ids       atomic.Int64
 
 	mu       sync.Mutex
 	statuses map[int]int
@@ -150,7 +150,7 @@
 
 // newFleetWith starts gateways with the given upstreams.
 func newFleetWith(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
-	f := &recordingFleet{scene: newScene(t), statuses: map[int]int{}, meters: ms}
+	f := &recordingFleet{scene: newScene(t), statuses: map[int]int{}, upstreams: ms}
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
@@ -214,23 +214,23 @@
 	t.Run("two of six upstreams name one", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 6, 5)
-		f.meters[0].setLimit(1.4)
-		f.meters[1].setLimit(1.4)
+		f.upstreams[0].setLimit(1.4)
+		f.upstreams[1].setLimit(1.4)
 		f.crowd.every(9*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
-		requireLimitKept(t, f.meters[0])
-		requireLimitKept(t, f.meters[1])
+		requireLimitKept(t, f.upstreams[0])
+		requireLimitKept(t, f.upstreams[1])
 		require.GreaterOrEqual(t, f.share(), 0.99, "the others have room: %v", f.statuses)
 	})
 	t.Run("all upstreams name one, of less than the gateways are", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 5)
-		for _, m := range f.meters {
+		for _, m := range f.upstreams {
 			m.setLimit(1.4)
 		}
 		f.crowd.every(9*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
-		for _, m := range f.meters {
+		for _, m := range f.upstreams {
 			requireLimitKept(t, m)
 		}
 		t.Logf("statuses %v, slowest refusal %s", f.statuses, f.slowest)
@@ -240,7 +240,7 @@
 	t.Run("a gateway that starts later knows it", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 1, 2)
-		f.meters[0].setLimit(0.5)
+		f.upstreams[0].setLimit(0.5)
 		f.crowd.every(4*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
 		f.crowd.gateways = append(f.crowd.gateways, startGateway(t, f.scene.store.Address(), nil))
@@ -250,7 +250,7 @@
 		f.crowd.gateways = []*gateway{g}
 		f.crowd.every(4*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
-		m := f.meters[0]
+		m := f.upstreams[0]
 		m.recordAnswer(g.callers)
 		m.informedAt[g.callers] = m.announcedAt // it has to know the limit without an answer
 		requireLimitKept(t, m)
@@ -258,14 +258,14 @@
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 3)
-		f.meters[0].setLimit(0)
+		f.upstreams[0].setLimit(0)
 		f.crowd.every(3*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
-		f.meters[0].SetHeaders(nil)
-		before := len(f.meters[0].Seen())
+		f.upstreams[0].SetHeaders(nil)
+		before := len(f.upstreams[0].Seen())
 		f.crowd.every(15*time.Second, callEvery, f.call)
 		f.crowd.group.Wait()
-		after := len(f.meters[0].Seen()) - before
+		after := len(f.upstreams[0].Seen()) - before
 		t.Logf("%d calls at a limit of none, %d in 15 s after", before, after)
 		require.LessOrEqual(t, before, limitExtra+len(f.crowd.gateways))
 		require.Greater(t, after, 50, "its half of the calls is 375")
