--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -51,8 +51,8 @@
 // leaves, and that callers are served.
 func (f *recordingFleet) requireLeft(t *testing.T, m *recordingUpstream) {
 	t.Helper()
-	f.crowd.every(4*time.Second, 20*time.Millisecond, f.call)
-	f.crowd.group.Wait()
+	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
+	f.callers.group.Wait()
 	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
 	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingKnown), leavingKnown, f.share())
 	require.Zero(t, m.after(leavingKnown))
@@ -86,9 +86,9 @@
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
 		before := len(m.Seen())
-		f.crowd.gateways = []*gateway{g}
-		f.crowd.every(time.Second, 20*time.Millisecond, f.call)
-		f.crowd.group.Wait()
+		f.callers.gateways = []*gateway{g}
+		f.callers.every(time.Second, 20*time.Millisecond, f.call)
+		f.callers.group.Wait()
 		require.Equal(t, before, len(m.Seen()))
 	})
 	t.Run("that says so in a refusal", func(t *testing.T) {
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -131,7 +131,7 @@
 type recordingFleet struct {
 	scene     *scene
 	upstreams []*recordingUpstream
-	crowd     *crowd
+	callers   *crowd
 	ids       atomic.Int64
 
 	mu       sync.Mutex
@@ -154,8 +154,8 @@
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
-	f.crowd = newCrowd(t, f.scene.store, gateways)
-	for _, g := range f.crowd.gateways {
+	f.callers = newCrowd(t, f.scene.store, gateways)
+	for _, g := range f.callers.gateways {
 		require.Eventually(t, func() bool { return g.Core.Fleet().Size() == len(ms) }, 20*time.Second, 5*time.Millisecond)
 	}
 	return f
@@ -164,7 +164,7 @@
 // call sends a request to the gateways in turn.
 func (f *recordingFleet) call() {
 	n := int(f.ids.Add(1))
-	g := f.crowd.gateways[n%len(f.crowd.gateways)]
+	g := f.callers.gateways[n%len(f.callers.gateways)]
 	r, err := http.NewRequest(http.MethodPost, "http://"+g.callers+"/once/x", strings.NewReader("hello"))
 	if err != nil {
 		return
@@ -216,8 +216,8 @@
 		f := newMeteredFleet(t, 6, 5)
 		f.upstreams[0].setLimit(1.4)
 		f.upstreams[1].setLimit(1.4)
-		f.crowd.every(9*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
+		f.callers.every(9*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
 		requireLimitKept(t, f.upstreams[0])
 		requireLimitKept(t, f.upstreams[1])
 		require.GreaterOrEqual(t, f.share(), 0.99, "the others have room: %v", f.statuses)
@@ -228,8 +228,8 @@
 		for _, m := range f.upstreams {
 			m.setLimit(1.4)
 		}
-		f.crowd.every(9*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
+		f.callers.every(9*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
 		for _, m := range f.upstreams {
 			requireLimitKept(t, m)
 		}
@@ -241,15 +241,15 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 1, 2)
 		f.upstreams[0].setLimit(0.5)
-		f.crowd.every(4*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
-		f.crowd.gateways = append(f.crowd.gateways, startGateway(t, f.scene.store.Address(), nil))
-		g := f.crowd.gateways[2]
+		f.callers.every(4*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
+		f.callers.gateways = append(f.callers.gateways, startGateway(t, f.scene.store.Address(), nil))
+		g := f.callers.gateways[2]
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
-		f.crowd.gateways = []*gateway{g}
-		f.crowd.every(4*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
+		f.callers.gateways = []*gateway{g}
+		f.callers.every(4*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
 		m := f.upstreams[0]
 		m.recordAnswer(g.callers)
 		m.informedAt[g.callers] = m.announcedAt // it has to know the limit without an answer
@@ -259,15 +259,15 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 3)
 		f.upstreams[0].setLimit(0)
-		f.crowd.every(3*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
+		f.callers.every(3*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
 		f.upstreams[0].SetHeaders(nil)
 		before := len(f.upstreams[0].Seen())
-		f.crowd.every(15*time.Second, callEvery, f.call)
-		f.crowd.group.Wait()
+		f.callers.every(15*time.Second, callEvery, f.call)
+		f.callers.group.Wait()
 		after := len(f.upstreams[0].Seen()) - before
 		t.Logf("%d calls at a limit of none, %d in 15 s after", before, after)
-		require.LessOrEqual(t, before, limitExtra+len(f.crowd.gateways))
+		require.LessOrEqual(t, before, limitExtra+len(f.callers.gateways))
 		require.Greater(t, after, 50, "its half of the calls is 375")
 	})
 }
