--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -134,10 +134,10 @@
 	callers   *crowd
 	ids       atomic.Int64
 
-	mu             sync.Mutex
-	statuses       map[int]int
-	slowestRefusal time.Duration // refusal
-	untold         int           // refusals without a retry delay
+	mu                sync.Mutex
+	statuses          map[int]int
+	slowestRefusal    time.Duration // refusal
+	withoutRetryAfter int           // refusals without a retry delay
 }
 
 func newMeteredFleet(t *testing.T, upstreams, gateways int) *recordingFleet {
@@ -192,7 +192,7 @@
 	}
 	f.slowestRefusal = max(f.slowestRefusal, took)
 	if d, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64); err != nil || d <= 0 {
-		f.untold++
+		f.withoutRetryAfter++
 	}
 }
 
@@ -234,7 +234,7 @@
 			requireLimitKept(t, m)
 		}
 		t.Logf("statuses %v, slowest refusal %s", f.statuses, f.slowestRefusal)
-		require.Zero(t, f.untold, "all refusals have a retry delay")
+		require.Zero(t, f.withoutRetryAfter, "all refusals have a retry delay")
 		require.Less(t, f.slowestRefusal, 500*time.Millisecond, "calls that can't be served are refused at once")
 	})
 	t.Run("a gateway that starts later knows it", func(t *testing.T) {
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -128,11 +128,11 @@
 		begin := time.Now()
 		f.callers.every(5*time.Second, 12500*time.Microsecond, f.call)
 		f.callers.group.Wait()
-		t.Logf("%v, slowest refusal %s, %d without a retry delay", f.statuses, f.slowestRefusal, f.untold)
+		t.Logf("%v, slowest refusal %s, %d without a retry delay", f.statuses, f.slowestRefusal, f.withoutRetryAfter)
 		for _, s := range ts {
 			require.LessOrEqual(t, s.peakInRetryAfter(), maxRequestsInRetryAfter)
 		}
-		require.Zero(t, f.untold)
+		require.Zero(t, f.withoutRetryAfter)
 		require.Less(t, f.slowestRefusal, 500*time.Millisecond)
 		served := 0
 		for _, s := range ts {
