--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -54,9 +54,9 @@
 	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.callers.group.Wait()
 	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
-	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingKnown), leavingKnown, f.share())
+	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingKnown), leavingKnown, f.servedRatio())
 	require.Zero(t, m.after(leavingKnown))
-	require.GreaterOrEqual(t, f.share(), 0.99)
+	require.GreaterOrEqual(t, f.servedRatio(), 0.99)
 }
 
 // Guards against requests to an upstream that leaves while its entry doesn't show it: the store was
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// share returns the ratio of the calls that were served.
-func (f *recordingFleet) share() float64 {
+// servedRatio returns the ratio of the calls that were served.
+func (f *recordingFleet) servedRatio() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := 0
@@ -220,7 +220,7 @@
 		f.callers.group.Wait()
 		requireLimitKept(t, f.upstreams[0])
 		requireLimitKept(t, f.upstreams[1])
-		require.GreaterOrEqual(t, f.share(), 0.99, "the others have room: %v", f.statuses)
+		require.GreaterOrEqual(t, f.servedRatio(), 0.99, "the others have room: %v", f.statuses)
 	})
 	t.Run("all upstreams name one, of less than the gateways are", func(t *testing.T) {
 		t.Parallel()
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -113,11 +113,11 @@
 		ts[0].overloadFor(4 * time.Second)
 		f.callers.every(8*time.Second, 12500*time.Microsecond, f.call)
 		f.callers.group.Wait()
-		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].peakInRetryAfter(), f.share(), f.statuses)
+		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].peakInRetryAfter(), f.servedRatio(), f.statuses)
 		require.NotEmpty(t, ts[0].refusals)
 		require.LessOrEqual(t, ts[0].peakInRetryAfter(), maxRequestsInRetryAfter)
 		require.Positive(t, ts[0].countAfter(time.UnixMilli(ts[0].until.Load()), 4*time.Second), "it is used again")
-		require.GreaterOrEqual(t, f.share(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
+		require.GreaterOrEqual(t, f.servedRatio(), 0.97, "a call has one attempt, and each gateway needs some refusals to learn of the delay")
 	})
 	t.Run("all of a service", func(t *testing.T) {
 		t.Parallel()
