--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -31,27 +31,27 @@
  "services":[{"name":"s"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
  "tenants":[{"name":"o","apiKeys":[%s]}]}`
 
-// lines collects the log of a process.
-type lines struct {
+// logBuffer collects the log of a process.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
 // String returns all that was written.
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
 // of returns the lines with a request's id, in order.
-func (l *lines) of(id string) (ls []map[string]any) {
+func (l *logBuffer) of(id string) (ls []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for s := range strings.Lines(l.b.String()) {
@@ -66,7 +66,7 @@
 // gateway is a gateway under test.
 type gateway struct {
 	*GatewayNode
-	log     *lines
+	log     *logBuffer
 	callers string
 	ready   string
 	peers   string
@@ -107,7 +107,7 @@
 
 func setUpGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway, err error) {
 	t.Helper()
-	g = &gateway{log: &lines{}, callers: freePort(t), ready: freePort(t), peers: freePort(t)}
+	g = &gateway{log: &logBuffer{}, callers: freePort(t), ready: freePort(t), peers: freePort(t)}
 	c := setting.DefaultGateway()
 	c.Box, c.Hall, c.Store = "box-"+g.callers, "z1", store
 	c.Callers, c.Readiness, c.Peers = g.callers, g.ready, g.peers
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -74,7 +74,7 @@
 		require.Len(t, bs, 1)
 	})
 	t.Run("the log names a peer that does not send one", func(t *testing.T) {
-		l := &lines{}
+		l := &logBuffer{}
 		bs := Snapshots(boxes(listenSnapshotPeer(t, 1, 1, 0), "127.0.0.1:1"), peer.TCP(), log.New(l))(context.Background(), 0)
 		require.Len(t, bs, 1)
 		require.Contains(t, l.String(), "snapshot of a peer not received")
