--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -50,8 +50,8 @@
 	return l.b.String()
 }
 
-// of returns the lines with a request's id, in order.
-func (l *logBuffer) of(id string) (ls []map[string]any) {
+// linesOf returns the lines with a request's id, in order.
+func (l *logBuffer) linesOf(id string) (ls []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for s := range strings.Lines(l.b.String()) {
@@ -445,7 +445,7 @@
 		st, _, err := s.gateway.call(t, "/once/x", "a1", "k1")
 		require.NoError(t, err)
 		require.Equal(t, 503, st)
-		ls := s.gateway.log.of("a1")
+		ls := s.gateway.log.linesOf("a1")
 		require.Equal(t, []string{"sent", "attempt failed HG2001", "request ended HG2001"}, causes(ls))
 		require.Equal(t, "not_run", ls[2]["outcome"])
 		require.Equal(t, "i-0", ls[0]["upstream"])
@@ -457,7 +457,7 @@
 		_, body, err := s.gateway.call(t, "/stream/x", "a1", "k1")
 		require.Error(t, err)
 		require.Equal(t, stream(4), body)
-		ls := s.gateway.log.of("a1")
+		ls := s.gateway.log.linesOf("a1")
 		require.Contains(t, causes(ls), "attempt failed HG3003")
 		ended, last := ls[len(ls)-2], ls[len(ls)-1]
 		require.Equal(t, "request ended", ended["msg"])
@@ -473,7 +473,7 @@
 		st, _, err := s.gateway.call(t, "/once/x", "a1", "k1")
 		require.NoError(t, err)
 		require.Equal(t, 504, st)
-		ls := s.gateway.log.of("a1")
+		ls := s.gateway.log.linesOf("a1")
 		require.Equal(t, []string{"sent", "attempt failed HG3001", "request ended HG3001"}, causes(ls))
 		require.Equal(t, "unknown", ls[2]["outcome"])
 		require.Contains(t, ls[2], "took_ms")
@@ -487,7 +487,7 @@
 		require.NoError(t, err)
 		require.NoError(t, res.Body.Close())
 		require.Equal(t, 413, res.StatusCode)
-		require.Equal(t, []string{"request refused"}, causes(s.gateway.log.of("a9")))
+		require.Equal(t, []string{"request refused"}, causes(s.gateway.log.linesOf("a9")))
 	})
 }
 
