--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -424,8 +424,8 @@
 	require.Eventually(t, listed, 20*time.Second, time.Millisecond)
 }
 
-// causes returns the message and the code of each of the log lines.
-func causes(ls []map[string]any) (cs []string) {
+// logCauses returns the message and the code of each of the log lines.
+func logCauses(ls []map[string]any) (cs []string) {
 	for _, l := range ls {
 		cs = append(cs, strings.TrimSpace(fmt.Sprint(l["msg"], " ", or(l["code"], ""))))
 	}
@@ -446,7 +446,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 503, st)
 		ls := s.gateway.log.linesOf("a1")
-		require.Equal(t, []string{"sent", "attempt failed HG2001", "request ended HG2001"}, causes(ls))
+		require.Equal(t, []string{"sent", "attempt failed HG2001", "request ended HG2001"}, logCauses(ls))
 		require.Equal(t, "not_run", ls[2]["outcome"])
 		require.Equal(t, "i-0", ls[0]["upstream"])
 		require.InDelta(t, 1, ls[0]["version"], 0)
@@ -458,7 +458,7 @@
 		require.Error(t, err)
 		require.Equal(t, stream(4), body)
 		ls := s.gateway.log.linesOf("a1")
-		require.Contains(t, causes(ls), "attempt failed HG3003")
+		require.Contains(t, logCauses(ls), "attempt failed HG3003")
 		ended, last := ls[len(ls)-2], ls[len(ls)-1]
 		require.Equal(t, "request ended", ended["msg"])
 		require.InDelta(t, 4, ended["events"], 0)
@@ -474,7 +474,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 504, st)
 		ls := s.gateway.log.linesOf("a1")
-		require.Equal(t, []string{"sent", "attempt failed HG3001", "request ended HG3001"}, causes(ls))
+		require.Equal(t, []string{"sent", "attempt failed HG3001", "request ended HG3001"}, logCauses(ls))
 		require.Equal(t, "unknown", ls[2]["outcome"])
 		require.Contains(t, ls[2], "took_ms")
 	})
@@ -487,7 +487,7 @@
 		require.NoError(t, err)
 		require.NoError(t, res.Body.Close())
 		require.Equal(t, 413, res.StatusCode)
-		require.Equal(t, []string{"request refused"}, causes(s.gateway.log.linesOf("a9")))
+		require.Equal(t, []string{"request refused"}, logCauses(s.gateway.log.linesOf("a9")))
 	})
 }
 
