--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -491,18 +491,18 @@
 	})
 }
 
-// stuck is an output whose writes block.
-type stuck struct {
+// blockedWriter is an output whose writes block.
+type blockedWriter struct {
 	release chan struct{}
 }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
 func TestLogNeverBlocks(t *testing.T) {
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	w := NewLogWriter(out)
 	g, err := Logger(w, "info")
 	require.NoError(t, err)
