--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -427,12 +427,12 @@
 // logCauses returns the message and the code of each of the log lines.
 func logCauses(ls []map[string]any) (cs []string) {
 	for _, l := range ls {
-		cs = append(cs, strings.TrimSpace(fmt.Sprint(l["msg"], " ", or(l["code"], ""))))
+		cs = append(cs, strings.TrimSpace(fmt.Sprint(l["msg"], " ", valueOr(l["code"], ""))))
 	}
 	return cs
 }
 
-func or(v, w any) any {
+func valueOr(v, w any) any {
 	if v == nil {
 		return w
 	}
