--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -80,14 +80,14 @@
 	return l.Addr().String()
 }
 
-// portTries bounds the tries to get free ports: any process may take a free port before the gateway
+// maxPortTries bounds the tries to get free ports: any process may take a free port before the gateway
 // listens on it.
-const portTries = 5
+const maxPortTries = 5
 
 func startGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway) {
 	t.Helper()
 	var err error
-	for range portTries {
+	for range maxPortTries {
 		if g, err = setUpGateway(t, store, change); !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
