--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -13,9 +13,9 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// leavingKnown is the time after which no request may reach an upstream that has reported that it
+// leavingNoticed is the time after which no request may reach an upstream that has reported that it
 // leaves.
-const leavingKnown = 2 * time.Second
+const leavingNoticed = 2 * time.Second
 
 // leaving is the header by which an upstream reports that it leaves.
 var leaving = http.Header{"Server-Leaving": {"1"}}
@@ -54,8 +54,8 @@
 	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.callers.group.Wait()
 	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
-	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingKnown), leavingKnown, f.servedRatio())
-	require.Zero(t, m.after(leavingKnown))
+	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingNoticed), leavingNoticed, f.servedRatio())
+	require.Zero(t, m.after(leavingNoticed))
 	require.GreaterOrEqual(t, f.servedRatio(), 0.99)
 }
 
