--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -17,8 +17,8 @@
 // leaves.
 const leavingNoticed = 2 * time.Second
 
-// leaving is the header by which an upstream reports that it leaves.
-var leaving = http.Header{"Server-Leaving": {"1"}}
+// leavingHeader is the header by which an upstream reports that it leaves.
+var leavingHeader = http.Header{"Server-Leaving": {"1"}}
 
 // say sets the headers of all answers from now on, and records when.
 func (m *recordingUpstream) say(h http.Header) {
@@ -66,13 +66,13 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 5)
 		f.scene.store.SetMode(platformtest.Away)
-		f.upstreams[0].say(leaving)
+		f.upstreams[0].say(leavingHeader)
 		f.requireLeft(t, f.upstreams[0])
 	})
 	t.Run("while its entry says that it is ready", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 2)
-		f.upstreams[0].say(leaving)
+		f.upstreams[0].say(leavingHeader)
 		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
 		f.requireLeft(t, f.upstreams[0])
 	})
@@ -80,7 +80,7 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 2)
 		m := f.upstreams[0]
-		m.say(leaving)
+		m.say(leavingHeader)
 		f.requireLeft(t, m)
 		g := startGateway(t, f.scene.store.Address(), nil)
 		g.waitReady(t)
@@ -94,13 +94,13 @@
 	t.Run("that says so in a refusal", func(t *testing.T) {
 		t.Parallel()
 		s := newScene(t, platformtest.Shed, platformtest.Echo)
-		s.workers[0].SetHeaders(leaving)
+		s.workers[0].SetHeaders(leavingHeader)
 		requireUnusedOnceSeen(t, s)
 	})
 	t.Run("that says so in the head of a stream that goes on", func(t *testing.T) {
 		t.Parallel()
 		s := newScene(t, platformtest.PacedStream(8, 200*time.Millisecond), platformtest.Stream(8, 0))
-		s.workers[0].SetHeaders(leaving)
+		s.workers[0].SetHeaders(leavingHeader)
 		done := make(chan string, 1)
 		go func() {
 			for i := 0; ; i++ {
@@ -124,7 +124,7 @@
 		r := s.workers[0].Record("s", "ready")
 		r["born"] = time.Now().UnixMilli()
 		s.store.PutJSON("keyed.servers", "i-0", r)
-		s.workers[0].SetHeaders(leaving)
+		s.workers[0].SetHeaders(leavingHeader)
 		requireStatusSoon(t, s.gateway, http.StatusServiceUnavailable)
 		s.workers[0].SetHeaders(nil)
 		r["born"] = time.Now().UnixMilli()
