--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -20,8 +20,8 @@
 // leavingHeader is the header by which an upstream reports that it leaves.
 var leavingHeader = http.Header{"Server-Leaving": {"1"}}
 
-// say sets the headers of all answers from now on, and records when.
-func (m *recordingUpstream) say(h http.Header) {
+// announce sets the headers of all answers from now on, and records when.
+func (m *recordingUpstream) announce(h http.Header) {
 	m.SetHeaders(h)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,13 +66,13 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 5)
 		f.scene.store.SetMode(platformtest.Away)
-		f.upstreams[0].say(leavingHeader)
+		f.upstreams[0].announce(leavingHeader)
 		f.requireLeft(t, f.upstreams[0])
 	})
 	t.Run("while its entry says that it is ready", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 2)
-		f.upstreams[0].say(leavingHeader)
+		f.upstreams[0].announce(leavingHeader)
 		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
 		f.requireLeft(t, f.upstreams[0])
 	})
@@ -80,7 +80,7 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 2)
 		m := f.upstreams[0]
-		m.say(leavingHeader)
+		m.announce(leavingHeader)
 		f.requireLeft(t, m)
 		g := startGateway(t, f.scene.store.Address(), nil)
 		g.waitReady(t)
