--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -28,9 +28,9 @@
 	m.announcedAt = time.Now()
 }
 
-// after returns how many requests reached the upstream later than d after its first answer with
+// countLater returns how many requests reached the upstream later than d countLater its first answer with
 // these headers.
-func (m *recordingUpstream) after(d time.Duration) (n int) {
+func (m *recordingUpstream) countLater(d time.Duration) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first := time.Now()
@@ -54,8 +54,8 @@
 	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.callers.group.Wait()
 	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
-	t.Logf("%d requests later than %s after its first report, %.3f served", m.after(leavingNoticed), leavingNoticed, f.servedRatio())
-	require.Zero(t, m.after(leavingNoticed))
+	t.Logf("%d requests later than %s after its first report, %.3f served", m.countLater(leavingNoticed), leavingNoticed, f.servedRatio())
+	require.Zero(t, m.countLater(leavingNoticed))
 	require.GreaterOrEqual(t, f.servedRatio(), 0.99)
 }
 
