--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -47,9 +47,9 @@
 	return n
 }
 
-// requireLeft checks that an upstream gets no more requests soon after it has reported that it
+// requireNoneAfterLeaving checks that an upstream gets no more requests soon after it has reported that it
 // leaves, and that callers are served.
-func (f *recordingFleet) requireLeft(t *testing.T, m *recordingUpstream) {
+func (f *recordingFleet) requireNoneAfterLeaving(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
 	f.callers.group.Wait()
@@ -67,21 +67,21 @@
 		f := newMeteredFleet(t, 3, 5)
 		f.scene.store.SetMode(platformtest.Away)
 		f.upstreams[0].announce(leavingHeader)
-		f.requireLeft(t, f.upstreams[0])
+		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
 	t.Run("while its entry says that it is ready", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 3, 2)
 		f.upstreams[0].announce(leavingHeader)
 		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
-		f.requireLeft(t, f.upstreams[0])
+		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
 	t.Run("by a gateway that starts later", func(t *testing.T) {
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 2)
 		m := f.upstreams[0]
 		m.announce(leavingHeader)
-		f.requireLeft(t, m)
+		f.requireNoneAfterLeaving(t, m)
 		g := startGateway(t, f.scene.store.Address(), nil)
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
