--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -121,10 +121,10 @@
 // of it.
 func requireLimitKept(t *testing.T, m *recordingUpstream) {
 	t.Helper()
-	n, use := m.peakRequests()
-	t.Logf("%s: %d in %s at a limit of %g a second, %.2f a second since it was named", m.ID, n, limitWindow, m.limit, use)
+	n, rate := m.peakRequests()
+	t.Logf("%s: %d in %s at a limit of %g a second, %.2f a second since it was named", m.ID, n, limitWindow, m.limit, rate)
 	require.LessOrEqual(t, float64(n), limitFactor*m.limit*limitWindow.Seconds()+limitExtra)
-	require.GreaterOrEqual(t, use, minLimitUse*m.limit)
+	require.GreaterOrEqual(t, rate, minLimitUse*m.limit)
 }
 
 // recordingFleet has the upstreams of one service, some gateways and their callers.
