--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// engineCore returns a core with three engines whose first event is delayed, and the reporter of
+// newEngineCore returns a core with three engines whose first event is delayed, and the reporter of
 // their paces.
-func engineCore(after time.Duration) (*Core, *fakeReporter) {
+func newEngineCore(after time.Duration) (*Core, *fakeReporter) {
 	r := &fakeReporter{paces: map[string]float64{}}
 	c := newCore(&fakeUpstreams{replies: []reply{delayedStream(after)}}, WithReporter(r))
 	k := Route{Name: "resume", Host: "h", Prefix: "/resume/", Repeat: Resume, Stream: true, Timeout: 10 * time.Second, Goal: 300 * time.Millisecond, Targets: []Target{{"s", 1}}, MaxAttempts: 1}
@@ -89,7 +89,7 @@
 func TestEnginesThatSeemSlowAreAsked(t *testing.T) {
 	t.Run("when a first event is overdue", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, r := engineCore(900 * time.Millisecond)
+			c, r := newEngineCore(900 * time.Millisecond)
 			r.setPace("u1", 2.7)
 			serveShortPrompt(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
@@ -103,7 +103,7 @@
 	})
 	t.Run("again and again while they are slow", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, r := engineCore(900 * time.Millisecond)
+			c, r := newEngineCore(900 * time.Millisecond)
 			r.setPace("u1", 5)
 			serveShortPrompt(t, c)
 			time.Sleep(10 * PaceAgain)
@@ -118,7 +118,7 @@
 	})
 	t.Run("not when it comes as predicted", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, r := engineCore(100 * time.Millisecond)
+			c, r := newEngineCore(100 * time.Millisecond)
 			serveShortPrompt(t, c)
 			time.Sleep(10 * PaceAgain)
 			require.Empty(t, r.requests)
@@ -126,7 +126,7 @@
 	})
 	t.Run("one that says nothing counts as it did", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, r := engineCore(900 * time.Millisecond)
+			c, r := newEngineCore(900 * time.Millisecond)
 			r.failing = true
 			serveShortPrompt(t, c)
 			synctest.Wait()
@@ -136,7 +136,7 @@
 	})
 	t.Run("and the others once one is slow", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			c, r := engineCore(900 * time.Millisecond)
+			c, r := newEngineCore(900 * time.Millisecond)
 			r.setPace("u1", 3)
 			r.setPace("u3", 3)
 			serveShortPrompt(t, c)
