--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -48,7 +48,7 @@
 	group      sync.WaitGroup
 }
 
-func newMortals(t *testing.T, s *platformtest.Store, n int, down time.Duration) *crashingPool {
+func newCrashingPool(t *testing.T, s *platformtest.Store, n int, down time.Duration) *crashingPool {
 	m := &crashingPool{t: t, store: s, down: down, workers: map[string]*platformtest.Worker{}}
 	for range n {
 		m.start()
@@ -251,7 +251,7 @@
 
 func TestRequestThatEndsUpstreams(t *testing.T) {
 	s := newScene(t)
-	requireQuickQuarantine(t, s, newMortals(t, s.store, 24, 1500*time.Millisecond))
+	requireQuickQuarantine(t, s, newCrashingPool(t, s.store, 24, 1500*time.Millisecond))
 }
 
 // requireQuickQuarantine runs three gateways whose callers send the crashing request ten times a second
@@ -277,7 +277,7 @@
 // times after 3 s, and half of the others failed.
 func TestRequestThatEndsUpstreamsBehindRelays(t *testing.T) {
 	s := newScene(t)
-	m := newMortals(t, s.store, 0, 1500*time.Millisecond)
+	m := newCrashingPool(t, s.store, 0, 1500*time.Millisecond)
 	m.proxied = true
 	for range 24 {
 		m.start()
@@ -318,7 +318,7 @@
 func TestAHeldRequestIsKnown(t *testing.T) {
 	t.Run("after the loss of all gateways", func(t *testing.T) {
 		s := newScene(t)
-		m := newMortals(t, s.store, 8, 300*time.Millisecond)
+		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCrowd(t, s.store, 2)
 		c.untilHeld()
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
@@ -328,7 +328,7 @@
 	})
 	t.Run("while the store is away, also by those at which it never came", func(t *testing.T) {
 		s := newScene(t)
-		m := newMortals(t, s.store, 8, 300*time.Millisecond)
+		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCrowd(t, s.store, 3)
 		s.store.SetMode(platformtest.Silent)
 		all := c.gateways
@@ -340,7 +340,7 @@
 	})
 	t.Run("by operators, who can end it", func(t *testing.T) {
 		s := newScene(t)
-		m := newMortals(t, s.store, 8, 300*time.Millisecond)
+		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCrowd(t, s.store, 2)
 		c.untilHeld()
 		requireQuarantined(t, m, c.gateways...)
