--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -170,8 +170,8 @@
 	return sends, len(m.crashes)
 }
 
-// crowd simulates the callers of some gateways.
-type crowd struct {
+// callerGroup simulates the callers of some gateways.
+type callerGroup struct {
 	t        *testing.T
 	gateways []*gateway
 	ids      atomic.Int64
@@ -183,7 +183,7 @@
 }
 
 // every calls send at each interval for a duration.
-func (c *crowd) every(d, interval time.Duration, send func()) {
+func (c *callerGroup) every(d, interval time.Duration, send func()) {
 	c.group.Go(func() {
 		t := time.NewTicker(interval)
 		defer t.Stop()
@@ -194,13 +194,13 @@
 }
 
 // any sends a body to the gateways in turn and returns the answer.
-func (c *crowd) any(body string) (status int, answer string, err error) {
+func (c *callerGroup) any(body string) (status int, answer string, err error) {
 	n := c.ids.Add(1)
 	return c.gateways[int(n)%len(c.gateways)].post("/stream/x", fmt.Sprint("r", n), "k1", body)
 }
 
 // innocent sends a harmless request, and retries it once.
-func (c *crowd) innocent() {
+func (c *callerGroup) innocent() {
 	body := fmt.Sprint("caption ", c.ids.Add(1))
 	whole := stream(eventCount)
 	for range 2 {
@@ -213,7 +213,7 @@
 }
 
 // kill sends the crashing request.
-func (c *crowd) kill() {
+func (c *callerGroup) kill() {
 	st, b, err := c.any(crashingBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,22 +223,22 @@
 	}
 }
 
-func (c *crowd) note(n *int) {
+func (c *callerGroup) note(n *int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*n++
 }
 
 // share returns the ratio of the harmless requests that were served.
-func (c *crowd) share() float64 {
+func (c *callerGroup) share() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return float64(c.served) / float64(max(c.served+c.failed, 1))
 }
 
 // newCrowd starts gateways and returns their callers.
-func newCrowd(t *testing.T, s *platformtest.Store, gateways int) *crowd {
-	c := &crowd{t: t, refusals: map[string]int{}}
+func newCrowd(t *testing.T, s *platformtest.Store, gateways int) *callerGroup {
+	c := &callerGroup{t: t, refusals: map[string]int{}}
 	for range gateways {
 		c.gateways = append(c.gateways, startGateway(t, s.Address(), nil))
 	}
@@ -286,7 +286,7 @@
 }
 
 // untilHeld sends the crashing request until the first gateway blocks it.
-func (c *crowd) untilHeld() {
+func (c *callerGroup) untilHeld() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		c.kill()
@@ -358,7 +358,7 @@
 }
 
 // fingerprint returns the fingerprint of the crashing request as operators see it.
-func (c *crowd) fingerprint() string {
+func (c *callerGroup) fingerprint() string {
 	for _, h := range c.gateways[0].Core.Quarantine().Holds() {
 		return h.Fingerprint.String()
 	}
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -131,7 +131,7 @@
 type recordingFleet struct {
 	scene     *scene
 	upstreams []*recordingUpstream
-	callers   *crowd
+	callers   *callerGroup
 	ids       atomic.Int64
 
 	mu                sync.Mutex
