--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -236,8 +236,8 @@
 	return float64(c.served) / float64(max(c.served+c.failed, 1))
 }
 
-// newCrowd starts gateways and returns their callers.
-func newCrowd(t *testing.T, s *platformtest.Store, gateways int) *callerGroup {
+// newCallerGroup starts gateways and returns their callers.
+func newCallerGroup(t *testing.T, s *platformtest.Store, gateways int) *callerGroup {
 	c := &callerGroup{t: t, refusals: map[string]int{}}
 	for range gateways {
 		c.gateways = append(c.gateways, startGateway(t, s.Address(), nil))
@@ -259,7 +259,7 @@
 // others are served.
 func requireQuickQuarantine(t *testing.T, s *scene, m *crashingPool) {
 	t.Helper()
-	c := newCrowd(t, s.store, 3)
+	c := newCallerGroup(t, s.store, 3)
 	const duration = 8 * time.Second
 	c.every(duration, 20*time.Millisecond, c.innocent)
 	c.every(duration, 100*time.Millisecond, c.kill)
@@ -319,7 +319,7 @@
 	t.Run("after the loss of all gateways", func(t *testing.T) {
 		s := newScene(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
-		c := newCrowd(t, s.store, 2)
+		c := newCallerGroup(t, s.store, 2)
 		c.untilHeld()
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
 		after := startGateway(t, s.store.Address(), func(c *setting.Gateway) { c.Peers = "" }) // no peer informs it
@@ -329,7 +329,7 @@
 	t.Run("while the store is away, also by those at which it never came", func(t *testing.T) {
 		s := newScene(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
-		c := newCrowd(t, s.store, 3)
+		c := newCallerGroup(t, s.store, 3)
 		s.store.SetMode(platformtest.Silent)
 		all := c.gateways
 		c.gateways = all[:1]
@@ -341,7 +341,7 @@
 	t.Run("by operators, who can end it", func(t *testing.T) {
 		s := newScene(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
-		c := newCrowd(t, s.store, 2)
+		c := newCallerGroup(t, s.store, 2)
 		c.untilHeld()
 		requireQuarantined(t, m, c.gateways...)
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -154,7 +154,7 @@
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
-	f.callers = newCrowd(t, f.scene.store, gateways)
+	f.callers = newCallerGroup(t, f.scene.store, gateways)
 	for _, g := range f.callers.gateways {
 		require.Eventually(t, func() bool { return g.Core.Fleet().Size() == len(ms) }, 20*time.Second, 5*time.Millisecond)
 	}
