--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -182,8 +182,8 @@
 	refusals       map[string]int // codes of the refusals of crashing requests
 }
 
-// every calls send at each interval for a duration.
-func (c *callerGroup) every(d, interval time.Duration, send func()) {
+// runEvery calls send at each interval for a duration.
+func (c *callerGroup) runEvery(d, interval time.Duration, send func()) {
 	c.group.Go(func() {
 		t := time.NewTicker(interval)
 		defer t.Stop()
@@ -261,8 +261,8 @@
 	t.Helper()
 	c := newCallerGroup(t, s.store, 3)
 	const duration = 8 * time.Second
-	c.every(duration, 20*time.Millisecond, c.innocent)
-	c.every(duration, 100*time.Millisecond, c.kill)
+	c.runEvery(duration, 20*time.Millisecond, c.innocent)
+	c.runEvery(duration, 100*time.Millisecond, c.kill)
 	c.group.Wait()
 	sends, ended := m.lateSends()
 	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -51,7 +51,7 @@
 // leaves, and that callers are served.
 func (f *recordingFleet) requireNoneAfterLeaving(t *testing.T, m *recordingUpstream) {
 	t.Helper()
-	f.callers.every(4*time.Second, 20*time.Millisecond, f.call)
+	f.callers.runEvery(4*time.Second, 20*time.Millisecond, f.call)
 	f.callers.group.Wait()
 	require.NotEmpty(t, m.informedAt, "a gateway has to receive the report")
 	t.Logf("%d requests later than %s after its first report, %.3f served", m.countLater(leavingNoticed), leavingNoticed, f.servedRatio())
@@ -87,7 +87,7 @@
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
 		before := len(m.Seen())
 		f.callers.gateways = []*gateway{g}
-		f.callers.every(time.Second, 20*time.Millisecond, f.call)
+		f.callers.runEvery(time.Second, 20*time.Millisecond, f.call)
 		f.callers.group.Wait()
 		require.Equal(t, before, len(m.Seen()))
 	})
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -216,7 +216,7 @@
 		f := newMeteredFleet(t, 6, 5)
 		f.upstreams[0].setLimit(1.4)
 		f.upstreams[1].setLimit(1.4)
-		f.callers.every(9*time.Second, callEvery, f.call)
+		f.callers.runEvery(9*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		requireLimitKept(t, f.upstreams[0])
 		requireLimitKept(t, f.upstreams[1])
@@ -228,7 +228,7 @@
 		for _, m := range f.upstreams {
 			m.setLimit(1.4)
 		}
-		f.callers.every(9*time.Second, callEvery, f.call)
+		f.callers.runEvery(9*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		for _, m := range f.upstreams {
 			requireLimitKept(t, m)
@@ -241,14 +241,14 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 1, 2)
 		f.upstreams[0].setLimit(0.5)
-		f.callers.every(4*time.Second, callEvery, f.call)
+		f.callers.runEvery(4*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		f.callers.gateways = append(f.callers.gateways, startGateway(t, f.scene.store.Address(), nil))
 		g := f.callers.gateways[2]
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
 		f.callers.gateways = []*gateway{g}
-		f.callers.every(4*time.Second, callEvery, f.call)
+		f.callers.runEvery(4*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		m := f.upstreams[0]
 		m.recordAnswer(g.callers)
@@ -259,11 +259,11 @@
 		t.Parallel()
 		f := newMeteredFleet(t, 2, 3)
 		f.upstreams[0].setLimit(0)
-		f.callers.every(3*time.Second, callEvery, f.call)
+		f.callers.runEvery(3*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		f.upstreams[0].SetHeaders(nil)
 		before := len(f.upstreams[0].Seen())
-		f.callers.every(15*time.Second, callEvery, f.call)
+		f.callers.runEvery(15*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		after := len(f.upstreams[0].Seen()) - before
 		t.Logf("%d calls at a limit of none, %d in 15 s after", before, after)
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -111,7 +111,7 @@
 		t.Parallel()
 		f, ts := newTiredFleet(t, 4, 3, 2500*time.Millisecond)
 		ts[0].overloadFor(4 * time.Second)
-		f.callers.every(8*time.Second, 12500*time.Microsecond, f.call)
+		f.callers.runEvery(8*time.Second, 12500*time.Microsecond, f.call)
 		f.callers.group.Wait()
 		t.Logf("%d requests of one gateway within the retry delay, %.3f served, %v", ts[0].peakInRetryAfter(), f.servedRatio(), f.statuses)
 		require.NotEmpty(t, ts[0].refusals)
@@ -126,7 +126,7 @@
 			s.overloadFor(1900 * time.Millisecond)
 		}
 		begin := time.Now()
-		f.callers.every(5*time.Second, 12500*time.Microsecond, f.call)
+		f.callers.runEvery(5*time.Second, 12500*time.Microsecond, f.call)
 		f.callers.group.Wait()
 		t.Logf("%v, slowest refusal %s, %d without a retry delay", f.statuses, f.slowestRefusal, f.withoutRetryAfter)
 		for _, s := range ts {
