--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -193,8 +193,8 @@
 	})
 }
 
-// any sends a body to the gateways in turn and returns the answer.
-func (c *callerGroup) any(body string) (status int, answer string, err error) {
+// postToNext sends a body to the gateways in turn and returns the answer.
+func (c *callerGroup) postToNext(body string) (status int, answer string, err error) {
 	n := c.ids.Add(1)
 	return c.gateways[int(n)%len(c.gateways)].post("/stream/x", fmt.Sprint("r", n), "k1", body)
 }
@@ -204,7 +204,7 @@
 	body := fmt.Sprint("caption ", c.ids.Add(1))
 	whole := stream(eventCount)
 	for range 2 {
-		if st, b, err := c.any(body); err == nil && st == http.StatusOK && b == whole {
+		if st, b, err := c.postToNext(body); err == nil && st == http.StatusOK && b == whole {
 			c.note(&c.served)
 			return
 		}
@@ -214,7 +214,7 @@
 
 // kill sends the crashing request.
 func (c *callerGroup) kill() {
-	st, b, err := c.any(crashingBody)
+	st, b, err := c.postToNext(crashingBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && st != http.StatusOK {
