--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -199,8 +199,8 @@
 	return c.gateways[int(n)%len(c.gateways)].post("/stream/x", fmt.Sprint("r", n), "k1", body)
 }
 
-// innocent sends a harmless request, and retries it once.
-func (c *callerGroup) innocent() {
+// callHarmless sends a harmless request, and retries it once.
+func (c *callerGroup) callHarmless() {
 	body := fmt.Sprint("caption ", c.ids.Add(1))
 	whole := stream(eventCount)
 	for range 2 {
@@ -261,7 +261,7 @@
 	t.Helper()
 	c := newCallerGroup(t, s.store, 3)
 	const duration = 8 * time.Second
-	c.runEvery(duration, 20*time.Millisecond, c.innocent)
+	c.runEvery(duration, 20*time.Millisecond, c.callHarmless)
 	c.runEvery(duration, 100*time.Millisecond, c.kill)
 	c.group.Wait()
 	sends, ended := m.lateSends()
