--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -212,8 +212,8 @@
 	c.note(&c.failed)
 }
 
-// kill sends the crashing request.
-func (c *callerGroup) kill() {
+// callCrashing sends the crashing request.
+func (c *callerGroup) callCrashing() {
 	st, b, err := c.postToNext(crashingBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,7 +262,7 @@
 	c := newCallerGroup(t, s.store, 3)
 	const duration = 8 * time.Second
 	c.runEvery(duration, 20*time.Millisecond, c.callHarmless)
-	c.runEvery(duration, 100*time.Millisecond, c.kill)
+	c.runEvery(duration, 100*time.Millisecond, c.callCrashing)
 	c.group.Wait()
 	sends, ended := m.lateSends()
 	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
@@ -289,7 +289,7 @@
 func (c *callerGroup) untilHeld() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
-		c.kill()
+		c.callCrashing()
 		return len(c.gateways[0].Core.Quarantine().Holds()) > 0
 	}, 20*time.Second, 50*time.Millisecond)
 }
