--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -229,8 +229,8 @@
 	*n++
 }
 
-// share returns the ratio of the harmless requests that were served.
-func (c *callerGroup) share() float64 {
+// servedRatio returns the ratio of the harmless requests that were served.
+func (c *callerGroup) servedRatio() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return float64(c.served) / float64(max(c.served+c.failed, 1))
@@ -265,10 +265,10 @@
 	c.runEvery(duration, 100*time.Millisecond, c.callCrashing)
 	c.group.Wait()
 	sends, ended := m.lateSends()
-	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.share(), c.refusals)
+	t.Logf("sent %d times later than %s after the third crash; %d crashes in all; %.3f of the others served; refusals %v", sends, quarantineDelay, ended, c.servedRatio(), c.refusals)
 	require.GreaterOrEqual(t, ended, 3, "it has to crash some upstreams to be detected")
 	require.LessOrEqual(t, sends, maxLateSends)
-	require.GreaterOrEqual(t, c.share(), 0.95, "others of the same path and caller are served")
+	require.GreaterOrEqual(t, c.servedRatio(), 0.95, "others of the same path and caller are served")
 }
 
 // Guards against crashes that aren't detected behind a proxy, a relay or a supervisor's socket that
