--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -285,8 +285,8 @@
 	requireQuickQuarantine(t, s, m)
 }
 
-// untilHeld sends the crashing request until the first gateway blocks it.
-func (c *callerGroup) untilHeld() {
+// callUntilQuarantined sends the crashing request until the first gateway blocks it.
+func (c *callerGroup) callUntilQuarantined() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		c.callCrashing()
@@ -320,7 +320,7 @@
 		s := newScene(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCallerGroup(t, s.store, 2)
-		c.untilHeld()
+		c.callUntilQuarantined()
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
 		after := startGateway(t, s.store.Address(), func(c *setting.Gateway) { c.Peers = "" }) // no peer informs it
 		after.waitReady(t)
@@ -333,7 +333,7 @@
 		s.store.SetMode(platformtest.Silent)
 		all := c.gateways
 		c.gateways = all[:1]
-		c.untilHeld()
+		c.callUntilQuarantined()
 		requireQuarantined(t, m, all...)
 		s.store.SetMode(platformtest.Serving)
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 20*time.Second, 5*time.Millisecond)
@@ -342,7 +342,7 @@
 		s := newScene(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCallerGroup(t, s.store, 2)
-		c.untilHeld()
+		c.callUntilQuarantined()
 		requireQuarantined(t, m, c.gateways...)
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 10*time.Second, 5*time.Millisecond)
 		r, err := http.NewRequest(http.MethodDelete, "http://"+c.gateways[1].Operators+QuarantinePath+"/"+c.fingerprint(), nil)
