--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -205,11 +205,11 @@
 	whole := stream(eventCount)
 	for range 2 {
 		if st, b, err := c.postToNext(body); err == nil && st == http.StatusOK && b == whole {
-			c.note(&c.served)
+			c.increment(&c.served)
 			return
 		}
 	}
-	c.note(&c.failed)
+	c.increment(&c.failed)
 }
 
 // callCrashing sends the crashing request.
@@ -223,7 +223,7 @@
 	}
 }
 
-func (c *callerGroup) note(n *int) {
+func (c *callerGroup) increment(n *int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*n++
