--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -30,8 +30,8 @@
 	refusals    map[string][]time.Time // times of refusals, by gateway
 }
 
-// newTired returns an upstream for a fleet that isn't started yet.
-func newTired(t *testing.T, id string, asks time.Duration) *overloaded {
+// newOverloaded returns an upstream for a fleet that isn't started yet.
+func newOverloaded(t *testing.T, id string, asks time.Duration) *overloaded {
 	s := &overloaded{retryAfter: asks, refusals: map[string][]time.Time{}}
 	s.recordingUpstream = newMeter(t, id, serviceTime)
 	calm := s.serve(serviceTime)
@@ -98,7 +98,7 @@
 func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *recordingFleet, ts []*overloaded) {
 	var ms []*recordingUpstream
 	for i := range upstreams {
-		s := newTired(t, fmt.Sprintf("i-%d", i), asks)
+		s := newOverloaded(t, fmt.Sprintf("i-%d", i), asks)
 		ts, ms = append(ts, s), append(ms, s.recordingUpstream)
 	}
 	return newFleetWith(t, gateways, ms), ts
