--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -95,7 +95,7 @@
 	return n
 }
 
-func newTiredFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *recordingFleet, ts []*overloaded) {
+func newOverloadedFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *recordingFleet, ts []*overloaded) {
 	var ms []*recordingUpstream
 	for i := range upstreams {
 		s := newOverloaded(t, fmt.Sprintf("i-%d", i), asks)
@@ -109,7 +109,7 @@
 func TestAnUpstreamThatAsksForRestIsLeftAlone(t *testing.T) {
 	t.Run("one of four", func(t *testing.T) {
 		t.Parallel()
-		f, ts := newTiredFleet(t, 4, 3, 2500*time.Millisecond)
+		f, ts := newOverloadedFleet(t, 4, 3, 2500*time.Millisecond)
 		ts[0].overloadFor(4 * time.Second)
 		f.callers.runEvery(8*time.Second, 12500*time.Microsecond, f.call)
 		f.callers.group.Wait()
@@ -121,7 +121,7 @@
 	})
 	t.Run("all of a service", func(t *testing.T) {
 		t.Parallel()
-		f, ts := newTiredFleet(t, 3, 3, 2*time.Second)
+		f, ts := newOverloadedFleet(t, 3, 3, 2*time.Second)
 		for _, s := range ts {
 			s.overloadFor(1900 * time.Millisecond)
 		}
