--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -53,7 +53,7 @@
 	gateway string
 }
 
-func newMeter(t *testing.T, id string, work time.Duration) *recordingUpstream {
+func newRecordingUpstream(t *testing.T, id string, work time.Duration) *recordingUpstream {
 	m := &recordingUpstream{informedAt: map[string]time.Time{}}
 	m.Worker = platformtest.NewWorker(id, m.serve(work))
 	t.Cleanup(m.Close)
@@ -143,7 +143,7 @@
 func newMeteredFleet(t *testing.T, upstreams, gateways int) *recordingFleet {
 	var ms []*recordingUpstream
 	for i := range upstreams {
-		ms = append(ms, newMeter(t, fmt.Sprintf("i-%d", i), serviceTime))
+		ms = append(ms, newRecordingUpstream(t, fmt.Sprintf("i-%d", i), serviceTime))
 	}
 	return newFleetWith(t, gateways, ms)
 }
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -33,7 +33,7 @@
 // newOverloaded returns an upstream for a fleet that isn't started yet.
 func newOverloaded(t *testing.T, id string, asks time.Duration) *overloaded {
 	s := &overloaded{retryAfter: asks, refusals: map[string][]time.Time{}}
-	s.recordingUpstream = newMeter(t, id, serviceTime)
+	s.recordingUpstream = newRecordingUpstream(t, id, serviceTime)
 	calm := s.serve(serviceTime)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
 		if now := time.Now().UnixMilli(); now < s.from.Load() || now >= s.until.Load() {
