--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -64,21 +64,21 @@
 func TestNothingIsSentToAnUpstreamWhoseAnswersSayThatItLeaves(t *testing.T) {
 	t.Run("while the store is away", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 3, 5)
+		f := newRecordingFleet(t, 3, 5)
 		f.scene.store.SetMode(platformtest.Away)
 		f.upstreams[0].announce(leavingHeader)
 		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
 	t.Run("while its entry says that it is ready", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 3, 2)
+		f := newRecordingFleet(t, 3, 2)
 		f.upstreams[0].announce(leavingHeader)
 		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
 		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
 	t.Run("by a gateway that starts later", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 2, 2)
+		f := newRecordingFleet(t, 2, 2)
 		m := f.upstreams[0]
 		m.announce(leavingHeader)
 		f.requireNoneAfterLeaving(t, m)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -140,7 +140,7 @@
 	withoutRetryAfter int           // refusals without a retry delay
 }
 
-func newMeteredFleet(t *testing.T, upstreams, gateways int) *recordingFleet {
+func newRecordingFleet(t *testing.T, upstreams, gateways int) *recordingFleet {
 	var ms []*recordingUpstream
 	for i := range upstreams {
 		ms = append(ms, newRecordingUpstream(t, fmt.Sprintf("i-%d", i), serviceTime))
@@ -213,7 +213,7 @@
 	const callEvery = 20 * time.Millisecond
 	t.Run("two of six upstreams name one", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 6, 5)
+		f := newRecordingFleet(t, 6, 5)
 		f.upstreams[0].setLimit(1.4)
 		f.upstreams[1].setLimit(1.4)
 		f.callers.runEvery(9*time.Second, callEvery, f.call)
@@ -224,7 +224,7 @@
 	})
 	t.Run("all upstreams name one, of less than the gateways are", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 3, 5)
+		f := newRecordingFleet(t, 3, 5)
 		for _, m := range f.upstreams {
 			m.setLimit(1.4)
 		}
@@ -239,7 +239,7 @@
 	})
 	t.Run("a gateway that starts later knows it", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 1, 2)
+		f := newRecordingFleet(t, 1, 2)
 		f.upstreams[0].setLimit(0.5)
 		f.callers.runEvery(4*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
@@ -257,7 +257,7 @@
 	})
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
 		t.Parallel()
-		f := newMeteredFleet(t, 2, 3)
+		f := newRecordingFleet(t, 2, 3)
 		f.upstreams[0].setLimit(0)
 		f.callers.runEvery(3*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
