--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -180,10 +180,10 @@
 	}
 	defer a.Body.Close()
 	_, _ = io.Copy(io.Discard, a.Body) // the upstream's id
-	f.note(a, time.Since(begin))
+	f.recordAnswer(a, time.Since(begin))
 }
 
-func (f *recordingFleet) note(a *http.Response, took time.Duration) {
+func (f *recordingFleet) recordAnswer(a *http.Response, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.statuses[a.StatusCode]++
