--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -257,7 +257,7 @@
 // requireQuickQuarantine runs three gateways whose callers send the crashing request ten times a second
 // beside fifty others. It checks that the request is soon sent to no upstream any more and that the
 // others are served.
-func requireQuickQuarantine(t *testing.T, s *scene, m *crashingPool) {
+func requireQuickQuarantine(t *testing.T, s *fixture, m *crashingPool) {
 	t.Helper()
 	c := newCallerGroup(t, s.store, 3)
 	const duration = 8 * time.Second
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -168,16 +168,16 @@
 	return res.StatusCode, string(b), err
 }
 
-// scene is a store, workers and a gateway that knows them, if there are any.
-type scene struct {
+// fixture is a store, workers and a gateway that knows them, if there are any.
+type fixture struct {
 	store   *platformtest.Store
 	workers []*platformtest.Worker
 	gateway *gateway
 }
 
-func newScene(t *testing.T, bs ...platformtest.Behaviour) *scene {
+func newScene(t *testing.T, bs ...platformtest.Behaviour) *fixture {
 	t.Helper()
-	s := &scene{store: platformtest.NewStore()}
+	s := &fixture{store: platformtest.NewStore()}
 	t.Cleanup(s.store.Close)
 	s.configure(1, 5000, "k1", "k2")
 	for i, b := range bs {
@@ -193,7 +193,7 @@
 	return s
 }
 
-func (s *scene) configure(version, onceTimeout int, keys ...string) {
+func (s *fixture) configure(version, onceTimeout int, keys ...string) {
 	b, _ := json.Marshal(keys)
 	s.store.Put("keyed.op", "config", []byte(fmt.Sprintf(gatewayConfig, version, onceTimeout, strings.Trim(string(b), "[]"))))
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -141,7 +141,7 @@
 }
 
 // requireUnusedOnceSeen checks that the first of two workers gets one request at most.
-func requireUnusedOnceSeen(t *testing.T, s *scene) {
+func requireUnusedOnceSeen(t *testing.T, s *fixture) {
 	t.Helper()
 	for i := range 40 {
 		st, _, err := s.gateway.call(t, "/stream/x", fmt.Sprint("u", i), "k1")
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -129,7 +129,7 @@
 
 // recordingFleet has the upstreams of one service, some gateways and their callers.
 type recordingFleet struct {
-	scene     *scene
+	scene     *fixture
 	upstreams []*recordingUpstream
 	callers   *callerGroup
 	ids       atomic.Int64
