--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -250,7 +250,7 @@
 }
 
 func TestRequestThatEndsUpstreams(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	requireQuickQuarantine(t, s, newCrashingPool(t, s.store, 24, 1500*time.Millisecond))
 }
 
@@ -276,7 +276,7 @@
 // as at an upstream with too many, so that a probe doesn't show a crash; the request was sent 45
 // times after 3 s, and half of the others failed.
 func TestRequestThatEndsUpstreamsBehindRelays(t *testing.T) {
-	s := newScene(t)
+	s := newFixture(t)
 	m := newCrashingPool(t, s.store, 0, 1500*time.Millisecond)
 	m.proxied = true
 	for range 24 {
@@ -317,7 +317,7 @@
 
 func TestAHeldRequestIsKnown(t *testing.T) {
 	t.Run("after the loss of all gateways", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCallerGroup(t, s.store, 2)
 		c.callUntilQuarantined()
@@ -327,7 +327,7 @@
 		requireQuarantined(t, m, after)
 	})
 	t.Run("while the store is away, also by those at which it never came", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCallerGroup(t, s.store, 3)
 		s.store.SetMode(platformtest.Silent)
@@ -339,7 +339,7 @@
 		require.Eventually(t, func() bool { return s.store.Value("keyed.held", c.fingerprint()) != "" }, 20*time.Second, 5*time.Millisecond)
 	})
 	t.Run("by operators, who can end it", func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		m := newCrashingPool(t, s.store, 8, 300*time.Millisecond)
 		c := newCallerGroup(t, s.store, 2)
 		c.callUntilQuarantined()
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -32,7 +32,7 @@
 // Guards against upstreams that are used although their entries are invalid: those with an unknown
 // state, without a state, or with a start time that is no number got 91, 110 and 94 of 400 calls.
 func TestEntriesOfOtherWriters(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	other := platformtest.NewWorker("other", platformtest.Echo)
 	t.Cleanup(other.Close)
 	for id, v := range invalidEntries(other) {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -175,7 +175,7 @@
 	gateway *gateway
 }
 
-func newScene(t *testing.T, bs ...platformtest.Behaviour) *fixture {
+func newFixture(t *testing.T, bs ...platformtest.Behaviour) *fixture {
 	t.Helper()
 	s := &fixture{store: platformtest.NewStore()}
 	t.Cleanup(s.store.Close)
@@ -207,7 +207,7 @@
 
 func TestGatewayServes(t *testing.T) {
 	t.Run("a plain call", func(t *testing.T) {
-		s := newScene(t, platformtest.Echo)
+		s := newFixture(t, platformtest.Echo)
 		st, body, err := s.gateway.call(t, "/once/x", "a1", "k1")
 		require.NoError(t, err)
 		require.Equal(t, 200, st)
@@ -219,14 +219,14 @@
 		b := func(w *platformtest.Worker, c net.Conn, r *http.Request) {
 			breaks[r.Header.Get("Last-Event-Id")](w, c, r)
 		}
-		s := newScene(t, b, b, b)
+		s := newFixture(t, b, b, b)
 		st, body, err := s.gateway.call(t, "/stream/x", "a1", "k1")
 		require.NoError(t, err)
 		require.Equal(t, 200, st)
 		require.Equal(t, stream(9), body, "no event is missing, repeated or out of order")
 	})
 	t.Run("a worker that drains gets nothing", func(t *testing.T) {
-		s := newScene(t, platformtest.Echo, platformtest.Echo)
+		s := newFixture(t, platformtest.Echo, platformtest.Echo)
 		s.store.PutJSON("keyed.servers", "i-0", s.workers[0].Record("s", "draining"))
 		seen := len(s.workers[0].Seen())
 		require.Eventually(t, func() bool {
@@ -254,7 +254,7 @@
 }
 
 func TestRevokedKey(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	st, _, _ := s.gateway.call(t, "/once/x", "a1", "k2")
 	require.Equal(t, 200, st)
 	s.configure(2, 5000, "k1")
@@ -280,7 +280,7 @@
 		"larger than allowed": {whole + strings.Repeat(" ", 70_000), "larger than the settings allow"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(t, platformtest.Echo)
+			s := newFixture(t, platformtest.Echo)
 			g := startGateway(t, s.store.Address(), func(c *setting.Gateway) { c.ConfigMaxBytes = 65_536 })
 			g.waitReady(t)
 			s.configure(2, 5000, "k1")
@@ -337,7 +337,7 @@
 }
 
 func TestKeysAdmitNothingOnceNobodyCanTell(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	g := startGateway(t, s.store.Address(), func(c *setting.Gateway) {
 		c.KeyFreshness, c.Freshness = time.Second, 100*time.Millisecond
 	})
@@ -353,7 +353,7 @@
 // Guards against an outage of the store that stops all calls: during one of eight seconds no call
 // was served for three of them, although the settings allow keys to stay valid that long.
 func TestKeysStayGoodThroughAnOutageWhereThatIsAllowed(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	g := startGateway(t, s.store.Address(), func(c *setting.Gateway) {
 		c.KeyFreshness, c.Freshness, c.KeyOutage = time.Second, 100*time.Millisecond, time.Hour
 	})
@@ -376,7 +376,7 @@
 // Guards against calls that are refused right after the start of a gateway (34 within 15 ms),
 // before it has read its first configuration.
 func TestCallersWaitForTheConfiguration(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	for range 5 {
 		g := startGateway(t, s.store.Address(), nil)
 		st, _, err := g.call(t, "/once/x", "a1", "k1")
@@ -395,7 +395,7 @@
 }
 
 func TestStoreThatTurnsOneGatewayAway(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	away := platformtest.NewStore()
 	defer away.Close()
 	away.SetMode(platformtest.Resetting)
@@ -413,7 +413,7 @@
 
 // The store may apply a write of a box's earlier instance seconds late.
 func TestLateWriteOfAnEarlierLifeIsMadeGood(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	box := s.gateway.Box.Name
 	own := fmt.Sprintf(`{"peers":%q,"hall":"z1","link_mbps":0}`, s.gateway.peers)
 	listed := func() bool { return s.store.Value("keyed.members", box) == own }
@@ -441,7 +441,7 @@
 
 func TestFollowARequestThroughTheLog(t *testing.T) {
 	t.Run("a refusal", func(t *testing.T) {
-		s := newScene(t, platformtest.Shed)
+		s := newFixture(t, platformtest.Shed)
 		st, _, err := s.gateway.call(t, "/once/x", "a1", "k1")
 		require.NoError(t, err)
 		require.Equal(t, 503, st)
@@ -453,7 +453,7 @@
 		require.Contains(t, ls[0], "age_ms")
 	})
 	t.Run("a stream cut midway", func(t *testing.T) {
-		s := newScene(t, platformtest.Stream(9, 4))
+		s := newFixture(t, platformtest.Stream(9, 4))
 		_, body, err := s.gateway.call(t, "/stream/x", "a1", "k1")
 		require.Error(t, err)
 		require.Equal(t, stream(4), body)
@@ -467,7 +467,7 @@
 		require.Equal(t, true, last["head_sent"])
 	})
 	t.Run("an answer that does not come in time", func(t *testing.T) {
-		s := newScene(t, platformtest.Hang)
+		s := newFixture(t, platformtest.Hang)
 		s.configure(2, 100, "k1")
 		require.Eventually(t, func() bool { return s.gateway.Revision() == 2 }, 10*time.Second, time.Millisecond)
 		st, _, err := s.gateway.call(t, "/once/x", "a1", "k1")
@@ -479,7 +479,7 @@
 		require.Contains(t, ls[2], "took_ms")
 	})
 	t.Run("a call that cannot be read", func(t *testing.T) {
-		s := newScene(t, platformtest.Echo)
+		s := newFixture(t, platformtest.Echo)
 		r, err := http.NewRequest(http.MethodPost, "http://"+s.gateway.callers+"/once/x", strings.NewReader(strings.Repeat("x", 1001)))
 		require.NoError(t, err)
 		r.Header.Set("Attempt-Id", "a9")
@@ -534,7 +534,7 @@
 }
 
 func TestReload(t *testing.T) {
-	s := newScene(t, platformtest.Echo)
+	s := newFixture(t, platformtest.Echo)
 	file := func(text string) string {
 		p := t.TempDir() + "/gateway.toml"
 		require.NoError(t, writeFile(p, text))
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -93,13 +93,13 @@
 	})
 	t.Run("that says so in a refusal", func(t *testing.T) {
 		t.Parallel()
-		s := newScene(t, platformtest.Shed, platformtest.Echo)
+		s := newFixture(t, platformtest.Shed, platformtest.Echo)
 		s.workers[0].SetHeaders(leavingHeader)
 		requireUnusedOnceSeen(t, s)
 	})
 	t.Run("that says so in the head of a stream that goes on", func(t *testing.T) {
 		t.Parallel()
-		s := newScene(t, platformtest.PacedStream(8, 200*time.Millisecond), platformtest.Stream(8, 0))
+		s := newFixture(t, platformtest.PacedStream(8, 200*time.Millisecond), platformtest.Stream(8, 0))
 		s.workers[0].SetHeaders(leavingHeader)
 		done := make(chan string, 1)
 		go func() {
@@ -120,7 +120,7 @@
 	})
 	t.Run("but its next life is used, and one of which another at its address says so", func(t *testing.T) {
 		t.Parallel()
-		s := newScene(t, platformtest.Echo)
+		s := newFixture(t, platformtest.Echo)
 		r := s.workers[0].Record("s", "ready")
 		r["born"] = time.Now().UnixMilli()
 		s.store.PutJSON("keyed.servers", "i-0", r)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -150,7 +150,7 @@
 
 // newFleetWith starts gateways with the given upstreams.
 func newFleetWith(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
-	f := &recordingFleet{scene: newScene(t), statuses: map[int]int{}, upstreams: ms}
+	f := &recordingFleet{scene: newFixture(t), statuses: map[int]int{}, upstreams: ms}
 	for _, m := range ms {
 		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -28,7 +28,7 @@
 	// began.
 	stopWith := func(t *testing.T, path string, b platformtest.Behaviour) (a answer, begun time.Time) {
 		t.Helper()
-		s := newScene(t)
+		s := newFixture(t)
 		w := platformtest.NewWorker("i-0", b)
 		t.Cleanup(w.Close)
 		s.store.PutJSON("keyed.servers", w.ID, w.Record("s", "ready"))
