--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -65,7 +65,7 @@
 	t.Run("while the store is away", func(t *testing.T) {
 		t.Parallel()
 		f := newRecordingFleet(t, 3, 5)
-		f.scene.store.SetMode(platformtest.Away)
+		f.fixture.store.SetMode(platformtest.Away)
 		f.upstreams[0].announce(leavingHeader)
 		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
@@ -73,7 +73,7 @@
 		t.Parallel()
 		f := newRecordingFleet(t, 3, 2)
 		f.upstreams[0].announce(leavingHeader)
-		f.scene.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
+		f.fixture.store.PutJSON("keyed.servers", "i-0", f.upstreams[0].Record("s", "ready"))
 		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
 	t.Run("by a gateway that starts later", func(t *testing.T) {
@@ -82,7 +82,7 @@
 		m := f.upstreams[0]
 		m.announce(leavingHeader)
 		f.requireNoneAfterLeaving(t, m)
-		g := startGateway(t, f.scene.store.Address(), nil)
+		g := startGateway(t, f.fixture.store.Address(), nil)
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
 		before := len(m.Seen())
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -129,7 +129,7 @@
 
 // recordingFleet has the upstreams of one service, some gateways and their callers.
 type recordingFleet struct {
-	scene     *fixture
+	fixture   *fixture
 	upstreams []*recordingUpstream
 	callers   *callerGroup
 	ids       atomic.Int64
@@ -150,11 +150,11 @@
 
 // newFleetWith starts gateways with the given upstreams.
 func newFleetWith(t *testing.T, gateways int, ms []*recordingUpstream) *recordingFleet {
-	f := &recordingFleet{scene: newFixture(t), statuses: map[int]int{}, upstreams: ms}
+	f := &recordingFleet{fixture: newFixture(t), statuses: map[int]int{}, upstreams: ms}
 	for _, m := range ms {
-		f.scene.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
+		f.fixture.store.PutJSON("keyed.servers", m.ID, m.Record("s", "ready"))
 	}
-	f.callers = newCallerGroup(t, f.scene.store, gateways)
+	f.callers = newCallerGroup(t, f.fixture.store, gateways)
 	for _, g := range f.callers.gateways {
 		require.Eventually(t, func() bool { return g.Core.Fleet().Size() == len(ms) }, 20*time.Second, 5*time.Millisecond)
 	}
@@ -243,7 +243,7 @@
 		f.upstreams[0].setLimit(0.5)
 		f.callers.runEvery(4*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
-		f.callers.gateways = append(f.callers.gateways, startGateway(t, f.scene.store.Address(), nil))
+		f.callers.gateways = append(f.callers.gateways, startGateway(t, f.fixture.store.Address(), nil))
 		g := f.callers.gateways[2]
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().Heard() == 2 }, 20*time.Second, 5*time.Millisecond)
