--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -34,10 +34,10 @@
 
 // crashingPool is a pool of upstreams that crash when they run such a request, and restart under another id.
 type crashingPool struct {
-	t       *testing.T
-	store   *platformtest.Store
-	down    time.Duration
-	proxied bool // a proxy before each keeps accepting connections, and it restarts under its id
+	t        *testing.T
+	store    *platformtest.Store
+	downtime time.Duration
+	proxied  bool // a proxy before each keeps accepting connections, and it restarts under its id
 
 	mu         sync.Mutex
 	workers    map[string]*platformtest.Worker
@@ -49,7 +49,7 @@
 }
 
 func newCrashingPool(t *testing.T, s *platformtest.Store, n int, down time.Duration) *crashingPool {
-	m := &crashingPool{t: t, store: s, down: down, workers: map[string]*platformtest.Worker{}}
+	m := &crashingPool{t: t, store: s, downtime: down, workers: map[string]*platformtest.Worker{}}
 	for range n {
 		m.start()
 	}
@@ -120,7 +120,7 @@
 			return
 		}
 		w.Close()
-		time.Sleep(m.down)
+		time.Sleep(m.downtime)
 		m.store.Put("keyed.servers", id, nil)
 		m.start()
 	})
@@ -129,7 +129,7 @@
 // crashBehindProxy crashes an upstream whose proxy keeps accepting connections, and restarts it.
 func (m *crashingPool) crashBehindProxy(w *platformtest.Worker) {
 	w.EndBehind()
-	time.Sleep(m.down)
+	time.Sleep(m.downtime)
 	w.BeginAgain()
 	m.mu.Lock()
 	defer m.mu.Unlock()
