--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -38,14 +38,14 @@
 	// wait returns for how long the process ran until callers were taken, and whether the
 	// configuration was known then. The arguments known and heard are the running times after which
 	// these conditions hold.
-	wait := func(t *testing.T, known, heard, still time.Duration) (ran time.Duration, ready bool) {
+	wait := func(t *testing.T, known, heard, pause time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
 			begin := time.Now()
 			after := func(d time.Duration) func() bool {
 				return func() bool { return time.Since(begin) >= d }
 			}
-			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, still}
+			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, pause}
 			opening{c, after(known), after(heard)}.wait(context.Background())
 			ran = time.Since(begin)
 			ready = after(known)()
