--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -16,7 +16,7 @@
 // serveLostCall serves a call whose connection breaks at an upstream that keeps accepting connections,
 // applies what follows to the upstream, and returns how many requests the quarantine then
 // remembers.
-func serveLostCall(t *testing.T, startMillis int64, follows func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
+func serveLostCall(t *testing.T, startMillis int64, change func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&presentProber{}))
@@ -29,7 +29,7 @@
 		k.ID, k.Arrived = "r", time.Now()
 		_ = c.Serve(context.Background(), k, &fakeSink{})
 		synctest.Wait()
-		follows(c.Fleet(), u)
+		change(c.Fleet(), u)
 		synctest.Wait()
 		remembered = c.Quarantine().Size()
 	})
