--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -432,14 +432,14 @@
 }
 
 func TestLongPromptsThatCostOthersMore(t *testing.T) {
-	fill := func(f *Fleet, d time.Duration) {
+	addBacklog := func(f *Fleet, d time.Duration) {
 		for _, m := range f.members {
 			m.give(time.Now(), d)
 		}
 	}
 	refused := func(d placement.Request, backlog time.Duration) bool {
 		f := newFleet("e", 18)
-		fill(f, backlog)
+		addBacklog(f, backlog)
 		return f.pick("e", d, nil).Refused
 	}
 	huge := long(900_000)
