--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -206,7 +206,7 @@
 	}
 	for _, h := range w.Harmless {
 		if r := t.records[h.Fingerprint]; r != nil {
-			t.clear(r, h.At, "a peer cleared it", box)
+			t.clear(r, h.At, "a peer said so", box)
 		}
 	}
 	for _, x := range w.Trials {
@@ -244,7 +244,7 @@
 	r.block, r.reportedLosses = h, max(h.Losses-len(ms), 0)
 	t.scheduleStore(r, now, peerStoreDelay)
 	if !wasBlocked && r.blocked(now) {
-		t.log.Warn("request blocked", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
+		t.log.Warn("request held", "fingerprint", h.Fingerprint, "organisation", h.Organisation, "route", h.Route, "service", h.Service,
 			"losses", h.Losses, "upstreams", h.Upstreams, "odds", h.Odds, "by", h.By, "told_by", from, "for_ms", h.Until.Sub(now).Milliseconds())
 	}
 }
@@ -285,7 +285,7 @@
 		return
 	}
 	t.scheduleStore(r, t.clock.Now(), storeDelay(peer))
-	t.log.Info("request no longer blocked", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
+	t.log.Info("request no longer held", "fingerprint", r.subject.Fingerprint, "route", r.subject.Route, "why", why, "peer", peer,
 		"held_ms", at.Sub(since).Milliseconds())
 }
 
@@ -303,7 +303,7 @@
 	}
 	r.block = Block{Subject: r.subject, Since: now, Until: now.Add(d), Losses: n, Odds: odds, Upstreams: r.namedUpstreams(), By: t.box}
 	t.scheduleStore(r, now, 0)
-	t.log.Warn("request blocked", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
+	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreamCount, "ends_without_it", b.crashes,
 		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
 	t.outbox.add(Update{Blocks: []Block{r.block}})
