--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -28,23 +28,25 @@
 )
 
 const (
-	// minSendInterval is the least time between two messages to a peer. It bounds the traffic of a busy
-	// gateway; a view is out of date by as much.
+	// minSendInterval is the least time between two messages to a peer. It bounds the traffic of a
+	// busy gateway; a view is out of date by as much.
 	minSendInterval = 25 * time.Millisecond
-	// wholeViewInterval is the time between two whole views, which correct mistakes. A whole view has what
-	// a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to each of
-	// 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a second,
-	// with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
+	// wholeViewInterval is the time between two whole views, which correct mistakes. A whole view
+	// has what a gateway has sent to each upstream since its start: 4.5 KB on the large fleet, to
+	// each of 102 peers. With one in every tenth heartbeat of 0.5 s all heartbeats took 68 KB a
+	// second, with this interval 14 KB (TestHeartbeatsOfManyGatewaysAreSmall).
 	wholeViewInterval = 30 * time.Second
-	// dialTimeout bounds an attempt to connect to a peer, and dialEvery is the pause between two.
+	// dialTimeout bounds an attempt to connect to a peer, and redialInterval is the pause between
+	// two.
 	dialTimeout    = 500 * time.Millisecond
 	redialInterval = time.Second
-	// startupSyncs is the number of times that peers are looked up after the start, a pause apart:
-	// gateways that start at the same time are listed within a second. With a look-up per heartbeat
-	// alone they placed prompts for half a second without views of each other.
+	// startupSyncs is the number of times that peers are looked up after the start,
+	// [minSendInterval] apart: gateways that start at the same time are listed within a second.
+	// With a look-up per heartbeat alone they placed prompts for half a second without views of
+	// each other.
 	startupSyncs = 40
-	// maxSharesPerPacket bounds the upstreams in one packet. A share takes some 65 bytes with ids of the
-	// usual length and three pause classes, and a packet holds 1,400 bytes.
+	// maxSharesPerPacket bounds the upstreams in one packet. A share takes some 65 bytes with ids
+	// of the usual length and three pause classes, and a packet holds 1,400 bytes.
 	maxSharesPerPacket = 14
 )
 
@@ -217,8 +219,8 @@
 	return p
 }
 
-// sendChanges sends changes at once, in packets to the peers that have a stream, and again with the next
-// heartbeat. Without packets they go on streams.
+// sendChanges sends changes at once, in packets to the peers that have a stream, and again with the
+// next heartbeat. Without packets they go on streams.
 func (s *Sender) sendChanges(cs map[hollowgrade.Life]core.Share) {
 	if s.packets == nil {
 		s.sendOnStreams(cs, false)
@@ -364,7 +366,7 @@
 	return m
 }
 
-// keepConnected connects to a peer, and again when the connection breaks.
+// keepConnected connects to a peer, and connects again when the connection breaks.
 func (s *Sender) keepConnected(ctx context.Context, address string, l *link) {
 	for ctx.Err() == nil {
 		if err := s.runStream(ctx, address, l); err != nil && ctx.Err() == nil {
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -133,7 +133,7 @@
 		require.Equal(t, s, decodeStakes(encodeStakes(s)))
 	}
 	newer := append(encodeStakes(placement.Stakes{1, 2, 3}), &wire.Stake{PauseClass: 1000, Worth: 1}, &wire.Stake{PauseClass: -1, Worth: 1})
-	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "classes of a newer peer are passed over")
+	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "unknown classes of a newer peer are ignored")
 }
 
 func loadView(sequence uint64, whole bool, open ...int32) *wire.LoadView {
@@ -242,7 +242,7 @@
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
-		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is left alone")
+		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is not affected")
 	})
 }
 
@@ -304,7 +304,7 @@
 	a.TakePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
 	for _, w := range b.Seen(map[hollowgrade.Life]core.Share{"u": {}}) {
-		require.Zero(t, w.Pace, "nobody tells on what it was told")
+		require.Zero(t, w.Pace, "a gateway does not pass on what a peer reported")
 	}
 	a.TakePace("u", 1, 0, "", "r")
 	requirePredicted(t, b, 1)
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -46,8 +46,8 @@
 	t.quarantine = q
 }
 
-// receiveSuspicions applies a peer's update on lost requests. It needs no stream and no order, since each
-// entry has its time.
+// receiveSuspicions applies a peer's update on lost requests. It needs no stream and no order,
+// since each entry has its time.
 func (t *Receiver) receiveSuspicions(m *wire.LoadView) {
 	if m.Suspicions != nil && t.quarantine != nil {
 		t.quarantine.Receive(m.Box, decodeUpdate(m.Suspicions, t.quarantine.Now()))
@@ -80,8 +80,8 @@
 	t.receive(m)
 }
 
-// openStream applies the first message of a stream. The lock is held throughout: if a packet overtook
-// this message, the peer would long not count as one whose whole view is known.
+// openStream applies the first message of a stream. The lock is held throughout: if a packet
+// overtook this message, the peer would long not count as one whose whole view is known.
 func (t *Receiver) openStream(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/measure/recorder.go
+++ b/measure/recorder.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// BoundedKind returns the kind, or "other" once there are too many: callers choose kinds, and each is a
-// series of its own.
+// BoundedKind returns the kind, or "other" once there are too many: callers choose kinds, and each
+// is a series of its own.
 func (r *Recorder) BoundedKind(kind string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -7,8 +7,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// maxCrashesPerService bounds the crashes kept per service. Each of up to 600 upstreams may crash within the
-// window.
+// maxCrashesPerService bounds the crashes kept per service. Each of up to 600 upstreams may crash
+// within the window.
 const maxCrashesPerService = 1024
 
 // crash is a crash of an upstream, as reported by gateways.
@@ -24,7 +24,7 @@
 	sent        time.Time
 }
 
-// find returns the run find a request that was lost in the crash.
+// find returns the run of a request that was lost in the crash.
 func (e *crash) find(f hollowgrade.Fingerprint) (u lostRun, ok bool) {
 	for _, u = range e.lostRuns {
 		if u.fingerprint == f {
@@ -34,15 +34,15 @@
 	return lostRun{}, false
 }
 
-// maxLossesPerCrash bounds the lost runs kept per crash. A request beyond it counts as not having run
-// there, which is in its favour.
+// maxLossesPerCrash bounds the lost runs kept per crash. A request beyond it counts as not having
+// run there, which is in its favour.
 const maxLossesPerCrash = 64
 
 // background is the crashes of a service's upstreams that a request doesn't explain.
 type background struct {
 	upstreamCount int // number of upstreams of the service
-	crashes       int // without the request, within [rateWindow] before the loss
-	simultaneous  int // of other upstreams within [together] of the loss; with the request only if both runs overlapped
+	crashes       int // without the request, within [crashRateWindow] before the loss
+	simultaneous  int // of other upstreams within [sameEventWindow] of the loss; with the request only if both runs overlapped
 }
 
 // crashHistory keeps the crashes of the upstreams of one service.
@@ -69,8 +69,8 @@
 	e.list = append(e.list, crash{upstream: l.Upstream, at: l.Lost, lostRuns: []lostRun{{l.Fingerprint, l.Sent}}})
 }
 
-// backgroundOf counts the crashes backgroundOf a loss. Those in which a run of a blocked request was lost are
-// attributed to that request.
+// backgroundOf counts the crashes around a loss. Those in which a run of a blocked request was lost
+// are attributed to that request.
 func (e *crashHistory) backgroundOf(l Loss, blocked func(hollowgrade.Fingerprint) bool) (b background) {
 	explained := func(u lostRun) bool { return blocked(u.fingerprint) }
 	for i := range e.list {
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -14,9 +14,9 @@
 	// This still serves a harmless call that is repeated, and a harmful one crashes one upstream at
 	// a time.
 	lossesForTrials = 2
-	// eventsForTrials is the number of separate crash events after which the same applies, even if few
-	// of the losses are consecutive: many copies in flight crash many upstreams. The loss of a rack
-	// or a service is one event.
+	// eventsForTrials is the number of separate crash events after which the same applies, even if
+	// few of the losses are consecutive: many copies in flight crash many upstreams. The loss of a
+	// rack or a service is one event.
 	eventsForTrials = 3
 	// maxTrialOdds is the largest probability of the losses at which one run is admitted at a time.
 	// While all of a service is lost every 2.5 s, the losses of a request sent 50 times a second
@@ -24,35 +24,35 @@
 	// (TestPopularRequestsAreNotHeld).
 	maxTrialOdds = 0.2
 
-	// maxLongBlockOdds is the largest probability of the losses at which a request is blocked for the long
-	// time. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of them is one
-	// call in 17 minutes.
+	// maxLongBlockOdds is the largest probability of the losses at which a request is blocked for
+	// [longBlockTime]. If 1000 calls a second are lost once and one in ten of these again, 1e-5 of
+	// them is one call in 17 minutes.
 	maxLongBlockOdds = 1e-5
-	// maxShortBlockOdds is the same for a short block, which doubles with each further loss. A wrong block
-	// thus lasts seconds and ends with one answered run, and a harmful request runs only three more
-	// times in 35 s, four times in 75 s.
+	// maxShortBlockOdds is the same for [shortBlockTime], which doubles with each further loss. A
+	// wrong block thus lasts seconds and ends with one answered run, and a harmful request runs
+	// only three more times in 35 s, four times in 75 s.
 	maxShortBlockOdds = 1e-2
 	shortBlockTime    = 5 * time.Second
 	longBlockTime     = 10 * time.Minute
 
-	// minCrashesPerSecond is the lowest crash rate assumed, per upstream and second. 270 crashes and restarts
-	// a day on 1000 boxes, as in the users' sizing sheet, are 3e-6; the rest allows for crashes
-	// that this process doesn't see.
+	// minCrashesPerSecond is the lowest crash rate assumed per upstream. 270 crashes and restarts a
+	// day on 1000 boxes, as in the users' sizing sheet, are 3e-6 a second; the rest allows for
+	// crashes that this process doesn't see.
 	minCrashesPerSecond = 1e-3
 	// crashRateWindow is the period over which crashes are counted for the crash rate.
 	crashRateWindow = 10 * time.Second
-	// sameEventWindow is the period within which crashes count as one event, such as the loss of a rack.
-	// The share of upstreams that crash in it is the probability that a harmless call is among the
-	// lost, also if copies of the request ran on the others.
+	// sameEventWindow is the period within which crashes count as one event, such as the loss of a
+	// rack. The share of upstreams that crash in it is the probability that a harmless call is
+	// among the lost, also if copies of the request ran on the others.
 	sameEventWindow = 250 * time.Millisecond
-	// settleTime is how long after a loss it is evaluated: other gateways report crashes of the same
-	// event within 25 ms plus the network delay. Evaluated at once, the loss of all of a service
-	// would look like that of a third of it.
+	// settleTime is how long after a loss was learned it is evaluated: other gateways report
+	// crashes of the same event within 25 ms plus the network delay. Evaluated at once, the loss of
+	// all of a service would look like that of a third of it.
 	settleTime = 100 * time.Millisecond
-	// detectionDelayDivisor divides the detection delay of a loss to give how long its evaluation waits at
-	// least, since crashes of one event aren't detected together: entries show them 1.5 to 1.9 s
-	// later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service would
-	// have a probability of 0.003 or 0.13 instead of 1.
+	// detectionDelayDivisor divides the detection delay of a loss to give how long its evaluation
+	// waits at least, since crashes of one event aren't detected together: entries show them 1.5 to
+	// 1.9 s later, probes 250 to 300 ms. With 4 of 18 crashes known, the loss of all of a service
+	// would have a probability of 0.003 or 0.13 instead of 1.
 	detectionDelayDivisor = 3
 	// minRunTime is the shortest run time assumed: a connection that broke at once doesn't make the
 	// request more suspect.
@@ -72,8 +72,8 @@
 	return now.Sub(m.learnedAt) >= max(settleTime, m.learnedAt.Sub(m.Lost)/detectionDelayDivisor)
 }
 
-// consecutiveLosses returns the consecutive losses since a time: each run was sent after the loss before it.
-// The losses are ordered by the time of the loss.
+// consecutiveLosses returns the consecutive losses since a time: each run was sent after the loss
+// before it. The losses are ordered by the time of the loss.
 func consecutiveLosses(ms []keptLoss, since time.Time) (row []keptLoss) {
 	last := since
 	for _, m := range ms {
@@ -105,9 +105,9 @@
 	return odds
 }
 
-// lossOdds returns the probability that a harmless run is lost: from the background crash rate over the
-// run time of all engines that took part, or the share of upstreams that crashed at the same time,
-// whichever is larger.
+// lossOdds returns the probability that a harmless run is lost: from the background crash rate over
+// the run time of all engines that took part, or the share of upstreams that crashed at the same
+// time, whichever is larger.
 func lossOdds(l Loss, b background) float64 {
 	n := float64(max(b.upstreamCount, 1))
 	rate := math.Max(float64(b.crashes)/(n*crashRateWindow.Seconds()), minCrashesPerSecond)
--- a/quarantine/made_up_test.go
+++ b/quarantine/made_up_test.go
@@ -11,8 +11,8 @@
 // minServedShare is the least part of the calls of others that has to be served.
 const minServedShare = 0.95
 
-// uniqueRequests returns a source of distinct requests of an organisation, also distinct from those of
-// others.
+// uniqueRequests returns a source of distinct requests of an organisation, which also differ from
+// those of others.
 func uniqueRequests(organisation string, from int) func() Subject {
 	return func() Subject {
 		from++
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -6,8 +6,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a hundred
-// gateways reports 14 calls. What exceeds it is dropped with a warning.
+// maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a
+// hundred gateways reports 14 calls. An update that exceeds it is dropped with a warning.
 const maxPendingEntries = 256
 
 // outbox keeps the update that is pending for other gateways.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -15,7 +15,7 @@
 	subject        Subject
 	losses         []keptLoss // since the last answered run, ordered by the time of the loss
 	clearedAt      time.Time  // time up to which the request is cleared of losses
-	reportedLosses int        // consecutive losses that a block reported and that aren't among the marks
+	reportedLosses int        // consecutive losses that a block reported and that aren't in losses
 	block          Block      // the last one, also after its expiry
 	updatedAt      time.Time  // last update
 
@@ -31,8 +31,8 @@
 	return now.Before(r.block.Until)
 }
 
-// consecutive returns the marks of consecutive losses, and the number of consecutive losses including
-// reported ones.
+// consecutive returns the consecutive losses that are kept, and their number including reported
+// ones.
 func (r *record) consecutive() (ms []keptLoss, losses int) {
 	ms = consecutiveLosses(r.losses, r.clearedAt)
 	return ms, len(ms) + r.reportedLosses
@@ -94,11 +94,11 @@
 	}
 }
 
-// sameLossTolerance is the difference in time up to which two reports are of one loss: each is sent as an
-// age, and takes a moment longer in a packet or on a stream.
+// sameLossTolerance is the difference in time up to which two reports are of one loss: each is sent
+// as an age, and takes a moment longer in a packet or on a stream.
 const sameLossTolerance = 200 * time.Millisecond
 
-// matches reports whether a mark matches of this loss.
+// matches reports whether a kept loss is the same loss.
 func (l Loss) matches(m keptLoss) bool {
 	return m.Upstream == l.Upstream && m.Lost.Sub(l.Lost).Abs() < sameLossTolerance && m.Sent.Sub(l.Sent).Abs() < sameLossTolerance
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -70,7 +70,8 @@
 	detectedAt time.Time
 }
 
-// entryReadSpread is the time after an upstream is up again within which all gateways read its entry.
+// entryReadSpread is the time after an upstream is up again within which all gateways read its
+// entry.
 const entryReadSpread = 400 * time.Millisecond
 
 // probeDelay is how long after a crash the second probe of its upstream is closed, and probeSpread
@@ -297,7 +298,7 @@
 					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
 					change(p)
 					p.run(120 * time.Second)
-					t.Logf("sent %d, lost %d, served %d, refused %d, of these held %d", popular.sent, popular.lost, popular.served, popular.refused, popular.blocked)
+					t.Logf("sent %d, lost %d, served %d, refused %d, %d of these by a block", popular.sent, popular.lost, popular.served, popular.refused, popular.blocked)
 					require.Zero(t, popular.blocked)
 					require.LessOrEqual(t, float64(popular.refused), 0.05*float64(popular.sent)+5)
 				})
@@ -385,7 +386,7 @@
 			atOnce := harmful.sent
 			p.streams = append(p.streams, harmful)
 			p.run(30 * time.Second)
-			t.Logf("%d sent at once, %d later; %d upstreams ended; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.crashTimes), others.lost, others.served)
+			t.Logf("%d sent at once, %d later; %d upstream crashes; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.crashTimes), others.lost, others.served)
 			require.LessOrEqual(t, harmful.sent-atOnce, copies+25, "with the second attempt of each call")
 			require.LessOrEqual(t, len(p.crashTimes), poolSize+7)
 		})
@@ -401,7 +402,7 @@
 			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), noCrashes, harmful, others)
 			p.run(20 * time.Second)
-			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
+			t.Logf("%d upstream crashes, %d calls lost in them, %d served, %d refused, %d of these by a block", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
 			require.Zero(t, others.blocked)
 			require.LessOrEqual(t, float64(others.refused), 0.01*float64(others.served))
 		})
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made it
-	// to write it to the store, plus a random time of up to as long, so that not all write at once.
+	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made
+	// it to write it to the store, plus a random time of up to as long, so that not all write at
+	// once.
 	peerStoreDelay = 3 * time.Second
 	// clockSkewTolerance is the difference in the expiry of a block that is put down to clock skew
 	// between gateways, and not written to the store.
 	clockSkewTolerance = 3 * time.Second
-	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
-	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
+	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a
+	// request which comes again is recognised. deletionSpread is the period over which gateways
+	// spread the deletion.
 	expiredBlockRetention = recordRetention / 2
 	deletionSpread        = 30 * time.Second
 	// maxStoredBlocks bounds the blocks in the store, some 400 bytes each.
@@ -30,7 +32,8 @@
 	return peerStoreDelay
 }
 
-// scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
+// scheduleStore sets from when on this process updates what the store has of a request. The lock is
+// held.
 func (t *Table) scheduleStore(r *record, now time.Time, delay time.Duration) {
 	r.storeDue = now.Add(delay + time.Duration(t.random()*float64(delay)))
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// recordRetention is how long a request is remembered after its last loss or the expiry of its block.
+	// recordRetention is how long a request is remembered after its last loss or the expiry of its
+	// block.
 	recordRetention = 10 * time.Minute
 	// maxRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
 	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
@@ -20,8 +21,8 @@
 	maxRecords = 4096
 	// evictionBatch is the number of records evicted at a time.
 	evictionBatch = maxRecords / 8
-	// trialTimeout is how long a trial counts as running without a report of its end: its gateway may
-	// have crashed.
+	// trialTimeout is how long a trial counts as running without a report of its end: its gateway
+	// may have crashed.
 	trialTimeout = 10 * time.Second
 	// trialRetryAfter is the retry delay while a trial is running: most runs end within it.
 	trialRetryAfter = time.Second
@@ -145,8 +146,8 @@
 	t.outbox.add(Update{Losses: []Loss{l}})
 }
 
-// RecordAnswer records a run of this process that its upstream answered, which clears the request of
-// earlier losses.
+// RecordAnswer records a run of this process that its upstream answered, which clears the request
+// of earlier losses.
 func (t *Table) RecordAnswer(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -323,8 +324,8 @@
 	}
 }
 
-// updateOdds updates the odds of the losses of a request while crashes around them are kept, and returns
-// the background of the last loss. The lock is held.
+// updateOdds updates the odds of the losses of a request while crashes around them are kept, and
+// returns the background of the last loss. The lock is held.
 func (t *Table) updateOdds(r *record, now time.Time) (b background) {
 	blocked := func(f hollowgrade.Fingerprint) bool {
 		o := t.records[f]
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -257,7 +257,7 @@
 	})
 }
 
-// fakeStore is the store: it keeps the blocks that gateways write, for others to read.
+// fakeStore keeps the blocks that gateways write to the store, for others to read.
 type fakeStore map[hollowgrade.Fingerprint]Block
 
 func (s fakeStore) write(b *Table) (writes int) {
@@ -284,7 +284,7 @@
 		w, s, d := newCluster(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		require.Equal(t, 1, d.write(w.gateways[0]))
-		require.Zero(t, d.write(w.gateways[0]), "once is enough")
+		require.Zero(t, d.write(w.gateways[0]), "the block is written once")
 		b := w.newGateway("after")
 		d.read(b)
 		requireBlocked(t, b, s, true)
