--- a/core/harm.go
+++ b/core/harm.go
@@ -65,7 +65,7 @@
 		defer close(noted)
 		f.core.noteLoss(u, l, f.call.ID)
 	}()
-	if !f.core.lost.Knows(f.fingerprint) {
+	if !f.core.lost.Has(f.fingerprint) {
 		return
 	}
 	select {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -184,8 +184,8 @@
 	return hs
 }
 
-// Knows reports whether a request is remembered.
-func (t *Table) Knows(f hollowgrade.Fingerprint) bool {
+// Has reports whether a request is remembered.
+func (t *Table) Has(f hollowgrade.Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.records[f] != nil
