--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -115,7 +115,7 @@
 		if err = s.put(ctx, h.Fingerprint, v); err != nil {
 			return err
 		}
-		s.table.Stored(h)
+		s.table.RecordStored(h)
 	}
 	for _, f := range todo.Drop {
 		if err = s.put(ctx, f, nil); err != nil {
@@ -148,7 +148,7 @@
 			s.log.Error("held request not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "err", err)
 			continue
 		}
-		s.table.Stored(h)
+		s.table.RecordStored(h)
 	}
 }
 
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -77,8 +77,8 @@
 	return k
 }
 
-// Stored records that the store has a block, which may be new to this process.
-func (t *Table) Stored(h Block) {
+// RecordStored records that the store has a block, which may be new to this process.
+func (t *Table) RecordStored(h Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.receiveBlock(h, "store")
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -252,7 +252,7 @@
 		w.clock.Advance(time.Second)
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		w.gateways[1].Receive("box-0", Update{Blocks: []Block{h}})
-		w.gateways[1].Stored(h)
+		w.gateways[1].RecordStored(h)
 		requireBlocked(t, w.gateways[1], s, false)
 	})
 }
@@ -264,7 +264,7 @@
 	k := b.StoreChanges()
 	for _, h := range k.Save {
 		s[h.Fingerprint] = h
-		b.Stored(h)
+		b.RecordStored(h)
 	}
 	for _, f := range k.Drop {
 		delete(s, f)
@@ -275,7 +275,7 @@
 
 func (s fakeStore) read(b *Table) {
 	for _, h := range s {
-		b.Stored(h)
+		b.RecordStored(h)
 	}
 }
 
@@ -339,7 +339,7 @@
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
 		w, s := newCluster(t, 1), request(1)
 		now := w.clock.Now()
-		w.gateways[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
+		w.gateways[0].RecordStored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
 		require.LessOrEqual(t, w.gateways[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
 	})
 }
