--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -121,7 +121,7 @@
 		if err = s.put(ctx, f, nil); err != nil {
 			return err
 		}
-		s.table.Dropped(f)
+		s.table.RecordDropped(f)
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	for _, c := range cs {
 		if c.Dropped() {
 			if f, err := hollowgrade.ParseFingerprint(c.Key); err == nil {
-				s.table.Dropped(f)
+				s.table.RecordDropped(f)
 			}
 			continue
 		}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// Dropped records that the store no longer has a block of a request. If it hasn't expired, another
+// RecordDropped records that the store no longer has a block of a request. If it hasn't expired, another
 // process has found the request harmless.
-func (t *Table) Dropped(f hollowgrade.Fingerprint) {
+func (t *Table) RecordDropped(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -268,7 +268,7 @@
 	}
 	for _, f := range k.Drop {
 		delete(s, f)
-		b.Dropped(f)
+		b.RecordDropped(f)
 	}
 	return len(k.Save) + len(k.Drop)
 }
@@ -311,7 +311,7 @@
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		require.Equal(t, 1, d.write(w.gateways[1]))
 		require.Empty(t, d)
-		w.gateways[0].Dropped(s.Fingerprint) // its peer's update was lost
+		w.gateways[0].RecordDropped(s.Fingerprint) // its peer's update was lost
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
