--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -134,8 +134,8 @@
 }
 
 // send sends a request to an upstream by a random gateway.
-func (p *simulation) send(s *stream, of Subject, attempt int) {
-	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, of, attempt)
+func (p *simulation) send(s *stream, subject Subject, attempt int) {
+	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, subject, attempt)
 }
 
 // sendBy sends a request to a random upstream by one gateway.
