--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -139,12 +139,12 @@
 }
 
 // sendBy sends a request to a random upstream by one gateway.
-func (p *simulation) sendBy(b *Table, s *stream, of Subject, attempt int) {
+func (p *simulation) sendBy(b *Table, s *stream, subject Subject, attempt int) {
 	now := p.clock.Now()
 	if attempt == 1 {
 		s.calls++
 	}
-	l := b.Begin(of.Fingerprint)
+	l := b.Begin(subject.Fingerprint)
 	if !l.Granted {
 		s.refused++
 		if !l.Block.Since.IsZero() {
@@ -157,7 +157,7 @@
 		at = p.random.IntN(poolSize)
 	}
 	if now.Before(p.upAt[at]) {
-		b.End(of.Fingerprint, l) // the upstream is down and nothing was sent
+		b.End(subject.Fingerprint, l) // the upstream is down and nothing was sent
 		return
 	}
 	s.sent++
@@ -165,7 +165,7 @@
 	if s.harmful {
 		took = crashDelay
 	}
-	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), attempt})
+	p.runs = append(p.runs, &run{s, subject, b, l, at, now, now.Add(took), attempt})
 }
 
 // finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
