--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -236,8 +236,8 @@
 	}
 }
 
-// distinct returns a source of distinct requests.
-func distinct() func() Subject {
+// distinctRequests returns a source of distinctRequests requests.
+func distinctRequests() func() Subject {
 	n := 1000
 	return func() Subject { n++; return request(n) }
 }
@@ -295,7 +295,7 @@
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
 					popular := &stream{rate: rate, subject: same(1), maxAttempts: 2}
-					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
+					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 					change(p)
 					p.run(120 * time.Second)
 					t.Logf("sent %d, lost %d, served %d, refused %d, %d of these by a block", popular.sent, popular.lost, popular.served, popular.refused, popular.blocked)
@@ -318,7 +318,7 @@
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
 			popular := &stream{rate: x.rate, subject: same(1), maxAttempts: 2}
-			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
+			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.blocked)
@@ -340,7 +340,7 @@
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
 				harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
-				others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+				others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 				p := newSimulation(t, uint64(rate), c(), harmful, others)
 				p.run(60 * time.Second)
 				t.Logf("sent %d, lost %d; of the others %d lost, %d served", harmful.sent, harmful.lost, others.lost, others.served)
@@ -358,7 +358,7 @@
 	for i := range 20 {
 		ss = append(ss, &stream{rate: 1, subject: same(i), maxAttempts: 2, harmful: true})
 	}
-	others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+	others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 	p := newSimulation(t, 1, noCrashes, append(ss, others)...)
 	p.run(60 * time.Second)
 	sent := 0
@@ -377,7 +377,7 @@
 	for _, copies := range []int{5, 20, 200} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
 			harmful := &stream{rate: 20, subject: same(1), maxAttempts: 2, harmful: true}
-			others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+			others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 			p := newSimulation(t, uint64(copies), noCrashes, others)
 			p.run(time.Second)
 			for range copies {
@@ -399,7 +399,7 @@
 	for _, rate := range []float64{1, 10} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
 			harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
-			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
+			others := &stream{rate: 150, subject: distinctRequests(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), noCrashes, harmful, others)
 			p.run(20 * time.Second)
 			t.Logf("%d upstream crashes, %d calls lost in them, %d served, %d refused, %d of these by a block", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
