--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -242,8 +242,8 @@
 	return func() Subject { n++; return request(n) }
 }
 
-// same returns a source of one request.
-func same(n int) func() Subject {
+// sameRequest returns a source of one request.
+func sameRequest(n int) func() Subject {
 	return func() Subject { return request(n) }
 }
 
@@ -294,7 +294,7 @@
 				"behind relays, probed": func(p *simulation) { p.probed = true },
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
-					popular := &stream{rate: rate, subject: same(1), maxAttempts: 2}
+					popular := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2}
 					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 					change(p)
 					p.run(120 * time.Second)
@@ -317,7 +317,7 @@
 		relays bool
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
-			popular := &stream{rate: x.rate, subject: same(1), maxAttempts: 2}
+			popular := &stream{rate: x.rate, subject: sameRequest(1), maxAttempts: 2}
 			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
@@ -339,7 +339,7 @@
 	} {
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
-				harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
+				harmful := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2, harmful: true}
 				others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 				p := newSimulation(t, uint64(rate), c(), harmful, others)
 				p.run(60 * time.Second)
@@ -356,7 +356,7 @@
 func TestManyHarmfulRequestsAreHeld(t *testing.T) {
 	var ss []*stream
 	for i := range 20 {
-		ss = append(ss, &stream{rate: 1, subject: same(i), maxAttempts: 2, harmful: true})
+		ss = append(ss, &stream{rate: 1, subject: sameRequest(i), maxAttempts: 2, harmful: true})
 	}
 	others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 	p := newSimulation(t, 1, noCrashes, append(ss, others)...)
@@ -376,7 +376,7 @@
 func TestManyCopiesAtOnce(t *testing.T) {
 	for _, copies := range []int{5, 20, 200} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
-			harmful := &stream{rate: 20, subject: same(1), maxAttempts: 2, harmful: true}
+			harmful := &stream{rate: 20, subject: sameRequest(1), maxAttempts: 2, harmful: true}
 			others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 			p := newSimulation(t, uint64(copies), noCrashes, others)
 			p.run(time.Second)
@@ -398,7 +398,7 @@
 func TestNeighboursAreServed(t *testing.T) {
 	for _, rate := range []float64{1, 10} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
-			harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
+			harmful := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2, harmful: true}
 			others := &stream{rate: 150, subject: distinctRequests(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), noCrashes, harmful, others)
 			p.run(20 * time.Second)
