--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -74,15 +74,15 @@
 
 // consecutiveLosses returns the consecutive losses since a time: each run was sent after the loss
 // before it. The losses are ordered by the time of the loss.
-func consecutiveLosses(ms []keptLoss, since time.Time) (row []keptLoss) {
+func consecutiveLosses(ms []keptLoss, since time.Time) (consecutive []keptLoss) {
 	last := since
 	for _, m := range ms {
 		if m.Sent.After(last) {
-			row = append(row, m)
+			consecutive = append(consecutive, m)
 			last = m.Lost
 		}
 	}
-	return row
+	return consecutive
 }
 
 // crashEvents returns the number of separate crash events.
