--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -98,10 +98,10 @@
 	if r == nil {
 		return
 	}
-	was := r.storedUntil
+	storedUntil := r.storedUntil
 	r.storedUntil = time.Time{}
 	now := t.clock.Now()
-	if r.blocked(now) && !was.IsZero() {
+	if r.blocked(now) && !storedUntil.IsZero() {
 		t.clear(r, now, "the store no longer has it", "store")
 	}
 }
