--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -63,8 +63,8 @@
 	return l.Addr().String()
 }
 
-// run sends the load of a fleet to others until the returned function is called.
-func run(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
+// startSender sends the load of a fleet to others until the returned function is called.
+func startSender(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var g sync.WaitGroup
@@ -112,7 +112,7 @@
 	t.Helper()
 	a, b := newFleet(), newFleet()
 	first := plan(t, a) // before they are connected
-	stop := run(t, a, serve(t, b), os...)
+	stop := startSender(t, a, serve(t, b), os...)
 	requireOthers(t, b, 1)
 	second := plan(t, a)
 	requireOthers(t, b, 2)
@@ -209,7 +209,7 @@
 	before := a.Readings()["u"]
 	require.NotZero(t, before)
 	b := newFleet()
-	run(t, a, serve(t, b))
+	startSender(t, a, serve(t, b))
 	requireOthers(t, b, 1)
 	require.Eventually(t, func() bool { return b.Readings()["u"] > 0 }, 20*time.Second, time.Millisecond)
 	require.LessOrEqual(t, b.Readings()["u"], before)
@@ -300,7 +300,7 @@
 func TestSpeedsOfEnginesAreTold(t *testing.T) {
 	a, b := newFleet(), newFleet()
 	p := packets(t, "127.0.0.1:0")
-	run(t, a, serve(t, b), WithPackets(p))
+	startSender(t, a, serve(t, b), WithPackets(p))
 	a.TakePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
 	for _, w := range b.Seen(map[hollowgrade.Life]core.Share{"u": {}}) {
