--- a/loadview/bench_test.go
+++ b/loadview/bench_test.go
@@ -40,7 +40,7 @@
 	for range n {
 		f := newFleet()
 		fs = append(fs, f)
-		as = append(as, serve(b, f))
+		as = append(as, startReceiver(b, f))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g sync.WaitGroup
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -37,8 +37,8 @@
 	return p
 }
 
-// serve receives the views of others for a fleet, and returns its address.
-func serve(t testing.TB, f *core.Fleet) string {
+// startReceiver receives the views of others for a fleet, and returns its address.
+func startReceiver(t testing.TB, f *core.Fleet) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -112,7 +112,7 @@
 	t.Helper()
 	a, b := newFleet(), newFleet()
 	first := plan(t, a) // before they are connected
-	stop := startSender(t, a, serve(t, b), os...)
+	stop := startSender(t, a, startReceiver(t, b), os...)
 	requireOthers(t, b, 1)
 	second := plan(t, a)
 	requireOthers(t, b, 2)
@@ -209,7 +209,7 @@
 	before := a.Readings()["u"]
 	require.NotZero(t, before)
 	b := newFleet()
-	startSender(t, a, serve(t, b))
+	startSender(t, a, startReceiver(t, b))
 	requireOthers(t, b, 1)
 	require.Eventually(t, func() bool { return b.Readings()["u"] > 0 }, 20*time.Second, time.Millisecond)
 	require.LessOrEqual(t, b.Readings()["u"], before)
@@ -300,7 +300,7 @@
 func TestSpeedsOfEnginesAreTold(t *testing.T) {
 	a, b := newFleet(), newFleet()
 	p := packets(t, "127.0.0.1:0")
-	startSender(t, a, serve(t, b), WithPackets(p))
+	startSender(t, a, startReceiver(t, b), WithPackets(p))
 	a.TakePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
 	for _, w := range b.Seen(map[hollowgrade.Life]core.Share{"u": {}}) {
