--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -39,8 +39,8 @@
 	return l[:n], l[n:]
 }
 
-// newest returns at most the last n.
-func newest[T any](l []T, n int) []T {
+// lastN returns at most the last n.
+func lastN[T any](l []T, n int) []T {
 	return l[max(len(l)-n, 0):]
 }
 
@@ -68,10 +68,10 @@
 			continue
 		}
 		l.update = l.update.Plus(w)
-		l.update.Losses = newest(l.update.Losses, maxPendingEntries)
-		l.update.Harmless = newest(l.update.Harmless, maxPendingEntries)
-		l.update.Trials = newest(l.update.Trials, maxPendingEntries)
-		l.update.Blocks = newest(l.update.Blocks, maxPendingEntries)
+		l.update.Losses = lastN(l.update.Losses, maxPendingEntries)
+		l.update.Harmless = lastN(l.update.Harmless, maxPendingEntries)
+		l.update.Trials = lastN(l.update.Trials, maxPendingEntries)
+		l.update.Blocks = lastN(l.update.Blocks, maxPendingEntries)
 		if l.packets.IsValid() {
 			to = append(to, l.packets)
 		}
