--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// distinctRequests returns a source of distinctRequests requests.
+// distinctRequests returns a source of requests that all differ.
 func distinctRequests() func() Subject {
 	n := 1000
 	return func() Subject { n++; return request(n) }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// RecordDropped records that the store no longer has a block of a request. If it hasn't expired, another
-// process has found the request harmless.
+// RecordDropped records that the store no longer has a block of a request. If the block hasn't
+// expired, another process has found the request harmless.
 func (t *Table) RecordDropped(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
