--- a/core/losses.go
+++ b/core/losses.go
@@ -67,7 +67,7 @@
 		defer close(noted)
 		f.core.recordLoss(u, l, f.call.ID)
 	}()
-	if !f.core.quarantine.Knows(f.fingerprint) {
+	if !f.core.quarantine.Has(f.fingerprint) {
 		return
 	}
 	select {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -115,13 +115,13 @@
 		if err = s.put(ctx, h.Fingerprint, v); err != nil {
 			return err
 		}
-		s.table.Stored(h)
+		s.table.RecordStored(h)
 	}
 	for _, f := range todo.Drop {
 		if err = s.put(ctx, f, nil); err != nil {
 			return err
 		}
-		s.table.Dropped(f)
+		s.table.RecordDropped(f)
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	for _, c := range cs {
 		if c.Dropped() {
 			if f, err := hollowgrade.ParseFingerprint(c.Key); err == nil {
-				s.table.Dropped(f)
+				s.table.RecordDropped(f)
 			}
 			continue
 		}
@@ -148,7 +148,7 @@
 			s.log.Error("held request not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "err", err)
 			continue
 		}
-		s.table.Stored(h)
+		s.table.RecordStored(h)
 	}
 }
 
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -37,8 +37,8 @@
 	return p
 }
 
-// serve receives the views of others for a fleet, and returns its address.
-func serve(t testing.TB, f *core.Fleet) string {
+// startReceiver receives the views of others for a fleet, and returns its address.
+func startReceiver(t testing.TB, f *core.Fleet) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,8 +63,8 @@
 	return l.Addr().String()
 }
 
-// run sends the load of a fleet to others until the returned function is called.
-func run(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
+// startSender sends the load of a fleet to others until the returned function is called.
+func startSender(t *testing.T, f *core.Fleet, address string, os ...Option) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var g sync.WaitGroup
@@ -112,7 +112,7 @@
 	t.Helper()
 	a, b := newFleet(), newFleet()
 	first := plan(t, a) // before they are connected
-	stop := run(t, a, serve(t, b), os...)
+	stop := startSender(t, a, startReceiver(t, b), os...)
 	requireOthers(t, b, 1)
 	second := plan(t, a)
 	requireOthers(t, b, 2)
@@ -133,7 +133,7 @@
 		require.Equal(t, s, decodeStakes(encodeStakes(s)))
 	}
 	newer := append(encodeStakes(placement.Stakes{1, 2, 3}), &wire.Stake{PauseClass: 1000, Worth: 1}, &wire.Stake{PauseClass: -1, Worth: 1})
-	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "classes of a newer peer are passed over")
+	require.Equal(t, placement.Stakes{1, 2, 3}, decodeStakes(newer), "unknown classes of a newer peer are ignored")
 }
 
 func loadView(sequence uint64, whole bool, open ...int32) *wire.LoadView {
@@ -209,7 +209,7 @@
 	before := a.PrefillBacklogs()["u"]
 	require.NotZero(t, before)
 	b := newFleet()
-	run(t, a, serve(t, b))
+	startSender(t, a, startReceiver(t, b))
 	requireOthers(t, b, 1)
 	require.Eventually(t, func() bool { return b.PrefillBacklogs()["u"] > 0 }, 20*time.Second, time.Millisecond)
 	require.LessOrEqual(t, b.PrefillBacklogs()["u"], before)
@@ -242,7 +242,7 @@
 		synctest.Wait()
 		s.Redial()
 		g.Wait()
-		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is left alone")
+		require.Equal(t, redialInterval, time.Since(begin), "a link that is up is not affected")
 	})
 }
 
@@ -300,11 +300,11 @@
 func TestSpeedsOfEnginesAreTold(t *testing.T) {
 	a, b := newFleet(), newFleet()
 	p := packets(t, "127.0.0.1:0")
-	run(t, a, serve(t, b), WithPackets(p))
+	startSender(t, a, startReceiver(t, b), WithPackets(p))
 	a.ReceivePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
 	for _, w := range b.UpstreamStates(map[hollowgrade.Life]core.Share{"u": {}}) {
-		require.Zero(t, w.Pace, "nobody tells on what it was told")
+		require.Zero(t, w.Pace, "a gateway does not pass on what a peer reported")
 	}
 	a.ReceivePace("u", 1, 0, "", "r")
 	requirePredicted(t, b, 1)
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -70,7 +70,8 @@
 	detectedAt time.Time
 }
 
-// entryReadSpread is the time after an upstream is up again within which all gateways read its entry.
+// entryReadSpread is the time after an upstream is up again within which all gateways read its
+// entry.
 const entryReadSpread = 400 * time.Millisecond
 
 // probeDelay is how long after a crash the second probe of its upstream is closed, and probeSpread
@@ -133,17 +134,17 @@
 }
 
 // send sends a request to an upstream by a random gateway.
-func (p *simulation) send(s *stream, of Subject, attempt int) {
-	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, of, attempt)
+func (p *simulation) send(s *stream, subject Subject, attempt int) {
+	p.sendBy(p.gateways[p.random.IntN(len(p.gateways))], s, subject, attempt)
 }
 
 // sendBy sends a request to a random upstream by one gateway.
-func (p *simulation) sendBy(b *Table, s *stream, of Subject, attempt int) {
+func (p *simulation) sendBy(b *Table, s *stream, subject Subject, attempt int) {
 	now := p.clock.Now()
 	if attempt == 1 {
 		s.calls++
 	}
-	l := b.Begin(of.Fingerprint)
+	l := b.Begin(subject.Fingerprint)
 	if !l.Granted {
 		s.refused++
 		if !l.Block.Since.IsZero() {
@@ -156,7 +157,7 @@
 		at = p.random.IntN(poolSize)
 	}
 	if now.Before(p.upAt[at]) {
-		b.End(of.Fingerprint, l) // the upstream is down and nothing was sent
+		b.End(subject.Fingerprint, l) // the upstream is down and nothing was sent
 		return
 	}
 	s.sent++
@@ -164,7 +165,7 @@
 	if s.harmful {
 		took = crashDelay
 	}
-	p.runs = append(p.runs, &run{s, of, b, l, at, now, now.Add(took), attempt})
+	p.runs = append(p.runs, &run{s, subject, b, l, at, now, now.Add(took), attempt})
 }
 
 // finish ends the runs whose time is over, and crashes the upstreams of those that are harmful.
@@ -235,14 +236,14 @@
 	}
 }
 
-// distinct returns a source of distinct requests.
-func distinct() func() Subject {
+// distinctRequests returns a source of requests that all differ.
+func distinctRequests() func() Subject {
 	n := 1000
 	return func() Subject { n++; return request(n) }
 }
 
-// same returns a source of one request.
-func same(n int) func() Subject {
+// sameRequest returns a source of one request.
+func sameRequest(n int) func() Subject {
 	return func() Subject { return request(n) }
 }
 
@@ -293,11 +294,11 @@
 				"behind relays, probed": func(p *simulation) { p.probed = true },
 			} {
 				t.Run(fmt.Sprintf("%s, %.1f a second, %s", name, rate, how), func(t *testing.T) {
-					popular := &stream{rate: rate, subject: same(1), maxAttempts: 2}
-					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
+					popular := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2}
+					p := newSimulation(t, uint64(10*rate), c(), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 					change(p)
 					p.run(120 * time.Second)
-					t.Logf("sent %d, lost %d, served %d, refused %d, of these held %d", popular.sent, popular.lost, popular.served, popular.refused, popular.blocked)
+					t.Logf("sent %d, lost %d, served %d, refused %d, %d of these by a block", popular.sent, popular.lost, popular.served, popular.refused, popular.blocked)
 					require.Zero(t, popular.blocked)
 					require.LessOrEqual(t, float64(popular.refused), 0.05*float64(popular.sent)+5)
 				})
@@ -316,8 +317,8 @@
 		relays bool
 	}{{0.5, 15_005, false}, {2, 21_020, true}} {
 		t.Run(fmt.Sprint("seed ", x.seed), func(t *testing.T) {
-			popular := &stream{rate: x.rate, subject: same(1), maxAttempts: 2}
-			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinct(), maxAttempts: 2})
+			popular := &stream{rate: x.rate, subject: sameRequest(1), maxAttempts: 2}
+			p := newSimulation(t, x.seed, crashMany(poolSize, 2500*time.Millisecond), popular, &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2})
 			p.relays = x.relays
 			p.run(120 * time.Second)
 			require.Zero(t, popular.blocked)
@@ -338,8 +339,8 @@
 	} {
 		for _, rate := range []float64{1, 10, 50} {
 			t.Run(fmt.Sprintf("%s, %.0f a second", name, rate), func(t *testing.T) {
-				harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
-				others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+				harmful := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2, harmful: true}
+				others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 				p := newSimulation(t, uint64(rate), c(), harmful, others)
 				p.run(60 * time.Second)
 				t.Logf("sent %d, lost %d; of the others %d lost, %d served", harmful.sent, harmful.lost, others.lost, others.served)
@@ -355,9 +356,9 @@
 func TestManyHarmfulRequestsAreHeld(t *testing.T) {
 	var ss []*stream
 	for i := range 20 {
-		ss = append(ss, &stream{rate: 1, subject: same(i), maxAttempts: 2, harmful: true})
+		ss = append(ss, &stream{rate: 1, subject: sameRequest(i), maxAttempts: 2, harmful: true})
 	}
-	others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+	others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 	p := newSimulation(t, 1, noCrashes, append(ss, others)...)
 	p.run(60 * time.Second)
 	sent := 0
@@ -375,8 +376,8 @@
 func TestManyCopiesAtOnce(t *testing.T) {
 	for _, copies := range []int{5, 20, 200} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
-			harmful := &stream{rate: 20, subject: same(1), maxAttempts: 2, harmful: true}
-			others := &stream{rate: 40, subject: distinct(), maxAttempts: 2}
+			harmful := &stream{rate: 20, subject: sameRequest(1), maxAttempts: 2, harmful: true}
+			others := &stream{rate: 40, subject: distinctRequests(), maxAttempts: 2}
 			p := newSimulation(t, uint64(copies), noCrashes, others)
 			p.run(time.Second)
 			for range copies {
@@ -385,7 +386,7 @@
 			atOnce := harmful.sent
 			p.streams = append(p.streams, harmful)
 			p.run(30 * time.Second)
-			t.Logf("%d sent at once, %d later; %d upstreams ended; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.crashTimes), others.lost, others.served)
+			t.Logf("%d sent at once, %d later; %d upstream crashes; of the others %d lost, %d served", atOnce, harmful.sent-atOnce, len(p.crashTimes), others.lost, others.served)
 			require.LessOrEqual(t, harmful.sent-atOnce, copies+25, "with the second attempt of each call")
 			require.LessOrEqual(t, len(p.crashTimes), poolSize+7)
 		})
@@ -397,11 +398,11 @@
 func TestNeighboursAreServed(t *testing.T) {
 	for _, rate := range []float64{1, 10} {
 		t.Run(fmt.Sprintf("%.0f a second", rate), func(t *testing.T) {
-			harmful := &stream{rate: rate, subject: same(1), maxAttempts: 2, harmful: true}
-			others := &stream{rate: 150, subject: distinct(), maxAttempts: 4}
+			harmful := &stream{rate: rate, subject: sameRequest(1), maxAttempts: 2, harmful: true}
+			others := &stream{rate: 150, subject: distinctRequests(), maxAttempts: 4}
 			p := newSimulation(t, uint64(rate), noCrashes, harmful, others)
 			p.run(20 * time.Second)
-			t.Logf("%d upstreams ended, %d calls lost with them, %d served, %d refused, %d held", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
+			t.Logf("%d upstream crashes, %d calls lost in them, %d served, %d refused, %d of these by a block", len(p.crashTimes), others.lost, others.served, others.refused, others.blocked)
 			require.Zero(t, others.blocked)
 			require.LessOrEqual(t, float64(others.refused), 0.01*float64(others.served))
 		})
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made it
-	// to write it to the store, plus a random time of up to as long, so that not all write at once.
+	// peerStoreDelay is how long a gateway that learned of a change waits for the gateway that made
+	// it to write it to the store, plus a random time of up to as long, so that not all write at
+	// once.
 	peerStoreDelay = 3 * time.Second
 	// clockSkewTolerance is the difference in the expiry of a block that is put down to clock skew
 	// between gateways, and not written to the store.
 	clockSkewTolerance = 3 * time.Second
-	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a request which
-	// comes again is recognised. dropSpread is the period over which gateways spread the deletion.
+	// expiredBlockRetention is how long after its expiry a block stays in the store, so that a
+	// request which comes again is recognised. deletionSpread is the period over which gateways
+	// spread the deletion.
 	expiredBlockRetention = recordRetention / 2
 	deletionSpread        = 30 * time.Second
 	// maxStoredBlocks bounds the blocks in the store, some 400 bytes each.
@@ -30,7 +32,8 @@
 	return peerStoreDelay
 }
 
-// scheduleStore sets from when on this process updates what the store has of a request. The lock is held.
+// scheduleStore sets from when on this process updates what the store has of a request. The lock is
+// held.
 func (t *Table) scheduleStore(r *record, now time.Time, delay time.Duration) {
 	r.storeDue = now.Add(delay + time.Duration(t.random()*float64(delay)))
 }
@@ -74,8 +77,8 @@
 	return k
 }
 
-// Stored records that the store has a block, which may be new to this process.
-func (t *Table) Stored(h Block) {
+// RecordStored records that the store has a block, which may be new to this process.
+func (t *Table) RecordStored(h Block) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.receiveBlock(h, "store")
@@ -86,19 +89,19 @@
 	}
 }
 
-// Dropped records that the store no longer has a block of a request. If it hasn't expired, another
-// process has found the request harmless.
-func (t *Table) Dropped(f hollowgrade.Fingerprint) {
+// RecordDropped records that the store no longer has a block of a request. If the block hasn't
+// expired, another process has found the request harmless.
+func (t *Table) RecordDropped(f hollowgrade.Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
 	if r == nil {
 		return
 	}
-	was := r.storedUntil
+	storedUntil := r.storedUntil
 	r.storedUntil = time.Time{}
 	now := t.clock.Now()
-	if r.blocked(now) && !was.IsZero() {
+	if r.blocked(now) && !storedUntil.IsZero() {
 		t.clear(r, now, "the store no longer has it", "store")
 	}
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -252,30 +252,30 @@
 		w.clock.Advance(time.Second)
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		w.gateways[1].Receive("box-0", Update{Blocks: []Block{h}})
-		w.gateways[1].Stored(h)
+		w.gateways[1].RecordStored(h)
 		requireBlocked(t, w.gateways[1], s, false)
 	})
 }
 
-// fakeStore is the store: it keeps the blocks that gateways write, for others to read.
+// fakeStore keeps the blocks that gateways write to the store, for others to read.
 type fakeStore map[hollowgrade.Fingerprint]Block
 
 func (s fakeStore) write(b *Table) (writes int) {
 	k := b.StoreChanges()
 	for _, h := range k.Save {
 		s[h.Fingerprint] = h
-		b.Stored(h)
+		b.RecordStored(h)
 	}
 	for _, f := range k.Drop {
 		delete(s, f)
-		b.Dropped(f)
+		b.RecordDropped(f)
 	}
 	return len(k.Save) + len(k.Drop)
 }
 
 func (s fakeStore) read(b *Table) {
 	for _, h := range s {
-		b.Stored(h)
+		b.RecordStored(h)
 	}
 }
 
@@ -284,7 +284,7 @@
 		w, s, d := newCluster(t, 2), request(1), fakeStore{}
 		w.block(w.gateways[0], s)
 		require.Equal(t, 1, d.write(w.gateways[0]))
-		require.Zero(t, d.write(w.gateways[0]), "once is enough")
+		require.Zero(t, d.write(w.gateways[0]), "the block is written once")
 		b := w.newGateway("after")
 		d.read(b)
 		requireBlocked(t, b, s, true)
@@ -311,7 +311,7 @@
 		require.True(t, w.gateways[1].Lift(s.Fingerprint))
 		require.Equal(t, 1, d.write(w.gateways[1]))
 		require.Empty(t, d)
-		w.gateways[0].Dropped(s.Fingerprint) // its peer's update was lost
+		w.gateways[0].RecordDropped(s.Fingerprint) // its peer's update was lost
 		requireBlocked(t, w.gateways[0], s, false)
 	})
 	t.Run("nor long after the end of the hold", func(t *testing.T) {
@@ -339,7 +339,7 @@
 	t.Run("by a clock that is far off it is held no longer than usual", func(t *testing.T) {
 		w, s := newCluster(t, 1), request(1)
 		now := w.clock.Now()
-		w.gateways[0].Stored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
+		w.gateways[0].RecordStored(Block{Subject: s, Since: now, Until: now.Add(24 * time.Hour), Losses: 3})
 		require.LessOrEqual(t, w.gateways[0].Begin(s.Fingerprint).RetryAfter, longBlockTime)
 	})
 }
