--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -40,7 +40,7 @@
 
 func alwaysCloses(hollowgrade.Upstream) bool { return true }
 
-// closesUntil returns a predicate that closes connections closesUntil t.
+// closesUntil returns a predicate that closes connections until t.
 func closesUntil(t time.Time) func(hollowgrade.Upstream) bool {
 	return func(hollowgrade.Upstream) bool { return time.Now().Before(t) }
 }
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -12,7 +12,8 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// requireExpectedPrompts checks that prompts of one length are expected, their rate and their prefill time.
+// requireExpectedPrompts checks that prompts of one length are expected, their rate and their
+// prefill time.
 func requireExpectedPrompts(t *testing.T, d placement.Demand, perSecond float64, prefill time.Duration) {
 	t.Helper()
 	require.Len(t, d.Prompts, 1)
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -16,7 +16,7 @@
 
 // Bounds that the decisions of package placement are expected to respect.
 const (
-	maxUnsplitPromptTokens = 8_999 // of a prompt that one engine prefills
+	maxUnsplitPromptTokens = 8_999 // longest prompt that one engine prefills alone
 	maxHelpers             = 16
 )
 
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -16,12 +16,12 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// callInterval is the time between two calls. A loss is judged once it is known which other calls were
-// lost with it.
+// callInterval is the time between two calls. A loss is judged once it is known which other calls
+// were lost with it.
 const callInterval = 500 * time.Millisecond
 
-// serveOnNewCore serves one request several times, in virtual time, by upstreams that reply the same each
-// time, and returns the errors that its callers got.
+// serveOnNewCore serves one request several times, in virtual time, by upstreams that always reply
+// the same, and returns the errors that its callers got.
 func serveOnNewCore(t *testing.T, path string, times int, change func(*hollowgrade.Call), r reply) (xs []*fault.Error, c *Core, f *fakeUpstreams) {
 	t.Helper()
 	f = &fakeUpstreams{replies: []reply{r}}
@@ -84,8 +84,8 @@
 	return hollowgrade.Present, nil
 }
 
-// absentProber implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't answer
-// probes.
+// absentProber implements [hollowgrade.Prober] for upstreams that have crashed; silent ones don't
+// answer probes.
 type absentProber struct{ silent bool }
 
 func (g absentProber) Probe(ctx context.Context, _ hollowgrade.Upstream) (hollowgrade.Presence, error) {
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -33,8 +33,8 @@
 	limited           int
 	others            int
 	limit             float64
-	limitVariation    float64       // by which part of it the named limit varies, up or down
-	callsPerSecond    float64       // a second, of all processes
+	limitVariation    float64       // part of the limit by which answers vary it, up or down
+	callsPerSecond    float64       // of all processes
 	firstProcessShare float64       // part of the calls that reach the first process
 	pause             time.Duration // without calls, in the middle
 	updateDelay       time.Duration // until peers receive a change
--- a/core/lives_test.go
+++ b/core/lives_test.go
@@ -21,8 +21,8 @@
 	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: firstStartMillis + ms}
 }
 
-// newUsedFleet returns a table with one upstream that has all kinds of state: calls of this process and of
-// a peer, prefill work, parts of prompts, failures, its load and its pace.
+// newUsedFleet returns a table with one upstream that has all kinds of state: calls of this process
+// and of a peer, prefill work, parts of prompts, failures, its load and its pace.
 func newUsedFleet(t *testing.T) (f *Fleet, p *pick) {
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), discardLogger())
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -21,7 +21,7 @@
 	return servePrompt(t, f, engines, 900_000)
 }
 
-// servePrompt serves a servePrompt on engines with memory for 450,000 tokens.
+// servePrompt serves a prompt on engines with memory for 450,000 tokens.
 func servePrompt(t *testing.T, f *fakeUpstreams, engines, tokens int) *fault.Error {
 	t.Helper()
 	c := New(f, f, WithLogger(discardLogger()))
@@ -40,7 +40,7 @@
 	return fault.As(err, hollowgrade.Unknown)
 }
 
-// slowStream replies with a stream after d, and calls look with the reserved tokens before.
+// slowStream replies with a stream after d; before that it calls check with the reserved tokens.
 func slowStream(f *fakeUpstreams, d time.Duration, check func(reserved int)) reply {
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -13,9 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// serveLostCall serves a call whose connection breaks at an upstream that keeps accepting connections,
-// applies what follows to the upstream, and returns how many requests the quarantine then
-// remembers.
+// serveLostCall serves a call whose connection breaks at an upstream that keeps accepting
+// connections, changes the upstream, and returns how many requests the quarantine then remembers.
 func serveLostCall(t *testing.T, startMillis int64, change func(f *Fleet, u hollowgrade.Upstream)) (remembered int) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -36,8 +35,8 @@
 	return remembered
 }
 
-// restartEntry lists the entry of another instance after some time; later is the difference of the start
-// times in ms.
+// restartEntry lists the entry of another instance after delay; startDelta is the difference of the
+// start times in ms.
 func restartEntry(delay time.Duration, startDelta int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
 		time.Sleep(delay)
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -32,7 +32,8 @@
 // crashingBody is the body of a request that crashes each upstream that runs it.
 const crashingBody = "this ends you"
 
-// crashingPool is a pool of upstreams that crash when they run such a request, and restart under another id.
+// crashingPool is a pool of upstreams that crash when they run such a request, and restart under
+// another id.
 type crashingPool struct {
 	t        *testing.T
 	store    *platformtest.Store
@@ -43,7 +44,7 @@
 	workers    map[string]*platformtest.Worker
 	started    int
 	crashSends []time.Time // when a crashing request reached an upstream
-	crashes    []time.Time // when upstreams crashed by one
+	crashes    []time.Time // when upstreams crashed by such a request
 	closed     bool
 	group      sync.WaitGroup
 }
@@ -102,7 +103,7 @@
 	platformtest.PacedStream(eventCount, eventInterval)(w, c, r)
 }
 
-// crash crashes an upstream, by a request or otherwise. Its entry is removed after the downtime.
+// crash ends an upstream's process, by a request or otherwise. Its entry is removed after the downtime.
 func (m *crashingPool) crash(id string, byRequest bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,7 +309,7 @@
 	require.Equal(t, before, m.sendCount())
 }
 
-// sendCount returns how often a crashing request has sendCount an upstream.
+// sendCount returns how often a crashing request has reached an upstream.
 func (m *crashingPool) sendCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -11,7 +11,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// invalidEntries returns invalid entries of another writer, with the address of an upstream that would answer.
+// invalidEntries returns invalid entries of another writer, with the address of an upstream that
+// would answer.
 func invalidEntries(w *platformtest.Worker) map[string][]byte {
 	with := func(old, n string) []byte {
 		e := fmt.Sprintf(`{"service":"s","address":"%s","zone":"z1","version":"v1","slots":4,"state":"ready","coldLeftMs":0,"callSeq":0}`, w.Address())
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -28,7 +28,7 @@
 	m.announcedAt = time.Now()
 }
 
-// countLater returns how many requests reached the upstream later than d countLater its first answer with
+// countLater returns how many requests reached the upstream later than d after its first answer with
 // these headers.
 func (m *recordingUpstream) countLater(d time.Duration) (n int) {
 	m.mu.Lock()
@@ -47,8 +47,8 @@
 	return n
 }
 
-// requireNoneAfterLeaving checks that an upstream gets no more requests soon after it has reported that it
-// leaves, and that callers are served.
+// requireNoneAfterLeaving checks that an upstream gets no more requests soon after it has reported
+// that it leaves, and that callers are served.
 func (f *recordingFleet) requireNoneAfterLeaving(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	f.callers.runEvery(4*time.Second, 20*time.Millisecond, f.call)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -39,8 +39,8 @@
 
 	mu          sync.Mutex
 	limit       float64
-	announcedAt time.Time            // when it first named a limit
-	informedAt  map[string]time.Time // when a gateway first got an answer that names it
+	announcedAt time.Time            // when it first named a limit or reported that it leaves
+	informedAt  map[string]time.Time // when each gateway first got an answer after that
 	arrivals    []arrival
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// setLimit sets the limit that all answers setLimit from now on.
+// setLimit sets the limit that all answers name from now on.
 func (m *recordingUpstream) setLimit(limit float64) {
 	m.SetHeaders(http.Header{"Server-Limit": {strconv.FormatFloat(limit, 'f', -1, 64)}})
 	m.mu.Lock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// peakRequests returns the peakRequests requests that reached it within a window from gateways that knew its limit,
-// and its requests per second since it first named the limit.
+// peakRequests returns the most requests that reached it within a window from gateways that knew
+// its limit, and its requests per second since it first named the limit.
 func (m *recordingUpstream) peakRequests() (n int, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,8 +117,8 @@
 	return n, float64(since) / time.Since(m.announcedAt).Seconds()
 }
 
-// requireLimitKept checks that an upstream got no more than its limit allows, and at least leastUse
-// of it.
+// requireLimitKept checks that an upstream got no more than its limit allows, and at
+// least minLimitUse of it.
 func requireLimitKept(t *testing.T, m *recordingUpstream) {
 	t.Helper()
 	n, rate := m.peakRequests()
@@ -136,7 +136,7 @@
 
 	mu                sync.Mutex
 	statuses          map[int]int
-	slowestRefusal    time.Duration // refusal
+	slowestRefusal    time.Duration // time until it is answered
 	withoutRetryAfter int           // refusals without a retry delay
 }
 
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -14,8 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// At most maxRequestsInRetryAfter requests of a gateway may reach an upstream from retryAfterNoticed after a refusal
-// until the end of its retry delay.
+// At most maxRequestsInRetryAfter requests of a gateway may reach an upstream from retryAfterNoticed
+// after a refusal until the end of its retry delay.
 const (
 	retryAfterNoticed       = 500 * time.Millisecond
 	maxRequestsInRetryAfter = 2
@@ -83,7 +83,7 @@
 	return n
 }
 
-// countAfter returns how many requests reached it countAfter d after from.
+// countAfter returns how many requests reached it within d after from.
 func (s *overloaded) countAfter(from time.Time, d time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -16,8 +16,8 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// listenSnapshotPeer listens as a peer that sends a snapshot in pieces, with a pause before each, and stops
-// after some of them.
+// listenSnapshotPeer listens as a peer that sends a snapshot in pieces, with a pause before each,
+// and stops after some of them.
 func listenSnapshotPeer(t *testing.T, pieces, sent int, pause time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -21,8 +21,8 @@
 type pausedClock struct {
 	hollowgrade.Clock
 	start      time.Time
-	pauseAfter time.Duration // until the pause
-	pause      time.Duration // length of the pause
+	pauseAfter time.Duration // running time before the pause
+	pause      time.Duration
 }
 
 // Now implements [hollowgrade.Clock].
@@ -36,8 +36,7 @@
 
 func TestCallersAreTakenOnceEnoughIsKnown(t *testing.T) {
 	// wait returns for how long the process ran until callers were taken, and whether the
-	// configuration was known then. The arguments known and heard are the running times after which
-	// these conditions hold.
+	// configuration was known then. known and heard are the running times after which these hold.
 	wait := func(t *testing.T, known, heard, pause time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
