--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -53,9 +53,9 @@
 
 // limitProcess is one of the simulated processes.
 type limitProcess struct {
-	fleet *Fleet
-	box   string
-	next  time.Time // heartbeat
+	fleet         *Fleet
+	box           string
+	nextHeartbeat time.Time // heartbeat
 }
 
 func newLimitProcess(p limitScenario, i int, r *rand.Rand) *limitProcess {
@@ -132,8 +132,8 @@
 				x.updates += p.sendShares(ps, i, f.Changes(false), false, r)
 			}
 			for j, o := range ps {
-				if !time.Now().Before(o.next) {
-					o.next = o.next.Add(Heartbeat(p.processes))
+				if !time.Now().Before(o.nextHeartbeat) {
+					o.nextHeartbeat = o.nextHeartbeat.Add(Heartbeat(p.processes))
 					x.updates += p.sendShares(ps, j, o.fleet.Shares(), true, r)
 				}
 			}
