--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -66,10 +66,10 @@
 // gateway is a gateway under test.
 type gateway struct {
 	*GatewayNode
-	log     *logBuffer
-	callers string
-	ready   string
-	peers   string
+	log            *logBuffer
+	callersAddress string
+	ready          string
+	peers          string
 }
 
 func freePort(t *testing.T) string {
@@ -107,10 +107,10 @@
 
 func setUpGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway, err error) {
 	t.Helper()
-	g = &gateway{log: &logBuffer{}, callers: freePort(t), ready: freePort(t), peers: freePort(t)}
+	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), ready: freePort(t), peers: freePort(t)}
 	c := setting.DefaultGateway()
-	c.Box, c.Hall, c.Store = "box-"+g.callers, "z1", store
-	c.Callers, c.Readiness, c.Peers = g.callers, g.ready, g.peers
+	c.Box, c.Hall, c.Store = "box-"+g.callersAddress, "z1", store
+	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.ready, g.peers
 	c.ConfigWait, c.FleetWait = 200*time.Millisecond, 200*time.Millisecond
 	c.Linger = 10 * time.Millisecond
 	if change != nil {
@@ -151,7 +151,7 @@
 
 // post sends a request with a body.
 func (g *gateway) post(path, id, key, text string) (status int, body string, err error) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+g.callers+path, strings.NewReader(text))
+	r, err := http.NewRequest(http.MethodPost, "http://"+g.callersAddress+path, strings.NewReader(text))
 	if err != nil {
 		return 0, "", err
 	}
@@ -480,7 +480,7 @@
 	})
 	t.Run("a call that cannot be read", func(t *testing.T) {
 		s := newFixture(t, platformtest.Echo)
-		r, err := http.NewRequest(http.MethodPost, "http://"+s.gateway.callers+"/once/x", strings.NewReader(strings.Repeat("x", 1001)))
+		r, err := http.NewRequest(http.MethodPost, "http://"+s.gateway.callersAddress+"/once/x", strings.NewReader(strings.Repeat("x", 1001)))
 		require.NoError(t, err)
 		r.Header.Set("Attempt-Id", "a9")
 		res, err := http.DefaultTransport.RoundTrip(r)
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -165,12 +165,12 @@
 func (f *recordingFleet) call() {
 	n := int(f.ids.Add(1))
 	g := f.callers.gateways[n%len(f.callers.gateways)]
-	r, err := http.NewRequest(http.MethodPost, "http://"+g.callers+"/once/x", strings.NewReader("hello"))
+	r, err := http.NewRequest(http.MethodPost, "http://"+g.callersAddress+"/once/x", strings.NewReader("hello"))
 	if err != nil {
 		return
 	}
 	r.Host = "h"
-	for k, v := range map[string]string{"Attempt-Id": fmt.Sprint("m", n), "Deadline-Ms": "4000", "Authorization": "Bearer k1", gatewayHeader: g.callers} {
+	for k, v := range map[string]string{"Attempt-Id": fmt.Sprint("m", n), "Deadline-Ms": "4000", "Authorization": "Bearer k1", gatewayHeader: g.callersAddress} {
 		r.Header.Set(k, v)
 	}
 	begin := time.Now()
@@ -251,8 +251,8 @@
 		f.callers.runEvery(4*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		m := f.upstreams[0]
-		m.recordAnswer(g.callers)
-		m.informedAt[g.callers] = m.announcedAt // it has to know the limit without an answer
+		m.recordAnswer(g.callersAddress)
+		m.informedAt[g.callersAddress] = m.announcedAt // it has to know the limit without an answer
 		requireLimitKept(t, m)
 	})
 	t.Run("it holds until answers name it no longer", func(t *testing.T) {
