--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -63,7 +63,7 @@
 		s.store.Put("keyed.members", "strange", []byte(`{"peers":7}`))
 		s.store.Put("keyed.members", "text", []byte("nowhere"))
 		s.store.Put("keyed.members", g.Box.Name, []byte("x"))
-		require.Eventually(t, func() bool { return strings.Contains(s.store.Value("keyed.members", g.Box.Name), g.peers) }, 20*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(s.store.Value("keyed.members", g.Box.Name), g.peersAddress) }, 20*time.Second, 5*time.Millisecond)
 		require.Equal(t, before, g.members.count())
 	})
 	t.Run("among held requests hold none", func(t *testing.T) {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -69,7 +69,7 @@
 	log            *logBuffer
 	callersAddress string
 	readyAddress   string
-	peers          string
+	peersAddress   string
 }
 
 func freePort(t *testing.T) string {
@@ -107,10 +107,10 @@
 
 func setUpGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway, err error) {
 	t.Helper()
-	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), readyAddress: freePort(t), peers: freePort(t)}
+	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), readyAddress: freePort(t), peersAddress: freePort(t)}
 	c := setting.DefaultGateway()
 	c.Box, c.Hall, c.Store = "box-"+g.callersAddress, "z1", store
-	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.readyAddress, g.peers
+	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.readyAddress, g.peersAddress
 	c.ConfigWait, c.FleetWait = 200*time.Millisecond, 200*time.Millisecond
 	c.Linger = 10 * time.Millisecond
 	if change != nil {
@@ -399,7 +399,7 @@
 	away := platformtest.NewStore()
 	defer away.Close()
 	away.SetMode(platformtest.Resetting)
-	g := startGateway(t, away.Address(), func(c *setting.Gateway) { c.Seeds = []string{s.gateway.peers, freePort(t)} })
+	g := startGateway(t, away.Address(), func(c *setting.Gateway) { c.Seeds = []string{s.gateway.peersAddress, freePort(t)} })
 	g.waitReady(t)
 	st, _, err := g.call(t, "/once/x", "a1", "k2")
 	require.NoError(t, err)
@@ -415,7 +415,7 @@
 func TestLateWriteOfAnEarlierLifeIsMadeGood(t *testing.T) {
 	s := newFixture(t, platformtest.Echo)
 	box := s.gateway.Box.Name
-	own := fmt.Sprintf(`{"peers":%q,"hall":"z1","link_mbps":0}`, s.gateway.peers)
+	own := fmt.Sprintf(`{"peers":%q,"hall":"z1","link_mbps":0}`, s.gateway.peersAddress)
 	listed := func() bool { return s.store.Value("keyed.members", box) == own }
 	require.Eventually(t, listed, 20*time.Second, time.Millisecond)
 	s.store.Put("keyed.members", box, []byte("10.9.9.9:1"))
