--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -68,7 +68,7 @@
 	*GatewayNode
 	log            *logBuffer
 	callersAddress string
-	readyAddress   string
+	ready          string
 	peersAddress   string
 }
 
@@ -107,10 +107,10 @@
 
 func setUpGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway, err error) {
 	t.Helper()
-	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), readyAddress: freePort(t), peersAddress: freePort(t)}
+	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), ready: freePort(t), peersAddress: freePort(t)}
 	c := setting.DefaultGateway()
 	c.Box, c.Hall, c.Store = "box-"+g.callersAddress, "z1", store
-	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.readyAddress, g.peersAddress
+	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.ready, g.peersAddress
 	c.ConfigWait, c.FleetWait = 200*time.Millisecond, 200*time.Millisecond
 	c.Linger = 10 * time.Millisecond
 	if change != nil {
