--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -33,8 +33,8 @@
 	limited           int
 	others            int
 	limit             float64
-	limitVariation    float64       // by which part of it the named limit varies, up or down
-	callsPerSecond    float64       // a second, of all processes
+	limitVariation    float64       // part of the limit by which answers vary it, up or down
+	callsPerSecond    float64       // of all processes
 	firstProcessShare float64       // part of the calls that reach the first process
 	pause             time.Duration // without calls, in the middle
 	updateDelay       time.Duration // until peers receive a change
@@ -53,9 +53,9 @@
 
 // limitProcess is one of the simulated processes.
 type limitProcess struct {
-	fleet *Fleet
-	box   string
-	next  time.Time // heartbeat
+	fleet         *Fleet
+	box           string
+	nextHeartbeat time.Time // heartbeat
 }
 
 func newLimitProcess(p limitScenario, i int, r *rand.Rand) *limitProcess {
@@ -132,8 +132,8 @@
 				x.updates += p.sendShares(ps, i, f.Changes(false), false, r)
 			}
 			for j, o := range ps {
-				if !time.Now().Before(o.next) {
-					o.next = o.next.Add(Heartbeat(p.processes))
+				if !time.Now().Before(o.nextHeartbeat) {
+					o.nextHeartbeat = o.nextHeartbeat.Add(Heartbeat(p.processes))
 					x.updates += p.sendShares(ps, j, o.fleet.Shares(), true, r)
 				}
 			}
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -66,10 +66,10 @@
 // gateway is a gateway under test.
 type gateway struct {
 	*GatewayNode
-	log     *logBuffer
-	callers string
-	ready   string
-	peers   string
+	log            *logBuffer
+	callersAddress string
+	ready          string
+	peersAddress   string
 }
 
 func freePort(t *testing.T) string {
@@ -107,10 +107,10 @@
 
 func setUpGateway(t *testing.T, store string, change func(*setting.Gateway)) (g *gateway, err error) {
 	t.Helper()
-	g = &gateway{log: &logBuffer{}, callers: freePort(t), ready: freePort(t), peers: freePort(t)}
+	g = &gateway{log: &logBuffer{}, callersAddress: freePort(t), ready: freePort(t), peersAddress: freePort(t)}
 	c := setting.DefaultGateway()
-	c.Box, c.Hall, c.Store = "box-"+g.callers, "z1", store
-	c.Callers, c.Readiness, c.Peers = g.callers, g.ready, g.peers
+	c.Box, c.Hall, c.Store = "box-"+g.callersAddress, "z1", store
+	c.Callers, c.Readiness, c.Peers = g.callersAddress, g.ready, g.peersAddress
 	c.ConfigWait, c.FleetWait = 200*time.Millisecond, 200*time.Millisecond
 	c.Linger = 10 * time.Millisecond
 	if change != nil {
@@ -151,7 +151,7 @@
 
 // post sends a request with a body.
 func (g *gateway) post(path, id, key, text string) (status int, body string, err error) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+g.callers+path, strings.NewReader(text))
+	r, err := http.NewRequest(http.MethodPost, "http://"+g.callersAddress+path, strings.NewReader(text))
 	if err != nil {
 		return 0, "", err
 	}
@@ -399,7 +399,7 @@
 	away := platformtest.NewStore()
 	defer away.Close()
 	away.SetMode(platformtest.Resetting)
-	g := startGateway(t, away.Address(), func(c *setting.Gateway) { c.Seeds = []string{s.gateway.peers, freePort(t)} })
+	g := startGateway(t, away.Address(), func(c *setting.Gateway) { c.Seeds = []string{s.gateway.peersAddress, freePort(t)} })
 	g.waitReady(t)
 	st, _, err := g.call(t, "/once/x", "a1", "k2")
 	require.NoError(t, err)
@@ -415,7 +415,7 @@
 func TestLateWriteOfAnEarlierLifeIsMadeGood(t *testing.T) {
 	s := newFixture(t, platformtest.Echo)
 	box := s.gateway.Box.Name
-	own := fmt.Sprintf(`{"peers":%q,"hall":"z1","link_mbps":0}`, s.gateway.peers)
+	own := fmt.Sprintf(`{"peers":%q,"hall":"z1","link_mbps":0}`, s.gateway.peersAddress)
 	listed := func() bool { return s.store.Value("keyed.members", box) == own }
 	require.Eventually(t, listed, 20*time.Second, time.Millisecond)
 	s.store.Put("keyed.members", box, []byte("10.9.9.9:1"))
@@ -480,7 +480,7 @@
 	})
 	t.Run("a call that cannot be read", func(t *testing.T) {
 		s := newFixture(t, platformtest.Echo)
-		r, err := http.NewRequest(http.MethodPost, "http://"+s.gateway.callers+"/once/x", strings.NewReader(strings.Repeat("x", 1001)))
+		r, err := http.NewRequest(http.MethodPost, "http://"+s.gateway.callersAddress+"/once/x", strings.NewReader(strings.Repeat("x", 1001)))
 		require.NoError(t, err)
 		r.Header.Set("Attempt-Id", "a9")
 		res, err := http.DefaultTransport.RoundTrip(r)
