--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	front := platform.NewFront(n.Core, n.limits, n.clock, g)
+	front := platform.NewHandler(n.Core, n.limits, n.clock, g)
 	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), front,
 		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithOpening(n.awaitOpen))
 	l, err = listen(c.Readiness)
