--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -71,7 +71,7 @@
 	holds     *holdStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
-	taker     *loadview.Receiver
+	receiver  *loadview.Receiver
 }
 
 // NewGateway opens the listeners and puts a gateway together. Start brings it
@@ -120,19 +120,19 @@
 	n.held.Watch(n.holds.take)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
-	n.taker = loadview.NewReceiver(n.Core.Fleet())
-	n.taker.SetQuarantine(n.Core.Quarantine())
+	n.receiver = loadview.NewReceiver(n.Core.Fleet())
+	n.receiver.SetQuarantine(n.Core.Quarantine())
 	share := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
 	if c.Peers != "" {
 		p, err := peer.ListenPackets(c.Peers)
 		if err != nil {
 			return nil, err
 		}
-		b.Register(PacketsService, newPackets(p, n.taker, g))
+		b.Register(PacketsService, newPackets(p, n.receiver, g))
 		share = append(share, loadview.WithPackets(p))
 	}
 	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
-	n.taker.OnStream(sharer.Redial)
+	n.receiver.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.holds.run))
 	if err = n.listen(c, shared, g); err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 func (n *GatewayNode) answerPeers(f *feed.Server) peer.Handler {
 	return func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if b := first.GetLoadView(); b != nil {
-			return n.taker.Stream(s, b)
+			return n.receiver.Stream(s, b)
 		}
 		return f.Serve(s, first)
 	}
