--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -113,7 +113,7 @@
 		core.WithProcesses(n.members.count),
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
-	n.config.Watch(n.takeConfig)
+	n.config.Watch(n.applyConfig)
 	fleet.Watch(n.takeFleet)
 	others.Watch(n.members.take)
 	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
@@ -275,9 +275,9 @@
 	return s
 }
 
-// takeConfig puts a new configuration in force. One that cannot be used, or is not
+// applyConfig puts a new configuration in force. One that cannot be used, or is not
 // newer, leaves the one in force.
-func (n *GatewayNode) takeConfig(cs []feed.Change) {
+func (n *GatewayNode) applyConfig(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Key != platform.ConfigKey || c.Dropped() {
 			continue
