--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -114,7 +114,7 @@
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
 	n.config.Watch(n.applyConfig)
-	fleet.Watch(n.takeFleet)
+	fleet.Watch(n.applyFleet)
 	others.Watch(n.members.take)
 	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.holds.take)
@@ -296,8 +296,8 @@
 	}
 }
 
-// takeFleet puts changes of the registry into the table of upstreams.
-func (n *GatewayNode) takeFleet(cs []feed.Change) {
+// applyFleet puts changes of the registry into the table of upstreams.
+func (n *GatewayNode) applyFleet(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Dropped() {
 			n.Core.Fleet().Drop(c.Key, c.UncertainUntil)
