--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -115,7 +115,7 @@
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
 	n.config.Watch(n.applyConfig)
 	fleet.Watch(n.applyFleet)
-	others.Watch(n.members.take)
+	others.Watch(n.members.apply)
 	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.holds.take)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// take puts changes of the members' topic into the list. A write of an earlier
+// apply puts changes of the members' topic into the list. A write of an earlier
 // life of this box may be done late and hide the present one: then the record
 // is written again.
-func (m *members) take(cs []feed.Change) {
+func (m *members) apply(cs []feed.Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer m.index()
