--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -117,7 +117,7 @@
 	fleet.Watch(n.applyFleet)
 	others.Watch(n.members.apply)
 	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
-	n.held.Watch(n.holds.take)
+	n.held.Watch(n.holds.apply)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
 	n.receiver = loadview.NewReceiver(n.Core.Fleet())
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -132,8 +132,8 @@
 	return s.topic.Put(ctx, f.String(), value)
 }
 
-// take takes changes of the topic. What cannot be read holds nothing, and leaves the others.
-func (s *holdStore) take(cs []feed.Change) {
+// apply takes changes of the topic. What cannot be read holds nothing, and leaves the others.
+func (s *holdStore) apply(cs []feed.Change) {
 	now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
 	for _, c := range cs {
 		if c.Dropped() {
