--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -68,7 +68,7 @@
 	callers   *callers.Server
 	config    *feed.Feed
 	held      *feed.Feed // requests that are held
-	holds     *holdStore
+	holds     *heldStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
 	receiver  *loadview.Receiver
@@ -116,7 +116,7 @@
 	n.config.Watch(n.applyConfig)
 	fleet.Watch(n.applyFleet)
 	others.Watch(n.members.apply)
-	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
+	n.holds = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.holds.apply)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,9 +18,9 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// holdStore keeps requests that are held in the platform's store, where the loss of all gateways
+// heldStore keeps requests that are held in the platform's store, where the loss of all gateways
 // leaves them.
-type holdStore struct {
+type heldStore struct {
 	table *quarantine.Table
 	topic hollowgrade.Topic
 	clock hollowgrade.Clock
@@ -85,7 +85,7 @@
 }
 
 // run writes what has to be written until ctx ends.
-func (s *holdStore) run(ctx context.Context) {
+func (s *heldStore) run(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, s.clock, keepEvery) {
 		todo := s.table.StoreChanges()
 		if len(todo.Save)+len(todo.Drop) == 0 {
@@ -106,7 +106,7 @@
 }
 
 // keep tells the store what it has to be told. It stops at the first failure.
-func (s *holdStore) keep(ctx context.Context, todo quarantine.StoreChanges) (err error) {
+func (s *heldStore) keep(ctx context.Context, todo quarantine.StoreChanges) (err error) {
 	for _, h := range todo.Save {
 		v, err := encodeHold(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
@@ -126,14 +126,14 @@
 	return nil
 }
 
-func (s *holdStore) put(ctx context.Context, f hollowgrade.Fingerprint, value []byte) error {
+func (s *heldStore) put(ctx context.Context, f hollowgrade.Fingerprint, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	return s.topic.Put(ctx, f.String(), value)
 }
 
 // apply takes changes of the topic. What cannot be read holds nothing, and leaves the others.
-func (s *holdStore) apply(cs []feed.Change) {
+func (s *heldStore) apply(cs []feed.Change) {
 	now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
 	for _, c := range cs {
 		if c.Dropped() {
@@ -173,7 +173,7 @@
 }
 
 // serve serves operators' questions about requests that are held.
-func (s *holdStore) serve(r *mux.Router) {
+func (s *heldStore) serve(r *mux.Router) {
 	r.HandleFunc(QuarantinePath, func(w http.ResponseWriter, _ *http.Request) {
 		hs := []HeldRequest{}
 		now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
