--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -68,7 +68,7 @@
 	callers   *callers.Server
 	config    *feed.Feed
 	held      *feed.Feed // requests that are held
-	holds     *heldStore
+	heldStore *heldStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
 	receiver  *loadview.Receiver
@@ -116,8 +116,8 @@
 	n.config.Watch(n.applyConfig)
 	fleet.Watch(n.applyFleet)
 	others.Watch(n.members.apply)
-	n.holds = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
-	n.held.Watch(n.holds.apply)
+	n.heldStore = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
+	n.held.Watch(n.heldStore.apply)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
 	n.receiver = loadview.NewReceiver(n.Core.Fleet())
@@ -133,7 +133,7 @@
 	}
 	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
 	n.receiver.OnStream(sharer.Redial)
-	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.holds.run))
+	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
 	if err = n.listen(c, shared, g); err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	}
 	n.Register(ReadinessService, newHTTP(l, platform.Readiness(n.ready), g))
 	n.Register(CallersService, n.callers)
-	o, err := newOperators(c.Operators, n.Node, n.ready, n.holds.serve)
+	o, err := newOperators(c.Operators, n.Node, n.ready, n.heldStore.serve)
 	if err != nil {
 		return err
 	}
