--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -97,7 +97,7 @@
 		if wait > 0 {
 			continue
 		}
-		err := s.keep(ctx, todo)
+		err := s.write(ctx, todo)
 		s.store.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
@@ -105,8 +105,8 @@
 	}
 }
 
-// keep tells the store what it has to be told. It stops at the first failure.
-func (s *heldStore) keep(ctx context.Context, todo quarantine.StoreChanges) (err error) {
+// write tells the store what it has to be told. It stops at the first failure.
+func (s *heldStore) write(ctx context.Context, todo quarantine.StoreChanges) (err error) {
 	for _, h := range todo.Save {
 		v, err := encodeHold(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
