--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	// keepEvery is how often it is looked for what the store has to be told. A loss of all gateways within that
+	// storeInterval is how often it is looked for what the store has to be told. A loss of all gateways within that
 	// time after a verdict leaves the request to be found out anew.
-	keepEvery = 200 * time.Millisecond
+	storeInterval = 200 * time.Millisecond
 	// keepTimeout bounds one write.
 	keepTimeout = 2 * time.Second
 )
@@ -86,7 +86,7 @@
 
 // run writes what has to be written until ctx ends.
 func (s *heldStore) run(ctx context.Context) {
-	for hollowgrade.Sleep(ctx, s.clock, keepEvery) {
+	for hollowgrade.Sleep(ctx, s.clock, storeInterval) {
 		todo := s.table.StoreChanges()
 		if len(todo.Save)+len(todo.Drop) == 0 {
 			continue
