--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -34,8 +34,8 @@
 	// storeInterval is how often it is looked for what the store has to be told. A loss of all gateways within that
 	// time after a verdict leaves the request to be found out anew.
 	storeInterval = 200 * time.Millisecond
-	// keepTimeout bounds one write.
-	keepTimeout = 2 * time.Second
+	// storeTimeout bounds one write.
+	storeTimeout = 2 * time.Second
 )
 
 // heldRecord is a request that is held, as it stands in the store under its fingerprint.
@@ -127,7 +127,7 @@
 }
 
 func (s *heldStore) put(ctx context.Context, f hollowgrade.Fingerprint, value []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return s.topic.Put(ctx, f.String(), value)
 }
