--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -51,8 +51,8 @@
 	By           string             `json:"by"`
 }
 
-// encodeHold encodes a record. Its moments are written as times of day.
-func encodeHold(h quarantine.Block, now, wall time.Time) ([]byte, error) {
+// encodeBlock encodes a record. Its moments are written as times of day.
+func encodeBlock(h quarantine.Block, now, wall time.Time) ([]byte, error) {
 	ms := func(t time.Time) int64 { return wall.Add(t.Sub(now)).UnixMilli() }
 	return json.Marshal(heldRecord{h.Organisation, h.Route, h.Service, ms(h.Since), ms(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 }
@@ -108,7 +108,7 @@
 // write tells the store what it has to be told. It stops at the first failure.
 func (s *heldStore) write(ctx context.Context, todo quarantine.StoreChanges) (err error) {
 	for _, h := range todo.Save {
-		v, err := encodeHold(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
+		v, err := encodeBlock(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
 			return err
 		}
