--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -57,9 +57,9 @@
 	return json.Marshal(heldRecord{h.Organisation, h.Route, h.Service, ms(h.Since), ms(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 }
 
-// decodeHold decodes a record. Its moments are of the time of day and are put on this process's clock, on which
+// decodeBlock decodes a record. Its moments are of the time of day and are put on this process's clock, on which
 // it is now.
-func decodeHold(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
+func decodeBlock(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
 	defer errs.Annotate(&err, "decode the held request %s", key)
 	f, err := hollowgrade.ParseFingerprint(key)
 	if err != nil {
@@ -142,7 +142,7 @@
 			}
 			continue
 		}
-		h, err := decodeHold(c.Key, c.Value, now, wall)
+		h, err := decodeBlock(c.Key, c.Value, now, wall)
 		if err != nil {
 			s.unused.Add(1)
 			s.log.Error("held request not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "err", err)
