--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -131,7 +131,7 @@
 		b.Register(PacketsService, newPackets(p, n.receiver, g))
 		share = append(share, loadview.WithPackets(p))
 	}
-	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
+	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
 	n.receiver.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
 	if err = n.listen(c, shared, g); err != nil {
@@ -144,8 +144,8 @@
 // gateways tell each other of their load: it is in each of a thousand messages a second.
 const lifeDigits = 8
 
-// lifeName names one life of a gateway.
-func lifeName(box, incarnation string) string {
+// instanceName names one life of a gateway.
+func instanceName(box, incarnation string) string {
 	return box + "/" + incarnation[:min(lifeDigits, len(incarnation))]
 }
 
