--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -140,13 +140,13 @@
 	return n, n.gauges(relay)
 }
 
-// lifeDigits is how many digits of an incarnation tell lives of one box apart in what
+// incarnationDigits is how many digits of an incarnation tell lives of one box apart in what
 // gateways tell each other of their load: it is in each of a thousand messages a second.
-const lifeDigits = 8
+const incarnationDigits = 8
 
 // instanceName names one life of a gateway.
 func instanceName(box, incarnation string) string {
-	return box + "/" + incarnation[:min(lifeDigits, len(incarnation))]
+	return box + "/" + incarnation[:min(incarnationDigits, len(incarnation))]
 }
 
 // listen opens the listeners and registers what serves them.
