--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -25,15 +25,15 @@
 	latePoll = 2 * openPoll
 )
 
-// opening is the wait before callers are taken.
-type opening struct {
+// startupWait is the wait before callers are taken.
+type startupWait struct {
 	clock hollowgrade.Clock
 	known func() bool // all that is needed but the load of the others
 	heard func() bool // the load of the others
 }
 
 // wait returns once all is known, or has been waited for for long enough.
-func (o opening) wait(ctx context.Context) {
+func (o startupWait) wait(ctx context.Context) {
 	last := o.clock.Now()
 	var ran, since time.Duration // since is for how long all but the load of the others has been known
 	for ran < openWithin {
@@ -58,7 +58,7 @@
 // waited for long enough.
 func (n *GatewayNode) awaitOpen(ctx context.Context) {
 	begin := n.clock.Now()
-	opening{n.clock, n.knowsEnough, n.hasHeard}.wait(ctx)
+	startupWait{n.clock, n.knowsEnough, n.hasHeard}.wait(ctx)
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -46,7 +46,7 @@
 				return func() bool { return time.Since(begin) >= d }
 			}
 			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, pause}
-			opening{c, after(known), after(heard)}.wait(context.Background())
+			startupWait{c, after(known), after(heard)}.wait(context.Background())
 			ran = time.Since(begin)
 			ready = after(known)()
 		})
