--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -27,9 +27,9 @@
 
 // startupWait is the wait before callers are taken.
 type startupWait struct {
-	clock     hollowgrade.Clock
-	storeRead func() bool // all that is needed but the load of the others
-	heard     func() bool // the load of the others
+	clock       hollowgrade.Clock
+	storeRead   func() bool // all that is needed but the load of the others
+	peersSynced func() bool // the load of the others
 }
 
 // wait returns once all is known, or has been waited for for long enough.
@@ -38,7 +38,7 @@
 	var ran, since time.Duration // since is for how long all but the load of the others has been known
 	for ran < openWithin {
 		known := o.storeRead()
-		if known && (o.heard() || since >= hearWithin) {
+		if known && (o.peersSynced() || since >= hearWithin) {
 			return
 		}
 		if !hollowgrade.Sleep(ctx, o.clock, openPoll) {
