--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -13,8 +13,8 @@
 // connections come earlier wait for it unread: refused, each of them would have one
 // try less, and placed blindly their prompts would go to engines that are busy.
 const (
-	// openWithin bounds the wait, in time for which the process ran. Callers give up what is not read for a second.
-	openWithin = 700 * time.Millisecond
+	// startupTimeout bounds the wait, in time for which the process ran. Callers give up what is not read for a second.
+	startupTimeout = 700 * time.Millisecond
 	// hearWithin bounds the wait for other gateways once all else is known: some
 	// that are listed may be dead.
 	hearWithin = 200 * time.Millisecond
@@ -36,7 +36,7 @@
 func (o startupWait) wait(ctx context.Context) {
 	last := o.clock.Now()
 	var ran, since time.Duration // since is for how long all but the load of the others has been known
-	for ran < openWithin {
+	for ran < startupTimeout {
 		known := o.storeRead()
 		if known && (o.peersSynced() || since >= hearWithin) {
 			return
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -70,11 +70,11 @@
 	t.Run("and without the store after a while", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 0)
 		require.False(t, ready)
-		require.Equal(t, openWithin, ran)
+		require.Equal(t, startupTimeout, ran)
 	})
 	t.Run("as long as without standing still", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 10*time.Second)
 		require.False(t, ready)
-		require.InDelta(t, openWithin.Seconds(), ran.Seconds(), latePoll.Seconds())
+		require.InDelta(t, startupTimeout.Seconds(), ran.Seconds(), latePoll.Seconds())
 	})
 }
