--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -15,9 +15,9 @@
 const (
 	// startupTimeout bounds the wait, in time for which the process ran. Callers give up what is not read for a second.
 	startupTimeout = 700 * time.Millisecond
-	// hearWithin bounds the wait for other gateways once all else is known: some
+	// peersTimeout bounds the wait for other gateways once all else is known: some
 	// that are listed may be dead.
-	hearWithin = 200 * time.Millisecond
+	peersTimeout = 200 * time.Millisecond
 	// openPoll is how often it is looked at, and latePoll what one look counts for at the most. A process that stood
 	// still for 0.72 s within 20 ms of its start took callers as it woke up, 0.1 to 16 ms before it had the
 	// configuration that had come meanwhile, and refused them (4 of 7 plays of five starts each).
@@ -38,7 +38,7 @@
 	var ran, since time.Duration // since is for how long all but the load of the others has been known
 	for ran < startupTimeout {
 		known := o.storeRead()
-		if known && (o.peersSynced() || since >= hearWithin) {
+		if known && (o.peersSynced() || since >= peersTimeout) {
 			return
 		}
 		if !hollowgrade.Sleep(ctx, o.clock, openPoll) {
