--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -18,11 +18,11 @@
 	// peersTimeout bounds the wait for other gateways once all else is known: some
 	// that are listed may be dead.
 	peersTimeout = 200 * time.Millisecond
-	// openPoll is how often it is looked at, and latePoll what one look counts for at the most. A process that stood
+	// startupPoll is how often it is looked at, and latePoll what one look counts for at the most. A process that stood
 	// still for 0.72 s within 20 ms of its start took callers as it woke up, 0.1 to 16 ms before it had the
 	// configuration that had come meanwhile, and refused them (4 of 7 plays of five starts each).
-	openPoll = 10 * time.Millisecond
-	latePoll = 2 * openPoll
+	startupPoll = 10 * time.Millisecond
+	latePoll    = 2 * startupPoll
 )
 
 // startupWait is the wait before callers are taken.
@@ -41,7 +41,7 @@
 		if known && (o.peersSynced() || since >= peersTimeout) {
 			return
 		}
-		if !hollowgrade.Sleep(ctx, o.clock, openPoll) {
+		if !hollowgrade.Sleep(ctx, o.clock, startupPoll) {
 			return
 		}
 		now := o.clock.Now()
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -65,7 +65,7 @@
 	t.Run("without what some that are listed never tell", func(t *testing.T) {
 		ran, ready := wait(t, 30*time.Millisecond, time.Hour, 0)
 		require.True(t, ready)
-		require.InDelta(t, (30*time.Millisecond + peersTimeout).Seconds(), ran.Seconds(), openPoll.Seconds())
+		require.InDelta(t, (30*time.Millisecond + peersTimeout).Seconds(), ran.Seconds(), startupPoll.Seconds())
 	})
 	t.Run("and without the store after a while", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 0)
