--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -22,7 +22,7 @@
 	// still for 0.72 s within 20 ms of its start took callers as it woke up, 0.1 to 16 ms before it had the
 	// configuration that had come meanwhile, and refused them (4 of 7 plays of five starts each).
 	startupPoll = 10 * time.Millisecond
-	latePoll    = 2 * startupPoll
+	maxPollStep = 2 * startupPoll
 )
 
 // startupWait is the wait before callers are taken.
@@ -45,7 +45,7 @@
 			return
 		}
 		now := o.clock.Now()
-		d := min(now.Sub(last), latePoll)
+		d := min(now.Sub(last), maxPollStep)
 		last = now
 		ran += d
 		if known {
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -75,6 +75,6 @@
 	t.Run("as long as without standing still", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 10*time.Second)
 		require.False(t, ready)
-		require.InDelta(t, startupTimeout.Seconds(), ran.Seconds(), latePoll.Seconds())
+		require.InDelta(t, startupTimeout.Seconds(), ran.Seconds(), maxPollStep.Seconds())
 	})
 }
