--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// awaitOpen returns once this gateway knows what it needs to take callers, or has
+// awaitStartup returns once this gateway knows what it needs to take callers, or has
 // waited for long enough.
-func (n *GatewayNode) awaitOpen(ctx context.Context) {
+func (n *GatewayNode) awaitStartup(ctx context.Context) {
 	begin := n.clock.Now()
 	startupWait{n.clock, n.knowsEnough, n.hasHeard}.wait(ctx)
 	if ctx.Err() != nil {
