--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -58,7 +58,7 @@
 // waited for long enough.
 func (n *GatewayNode) awaitStartup(ctx context.Context) {
 	begin := n.clock.Now()
-	startupWait{n.clock, n.knowsEnough, n.hasHeard}.wait(ctx)
+	startupWait{n.clock, n.storeRead, n.hasHeard}.wait(ctx)
 	if ctx.Err() != nil {
 		return
 	}
@@ -67,9 +67,9 @@
 		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().SyncedPeers(), "peers", n.members.count()-1)
 }
 
-// knowsEnough reports whether all is known that the store tells. A configuration is in force a moment before it
+// storeRead reports whether all is known that the store tells. A configuration is in force a moment before it
 // counts as confirmed, and a call with a key would be refused meanwhile.
-func (n *GatewayNode) knowsEnough() bool {
+func (n *GatewayNode) storeRead() bool {
 	_, confirmed := n.config.Age()
 	return confirmed && n.Core.Catalog() != nil && n.Core.Fleet().Size() > 0 && !n.held.Fresh().IsZero()
 }
