--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -58,7 +58,7 @@
 // waited for long enough.
 func (n *GatewayNode) awaitStartup(ctx context.Context) {
 	begin := n.clock.Now()
-	startupWait{n.clock, n.storeRead, n.hasHeard}.wait(ctx)
+	startupWait{n.clock, n.storeRead, n.peersSynced}.wait(ctx)
 	if ctx.Err() != nil {
 		return
 	}
@@ -74,7 +74,7 @@
 	return confirmed && n.Core.Catalog() != nil && n.Core.Fleet().Size() > 0 && !n.held.Fresh().IsZero()
 }
 
-// hasHeard reports whether all other gateways have told of their load.
-func (n *GatewayNode) hasHeard() bool {
+// peersSynced reports whether all other gateways have told of their load.
+func (n *GatewayNode) peersSynced() bool {
 	return n.Core.Fleet().SyncedPeers()+1 >= n.members.count()
 }
