--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -47,9 +47,9 @@
 )
 
 const (
-	// endMargin is what is left of the grace of a planned stop for the end of
+	// exitMargin is what is left of the grace of a planned stop for the end of
 	// the process itself.
-	endMargin = 500 * time.Millisecond
+	exitMargin = 500 * time.Millisecond
 	// memoryShare is the part of the box's memory that the runtime keeps to.
 	memoryShare = 0.8
 	megabyte    = 1 << 20
@@ -212,7 +212,7 @@
 
 // Grace returns how long a planned stop may take.
 func (n *GatewayNode) Grace() time.Duration {
-	return n.settings.Load().Grace - endMargin
+	return n.settings.Load().Grace - exitMargin
 }
 
 // Reload reads the settings file again and puts in force what can change while
