--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -53,10 +53,10 @@
 	// memoryShare is the part of the box's memory that the runtime keeps to.
 	memoryShare = 0.8
 	megabyte    = 1 << 20
-	// collectAt is how much the heap may grow between collections, in percent; the memory
+	// gcPercent is how much the heap may grow between collections, in percent; the memory
 	// limit bounds it. With 400 a gateway of 103 held 112 MB at its peak, with 150 63 MB, where
 	// 20 MB are live and collections take 0.3% of its processor time (a quiet day, one run each).
-	collectAt = 150
+	gcPercent = 150
 )
 
 // GatewayNode is a process of the role gateway.
@@ -194,7 +194,7 @@
 // boundMemory tells the runtime how much memory the box has.
 func boundMemory(mb int) {
 	if mb > 0 {
-		debug.SetGCPercent(collectAt)
+		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * megabyte))
 	}
 }
