--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -78,7 +78,7 @@
 // up.
 func NewGateway(c setting.Gateway, g *log.Logger) (n *GatewayNode, err error) {
 	defer errs.Annotate(&err, "set up gateway %s", c.Box)
-	boundMemory(c.MemoryMB)
+	limitMemory(c.MemoryMB)
 	b, err := base(hollowgrade.GatewayRole, c.Process, g)
 	if err != nil {
 		return nil, err
@@ -191,8 +191,8 @@
 	}
 }
 
-// boundMemory tells the runtime how much memory the box has.
-func boundMemory(mb int) {
+// limitMemory tells the runtime how much memory the box has.
+func limitMemory(mb int) {
 	if mb > 0 {
 		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * megabyte))
