--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -39,9 +39,9 @@
 	runner  *runner
 	missing chan struct{} // gets a value when the list does not have this process
 
-	mu    sync.Mutex
-	known map[string]member     // by box
-	where map[string]feed.Place // by peer address; it is asked for each gateway many times a second
+	mu     sync.Mutex
+	known  map[string]member     // by box
+	places map[string]feed.Place // by peer address; it is asked for each gateway many times a second
 }
 
 // member is a gateway's record in the list.
@@ -144,17 +144,17 @@
 func (m *members) place(address string) feed.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.where[address]
+	return m.places[address]
 }
 
 // index notes where gateways are. The lock is held, or nobody else has the members
 // yet.
 func (m *members) index() {
-	m.where = map[string]feed.Place{}
+	m.places = map[string]feed.Place{}
 	for _, k := range m.known {
-		m.where[k.Peers] = k.place()
+		m.places[k.Peers] = k.place()
 	}
-	m.where[m.own.Peers] = m.own.place()
+	m.places[m.own.Peers] = m.own.place()
 }
 
 func (m member) place() feed.Place {
