--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -29,15 +29,15 @@
 // members knows the other gateways from the store and the settings, and keeps
 // this one in the list. It is a service.
 type members struct {
-	box     string
-	own     member
-	seeds   []string
-	topic   hollowgrade.Topic
-	clock   hollowgrade.Clock
-	log     *log.Logger
-	unused  *atomic.Int64 // records that could not be used
-	runner  *runner
-	missing chan struct{} // gets a value when the list does not have this process
+	box    string
+	own    member
+	seeds  []string
+	topic  hollowgrade.Topic
+	clock  hollowgrade.Clock
+	log    *log.Logger
+	unused *atomic.Int64 // records that could not be used
+	runner *runner
+	rejoin chan struct{} // gets a value when the list does not have this process
 
 	mu     sync.Mutex
 	known  map[string]member     // by box
@@ -70,15 +70,15 @@
 
 func newMembers(c setting.Gateway, t hollowgrade.Topic, k hollowgrade.Clock, g *log.Logger, unused *atomic.Int64) *members {
 	m := &members{
-		box:     c.Box,
-		own:     member{Peers: c.PeerAddress(), Hall: c.Hall, Link: c.LinkMbps},
-		seeds:   c.Seeds,
-		topic:   t,
-		clock:   k,
-		log:     g,
-		unused:  unused,
-		missing: make(chan struct{}, 1),
-		known:   map[string]member{},
+		box:    c.Box,
+		own:    member{Peers: c.PeerAddress(), Hall: c.Hall, Link: c.LinkMbps},
+		seeds:  c.Seeds,
+		topic:  t,
+		clock:  k,
+		log:    g,
+		unused: unused,
+		rejoin: make(chan struct{}, 1),
+		known:  map[string]member{},
 	}
 	m.index()
 	m.runner = newRunner(m.join)
@@ -89,7 +89,7 @@
 // miss asks for this process's record to be written.
 func (m *members) miss() {
 	select {
-	case m.missing <- struct{}{}:
+	case m.rejoin <- struct{}{}:
 	default:
 	}
 }
@@ -180,7 +180,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.missing:
+		case <-m.rejoin:
 		}
 		if err = m.put(ctx, v); err != nil && ctx.Err() == nil {
 			m.log.Warn("could not join the list of gateways", "err", err)
