--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -82,12 +82,12 @@
 	}
 	m.index()
 	m.runner = newRunner(m.join)
-	m.miss()
+	m.requestJoin()
 	return m
 }
 
-// miss asks for this process's record to be written.
-func (m *members) miss() {
+// requestJoin asks for this process's record to be written.
+func (m *members) requestJoin() {
 	select {
 	case m.rejoin <- struct{}{}:
 	default:
@@ -113,7 +113,7 @@
 		}
 		if c.Key == m.box && k != m.own && m.own.Peers != "" {
 			m.log.Warn("the list of gateways has another record for this box", "box", m.box, "address", k.Peers, "own", m.own.Peers)
-			m.miss()
+			m.requestJoin()
 		}
 	}
 }
@@ -184,7 +184,7 @@
 		}
 		if err = m.put(ctx, v); err != nil && ctx.Err() == nil {
 			m.log.Warn("could not join the list of gateways", "err", err)
-			m.miss()
+			m.requestJoin()
 			hollowgrade.Sleep(ctx, m.clock, joinRetry)
 		}
 	}
