--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := secure(c.Common)
+	t, err := certificates(c.Common)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := secure(c.Common)
+	t, err := certificates(c.Common)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,9 +85,9 @@
 	return standalone.NewDirectory(bs, static)
 }
 
-// secure returns the certificates that the settings name, or nil if peers talk
+// certificates returns the certificates that the settings name, or nil if peers talk
 // in the clear.
-func secure(c setting.Common) (*peer.Certificates, error) {
+func certificates(c setting.Common) (*peer.Certificates, error) {
 	if !c.Secure() {
 		return nil, nil
 	}
