--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -24,7 +24,7 @@
 // NewAgent opens the listeners and puts an agent together. Start brings it up.
 func NewAgent(c setting.Agent, g *log.Logger) (n *AgentNode, err error) {
 	defer errs.Annotate(&err, "set up agent %s", c.Box)
-	b, err := base(hollowgrade.AgentRole, c.Process, g)
+	b, err := newNode(hollowgrade.AgentRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -27,7 +27,7 @@
 // NewEntry opens the listeners and puts an entry together. Start brings it up.
 func NewEntry(c setting.Entry, g *log.Logger) (n *EntryNode, err error) {
 	defer errs.Annotate(&err, "set up entry %s", c.Box)
-	b, err := base(hollowgrade.EntryRole, c.Process, g)
+	b, err := newNode(hollowgrade.EntryRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -79,7 +79,7 @@
 func NewGateway(c setting.Gateway, g *log.Logger) (n *GatewayNode, err error) {
 	defer errs.Annotate(&err, "set up gateway %s", c.Box)
 	limitMemory(c.MemoryMB)
-	b, err := base(hollowgrade.GatewayRole, c.Process, g)
+	b, err := newNode(hollowgrade.GatewayRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,8 +49,8 @@
 	clock       *hollowgrade.WorldClock
 }
 
-// base makes what all roles share.
-func base(r hollowgrade.Role, c setting.Process, g *log.Logger) (n *Node, err error) {
+// newNode makes what all roles share.
+func newNode(r hollowgrade.Role, c setting.Process, g *log.Logger) (n *Node, err error) {
 	k := worldClock()
 	k.Watch(func(d time.Duration) {
 		n, all := k.Suspensions()
