--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -62,7 +62,7 @@
 		use = append(use, r.SetConfig)
 		b.Register(PreparerService, r)
 	}
-	b.Register("configuration", starter(func() { b.watch(use...) }))
+	b.Register("configuration", startFunc(func() { b.watch(use...) }))
 	b.Register(KeeperService, k)
 	b.Register(AgentService, a)
 	o, err := newOperators(c.Operators, b, a.Ready)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -51,7 +51,7 @@
 		entry.WithObserver(func(o entry.Observation) { b.sample(sampleOf(o)) }))
 	n = &EntryNode{Node: b, Callers: callers, Entry: e}
 	b.follow(c.Common, standalone.NewLog(c.PlatformLog, nil), d, dialer(t))
-	b.Register("configuration", starter(func() { b.watch(e.SetConfig) }))
+	b.Register("configuration", startFunc(func() { b.watch(e.SetConfig) }))
 	b.Register(EntryService, e)
 	o, err := newOperators(c.Operators, b, e.Ready)
 	if err != nil {
@@ -103,16 +103,16 @@
 	}
 }
 
-// starter is a service that only does something at the start.
-type starter func()
+// startFunc is a service that only does something at the start.
+type startFunc func()
 
 // Start implements [kernel.Service].
-func (s starter) Start(context.Context, *kernel.Kernel) error {
+func (s startFunc) Start(context.Context, *kernel.Kernel) error {
 	s()
 	return nil
 }
 
 // Stop implements [kernel.Service].
-func (starter) Stop(context.Context) error {
+func (startFunc) Stop(context.Context) error {
 	return nil
 }
