--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -36,7 +36,7 @@
 		turn += askedPeers
 		for i := range min(askedPeers, len(as)) {
 			a := as[(turn+i)%len(as)].Peer
-			b, err := askSnapshot(ctx, dial, a, newer, peerTimeout)
+			b, err := fetchSnapshot(ctx, dial, a, newer, peerTimeout)
 			switch {
 			case err != nil:
 				g.Warn("snapshot of a peer not received", "peer", a, "newer_than", newer, "bytes", len(b), "err", err)
@@ -48,9 +48,9 @@
 	}
 }
 
-// askSnapshot asks a peer, which may be silent for patience. It returns what came, also
+// fetchSnapshot asks a peer, which may be silent for patience. It returns what came, also
 // with an error.
-func askSnapshot(ctx context.Context, dial peer.Dialer, address string, newer int64, patience time.Duration) (b []byte, err error) {
+func fetchSnapshot(ctx context.Context, dial peer.Dialer, address string, newer int64, patience time.Duration) (b []byte, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a snapshot", address)
 	d, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -48,7 +48,7 @@
 func TestSnapshotsOfPeers(t *testing.T) {
 	const pieces, pause, patience = 10, 30 * time.Millisecond, 150 * time.Millisecond
 	ask := func(address string) ([]byte, error) {
-		return askSnapshot(context.Background(), peer.TCP(), address, 0, patience)
+		return fetchSnapshot(context.Background(), peer.TCP(), address, 0, patience)
 	}
 	t.Run("one that takes longer in all than a peer may be silent", func(t *testing.T) {
 		b, err := ask(listenSnapshotPeer(t, pieces, pieces, pause))
