--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -19,8 +19,8 @@
 	// A snapshot as a whole has no bound in time: one of 3 MB, for 13,000
 	// organisations, takes 1.2 s of a link of 20 Mbit/s by itself, and one that was
 	// cut would be asked for again from the beginning with each poll.
-	peerTimeout = 2 * time.Second
-	askedPeers  = 3 // for their configuration, while the log is out
+	peerTimeout   = 2 * time.Second
+	peersPerRound = 3 // for their configuration, while the log is out
 	// maxSnapshot is the size in bytes of the largest snapshot that is taken, five
 	// times that of 13,000 organisations.
 	maxSnapshot = 16 << 20
@@ -33,8 +33,8 @@
 	turn := 0
 	return func(ctx context.Context, newer int64) (bs [][]byte) {
 		as := agents(ctx)
-		turn += askedPeers
-		for i := range min(askedPeers, len(as)) {
+		turn += peersPerRound
+		for i := range min(peersPerRound, len(as)) {
 			a := as[(turn+i)%len(as)].Peer
 			b, err := fetchSnapshot(ctx, dial, a, newer, peerTimeout)
 			switch {
