--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -21,9 +21,9 @@
 	// cut would be asked for again from the beginning with each poll.
 	peerTimeout   = 2 * time.Second
 	peersPerRound = 3 // for their configuration, while the log is out
-	// maxSnapshot is the size in bytes of the largest snapshot that is taken, five
+	// maxSnapshotBytes is the size in bytes of the largest snapshot that is taken, five
 	// times that of 13,000 organisations.
-	maxSnapshot = 16 << 20
+	maxSnapshotBytes = 16 << 20
 )
 
 // Snapshots returns a function that asks a few agents in turn for their newest
@@ -77,8 +77,8 @@
 		if k == nil {
 			return b, errors.New("peer sent something else")
 		}
-		if b = append(b, k.Data...); len(b) > maxSnapshot {
-			return b, fmt.Errorf("over %d bytes", maxSnapshot)
+		if b = append(b, k.Data...); len(b) > maxSnapshotBytes {
+			return b, fmt.Errorf("over %d bytes", maxSnapshotBytes)
 		}
 		if k.Last {
 			return b, nil
