--- a/internal/node/logwriter.go
+++ b/internal/node/logwriter.go
@@ -12,8 +12,8 @@
 	// logLines is how many lines may wait for the output. At 200 bytes a line
 	// it is under 1 MB.
 	logLines = 4096
-	// flushTime bounds how long a process that ends waits for its output.
-	flushTime = 500 * time.Millisecond
+	// flushTimeout bounds how long a process that ends waits for its output.
+	flushTimeout = 500 * time.Millisecond
 )
 
 // LogWriter passes lines on to an output without ever blocking: when the output
@@ -68,7 +68,7 @@
 	w.once.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(flushTime):
+	case <-time.After(flushTimeout):
 	}
 	return nil
 }
