--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -507,7 +507,7 @@
 	g, err := Logger(w, "info")
 	require.NoError(t, err)
 	const extra = 100
-	for i := range logLines + extra {
+	for i := range maxQueuedLines + extra {
 		g.Info("x", "i", i)
 	}
 	require.GreaterOrEqual(t, w.Dropped(), int64(extra-1))
@@ -518,7 +518,7 @@
 func TestLogSaysWhatItDropped(t *testing.T) {
 	r, p := io.Pipe()
 	w := NewLogWriter(p)
-	for range logLines + 10 {
+	for range maxQueuedLines + 10 {
 		_, err := w.Write([]byte("x\n"))
 		require.NoError(t, err)
 	}
--- a/internal/node/logwriter.go
+++ b/internal/node/logwriter.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// logLines is how many lines may wait for the output. At 200 bytes a line
+	// maxQueuedLines is how many lines may wait for the output. At 200 bytes a line
 	// it is under 1 MB.
-	logLines = 4096
+	maxQueuedLines = 4096
 	// flushTimeout bounds how long a process that ends waits for its output.
 	flushTimeout = 500 * time.Millisecond
 )
@@ -30,7 +30,7 @@
 
 // NewLogWriter returns a writer for the output. Close ends it.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{out: out, lines: make(chan []byte, logLines), done: make(chan struct{})}
+	w := &LogWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
