--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -128,7 +128,7 @@
 
 // crashBehindProxy crashes an upstream whose proxy keeps accepting connections, and restarts it.
 func (m *crashingPool) crashBehindProxy(w *platformtest.Worker) {
-	w.EndBehind()
+	w.StopBehindRelay()
 	time.Sleep(m.downtime)
 	w.BeginAgain()
 	m.mu.Lock()
