--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -130,7 +130,7 @@
 func (m *crashingPool) crashBehindProxy(w *platformtest.Worker) {
 	w.StopBehindRelay()
 	time.Sleep(m.downtime)
-	w.BeginAgain()
+	w.Restart()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
