--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -243,7 +243,7 @@
 func TestGatewayWithoutConfiguration(t *testing.T) {
 	f := platformtest.NewStore()
 	defer f.Close()
-	f.SetMode(platformtest.Away)
+	f.SetMode(platformtest.Unavailable)
 	g := startGateway(t, f.Address(), nil)
 	st, body, err := g.call(t, "/once/x", "a1", "k1")
 	require.NoError(t, err)
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -65,7 +65,7 @@
 	t.Run("while the store is away", func(t *testing.T) {
 		t.Parallel()
 		f := newRecordingFleet(t, 3, 5)
-		f.fixture.store.SetMode(platformtest.Away)
+		f.fixture.store.SetMode(platformtest.Unavailable)
 		f.upstreams[0].announce(leavingHeader)
 		f.requireNoneAfterLeaving(t, f.upstreams[0])
 	})
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -392,7 +392,7 @@
 	case busyStore:
 		w.mode(platformtest.Busy, s.lasts)
 	case awayStore:
-		w.mode(platformtest.Away, s.lasts)
+		w.mode(platformtest.Unavailable, s.lasts)
 	case loseAnswers:
 		w.mode(platformtest.LosingAll, s.lasts)
 	case compactStore:
