--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -394,7 +394,7 @@
 	case awayStore:
 		w.mode(platformtest.Unavailable, s.lasts)
 	case loseAnswers:
-		w.mode(platformtest.LosingAll, s.lasts)
+		w.mode(platformtest.LosingAnswers, s.lasts)
 	case compactStore:
 		w.store.Compact("keyed.op")
 		w.store.Compact("keyed.servers")
