--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -47,7 +47,7 @@
 		require.Equal(t, 200, st)
 		require.True(t, strings.HasPrefix(body, "i-0 "))
 	}
-	require.Empty(t, other.Seen())
+	require.Empty(t, other.Requests())
 	t.Run("have one line each", func(t *testing.T) {
 		require.Equal(t, n, strings.Count(g.log.String(), `"msg":"upstream not used"`))
 	})
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -212,7 +212,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 200, st)
 		require.Equal(t, "i-0 hello", body)
-		require.Equal(t, "o", s.workers[0].Seen()[0].Header.Get("Tenant"))
+		require.Equal(t, "o", s.workers[0].Requests()[0].Header.Get("Tenant"))
 	})
 	t.Run("a stream that its workers break off", func(t *testing.T) {
 		breaks := map[string]platformtest.Behaviour{"": platformtest.Stream(9, 4), "4": platformtest.Stream(9, 6), "6": platformtest.Stream(9, 0)}
@@ -228,15 +228,15 @@
 	t.Run("a worker that drains gets nothing", func(t *testing.T) {
 		s := newFixture(t, platformtest.Echo, platformtest.Echo)
 		s.store.PutJSON("keyed.servers", "i-0", s.workers[0].Record("s", "draining"))
-		seen := len(s.workers[0].Seen())
+		seen := len(s.workers[0].Requests())
 		require.Eventually(t, func() bool {
-			before := len(s.workers[0].Seen())
+			before := len(s.workers[0].Requests())
 			for i := range 8 {
 				_, _, _ = s.gateway.call(t, "/once/x", fmt.Sprint("b", i), "k1")
 			}
-			return len(s.workers[0].Seen()) == before
+			return len(s.workers[0].Requests()) == before
 		}, 10*time.Second, time.Millisecond)
-		require.GreaterOrEqual(t, len(s.workers[0].Seen()), seen)
+		require.GreaterOrEqual(t, len(s.workers[0].Requests()), seen)
 	})
 }
 
@@ -347,7 +347,7 @@
 	st, _, err := g.call(t, "/once/x", "a1", "k1")
 	require.NoError(t, err)
 	require.Equal(t, 503, st, "refused at once, and not as an unknown key")
-	require.Empty(t, s.workers[0].Seen())
+	require.Empty(t, s.workers[0].Requests())
 }
 
 // Guards against an outage of the store that stops all calls: during one of eight seconds no call
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -85,11 +85,11 @@
 		g := startGateway(t, f.fixture.store.Address(), nil)
 		g.waitReady(t)
 		require.Eventually(t, func() bool { return g.Core.Fleet().SyncedPeers() == 2 }, 20*time.Second, 5*time.Millisecond)
-		before := len(m.Seen())
+		before := len(m.Requests())
 		f.callers.gateways = []*gateway{g}
 		f.callers.runEvery(time.Second, 20*time.Millisecond, f.call)
 		f.callers.group.Wait()
-		require.Equal(t, before, len(m.Seen()))
+		require.Equal(t, before, len(m.Requests()))
 	})
 	t.Run("that says so in a refusal", func(t *testing.T) {
 		t.Parallel()
@@ -104,19 +104,19 @@
 		done := make(chan string, 1)
 		go func() {
 			for i := 0; ; i++ {
-				if _, body, err := s.gateway.post("/stream/x", fmt.Sprint("long", i), "k1", "hello"); len(s.workers[0].Seen()) > 0 || err != nil {
+				if _, body, err := s.gateway.post("/stream/x", fmt.Sprint("long", i), "k1", "hello"); len(s.workers[0].Requests()) > 0 || err != nil {
 					done <- body
 					return
 				}
 			}
 		}()
-		require.Eventually(t, func() bool { return len(s.workers[0].Seen()) == 1 }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return len(s.workers[0].Requests()) == 1 }, 20*time.Second, time.Millisecond)
 		time.Sleep(500 * time.Millisecond) // its head has been sent, six events haven't
 		for i := range 20 {
 			_, _, _ = s.gateway.call(t, "/stream/x", fmt.Sprint("c", i), "k1")
 		}
 		require.Equal(t, stream(8), <-done, "the call that runs there continues")
-		require.Len(t, s.workers[0].Seen(), 1)
+		require.Len(t, s.workers[0].Requests(), 1)
 	})
 	t.Run("but its next life is used, and one of which another at its address says so", func(t *testing.T) {
 		t.Parallel()
@@ -148,7 +148,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, st)
 	}
-	require.Len(t, s.workers[0].Seen(), 1)
+	require.Len(t, s.workers[0].Requests(), 1)
 }
 
 // requireStatusSoon waits until calls are answered with a status.
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -262,10 +262,10 @@
 		f.callers.runEvery(3*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
 		f.upstreams[0].SetHeaders(nil)
-		before := len(f.upstreams[0].Seen())
+		before := len(f.upstreams[0].Requests())
 		f.callers.runEvery(15*time.Second, callEvery, f.call)
 		f.callers.group.Wait()
-		after := len(f.upstreams[0].Seen()) - before
+		after := len(f.upstreams[0].Requests()) - before
 		t.Logf("%d calls at a limit of none, %d in 15 s after", before, after)
 		require.LessOrEqual(t, before, limitExtra+len(f.callers.gateways))
 		require.Greater(t, after, 50, "its half of the calls is 375")
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -41,7 +41,7 @@
 			st, body, err := g.post(path, "open", "k1", "hello")
 			as <- answer{st, body, err, time.Now()}
 		}()
-		require.Eventually(t, func() bool { return len(w.Seen()) > 0 }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return len(w.Requests()) > 0 }, 20*time.Second, time.Millisecond)
 		begun = time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), drain)
 		defer cancel()
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -307,7 +307,7 @@
 	id := r.Header.Get("Attempt-Id")
 	luck := hash(k.ID+id) % 100
 	body := ""
-	for i, q := range k.Seen() {
+	for i, q := range k.Requests() {
 		if q == r {
 			body = k.Bodies()[i]
 		}
