--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -50,9 +50,9 @@
 
 // fetchSnapshot asks a peer, which may be silent for patience. It returns what came, also
 // with an error.
-func fetchSnapshot(ctx context.Context, dial peer.Dialer, address string, newer int64, patience time.Duration) (b []byte, err error) {
+func fetchSnapshot(ctx context.Context, dial peer.Dialer, address string, newer int64, timeout time.Duration) (b []byte, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a snapshot", address)
-	d, cancel := context.WithTimeout(ctx, patience)
+	d, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := peer.Dial(d, dial, address)
 	if err != nil {
@@ -66,7 +66,7 @@
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
 	for {
-		if err = s.Extend(patience); err != nil {
+		if err = s.Extend(timeout); err != nil {
 			return b, err
 		}
 		f, err := s.Receive()
