--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -30,12 +30,12 @@
 // configuration, until one has a newer one. Agents returns the agents' boxes as the
 // platform lists them.
 func Snapshots(agents func(context.Context) []hollowgrade.Box, dial peer.Dialer, g *log.Logger) func(context.Context, int64) [][]byte {
-	turn := 0
+	first := 0
 	return func(ctx context.Context, newer int64) (bs [][]byte) {
 		as := agents(ctx)
-		turn += peersPerRound
+		first += peersPerRound
 		for i := range min(peersPerRound, len(as)) {
-			a := as[(turn+i)%len(as)].Peer
+			a := as[(first+i)%len(as)].Peer
 			b, err := fetchSnapshot(ctx, dial, a, newer, peerTimeout)
 			switch {
 			case err != nil:
