--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -45,7 +45,7 @@
 		agent.WithLogger(g),
 		agent.WithClock(b.clock),
 		agent.WithLimits(agentLimits(c)),
-		agent.WithQueue(queue(c.Order)),
+		agent.WithQueue(newQueue(c.Order)),
 		agent.WithKeys(k),
 		agent.WithRevision(func() int64 { return b.follower.State().Revision() }),
 		agent.WithSnapshot(b.follower.Encoded),
@@ -119,7 +119,7 @@
 	return t
 }
 
-func queue(order string) sched.Queue {
+func newQueue(order string) sched.Queue {
 	if order == "fifo" {
 		return sched.NewFIFO()
 	}
