--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -47,7 +47,7 @@
 		entry.WithClock(b.clock),
 		entry.WithDialer(dialer(t)),
 		entry.WithLimits(entryLimits(c)),
-		entry.WithPlacement(placement(c.Placement)),
+		entry.WithPlacement(newPlacement(c.Placement)),
 		entry.WithObserver(func(o entry.Observation) { b.sample(sampleOf(o)) }))
 	n = &EntryNode{Node: b, Callers: callers, Entry: e}
 	b.follow(c.Common, standalone.NewLog(c.PlatformLog, nil), d, dialer(t))
@@ -75,7 +75,7 @@
 	}
 }
 
-func placement(name string) sched.Placement {
+func newPlacement(name string) sched.Placement {
 	switch name {
 	case "round_robin":
 		return sched.NewRoundRobin()
