--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -58,7 +58,7 @@
 	n = &AgentNode{Node: b, Peers: b.Box.Peer, Agent: a}
 	use := []func(*config.Config){k.SetConfig}
 	if c.Engine != "" {
-		r := agent.NewPreparer(b.Box.Name, engineClient(c), store(c.Common), b.clock, g, d.Agents)
+		r := agent.NewPreparer(b.Box.Name, engineClient(c), weightStore(c.Common), b.clock, g, d.Agents)
 		use = append(use, r.SetConfig)
 		b.Register(PreparerService, r)
 	}
@@ -78,8 +78,8 @@
 	return upstream.NewEngine(c.Engine, upstream.Transport(nil))
 }
 
-// store returns the weight store that the settings name, or nil.
-func store(c setting.Common) hollowgrade.WeightStore {
+// weightStore returns the weight weightStore that the settings name, or nil.
+func weightStore(c setting.Common) hollowgrade.WeightStore {
 	if c.PlatformStore == "" {
 		return nil
 	}
