--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// directory returns who the agents are by the settings and the list.
-func directory(c setting.Common) *standalone.Directory {
+// newDirectory returns who the agents are by the settings and the list.
+func newDirectory(c setting.Common) *standalone.Directory {
 	var bs hollowgrade.Boxes
 	if c.PlatformList != "" {
 		bs = standalone.NewBoxes(c.PlatformList, nil)
