--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -129,7 +129,7 @@
 	turn := func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
-		return sched.HighestRanked("snapshot", names(d.All(ctx))) == n.Box.Name
+		return sched.HighestRanked("snapshot", liveNames(d.All(ctx))) == n.Box.Name
 	}
 	n.follower = fold.NewFollower(l,
 		fold.WithLogger(n.log),
@@ -143,7 +143,7 @@
 	n.Register(FollowerService, n.follower)
 }
 
-func names(bs []hollowgrade.Box) (ns []string) {
+func liveNames(bs []hollowgrade.Box) (ns []string) {
 	for _, b := range bs {
 		if b.State == hollowgrade.BoxLive {
 			ns = append(ns, b.Name)
