--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -156,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		n.Register(PeersService, newPeers(l, n.answerPeers(feed.NewServer(c.LinkMbps, shared...)), g))
+		n.Register(PeersService, newPeers(l, n.handlePeer(feed.NewServer(c.LinkMbps, shared...)), g))
 	}
 	n.Register(MembersService, n.members)
 	l, err := listen(c.Callers)
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// answerPeers returns the handler for other gateways.
-func (n *GatewayNode) answerPeers(f *feed.Server) peer.Handler {
+// handlePeer returns the handler for other gateways.
+func (n *GatewayNode) handlePeer(f *feed.Server) peer.Handler {
 	return func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if b := first.GetLoadView(); b != nil {
 			return n.receiver.Stream(s, b)
