--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -50,9 +50,9 @@
 	// exitMargin is what is left of the grace of a planned stop for the end of
 	// the process itself.
 	exitMargin = 500 * time.Millisecond
-	// memoryShare is the part of the box's memory that the runtime keeps to.
-	memoryShare = 0.8
-	megabyte    = 1 << 20
+	// memoryLimitShare is the part of the box's memory that the runtime keeps to.
+	memoryLimitShare = 0.8
+	megabyte         = 1 << 20
 	// gcPercent is how much the heap may grow between collections, in percent; the memory
 	// limit bounds it. With 400 a gateway of 103 held 112 MB at its peak, with 150 63 MB, where
 	// 20 MB are live and collections take 0.3% of its processor time (a quiet day, one run each).
@@ -195,7 +195,7 @@
 func limitMemory(mb int) {
 	if mb > 0 {
 		debug.SetGCPercent(gcPercent)
-		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * megabyte))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb) * megabyte))
 	}
 }
 
