--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// joinRetry is the pause before a record of this process is written again.
+	// joinRetryDelay is the pause before a record of this process is written again.
 	// A write without an answer may still be done some seconds later.
-	joinRetry   = 2 * time.Second
-	joinTimeout = 2 * time.Second
+	joinRetryDelay = 2 * time.Second
+	joinTimeout    = 2 * time.Second
 )
 
 // members knows the other gateways from the store and the settings, and keeps
@@ -185,7 +185,7 @@
 		if err = m.put(ctx, v); err != nil && ctx.Err() == nil {
 			m.log.Warn("could not join the list of gateways", "err", err)
 			m.requestJoin()
-			hollowgrade.Sleep(ctx, m.clock, joinRetry)
+			hollowgrade.Sleep(ctx, m.clock, joinRetryDelay)
 		}
 	}
 }
