--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -21,7 +21,7 @@
 	Agent     *agent.Agent
 }
 
-// NewAgent opens the listeners and puts an agent together. Start brings it up.
+// NewAgent opens the listeners and sets up an agent. Start starts it.
 func NewAgent(c setting.Agent, g *log.Logger) (n *AgentNode, err error) {
 	defer errs.Annotate(&err, "set up agent %s", c.Box)
 	b, err := newNode(hollowgrade.AgentRole, c.Process, g)
@@ -126,7 +126,7 @@
 	return sched.NewFair()
 }
 
-// gauges adds the agent's own figures to the metrics.
+// gauges registers the agent's own metrics.
 func (n *AgentNode) gauges() error {
 	if err := n.metrics.Gauge("hollowgrade.memory_lost", "Tokens that the engine holds and that no lease answers for.",
 		func() float64 { return float64(n.Agent.Lost()) }); err != nil {
--- a/internal/node/clock_soak.go
+++ b/internal/node/clock_soak.go
@@ -9,17 +9,18 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// suspendedFile names a file with how long the machine was suspended in all, as a duration. Who stops
-// the process for a while writes it before it goes on; the steady clock then leaves that time
-// out, as it does on a machine that is suspended.
+// suspendedFile is the environment variable with the path of a file that holds the total time for
+// which the machine was suspended, as a duration. A test that stops the process writes it before the
+// process continues; the steady clock then excludes that time, as it does on a suspended machine.
 const suspendedFile = "HOLLOWGRADE_SUSPENDED"
 
-// worldClock returns the clock of a process in a build for the soak.
+// worldClock returns the clock of a process in a build for the soak test.
 func worldClock() *hollowgrade.WorldClock {
 	return hollowgrade.NewWorldClock(hollowgrade.WithSteadyClock(shifted{hollowgrade.SystemClock()}))
 }
 
-// shifted is a steady clock without the time for which its machine was suspended. Its timers run on.
+// shifted is a steady clock that excludes the time for which its machine was suspended. Its timers
+// include it.
 type shifted struct {
 	hollowgrade.Clock
 }
@@ -32,7 +33,7 @@
 	}
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
-		panic(err) // the soak's own mistake
+		panic(err) // a mistake of the soak test
 	}
 	return s.Clock.Now().Add(-d)
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -24,7 +24,7 @@
 	Entry     *entry.Entry
 }
 
-// NewEntry opens the listeners and puts an entry together. Start brings it up.
+// NewEntry opens the listeners and sets up an entry. Start starts it.
 func NewEntry(c setting.Entry, g *log.Logger) (n *EntryNode, err error) {
 	defer errs.Annotate(&err, "set up entry %s", c.Box)
 	b, err := newNode(hollowgrade.EntryRole, c.Process, g)
@@ -103,7 +103,7 @@
 	}
 }
 
-// startFunc is a service that only does something at the start.
+// startFunc is a service that runs a function when it is started.
 type startFunc func()
 
 // Start implements [kernel.Service].
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -38,7 +38,7 @@
 	ReadinessService = "readiness"
 )
 
-// The names by which gateways ask each other for feeds.
+// The names of the feeds that gateways request from each other.
 const (
 	configFeed  = "config"
 	fleetFeed   = "fleet"
@@ -47,15 +47,14 @@
 )
 
 const (
-	// exitMargin is what is left of the grace of a planned stop for the end of
-	// the process itself.
+	// exitMargin is the part of the grace of a planned stop that is left for the process to exit.
 	exitMargin = 500 * time.Millisecond
-	// memoryLimitShare is the part of the box's memory that the runtime keeps to.
+	// memoryLimitShare is the runtime's memory limit as a share of the box's memory.
 	memoryLimitShare = 0.8
 	megabyte         = 1 << 20
-	// gcPercent is how much the heap may grow between collections, in percent; the memory
-	// limit bounds it. With 400 a gateway of 103 held 112 MB at its peak, with 150 63 MB, where
-	// 20 MB are live and collections take 0.3% of its processor time (a quiet day, one run each).
+	// gcPercent is how much the heap may grow between collections, in percent, within the memory
+	// limit. With 103 gateways and 20 MB live, 150 peaks at 63 MB and spends 0.3% of the processor
+	// time on collections, and 400 peaks at 112 MB.
 	gcPercent = 150
 )
 
@@ -67,15 +66,14 @@
 	settings  atomic.Pointer[setting.Gateway]
 	callers   *callers.Server
 	config    *feed.Feed
-	held      *feed.Feed // requests that are held
+	held      *feed.Feed // blocked requests
 	heldStore *heldStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
 	receiver  *loadview.Receiver
 }
 
-// NewGateway opens the listeners and puts a gateway together. Start brings it
-// up.
+// NewGateway opens the listeners and sets up a gateway. Start starts it.
 func NewGateway(c setting.Gateway, g *log.Logger) (n *GatewayNode, err error) {
 	defer errs.Annotate(&err, "set up gateway %s", c.Box)
 	limitMemory(c.MemoryMB)
@@ -140,11 +138,11 @@
 	return n, n.gauges(relay)
 }
 
-// incarnationDigits is how many digits of an incarnation tell lives of one box apart in what
-// gateways tell each other of their load: it is in each of a thousand messages a second.
+// incarnationDigits is how many digits of an incarnation distinguish instances on one box in the load
+// that gateways send each other. They are few, since each of a thousand messages a second has them.
 const incarnationDigits = 8
 
-// instanceName names one life of a gateway.
+// instanceName names one instance of a gateway.
 func instanceName(box, incarnation string) string {
 	return box + "/" + incarnation[:min(incarnationDigits, len(incarnation))]
 }
@@ -191,7 +189,7 @@
 	}
 }
 
-// limitMemory tells the runtime how much memory the box has.
+// limitMemory sets the runtime's memory limit from the memory of the box.
 func limitMemory(mb int) {
 	if mb > 0 {
 		debug.SetGCPercent(gcPercent)
@@ -215,8 +213,8 @@
 	return n.settings.Load().Grace - exitMargin
 }
 
-// Reload reads the settings file again and puts in force what can change while
-// the process runs.
+// Reload reads the settings file again and applies the settings that can change while the process
+// runs.
 func (n *GatewayNode) Reload(path string) error {
 	old := n.settings.Load()
 	c, err := old.Reread(path)
@@ -236,7 +234,7 @@
 	return nil
 }
 
-// ready reports whether the balancer should lead callers here, and if not, why.
+// ready reports whether the load balancer should send callers here, and if not, why.
 func (n *GatewayNode) ready() (ok bool, why string) {
 	age, known := n.config.Age()
 	switch {
@@ -275,8 +273,7 @@
 	return s
 }
 
-// applyConfig puts a new configuration in force. One that cannot be used, or is not
-// newer, leaves the one in force.
+// applyConfig puts a new configuration in force. One that is invalid or not newer is ignored.
 func (n *GatewayNode) applyConfig(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Key != platform.ConfigKey || c.Dropped() {
@@ -305,7 +302,7 @@
 		}
 		u, err := platform.DecodeUpstream(c.KeyedRecord)
 		if err != nil {
-			// Another writer may have left it. Calls that are under way at the one it was end there.
+			// Another writer may have written it. Calls in progress at this upstream finish there.
 			n.unused.Add(1)
 			n.log.Error("upstream not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "bytes", len(c.Value), "err", err)
 			n.Core.Fleet().Drop(c.Key, time.Time{})
@@ -405,7 +402,7 @@
 	return nil
 }
 
-// newPeers returns a service that answers other gateways.
+// newPeers returns a service that serves other gateways.
 func newPeers(l net.Listener, h peer.Handler, g *log.Logger) kernel.Service {
 	s := peer.NewServer(h, func(a net.Addr, err error) {
 		g.Warn("peer cut off", "peer", a.String(), "err", err)
@@ -420,7 +417,7 @@
 	})
 }
 
-// newPackets returns a service that takes packets of other gateways.
+// newPackets returns a service that receives packets from other gateways.
 func newPackets(p *peer.Packets, t *loadview.Receiver, g *log.Logger) kernel.Service {
 	return newRunner(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = p.Close() })
--- a/internal/node/logwriter.go
+++ b/internal/node/logwriter.go
@@ -9,16 +9,14 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait for the output. At 200 bytes a line
-	// it is under 1 MB.
+	// maxQueuedLines is how many lines may wait for the output: under 1 MB at 200 bytes a line.
 	maxQueuedLines = 4096
-	// flushTimeout bounds how long a process that ends waits for its output.
+	// flushTimeout bounds how long Close waits for the output.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// LogWriter passes lines on to an output without ever blocking: when the output
-// does not keep up, lines are dropped and counted, and a line says how many
-// once there is room again.
+// LogWriter passes lines on to an output without ever blocking: when the output does not keep up,
+// lines are dropped, and a later line reports how many.
 type LogWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -57,12 +55,12 @@
 		if n := w.dropped.Swap(0); n > 0 {
 			fmt.Fprintf(w.out, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 		}
-		// An output that fails has nobody left who could be told.
+		// An error of the log's output cannot be reported anywhere.
 		_, _ = w.out.Write(l)
 	}
 }
 
-// Close waits a little for what has not been written. Nothing may be written
+// Close waits up to flushTimeout for lines that are not yet written. Write must not be called
 // afterwards.
 func (w *LogWriter) Close() error {
 	w.once.Do(func() { close(w.lines) })
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// joinRetryDelay is the pause before a record of this process is written again.
-	// A write without an answer may still be done some seconds later.
+	// joinRetryDelay is the pause before the record of this process is written again. The store may
+	// apply a write without an answer some seconds later.
 	joinRetryDelay = 2 * time.Second
 	joinTimeout    = 2 * time.Second
 )
 
-// members knows the other gateways from the store and the settings, and keeps
-// this one in the list. It is a service.
+// members lists the gateways from the store and the settings, and keeps this one in the store's list.
+// It is a service.
 type members struct {
 	box    string
 	own    member
@@ -37,21 +37,21 @@
 	log    *log.Logger
 	unused *atomic.Int64 // records that could not be used
 	runner *runner
-	rejoin chan struct{} // gets a value when the list does not have this process
+	rejoin chan struct{} // receives a value when the list lacks this process
 
 	mu     sync.Mutex
 	known  map[string]member     // by box
-	places map[string]feed.Place // by peer address; it is asked for each gateway many times a second
+	places map[string]feed.Place // by peer address; looked up for each gateway many times a second
 }
 
-// member is a gateway's record in the list.
+// member is a gateway's record in the store's list.
 type member struct {
-	Peers string  `json:"peers"` // address on which other gateways ask
+	Peers string  `json:"peers"` // address for other gateways
 	Hall  string  `json:"hall"`
 	Link  float64 `json:"link_mbps"` // of its box, 0 if not known
 }
 
-// decodeMember decodes a record. One without braces is the address alone.
+// decodeMember decodes a record. One without braces is just the address.
 func decodeMember(v []byte) (m member, err error) {
 	defer errs.Annotate(&err, "decode the record of a gateway")
 	if bytes.HasPrefix(v, []byte("{")) {
@@ -94,9 +94,8 @@
 	}
 }
 
-// apply puts changes of the members' topic into the list. A write of an earlier
-// life of this box may be done late and hide the present one: then the record
-// is written again.
+// apply applies changes of the members' topic. The store may apply a write of an earlier instance on
+// this box late, over the record of this one: then the record is written again.
 func (m *members) apply(cs []feed.Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +117,8 @@
 	}
 }
 
-// decode decodes a record. One that cannot be used, as another writer may leave it, names no gateway.
+// decode decodes a record. It returns no address for an invalid one, which another writer may have
+// written.
 func (m *members) decode(c feed.Change) member {
 	k, err := decodeMember(c.Value)
 	if err != nil {
@@ -140,15 +140,14 @@
 	return slices.DeleteFunc(slices.Compact(as), func(a string) bool { return a == m.own.Peers || a == "" })
 }
 
-// place returns where the gateway with a peer address is.
+// place returns the place of the gateway with a peer address.
 func (m *members) place(address string) feed.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.places[address]
 }
 
-// index notes where gateways are. The lock is held, or nobody else has the members
-// yet.
+// index rebuilds places. The caller holds m.mu, or m is not shared yet.
 func (m *members) index() {
 	m.places = map[string]feed.Place{}
 	for _, k := range m.known {
@@ -201,8 +200,8 @@
 	return m.runner.Start(ctx, k)
 }
 
-// Stop implements [kernel.Service]. The entry of a process that ends without it
-// stays and costs those who ask it a connection that fails.
+// Stop implements [kernel.Service]. The record of a process that ends without it stays, and costs
+// its peers failed connections.
 func (m *members) Stop(ctx context.Context) error {
 	if err := m.runner.Stop(ctx); err != nil {
 		return err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the processes of the long-running roles together from
-// their settings: which services run in them and how they find each other.
+// Package node sets up the processes of the long-running roles from their settings: which services
+// run in them and how they find each other.
 package node
 
 import (
@@ -49,7 +49,7 @@
 	clock       *hollowgrade.WorldClock
 }
 
-// newNode makes what all roles share.
+// newNode returns a node with what all roles share.
 func newNode(r hollowgrade.Role, c setting.Process, g *log.Logger) (n *Node, err error) {
 	k := worldClock()
 	k.Watch(func(d time.Duration) {
@@ -72,7 +72,7 @@
 	}, nil
 }
 
-// newDirectory returns who the agents are by the settings and the list.
+// newDirectory returns the directory of the agents, from the settings and the platform's list.
 func newDirectory(c setting.Common) *standalone.Directory {
 	var bs hollowgrade.Boxes
 	if c.PlatformList != "" {
@@ -85,8 +85,8 @@
 	return standalone.NewDirectory(bs, static)
 }
 
-// certificates returns the certificates that the settings name, or nil if peers talk
-// in the clear.
+// certificates returns the certificates that the settings name, or nil if connections between peers
+// are not encrypted.
 func certificates(c setting.Common) (*peer.Certificates, error) {
 	if !c.Secure() {
 		return nil, nil
@@ -106,8 +106,8 @@
 	return c.Listen(context.Background(), "tcp", address)
 }
 
-// listenPeers opens the listener for peers. Without TLS it opens on loopback
-// only, unless the settings say in so many words that it need not be secure.
+// listenPeers opens the listener for peers. Without TLS it must be on loopback, unless the settings
+// have insecure = true.
 func listenPeers(address string, c setting.Common, t *peer.Certificates) (l net.Listener, err error) {
 	defer errs.Annotate(&err, "listen for peers")
 	if t == nil && !c.Insecure && !peer.IsLoopback(address) {
@@ -152,13 +152,13 @@
 	return ns
 }
 
-// compiled holds the newest compiled configuration and tells others of it.
+// compiled holds the newest compiled configuration.
 type compiled struct {
 	log     *log.Logger
 	current *config.Config
 }
 
-// watch compiles each new state and passes it on.
+// watch compiles each new state and passes it to use.
 func (n *Node) watch(use ...func(*config.Config)) {
 	n.follower.Watch(func(s fold.State) {
 		if s.Revision() == 0 {
@@ -177,7 +177,7 @@
 	})
 }
 
-// sample records a request in both forms.
+// sample adds a request to the recorder and to the metrics.
 func (n *Node) sample(s measure.Sample) {
 	s.Kind = n.recorder.BoundedKind(s.Kind)
 	n.recorder.Add(s)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -23,7 +23,7 @@
 	ReportPath  = "/report"
 )
 
-// Status is what a box says of itself at [StatusPath].
+// Status is a box's answer at [StatusPath].
 type Status struct {
 	Box         string           `json:"box"`
 	Role        hollowgrade.Role `json:"role"`
@@ -32,15 +32,15 @@
 	Revision    int64            `json:"revision"` // in force
 	Next        int64            `json:"next"`     // first log offset that was not read
 	LogAge      float64          `json:"log_age"`  // seconds since the end of the log was seen, -1 if never
-	Ready       bool             `json:"ready"`    // whether it takes work
+	Ready       bool             `json:"ready"`    // whether it accepts work
 	Reason      string           `json:"reason"`   // why it does not
 }
 
-// ConfigState is what a process knows of the configuration.
+// ConfigState is the state of a process's configuration.
 type ConfigState struct {
 	Revision int64     // in force
 	Next     int64     // first offset of the log or topic that was not read
-	Fresh    time.Time // when the end was seen last; zero if never
+	Fresh    time.Time // when the end was last seen; zero if never
 }
 
 const operatorsHeaderTimeout = 5 * time.Second
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,27 +18,27 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// heldStore keeps requests that are held in the platform's store, where the loss of all gateways
-// leaves them.
+// heldStore keeps blocked requests in the platform's store, where they survive the loss of all
+// gateways.
 type heldStore struct {
 	table *quarantine.Table
 	topic hollowgrade.Topic
 	clock hollowgrade.Clock
 	log   *log.Logger
-	store *feed.Breaker // what this process knows of its way to the store
+	store *feed.Breaker
 	// unused counts records of the store that could not be used.
 	unused *atomic.Int64
 }
 
 const (
-	// storeInterval is how often it is looked for what the store has to be told. A loss of all gateways within that
-	// time after a verdict leaves the request to be found out anew.
+	// storeInterval is the interval between checks for changes to write. If all gateways are lost
+	// within that time after a verdict, the request has to be identified anew.
 	storeInterval = 200 * time.Millisecond
 	// storeTimeout bounds one write.
 	storeTimeout = 2 * time.Second
 )
 
-// heldRecord is a request that is held, as it stands in the store under its fingerprint.
+// heldRecord is a blocked request as stored under its fingerprint.
 type heldRecord struct {
 	Organisation string             `json:"organisation"`
 	Route        string             `json:"route"`
@@ -51,14 +51,15 @@
 	By           string             `json:"by"`
 }
 
-// encodeBlock encodes a record. Its moments are written as times of day.
+// encodeBlock encodes a record. Its times are converted from this process's clock, on which it is
+// now, to wall time.
 func encodeBlock(h quarantine.Block, now, wall time.Time) ([]byte, error) {
 	ms := func(t time.Time) int64 { return wall.Add(t.Sub(now)).UnixMilli() }
 	return json.Marshal(heldRecord{h.Organisation, h.Route, h.Service, ms(h.Since), ms(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 }
 
-// decodeBlock decodes a record. Its moments are of the time of day and are put on this process's clock, on which
-// it is now.
+// decodeBlock decodes a record. Its times are converted from wall time to this process's clock, on
+// which it is now.
 func decodeBlock(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
 	defer errs.Annotate(&err, "decode the held request %s", key)
 	f, err := hollowgrade.ParseFingerprint(key)
@@ -84,15 +85,15 @@
 	}, nil
 }
 
-// run writes what has to be written until ctx ends.
+// run writes changes to the store until ctx ends.
 func (s *heldStore) run(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, s.clock, storeInterval) {
 		todo := s.table.StoreChanges()
 		if len(todo.Save)+len(todo.Drop) == 0 {
 			continue
 		}
-		// While the store is away one call of a process tries at a time, and few of all: each of a
-		// hundred gateways would try each second.
+		// While the store is unavailable, the breaker lets a process try one call at a time, and few
+		// processes try: otherwise each of a hundred gateways would try each second.
 		try, wait := s.store.Begin()
 		if wait > 0 {
 			continue
@@ -105,7 +106,7 @@
 	}
 }
 
-// write tells the store what it has to be told. It stops at the first failure.
+// write writes changes to the store. It stops at the first failure.
 func (s *heldStore) write(ctx context.Context, todo quarantine.StoreChanges) (err error) {
 	for _, h := range todo.Save {
 		v, err := encodeBlock(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
@@ -132,7 +133,7 @@
 	return s.topic.Put(ctx, f.String(), value)
 }
 
-// apply takes changes of the topic. What cannot be read holds nothing, and leaves the others.
+// apply applies changes of the topic. A record that cannot be decoded is skipped.
 func (s *heldStore) apply(cs []feed.Change) {
 	now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
 	for _, c := range cs {
@@ -152,13 +153,13 @@
 	}
 }
 
-// The paths of the operators' listener for requests that are held.
+// The paths of the operators' listener for blocked requests.
 const (
 	QuarantinePath = "/quarantine"
 	liftPath       = QuarantinePath + "/{fingerprint}"
 )
 
-// HeldRequest is a request that is held, as operators are told.
+// HeldRequest is a blocked request as shown to operators.
 type HeldRequest struct {
 	Fingerprint  string             `json:"fingerprint"`
 	Organisation string             `json:"organisation"`
@@ -167,12 +168,12 @@
 	Since        time.Time          `json:"since"`
 	Until        time.Time          `json:"until"`
 	Losses       int                `json:"losses"`    // in a row
-	Odds         float64            `json:"odds"`      // of these for a harmless request
-	Upstreams    []hollowgrade.Life `json:"upstreams"` // that ended, the latest last
+	Odds         float64            `json:"odds"`      // probability of as many losses with a harmless request
+	Upstreams    []hollowgrade.Life `json:"upstreams"` // that crashed, the latest last
 	By           string             `json:"by"`        // gateway that reached the verdict
 }
 
-// serve serves operators' questions about requests that are held.
+// serve registers the handlers that list and lift blocks.
 func (s *heldStore) serve(r *mux.Router) {
 	r.HandleFunc(QuarantinePath, func(w http.ResponseWriter, _ *http.Request) {
 		hs := []HeldRequest{}
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -15,20 +15,18 @@
 )
 
 const (
-	// peerTimeout bounds the connection to a peer, and how long it may send nothing.
-	// A snapshot as a whole has no bound in time: one of 3 MB, for 13,000
-	// organisations, takes 1.2 s of a link of 20 Mbit/s by itself, and one that was
-	// cut would be asked for again from the beginning with each poll.
+	// peerTimeout bounds the dial to a peer, and how long it may send nothing. A whole snapshot has
+	// no time limit: one of 3 MB, for 13,000 organisations, takes 1.2 s on a link of 20 Mbit/s, and
+	// one that timed out would be requested again from the beginning with each poll.
 	peerTimeout   = 2 * time.Second
-	peersPerRound = 3 // for their configuration, while the log is out
-	// maxSnapshotBytes is the size in bytes of the largest snapshot that is taken, five
-	// times that of 13,000 organisations.
+	peersPerRound = 3 // asked for their configuration while the log is unavailable
+	// maxSnapshotBytes bounds a snapshot: five times the size for 13,000 organisations.
 	maxSnapshotBytes = 16 << 20
 )
 
-// Snapshots returns a function that asks a few agents in turn for their newest
-// configuration, until one has a newer one. Agents returns the agents' boxes as the
-// platform lists them.
+// Snapshots returns a function that asks a few agents one after another for their newest
+// configuration, until one has a newer one. Agents returns the agents' boxes as the platform lists
+// them.
 func Snapshots(agents func(context.Context) []hollowgrade.Box, dial peer.Dialer, g *log.Logger) func(context.Context, int64) [][]byte {
 	first := 0
 	return func(ctx context.Context, newer int64) (bs [][]byte) {
@@ -41,15 +39,15 @@
 			case err != nil:
 				g.Warn("snapshot of a peer not received", "peer", a, "newer_than", newer, "bytes", len(b), "err", err)
 			case len(b) > 0:
-				return [][]byte{b} // the next poll asks others for a newer one still
+				return [][]byte{b} // the next poll asks other agents for an even newer one
 			}
 		}
 		return nil
 	}
 }
 
-// fetchSnapshot asks a peer, which may be silent for patience. It returns what came, also
-// with an error.
+// fetchSnapshot requests a snapshot from a peer, which may send nothing for up to timeout. It also
+// returns the bytes received before an error.
 func fetchSnapshot(ctx context.Context, dial peer.Dialer, address string, newer int64, timeout time.Duration) (b []byte, err error) {
 	defer errs.Annotate(&err, "ask peer %s for a snapshot", address)
 	d, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -7,35 +7,36 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// What a gateway has to know before it takes callers: configuration, upstreams, the requests that are held and
-// the load of the others. That comes within some 30 ms of its
-// start while the store serves, the load of the others within 100 ms. Callers whose
-// connections come earlier wait for it unread: refused, each of them would have one
-// try less, and placed blindly their prompts would go to engines that are busy.
+// Before a gateway serves callers it needs the configuration, the upstreams and the blocked requests
+// from the store, some 30 ms after its start, and the load of its peers, within 100 ms. Earlier
+// connections wait unread: a refusal would cost the caller an attempt, and placement without the load
+// would send prompts to busy engines.
 const (
-	// startupTimeout bounds the wait, in time for which the process ran. Callers give up what is not read for a second.
+	// startupTimeout bounds the wait, without time for which the process was stopped. Callers give up
+	// on a connection that is not read for a second.
 	startupTimeout = 700 * time.Millisecond
-	// peersTimeout bounds the wait for other gateways once all else is known: some
-	// that are listed may be dead.
+	// peersTimeout bounds the wait for the load of peers once the data of the store is read: some
+	// listed peers may be dead.
 	peersTimeout = 200 * time.Millisecond
-	// startupPoll is how often it is looked at, and latePoll what one look counts for at the most. A process that stood
-	// still for 0.72 s within 20 ms of its start took callers as it woke up, 0.1 to 16 ms before it had the
-	// configuration that had come meanwhile, and refused them (4 of 7 plays of five starts each).
+	// startupPoll is the interval between checks, and maxPollStep the longest time that one counts
+	// for. Without it a process that was stopped for longer than startupTimeout would serve callers
+	// when it continues, up to 16 ms before it reads the configuration that came meanwhile, and
+	// refuse them.
 	startupPoll = 10 * time.Millisecond
 	maxPollStep = 2 * startupPoll
 )
 
-// startupWait is the wait before callers are taken.
+// startupWait is the wait at startup before callers are served.
 type startupWait struct {
 	clock       hollowgrade.Clock
-	storeRead   func() bool // all that is needed but the load of the others
-	peersSynced func() bool // the load of the others
+	storeRead   func() bool // whether the data of the store is read
+	peersSynced func() bool // whether all peers have sent their load
 }
 
-// wait returns once all is known, or has been waited for for long enough.
+// wait returns once all is known, or after a timeout.
 func (o startupWait) wait(ctx context.Context) {
 	last := o.clock.Now()
-	var ran, since time.Duration // since is for how long all but the load of the others has been known
+	var ran, since time.Duration // since is for how long the data of the store has been read
 	for ran < startupTimeout {
 		known := o.storeRead()
 		if known && (o.peersSynced() || since >= peersTimeout) {
@@ -54,8 +55,7 @@
 	}
 }
 
-// awaitStartup returns once this gateway knows what it needs to take callers, or has
-// waited for long enough.
+// awaitStartup returns once this gateway has what it needs to serve callers, or after a timeout.
 func (n *GatewayNode) awaitStartup(ctx context.Context) {
 	begin := n.clock.Now()
 	startupWait{n.clock, n.storeRead, n.peersSynced}.wait(ctx)
@@ -67,14 +67,14 @@
 		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().SyncedPeers(), "peers", n.members.count()-1)
 }
 
-// storeRead reports whether all is known that the store tells. A configuration is in force a moment before it
-// counts as confirmed, and a call with a key would be refused meanwhile.
+// storeRead reports whether the data of the store is read. The configuration must also be confirmed:
+// it is in force a moment earlier, and a call with a key would be refused until then.
 func (n *GatewayNode) storeRead() bool {
 	_, confirmed := n.config.Age()
 	return confirmed && n.Core.Catalog() != nil && n.Core.Fleet().Size() > 0 && !n.held.Fresh().IsZero()
 }
 
-// peersSynced reports whether all other gateways have told of their load.
+// peersSynced reports whether all other gateways have sent their load.
 func (n *GatewayNode) peersSynced() bool {
 	return n.Core.Fleet().SyncedPeers()+1 >= n.members.count()
 }
