--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -114,7 +114,7 @@
 	n.config.Watch(n.applyConfig)
 	fleet.Watch(n.applyFleet)
 	others.Watch(n.members.apply)
-	n.heldStore = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
+	n.heldStore = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, breaker: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.heldStore.apply)
 	shared := []*feed.Feed{n.config, fleet, others, n.held}
 	relay.Add(shared...)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -21,11 +21,11 @@
 // heldStore keeps blocked requests in the platform's store, where they survive the loss of all
 // gateways.
 type heldStore struct {
-	table *quarantine.Table
-	topic hollowgrade.Topic
-	clock hollowgrade.Clock
-	log   *log.Logger
-	store *feed.Breaker
+	table   *quarantine.Table
+	topic   hollowgrade.Topic
+	clock   hollowgrade.Clock
+	log     *log.Logger
+	breaker *feed.Breaker
 	// unused counts records of the store that could not be used.
 	unused *atomic.Int64
 }
@@ -94,12 +94,12 @@
 		}
 		// While the store is unavailable, the breaker lets a process try one call at a time, and few
 		// processes try: otherwise each of a hundred gateways would try each second.
-		try, wait := s.store.Begin()
+		try, wait := s.breaker.Begin()
 		if wait > 0 {
 			continue
 		}
 		err := s.write(ctx, todo)
-		s.store.Report(try, err == nil || ctx.Err() != nil)
+		s.breaker.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
 		}
