--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -120,16 +120,16 @@
 	relay.Add(shared...)
 	n.receiver = loadview.NewReceiver(n.Core.Fleet())
 	n.receiver.SetQuarantine(n.Core.Quarantine())
-	share := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
+	loadOptions := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
 	if c.Peers != "" {
 		p, err := peer.ListenPackets(c.Peers)
 		if err != nil {
 			return nil, err
 		}
 		b.Register(PacketsService, newPackets(p, n.receiver, g))
-		share = append(share, loadview.WithPackets(p))
+		loadOptions = append(loadOptions, loadview.WithPackets(p))
 	}
-	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
+	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, loadOptions...)
 	n.receiver.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
 	if err = n.listen(c, shared, g); err != nil {
