--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -116,8 +116,8 @@
 	others.Watch(n.members.apply)
 	n.heldStore = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, breaker: relay.Breaker(), unused: n.unused}
 	n.held.Watch(n.heldStore.apply)
-	shared := []*feed.Feed{n.config, fleet, others, n.held}
-	relay.Add(shared...)
+	feeds := []*feed.Feed{n.config, fleet, others, n.held}
+	relay.Add(feeds...)
 	n.receiver = loadview.NewReceiver(n.Core.Fleet())
 	n.receiver.SetQuarantine(n.Core.Quarantine())
 	loadOptions := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
@@ -132,7 +132,7 @@
 	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, loadOptions...)
 	n.receiver.OnStream(sharer.Redial)
 	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
-	if err = n.listen(c, shared, g); err != nil {
+	if err = n.listen(c, feeds, g); err != nil {
 		return nil, err
 	}
 	return n, n.gauges(relay)
