--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -148,13 +148,13 @@
 }
 
 // listen opens the listeners and registers what serves them.
-func (n *GatewayNode) listen(c setting.Gateway, shared []*feed.Feed, g *log.Logger) error {
+func (n *GatewayNode) listen(c setting.Gateway, feeds []*feed.Feed, g *log.Logger) error {
 	if c.Peers != "" {
 		l, err := listen(c.Peers)
 		if err != nil {
 			return err
 		}
-		n.Register(PeersService, newPeers(l, n.handlePeer(feed.NewServer(c.LinkMbps, shared...)), g))
+		n.Register(PeersService, newPeers(l, n.handlePeer(feed.NewServer(c.LinkMbps, feeds...)), g))
 	}
 	n.Register(MembersService, n.members)
 	l, err := listen(c.Callers)
