--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -88,8 +88,8 @@
 // run writes changes to the store until ctx ends.
 func (s *heldStore) run(ctx context.Context) {
 	for hollowgrade.Sleep(ctx, s.clock, storeInterval) {
-		todo := s.table.StoreChanges()
-		if len(todo.Save)+len(todo.Drop) == 0 {
+		changes := s.table.StoreChanges()
+		if len(changes.Save)+len(changes.Drop) == 0 {
 			continue
 		}
 		// While the store is unavailable, the breaker lets a process try one call at a time, and few
@@ -98,7 +98,7 @@
 		if wait > 0 {
 			continue
 		}
-		err := s.write(ctx, todo)
+		err := s.write(ctx, changes)
 		s.breaker.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
