--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -107,8 +107,8 @@
 }
 
 // write writes changes to the store. It stops at the first failure.
-func (s *heldStore) write(ctx context.Context, todo quarantine.StoreChanges) (err error) {
-	for _, h := range todo.Save {
+func (s *heldStore) write(ctx context.Context, changes quarantine.StoreChanges) (err error) {
+	for _, h := range changes.Save {
 		v, err := encodeBlock(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
 			return err
@@ -118,7 +118,7 @@
 		}
 		s.table.Stored(h)
 	}
-	for _, f := range todo.Drop {
+	for _, f := range changes.Drop {
 		if err = s.put(ctx, f, nil); err != nil {
 			return err
 		}
