--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -126,7 +126,7 @@
 
 // follow registers the follower of the log.
 func (n *Node) follow(c setting.Common, l hollowgrade.Log, d *standalone.Directory, dial peer.Dialer) {
-	turn := func() bool {
+	myTurn := func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
 		return sched.HighestRanked("snapshot", liveNames(d.All(ctx))) == n.Box.Name
@@ -134,7 +134,7 @@
 	n.follower = fold.NewFollower(l,
 		fold.WithLogger(n.log),
 		fold.WithPoll(c.LogPoll),
-		fold.WithRenewal(c.LogRetention, turn),
+		fold.WithRenewal(c.LogRetention, myTurn),
 		fold.WithPeers(Snapshots(d.Agents, dial, n.log)))
 	n.state = func() ConfigState {
 		s := n.follower.State()
