--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -73,11 +73,11 @@
 	if r.Since <= 0 || r.Until <= r.Since || r.Losses <= 0 {
 		return h, errors.New("since, until or losses is missing")
 	}
-	on := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(wall)) }
+	onClock := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(wall)) }
 	return quarantine.Block{
 		Subject:   quarantine.Subject{Fingerprint: f, Organisation: r.Organisation, Route: r.Route, Service: r.Service},
-		Since:     on(r.Since),
-		Until:     on(r.Until),
+		Since:     onClock(r.Since),
+		Until:     onClock(r.Until),
 		Losses:    r.Losses,
 		Odds:      r.Odds,
 		Upstreams: r.Upstreams,
