--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -338,8 +338,8 @@
 			return float64(n.Core.Fleet().Slow())
 		}),
 		n.metrics.Gauge("hollowgrade.suspended", "Seconds for which the machine was suspended since the start.", func() float64 {
-			_, all := n.clock.Suspensions()
-			return all.Seconds()
+			_, total := n.clock.Suspensions()
+			return total.Seconds()
 		}),
 		n.metrics.Gauge("hollowgrade.records_not_used", "Records of the store since the start that could not be used; the log has a line for each.", func() float64 {
 			return float64(n.unused.Load())
