--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -63,7 +63,7 @@
 		return
 	}
 	_, confirmed := n.config.Age()
-	n.log.Info("callers are taken", "waited_ms", n.clock.Since(begin).Milliseconds(), "configuration", n.Core.Catalog() != nil, "confirmed", confirmed,
+	n.log.Info("serving callers", "waited_ms", n.clock.Since(begin).Milliseconds(), "configuration", n.Core.Catalog() != nil, "confirmed", confirmed,
 		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().SyncedPeers(), "peers", n.members.count()-1)
 }
 
