--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -86,7 +86,7 @@
 	n.members = newMembers(c, s.Members(), b.clock, g, n.unused)
 	n.settings.Store(&c)
 	if err = c.CheckFreshness(); err != nil {
-		g.Warn("keys may end while the store turns gateways away", "why", err)
+		g.Warn("keys may expire while the store refuses gateways", "why", err)
 	}
 	relay := feed.NewRelay(c.PeerAddress(), n.members.addresses, feed.WithRelayLogger(g), feed.WithRelayClock(b.clock), feed.WithPlaces(n.members.place), feed.WithRelayTiming(c.Timing()))
 	follow := func(name string, t hollowgrade.Topic, wait time.Duration, os ...feed.Option) *feed.Feed {
