--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -154,7 +154,7 @@
 		if err != nil {
 			return err
 		}
-		n.Register(PeersService, newPeers(l, n.handlePeer(feed.NewServer(c.LinkMbps, feeds...)), g))
+		n.Register(PeersService, newPeers(l, n.peerHandler(feed.NewServer(c.LinkMbps, feeds...)), g))
 	}
 	n.Register(MembersService, n.members)
 	l, err := listen(c.Callers)
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// handlePeer returns the handler for other gateways.
-func (n *GatewayNode) handlePeer(f *feed.Server) peer.Handler {
+// peerHandler returns the handler for other gateways.
+func (n *GatewayNode) peerHandler(f *feed.Server) peer.Handler {
 	return func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if b := first.GetLoadView(); b != nil {
 			return n.receiver.Stream(s, b)
