--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -21,7 +21,7 @@
 	Agent     *agent.Agent
 }
 
-// NewAgent opens the listeners and sets up an agent. Start starts it.
+// NewAgent opens the listeners and sets up an agent. Start starts its services.
 func NewAgent(c setting.Agent, g *log.Logger) (n *AgentNode, err error) {
 	defer errs.Annotate(&err, "set up agent %s", c.Box)
 	b, err := newNode(hollowgrade.AgentRole, c.Process, g)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -24,7 +24,7 @@
 	Entry     *entry.Entry
 }
 
-// NewEntry opens the listeners and sets up an entry. Start starts it.
+// NewEntry opens the listeners and sets up an entry. Start starts its services.
 func NewEntry(c setting.Entry, g *log.Logger) (n *EntryNode, err error) {
 	defer errs.Annotate(&err, "set up entry %s", c.Box)
 	b, err := newNode(hollowgrade.EntryRole, c.Process, g)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -73,7 +73,7 @@
 	receiver  *loadview.Receiver
 }
 
-// NewGateway opens the listeners and sets up a gateway. Start starts it.
+// NewGateway opens the listeners and sets up a gateway. Start starts its services.
 func NewGateway(c setting.Gateway, g *log.Logger) (n *GatewayNode, err error) {
 	defer errs.Annotate(&err, "set up gateway %s", c.Box)
 	limitMemory(c.MemoryMB)
