--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -21,14 +21,14 @@
 	Agent     *agent.Agent
 }
 
-// NewAgent opens the listeners and puts an agent together. Start brings it up.
+// NewAgent opens the listeners and sets up an agent. Start starts its services.
 func NewAgent(c setting.Agent, g *log.Logger) (n *AgentNode, err error) {
 	defer errs.Annotate(&err, "set up agent %s", c.Box)
-	b, err := base(hollowgrade.AgentRole, c.Process, g)
+	b, err := newNode(hollowgrade.AgentRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
-	t, err := secure(c.Common)
+	t, err := certificates(c.Common)
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	b.Box.Peer = l.Addr().String()
-	d := directory(c.Common)
+	d := newDirectory(c.Common)
 	p := standalone.NewLog(c.PlatformLog, nil)
 	b.follow(c.Common, p, d, dialer(t))
 	k := agent.NewKeeper(b.Box.Name, b.Incarnation, keyTimes(c), b.clock, g, p, b.follower, d.Agents, dialer(t))
@@ -45,7 +45,7 @@
 		agent.WithLogger(g),
 		agent.WithClock(b.clock),
 		agent.WithLimits(agentLimits(c)),
-		agent.WithQueue(queue(c.Order)),
+		agent.WithQueue(newQueue(c.Order)),
 		agent.WithKeys(k),
 		agent.WithRevision(func() int64 { return b.follower.State().Revision() }),
 		agent.WithSnapshot(b.follower.Encoded),
@@ -58,11 +58,11 @@
 	n = &AgentNode{Node: b, Peers: b.Box.Peer, Agent: a}
 	use := []func(*config.Config){k.SetConfig}
 	if c.Engine != "" {
-		r := agent.NewPreparer(b.Box.Name, engineClient(c), store(c.Common), b.clock, g, d.Agents)
+		r := agent.NewPreparer(b.Box.Name, engineClient(c), weightStore(c.Common), b.clock, g, d.Agents)
 		use = append(use, r.SetConfig)
 		b.Register(PreparerService, r)
 	}
-	b.Register("configuration", starter(func() { b.watch(use...) }))
+	b.Register("configuration", startFunc(func() { b.watch(use...) }))
 	b.Register(KeeperService, k)
 	b.Register(AgentService, a)
 	o, err := newOperators(c.Operators, b, a.Ready)
@@ -78,8 +78,8 @@
 	return upstream.NewEngine(c.Engine, upstream.Transport(nil))
 }
 
-// store returns the weight store that the settings name, or nil.
-func store(c setting.Common) hollowgrade.WeightStore {
+// weightStore returns the weight weightStore that the settings name, or nil.
+func weightStore(c setting.Common) hollowgrade.WeightStore {
 	if c.PlatformStore == "" {
 		return nil
 	}
@@ -119,14 +119,14 @@
 	return t
 }
 
-func queue(order string) sched.Queue {
+func newQueue(order string) sched.Queue {
 	if order == "fifo" {
 		return sched.NewFIFO()
 	}
 	return sched.NewFair()
 }
 
-// gauges adds the agent's own figures to the metrics.
+// gauges registers the agent's own metrics.
 func (n *AgentNode) gauges() error {
 	if err := n.metrics.Gauge("hollowgrade.memory_lost", "Tokens that the engine holds and that no lease answers for.",
 		func() float64 { return float64(n.Agent.Lost()) }); err != nil {
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -129,9 +129,9 @@
 
 // crashBehindProxy crashes an upstream whose proxy keeps accepting connections, and restarts it.
 func (m *crashingPool) crashBehindProxy(w *platformtest.Worker) {
-	w.EndBehind()
+	w.StopBehindRelay()
 	time.Sleep(m.downtime)
-	w.BeginAgain()
+	w.Restart()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -24,14 +24,14 @@
 	Entry     *entry.Entry
 }
 
-// NewEntry opens the listeners and puts an entry together. Start brings it up.
+// NewEntry opens the listeners and sets up an entry. Start starts its services.
 func NewEntry(c setting.Entry, g *log.Logger) (n *EntryNode, err error) {
 	defer errs.Annotate(&err, "set up entry %s", c.Box)
-	b, err := base(hollowgrade.EntryRole, c.Process, g)
+	b, err := newNode(hollowgrade.EntryRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
-	t, err := secure(c.Common)
+	t, err := certificates(c.Common)
 	if err != nil {
 		return nil, err
 	}
@@ -41,17 +41,17 @@
 	}
 	callers := l.Addr().String()
 	l = netutil.LimitListener(l, c.MaxConnections)
-	d := directory(c.Common)
+	d := newDirectory(c.Common)
 	e := entry.New(b.Box, b.Incarnation, l, d.Agents,
 		entry.WithLogger(g),
 		entry.WithClock(b.clock),
 		entry.WithDialer(dialer(t)),
 		entry.WithLimits(entryLimits(c)),
-		entry.WithPlacement(placement(c.Placement)),
+		entry.WithPlacement(newPlacement(c.Placement)),
 		entry.WithObserver(func(o entry.Observation) { b.sample(sampleOf(o)) }))
 	n = &EntryNode{Node: b, Callers: callers, Entry: e}
 	b.follow(c.Common, standalone.NewLog(c.PlatformLog, nil), d, dialer(t))
-	b.Register("configuration", starter(func() { b.watch(e.SetConfig) }))
+	b.Register("configuration", startFunc(func() { b.watch(e.SetConfig) }))
 	b.Register(EntryService, e)
 	o, err := newOperators(c.Operators, b, e.Ready)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-func placement(name string) sched.Placement {
+func newPlacement(name string) sched.Placement {
 	switch name {
 	case "round_robin":
 		return sched.NewRoundRobin()
@@ -103,16 +103,16 @@
 	}
 }
 
-// starter is a service that only does something at the start.
-type starter func()
+// startFunc is a service that runs a function when it is started.
+type startFunc func()
 
 // Start implements [kernel.Service].
-func (s starter) Start(context.Context, *kernel.Kernel) error {
+func (s startFunc) Start(context.Context, *kernel.Kernel) error {
 	s()
 	return nil
 }
 
 // Stop implements [kernel.Service].
-func (starter) Stop(context.Context) error {
+func (startFunc) Stop(context.Context) error {
 	return nil
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -38,7 +38,7 @@
 	ReadinessService = "readiness"
 )
 
-// The names by which gateways ask each other for feeds.
+// The names of the feeds that gateways request from each other.
 const (
 	configFeed  = "config"
 	fleetFeed   = "fleet"
@@ -47,16 +47,15 @@
 )
 
 const (
-	// endMargin is what is left of the grace of a planned stop for the end of
-	// the process itself.
-	endMargin = 500 * time.Millisecond
-	// memoryShare is the part of the box's memory that the runtime keeps to.
-	memoryShare = 0.8
-	megabyte    = 1 << 20
-	// collectAt is how much the heap may grow between collections, in percent; the memory
-	// limit bounds it. With 400 a gateway of 103 held 112 MB at its peak, with 150 63 MB, where
-	// 20 MB are live and collections take 0.3% of its processor time (a quiet day, one run each).
-	collectAt = 150
+	// exitMargin is the part of the grace of a planned stop that is left for the process to exit.
+	exitMargin = 500 * time.Millisecond
+	// memoryLimitShare is the runtime's memory limit as a share of the box's memory.
+	memoryLimitShare = 0.8
+	megabyte         = 1 << 20
+	// gcPercent is how much the heap may grow between collections, in percent, within the memory
+	// limit. With 103 gateways and 20 MB live, 150 peaks at 63 MB and spends 0.3% of the processor
+	// time on collections, and 400 peaks at 112 MB.
+	gcPercent = 150
 )
 
 // GatewayNode is a process of the role gateway.
@@ -67,19 +66,18 @@
 	settings  atomic.Pointer[setting.Gateway]
 	callers   *callers.Server
 	config    *feed.Feed
-	held      *feed.Feed // requests that are held
-	holds     *holdStore
+	held      *feed.Feed // blocked requests
+	heldStore *heldStore
 	members   *members
 	unused    *atomic.Int64 // records of the store that could not be used
-	taker     *loadview.Receiver
+	receiver  *loadview.Receiver
 }
 
-// NewGateway opens the listeners and puts a gateway together. Start brings it
-// up.
+// NewGateway opens the listeners and sets up a gateway. Start starts its services.
 func NewGateway(c setting.Gateway, g *log.Logger) (n *GatewayNode, err error) {
 	defer errs.Annotate(&err, "set up gateway %s", c.Box)
-	boundMemory(c.MemoryMB)
-	b, err := base(hollowgrade.GatewayRole, c.Process, g)
+	limitMemory(c.MemoryMB)
+	b, err := newNode(hollowgrade.GatewayRole, c.Process, g)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +86,7 @@
 	n.members = newMembers(c, s.Members(), b.clock, g, n.unused)
 	n.settings.Store(&c)
 	if err = c.CheckFreshness(); err != nil {
-		g.Warn("keys may end while the store turns gateways away", "why", err)
+		g.Warn("keys may expire while the store refuses gateways", "why", err)
 	}
 	relay := feed.NewRelay(c.PeerAddress(), n.members.addresses, feed.WithRelayLogger(g), feed.WithRelayClock(b.clock), feed.WithPlaces(n.members.place), feed.WithRelayTiming(c.Timing()))
 	follow := func(name string, t hollowgrade.Topic, wait time.Duration, os ...feed.Option) *feed.Feed {
@@ -113,66 +111,66 @@
 		core.WithProcesses(n.members.count),
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
 	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
-	n.config.Watch(n.takeConfig)
-	fleet.Watch(n.takeFleet)
-	others.Watch(n.members.take)
-	n.holds = &holdStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, store: relay.Breaker(), unused: n.unused}
-	n.held.Watch(n.holds.take)
-	shared := []*feed.Feed{n.config, fleet, others, n.held}
-	relay.Add(shared...)
-	n.taker = loadview.NewReceiver(n.Core.Fleet())
-	n.taker.SetQuarantine(n.Core.Quarantine())
-	share := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
+	n.config.Watch(n.applyConfig)
+	fleet.Watch(n.applyFleet)
+	others.Watch(n.members.apply)
+	n.heldStore = &heldStore{table: n.Core.Quarantine(), topic: s.Held(), clock: n.clock, log: g, breaker: relay.Breaker(), unused: n.unused}
+	n.held.Watch(n.heldStore.apply)
+	feeds := []*feed.Feed{n.config, fleet, others, n.held}
+	relay.Add(feeds...)
+	n.receiver = loadview.NewReceiver(n.Core.Fleet())
+	n.receiver.SetQuarantine(n.Core.Quarantine())
+	loadOptions := []loadview.Option{loadview.WithLogger(g), loadview.WithClock(b.clock), loadview.WithQuarantine(n.Core.Quarantine())}
 	if c.Peers != "" {
 		p, err := peer.ListenPackets(c.Peers)
 		if err != nil {
 			return nil, err
 		}
-		b.Register(PacketsService, newPackets(p, n.taker, g))
-		share = append(share, loadview.WithPackets(p))
+		b.Register(PacketsService, newPackets(p, n.receiver, g))
+		loadOptions = append(loadOptions, loadview.WithPackets(p))
 	}
-	sharer := loadview.New(lifeName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, share...)
-	n.taker.OnStream(sharer.Redial)
-	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.holds.run))
-	if err = n.listen(c, shared, g); err != nil {
+	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, loadOptions...)
+	n.receiver.OnStream(sharer.Redial)
+	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
+	if err = n.listen(c, feeds, g); err != nil {
 		return nil, err
 	}
 	return n, n.gauges(relay)
 }
 
-// lifeDigits is how many digits of an incarnation tell lives of one box apart in what
-// gateways tell each other of their load: it is in each of a thousand messages a second.
-const lifeDigits = 8
+// incarnationDigits is how many digits of an incarnation distinguish instances on one box in the load
+// that gateways send each other. They are few, since each of a thousand messages a second has them.
+const incarnationDigits = 8
 
-// lifeName names one life of a gateway.
-func lifeName(box, incarnation string) string {
-	return box + "/" + incarnation[:min(lifeDigits, len(incarnation))]
+// instanceName names one instance of a gateway.
+func instanceName(box, incarnation string) string {
+	return box + "/" + incarnation[:min(incarnationDigits, len(incarnation))]
 }
 
 // listen opens the listeners and registers what serves them.
-func (n *GatewayNode) listen(c setting.Gateway, shared []*feed.Feed, g *log.Logger) error {
+func (n *GatewayNode) listen(c setting.Gateway, feeds []*feed.Feed, g *log.Logger) error {
 	if c.Peers != "" {
 		l, err := listen(c.Peers)
 		if err != nil {
 			return err
 		}
-		n.Register(PeersService, newPeers(l, n.answerPeers(feed.NewServer(c.LinkMbps, shared...)), g))
+		n.Register(PeersService, newPeers(l, n.peerHandler(feed.NewServer(c.LinkMbps, feeds...)), g))
 	}
 	n.Register(MembersService, n.members)
 	l, err := listen(c.Callers)
 	if err != nil {
 		return err
 	}
-	front := platform.NewFront(n.Core, n.limits, n.clock, g)
+	front := platform.NewHandler(n.Core, n.limits, n.clock, g)
 	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), front,
-		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithOpening(n.awaitOpen))
+		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithOpening(n.awaitStartup))
 	l, err = listen(c.Readiness)
 	if err != nil {
 		return err
 	}
 	n.Register(ReadinessService, newHTTP(l, platform.Readiness(n.ready), g))
 	n.Register(CallersService, n.callers)
-	o, err := newOperators(c.Operators, n.Node, n.ready, n.holds.serve)
+	o, err := newOperators(c.Operators, n.Node, n.ready, n.heldStore.serve)
 	if err != nil {
 		return err
 	}
@@ -181,21 +179,21 @@
 	return nil
 }
 
-// answerPeers returns the handler for other gateways.
-func (n *GatewayNode) answerPeers(f *feed.Server) peer.Handler {
+// peerHandler returns the handler for other gateways.
+func (n *GatewayNode) peerHandler(f *feed.Server) peer.Handler {
 	return func(_ context.Context, s *peer.Stream, first *wire.Frame) error {
 		if b := first.GetLoadView(); b != nil {
-			return n.taker.Stream(s, b)
+			return n.receiver.Stream(s, b)
 		}
 		return f.Serve(s, first)
 	}
 }
 
-// boundMemory tells the runtime how much memory the box has.
-func boundMemory(mb int) {
+// limitMemory sets the runtime's memory limit from the memory of the box.
+func limitMemory(mb int) {
 	if mb > 0 {
-		debug.SetGCPercent(collectAt)
-		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * megabyte))
+		debug.SetGCPercent(gcPercent)
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb) * megabyte))
 	}
 }
 
@@ -212,11 +210,11 @@
 
 // Grace returns how long a planned stop may take.
 func (n *GatewayNode) Grace() time.Duration {
-	return n.settings.Load().Grace - endMargin
+	return n.settings.Load().Grace - exitMargin
 }
 
-// Reload reads the settings file again and puts in force what can change while
-// the process runs.
+// Reload reads the settings file again and applies the settings that can change while the process
+// runs.
 func (n *GatewayNode) Reload(path string) error {
 	old := n.settings.Load()
 	c, err := old.Reread(path)
@@ -236,7 +234,7 @@
 	return nil
 }
 
-// ready reports whether the balancer should lead callers here, and if not, why.
+// ready reports whether the load balancer should send callers here, and if not, why.
 func (n *GatewayNode) ready() (ok bool, why string) {
 	age, known := n.config.Age()
 	switch {
@@ -275,9 +273,8 @@
 	return s
 }
 
-// takeConfig puts a new configuration in force. One that cannot be used, or is not
-// newer, leaves the one in force.
-func (n *GatewayNode) takeConfig(cs []feed.Change) {
+// applyConfig puts a new configuration in force. One that is invalid or not newer is ignored.
+func (n *GatewayNode) applyConfig(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Key != platform.ConfigKey || c.Dropped() {
 			continue
@@ -296,8 +293,8 @@
 	}
 }
 
-// takeFleet puts changes of the registry into the table of upstreams.
-func (n *GatewayNode) takeFleet(cs []feed.Change) {
+// applyFleet puts changes of the registry into the table of upstreams.
+func (n *GatewayNode) applyFleet(cs []feed.Change) {
 	for _, c := range cs {
 		if c.Dropped() {
 			n.Core.Fleet().Drop(c.Key, c.UncertainUntil)
@@ -305,7 +302,7 @@
 		}
 		u, err := platform.DecodeUpstream(c.KeyedRecord)
 		if err != nil {
-			// Another writer may have left it. Calls that are under way at the one it was end there.
+			// Another writer may have written it. Calls in progress at this upstream finish there.
 			n.unused.Add(1)
 			n.log.Error("upstream not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "bytes", len(c.Value), "err", err)
 			n.Core.Fleet().Drop(c.Key, time.Time{})
@@ -341,8 +338,8 @@
 			return float64(n.Core.Fleet().Slow())
 		}),
 		n.metrics.Gauge("hollowgrade.suspended", "Seconds for which the machine was suspended since the start.", func() float64 {
-			_, all := n.clock.Suspensions()
-			return all.Seconds()
+			_, total := n.clock.Suspensions()
+			return total.Seconds()
 		}),
 		n.metrics.Gauge("hollowgrade.records_not_used", "Records of the store since the start that could not be used; the log has a line for each.", func() float64 {
 			return float64(n.unused.Load())
@@ -405,7 +402,7 @@
 	return nil
 }
 
-// newPeers returns a service that answers other gateways.
+// newPeers returns a service that serves other gateways.
 func newPeers(l net.Listener, h peer.Handler, g *log.Logger) kernel.Service {
 	s := peer.NewServer(h, func(a net.Addr, err error) {
 		g.Warn("peer cut off", "peer", a.String(), "err", err)
@@ -420,7 +417,7 @@
 	})
 }
 
-// newPackets returns a service that takes packets of other gateways.
+// newPackets returns a service that receives packets from other gateways.
 func newPackets(p *peer.Packets, t *loadview.Receiver, g *log.Logger) kernel.Service {
 	return newRunner(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = p.Close() })
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,38 +20,38 @@
 )
 
 const (
-	// joinRetry is the pause before a record of this process is written again.
-	// A write without an answer may still be done some seconds later.
-	joinRetry   = 2 * time.Second
-	joinTimeout = 2 * time.Second
+	// joinRetryDelay is the pause before the record of this process is written again. The store may
+	// apply a write without an answer some seconds later.
+	joinRetryDelay = 2 * time.Second
+	joinTimeout    = 2 * time.Second
 )
 
-// members knows the other gateways from the store and the settings, and keeps
-// this one in the list. It is a service.
+// members lists the gateways from the store and the settings, and keeps this one in the store's list.
+// It is a service.
 type members struct {
-	box     string
-	own     member
-	seeds   []string
-	topic   hollowgrade.Topic
-	clock   hollowgrade.Clock
-	log     *log.Logger
-	unused  *atomic.Int64 // records that could not be used
-	runner  *runner
-	missing chan struct{} // gets a value when the list does not have this process
-
-	mu    sync.Mutex
-	known map[string]member     // by box
-	where map[string]feed.Place // by peer address; it is asked for each gateway many times a second
-}
-
-// member is a gateway's record in the list.
+	box    string
+	own    member
+	seeds  []string
+	topic  hollowgrade.Topic
+	clock  hollowgrade.Clock
+	log    *log.Logger
+	unused *atomic.Int64 // records that could not be used
+	runner *runner
+	rejoin chan struct{} // receives a value when the list lacks this process
+
+	mu     sync.Mutex
+	known  map[string]member     // by box
+	places map[string]feed.Place // by peer address; looked up for each gateway many times a second
+}
+
+// member is a gateway's record in the store's list.
 type member struct {
-	Peers string  `json:"peers"` // address on which other gateways ask
+	Peers string  `json:"peers"` // address for other gateways
 	Hall  string  `json:"hall"`
 	Link  float64 `json:"link_mbps"` // of its box, 0 if not known
 }
 
-// decodeMember decodes a record. One without braces is the address alone.
+// decodeMember decodes a record. One without braces is just the address.
 func decodeMember(v []byte) (m member, err error) {
 	defer errs.Annotate(&err, "decode the record of a gateway")
 	if bytes.HasPrefix(v, []byte("{")) {
@@ -70,34 +70,33 @@
 
 func newMembers(c setting.Gateway, t hollowgrade.Topic, k hollowgrade.Clock, g *log.Logger, unused *atomic.Int64) *members {
 	m := &members{
-		box:     c.Box,
-		own:     member{Peers: c.PeerAddress(), Hall: c.Hall, Link: c.LinkMbps},
-		seeds:   c.Seeds,
-		topic:   t,
-		clock:   k,
-		log:     g,
-		unused:  unused,
-		missing: make(chan struct{}, 1),
-		known:   map[string]member{},
+		box:    c.Box,
+		own:    member{Peers: c.PeerAddress(), Hall: c.Hall, Link: c.LinkMbps},
+		seeds:  c.Seeds,
+		topic:  t,
+		clock:  k,
+		log:    g,
+		unused: unused,
+		rejoin: make(chan struct{}, 1),
+		known:  map[string]member{},
 	}
 	m.index()
 	m.runner = newRunner(m.join)
-	m.miss()
+	m.requestJoin()
 	return m
 }
 
-// miss asks for this process's record to be written.
-func (m *members) miss() {
+// requestJoin asks for this process's record to be written.
+func (m *members) requestJoin() {
 	select {
-	case m.missing <- struct{}{}:
+	case m.rejoin <- struct{}{}:
 	default:
 	}
 }
 
-// take puts changes of the members' topic into the list. A write of an earlier
-// life of this box may be done late and hide the present one: then the record
-// is written again.
-func (m *members) take(cs []feed.Change) {
+// apply applies changes of the members' topic. The store may apply a write of an earlier instance on
+// this box late, over the record of this one: then the record is written again.
+func (m *members) apply(cs []feed.Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer m.index()
@@ -113,12 +112,13 @@
 		}
 		if c.Key == m.box && k != m.own && m.own.Peers != "" {
 			m.log.Warn("the list of gateways has another record for this box", "box", m.box, "address", k.Peers, "own", m.own.Peers)
-			m.miss()
+			m.requestJoin()
 		}
 	}
 }
 
-// decode decodes a record. One that cannot be used, as another writer may leave it, names no gateway.
+// decode decodes a record. It returns no address for an invalid one, which another writer may have
+// written.
 func (m *members) decode(c feed.Change) member {
 	k, err := decodeMember(c.Value)
 	if err != nil {
@@ -140,21 +140,20 @@
 	return slices.DeleteFunc(slices.Compact(as), func(a string) bool { return a == m.own.Peers || a == "" })
 }
 
-// place returns where the gateway with a peer address is.
+// place returns the place of the gateway with a peer address.
 func (m *members) place(address string) feed.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.where[address]
+	return m.places[address]
 }
 
-// index notes where gateways are. The lock is held, or nobody else has the members
-// yet.
+// index rebuilds places. The caller holds m.mu, or m is not shared yet.
 func (m *members) index() {
-	m.where = map[string]feed.Place{}
+	m.places = map[string]feed.Place{}
 	for _, k := range m.known {
-		m.where[k.Peers] = k.place()
+		m.places[k.Peers] = k.place()
 	}
-	m.where[m.own.Peers] = m.own.place()
+	m.places[m.own.Peers] = m.own.place()
 }
 
 func (m member) place() feed.Place {
@@ -180,12 +179,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.missing:
+		case <-m.rejoin:
 		}
 		if err = m.put(ctx, v); err != nil && ctx.Err() == nil {
 			m.log.Warn("could not join the list of gateways", "err", err)
-			m.miss()
-			hollowgrade.Sleep(ctx, m.clock, joinRetry)
+			m.requestJoin()
+			hollowgrade.Sleep(ctx, m.clock, joinRetryDelay)
 		}
 	}
 }
@@ -201,8 +200,8 @@
 	return m.runner.Start(ctx, k)
 }
 
-// Stop implements [kernel.Service]. The entry of a process that ends without it
-// stays and costs those who ask it a connection that fails.
+// Stop implements [kernel.Service]. The record of a process that ends without it stays, and costs
+// its peers failed connections.
 func (m *members) Stop(ctx context.Context) error {
 	if err := m.runner.Stop(ctx); err != nil {
 		return err
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,27 +18,27 @@
 	"github.com/hollowgrade/hollowgrade/quarantine"
 )
 
-// holdStore keeps requests that are held in the platform's store, where the loss of all gateways
-// leaves them.
-type holdStore struct {
-	table *quarantine.Table
-	topic hollowgrade.Topic
-	clock hollowgrade.Clock
-	log   *log.Logger
-	store *feed.Breaker // what this process knows of its way to the store
+// heldStore keeps blocked requests in the platform's store, where they survive the loss of all
+// gateways.
+type heldStore struct {
+	table   *quarantine.Table
+	topic   hollowgrade.Topic
+	clock   hollowgrade.Clock
+	log     *log.Logger
+	breaker *feed.Breaker
 	// unused counts records of the store that could not be used.
 	unused *atomic.Int64
 }
 
 const (
-	// keepEvery is how often it is looked for what the store has to be told. A loss of all gateways within that
-	// time after a verdict leaves the request to be found out anew.
-	keepEvery = 200 * time.Millisecond
-	// keepTimeout bounds one write.
-	keepTimeout = 2 * time.Second
+	// storeInterval is the interval between checks for changes to write. If all gateways are lost
+	// within that time after a verdict, the request has to be identified anew.
+	storeInterval = 200 * time.Millisecond
+	// storeTimeout bounds one write.
+	storeTimeout = 2 * time.Second
 )
 
-// heldRecord is a request that is held, as it stands in the store under its fingerprint.
+// heldRecord is a blocked request as stored under its fingerprint.
 type heldRecord struct {
 	Organisation string             `json:"organisation"`
 	Route        string             `json:"route"`
@@ -51,15 +51,16 @@
 	By           string             `json:"by"`
 }
 
-// encodeHold encodes a record. Its moments are written as times of day.
-func encodeHold(h quarantine.Block, now, wall time.Time) ([]byte, error) {
+// encodeBlock encodes a record. Its times are converted from this process's clock, on which it is
+// now, to wall time.
+func encodeBlock(h quarantine.Block, now, wall time.Time) ([]byte, error) {
 	ms := func(t time.Time) int64 { return wall.Add(t.Sub(now)).UnixMilli() }
 	return json.Marshal(heldRecord{h.Organisation, h.Route, h.Service, ms(h.Since), ms(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 }
 
-// decodeHold decodes a record. Its moments are of the time of day and are put on this process's clock, on which
-// it is now.
-func decodeHold(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
+// decodeBlock decodes a record. Its times are converted from wall time to this process's clock, on
+// which it is now.
+func decodeBlock(key string, v []byte, now, wall time.Time) (h quarantine.Block, err error) {
 	defer errs.Annotate(&err, "decode the held request %s", key)
 	f, err := hollowgrade.ParseFingerprint(key)
 	if err != nil {
@@ -72,11 +73,11 @@
 	if r.Since <= 0 || r.Until <= r.Since || r.Losses <= 0 {
 		return h, errors.New("since, until or losses is missing")
 	}
-	on := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(wall)) }
+	onClock := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(wall)) }
 	return quarantine.Block{
 		Subject:   quarantine.Subject{Fingerprint: f, Organisation: r.Organisation, Route: r.Route, Service: r.Service},
-		Since:     on(r.Since),
-		Until:     on(r.Until),
+		Since:     onClock(r.Since),
+		Until:     onClock(r.Until),
 		Losses:    r.Losses,
 		Odds:      r.Odds,
 		Upstreams: r.Upstreams,
@@ -84,31 +85,31 @@
 	}, nil
 }
 
-// run writes what has to be written until ctx ends.
-func (s *holdStore) run(ctx context.Context) {
-	for hollowgrade.Sleep(ctx, s.clock, keepEvery) {
-		todo := s.table.StoreChanges()
-		if len(todo.Save)+len(todo.Drop) == 0 {
+// run writes changes to the store until ctx ends.
+func (s *heldStore) run(ctx context.Context) {
+	for hollowgrade.Sleep(ctx, s.clock, storeInterval) {
+		changes := s.table.StoreChanges()
+		if len(changes.Save)+len(changes.Drop) == 0 {
 			continue
 		}
-		// While the store is away one call of a process tries at a time, and few of all: each of a
-		// hundred gateways would try each second.
-		try, wait := s.store.Begin()
+		// While the store is unavailable, the breaker lets a process try one call at a time, and few
+		// processes try: otherwise each of a hundred gateways would try each second.
+		try, wait := s.breaker.Begin()
 		if wait > 0 {
 			continue
 		}
-		err := s.keep(ctx, todo)
-		s.store.Report(try, err == nil || ctx.Err() != nil)
+		err := s.write(ctx, changes)
+		s.breaker.Report(try, err == nil || ctx.Err() != nil)
 		if err != nil && ctx.Err() == nil {
 			s.log.Warn("held requests not written to the store", "err", err)
 		}
 	}
 }
 
-// keep tells the store what it has to be told. It stops at the first failure.
-func (s *holdStore) keep(ctx context.Context, todo quarantine.StoreChanges) (err error) {
-	for _, h := range todo.Save {
-		v, err := encodeHold(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
+// write writes changes to the store. It stops at the first failure.
+func (s *heldStore) write(ctx context.Context, changes quarantine.StoreChanges) (err error) {
+	for _, h := range changes.Save {
+		v, err := encodeBlock(h, s.clock.Now(), hollowgrade.WallTime(s.clock))
 		if err != nil {
 			return err
 		}
@@ -117,7 +118,7 @@
 		}
 		s.table.RecordStored(h)
 	}
-	for _, f := range todo.Drop {
+	for _, f := range changes.Drop {
 		if err = s.put(ctx, f, nil); err != nil {
 			return err
 		}
@@ -126,14 +127,14 @@
 	return nil
 }
 
-func (s *holdStore) put(ctx context.Context, f hollowgrade.Fingerprint, value []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (s *heldStore) put(ctx context.Context, f hollowgrade.Fingerprint, value []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return s.topic.Put(ctx, f.String(), value)
 }
 
-// take takes changes of the topic. What cannot be read holds nothing, and leaves the others.
-func (s *holdStore) take(cs []feed.Change) {
+// apply applies changes of the topic. A record that cannot be decoded is skipped.
+func (s *heldStore) apply(cs []feed.Change) {
 	now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
 	for _, c := range cs {
 		if c.Dropped() {
@@ -142,7 +143,7 @@
 			}
 			continue
 		}
-		h, err := decodeHold(c.Key, c.Value, now, wall)
+		h, err := decodeBlock(c.Key, c.Value, now, wall)
 		if err != nil {
 			s.unused.Add(1)
 			s.log.Error("held request not used", "key", fmt.Sprintf("%.64q", c.Key), "offset", c.Offset, "err", err)
@@ -152,13 +153,13 @@
 	}
 }
 
-// The paths of the operators' listener for requests that are held.
+// The paths of the operators' listener for blocked requests.
 const (
 	QuarantinePath = "/quarantine"
 	liftPath       = QuarantinePath + "/{fingerprint}"
 )
 
-// HeldRequest is a request that is held, as operators are told.
+// HeldRequest is a blocked request as shown to operators.
 type HeldRequest struct {
 	Fingerprint  string             `json:"fingerprint"`
 	Organisation string             `json:"organisation"`
@@ -167,13 +168,13 @@
 	Since        time.Time          `json:"since"`
 	Until        time.Time          `json:"until"`
 	Losses       int                `json:"losses"`    // in a row
-	Odds         float64            `json:"odds"`      // of these for a harmless request
-	Upstreams    []hollowgrade.Life `json:"upstreams"` // that ended, the latest last
+	Odds         float64            `json:"odds"`      // probability of as many losses with a harmless request
+	Upstreams    []hollowgrade.Life `json:"upstreams"` // that crashed, the latest last
 	By           string             `json:"by"`        // gateway that reached the verdict
 }
 
-// serve serves operators' questions about requests that are held.
-func (s *holdStore) serve(r *mux.Router) {
+// serve registers the handlers that list and lift blocks.
+func (s *heldStore) serve(r *mux.Router) {
 	r.HandleFunc(QuarantinePath, func(w http.ResponseWriter, _ *http.Request) {
 		hs := []HeldRequest{}
 		now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -7,45 +7,46 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// What a gateway has to know before it takes callers: configuration, upstreams, the requests that are held and
-// the load of the others. That comes within some 30 ms of its
-// start while the store serves, the load of the others within 100 ms. Callers whose
-// connections come earlier wait for it unread: refused, each of them would have one
-// try less, and placed blindly their prompts would go to engines that are busy.
+// Before a gateway serves callers it needs the configuration, the upstreams and the blocked requests
+// from the store, some 30 ms after its start, and the load of its peers, within 100 ms. Earlier
+// connections wait unread: a refusal would cost the caller an attempt, and placement without the load
+// would send prompts to busy engines.
 const (
-	// openWithin bounds the wait, in time for which the process ran. Callers give up what is not read for a second.
-	openWithin = 700 * time.Millisecond
-	// hearWithin bounds the wait for other gateways once all else is known: some
-	// that are listed may be dead.
-	hearWithin = 200 * time.Millisecond
-	// openPoll is how often it is looked at, and latePoll what one look counts for at the most. A process that stood
-	// still for 0.72 s within 20 ms of its start took callers as it woke up, 0.1 to 16 ms before it had the
-	// configuration that had come meanwhile, and refused them (4 of 7 plays of five starts each).
-	openPoll = 10 * time.Millisecond
-	latePoll = 2 * openPoll
+	// startupTimeout bounds the wait, without time for which the process was stopped. Callers give up
+	// on a connection that is not read for a second.
+	startupTimeout = 700 * time.Millisecond
+	// peersTimeout bounds the wait for the load of peers once the data of the store is read: some
+	// listed peers may be dead.
+	peersTimeout = 200 * time.Millisecond
+	// startupPoll is the interval between checks, and maxPollStep the longest time that one counts
+	// for. Without it a process that was stopped for longer than startupTimeout would serve callers
+	// when it continues, up to 16 ms before it reads the configuration that came meanwhile, and
+	// refuse them.
+	startupPoll = 10 * time.Millisecond
+	maxPollStep = 2 * startupPoll
 )
 
-// opening is the wait before callers are taken.
-type opening struct {
-	clock hollowgrade.Clock
-	known func() bool // all that is needed but the load of the others
-	heard func() bool // the load of the others
+// startupWait is the wait at startup before callers are served.
+type startupWait struct {
+	clock       hollowgrade.Clock
+	storeRead   func() bool // whether the data of the store is read
+	peersSynced func() bool // whether all peers have sent their load
 }
 
-// wait returns once all is known, or has been waited for for long enough.
-func (o opening) wait(ctx context.Context) {
+// wait returns once all is known, or after a timeout.
+func (o startupWait) wait(ctx context.Context) {
 	last := o.clock.Now()
-	var ran, since time.Duration // since is for how long all but the load of the others has been known
-	for ran < openWithin {
-		known := o.known()
-		if known && (o.heard() || since >= hearWithin) {
+	var ran, since time.Duration // since is for how long the data of the store has been read
+	for ran < startupTimeout {
+		known := o.storeRead()
+		if known && (o.peersSynced() || since >= peersTimeout) {
 			return
 		}
-		if !hollowgrade.Sleep(ctx, o.clock, openPoll) {
+		if !hollowgrade.Sleep(ctx, o.clock, startupPoll) {
 			return
 		}
 		now := o.clock.Now()
-		d := min(now.Sub(last), latePoll)
+		d := min(now.Sub(last), maxPollStep)
 		last = now
 		ran += d
 		if known {
@@ -54,27 +55,26 @@
 	}
 }
 
-// awaitOpen returns once this gateway knows what it needs to take callers, or has
-// waited for long enough.
-func (n *GatewayNode) awaitOpen(ctx context.Context) {
+// awaitStartup returns once this gateway has what it needs to serve callers, or after a timeout.
+func (n *GatewayNode) awaitStartup(ctx context.Context) {
 	begin := n.clock.Now()
-	opening{n.clock, n.knowsEnough, n.hasHeard}.wait(ctx)
+	startupWait{n.clock, n.storeRead, n.peersSynced}.wait(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	_, confirmed := n.config.Age()
-	n.log.Info("callers are taken", "waited_ms", n.clock.Since(begin).Milliseconds(), "configuration", n.Core.Catalog() != nil, "confirmed", confirmed,
+	n.log.Info("serving callers", "waited_ms", n.clock.Since(begin).Milliseconds(), "configuration", n.Core.Catalog() != nil, "confirmed", confirmed,
 		"upstreams", n.Core.Fleet().Size(), "held_known", !n.held.Fresh().IsZero(), "peers_heard", n.Core.Fleet().SyncedPeers(), "peers", n.members.count()-1)
 }
 
-// knowsEnough reports whether all is known that the store tells. A configuration is in force a moment before it
-// counts as confirmed, and a call with a key would be refused meanwhile.
-func (n *GatewayNode) knowsEnough() bool {
+// storeRead reports whether the data of the store is read. The configuration must also be confirmed:
+// it is in force a moment earlier, and a call with a key would be refused until then.
+func (n *GatewayNode) storeRead() bool {
 	_, confirmed := n.config.Age()
 	return confirmed && n.Core.Catalog() != nil && n.Core.Fleet().Size() > 0 && !n.held.Fresh().IsZero()
 }
 
-// hasHeard reports whether all other gateways have told of their load.
-func (n *GatewayNode) hasHeard() bool {
+// peersSynced reports whether all other gateways have sent their load.
+func (n *GatewayNode) peersSynced() bool {
 	return n.Core.Fleet().SyncedPeers()+1 >= n.members.count()
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -45,7 +45,7 @@
 				return func() bool { return time.Since(begin) >= d }
 			}
 			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, pause}
-			opening{c, after(known), after(heard)}.wait(context.Background())
+			startupWait{c, after(known), after(heard)}.wait(context.Background())
 			ran = time.Since(begin)
 			ready = after(known)()
 		})
@@ -64,16 +64,16 @@
 	t.Run("without what some that are listed never tell", func(t *testing.T) {
 		ran, ready := wait(t, 30*time.Millisecond, time.Hour, 0)
 		require.True(t, ready)
-		require.InDelta(t, (30*time.Millisecond + hearWithin).Seconds(), ran.Seconds(), openPoll.Seconds())
+		require.InDelta(t, (30*time.Millisecond + peersTimeout).Seconds(), ran.Seconds(), startupPoll.Seconds())
 	})
 	t.Run("and without the store after a while", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 0)
 		require.False(t, ready)
-		require.Equal(t, openWithin, ran)
+		require.Equal(t, startupTimeout, ran)
 	})
 	t.Run("as long as without standing still", func(t *testing.T) {
 		ran, ready := wait(t, time.Hour, 0, 10*time.Second)
 		require.False(t, ready)
-		require.InDelta(t, openWithin.Seconds(), ran.Seconds(), latePoll.Seconds())
+		require.InDelta(t, startupTimeout.Seconds(), ran.Seconds(), maxPollStep.Seconds())
 	})
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -307,7 +307,7 @@
 	id := r.Header.Get("Attempt-Id")
 	luck := hash(k.ID+id) % 100
 	body := ""
-	for i, q := range k.Seen() {
+	for i, q := range k.Requests() {
 		if q == r {
 			body = k.Bodies()[i]
 		}
@@ -392,9 +392,9 @@
 	case busyStore:
 		w.mode(platformtest.Busy, s.lasts)
 	case awayStore:
-		w.mode(platformtest.Away, s.lasts)
+		w.mode(platformtest.Unavailable, s.lasts)
 	case loseAnswers:
-		w.mode(platformtest.LosingAll, s.lasts)
+		w.mode(platformtest.LosingAnswers, s.lasts)
 	case compactStore:
 		w.store.Compact("keyed.op")
 		w.store.Compact("keyed.servers")
