--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -176,7 +176,7 @@
 		p.keys.Import(h.records, now)
 	default:
 		p.from = now.Add(k.times.Lease)
-		p.keys.BlindUntil(p.from.Add(k.times.Window))
+		p.keys.SetUnknownUntil(p.from.Add(k.times.Window))
 	}
 	return p
 }
--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -105,9 +105,9 @@
 	return &Keys{window: window, limit: limit, records: map[KeyID]*KeyRecord{}}
 }
 
-// BlindUntil says that until t a key that is not in the ledger may have run:
+// SetUnknownUntil says that until t a key that is not in the ledger may have run:
 // its record may have been lost with a former keeper.
-func (k *Keys) BlindUntil(t time.Time) {
+func (k *Keys) SetUnknownUntil(t time.Time) {
 	k.blind = t
 }
 
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -66,7 +66,7 @@
 	})
 	t.Run("a ledger that began after a crash knows nothing of older keys", func(t *testing.T) {
 		k := NewKeys(time.Hour, 10)
-		k.BlindUntil(t0.Add(time.Hour))
+		k.SetUnknownUntil(t0.Add(time.Hour))
 		requireVerdict(t, NotKnown, k, claim("k", "r1", 1), t0)
 		requireVerdict(t, Granted, k, claim("k", "r1", 1), t0.Add(time.Hour))
 	})
