--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -93,11 +93,11 @@
 // Keys is the ledger of the runs under idempotency keys. A key that it grants
 // is not granted again until the window has passed since its end.
 type Keys struct {
-	window  time.Duration
-	limit   int
-	blind   time.Time // until then a key that is not in the ledger may have run
-	records map[KeyID]*KeyRecord
-	expiry  []*KeyRecord // settled records in the order in which they are forgotten
+	window       time.Duration
+	limit        int
+	unknownUntil time.Time // until then a key that is not in the ledger may have run
+	records      map[KeyID]*KeyRecord
+	expiry       []*KeyRecord // settled records in the order in which they are forgotten
 }
 
 // NewKeys returns an empty ledger of at most limit records.
@@ -108,7 +108,7 @@
 // SetUnknownUntil says that until t a key that is not in the ledger may have run:
 // its record may have been lost with a former keeper.
 func (k *Keys) SetUnknownUntil(t time.Time) {
-	k.blind = t
+	k.unknownUntil = t
 }
 
 // Len returns the number of records.
@@ -145,7 +145,7 @@
 }
 
 func (k *Keys) first(c Claim, now time.Time) Verdict {
-	if now.Before(k.blind) {
+	if now.Before(k.unknownUntil) {
 		return NotKnown
 	}
 	if len(k.records) >= k.limit {
