--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -124,7 +124,7 @@
 	if !ok {
 		return k.first(c, now), KeyRecord{}
 	}
-	k.lapse(p, now)
+	k.expireHold(p, now)
 	switch {
 	case p.Digest != c.Digest:
 		return Reused, KeyRecord{}
@@ -155,9 +155,9 @@
 	return Granted
 }
 
-// lapse turns a run of which nobody has told the end into one that may have
+// expireHold turns a run of which nobody has told the end into one that may have
 // run.
-func (k *Keys) lapse(p *KeyRecord, now time.Time) {
+func (k *Keys) expireHold(p *KeyRecord, now time.Time) {
 	if p.Outcome == "" && now.After(p.until) {
 		k.end(p, hollowgrade.Unknown, nil, now)
 	}
@@ -177,7 +177,7 @@
 	if !ok || p.Request != request {
 		return false
 	}
-	k.lapse(p, now)
+	k.expireHold(p, now)
 	switch {
 	case p.Outcome != "" && p.Outcome != hollowgrade.Unknown:
 		return false
@@ -204,7 +204,7 @@
 	}
 	if len(k.records) >= k.limit {
 		for _, p := range k.records {
-			k.lapse(p, now)
+			k.expireHold(p, now)
 		}
 	}
 }
