--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -122,7 +122,7 @@
 	k.expire(now)
 	p, ok := k.records[c.ID]
 	if !ok {
-		return k.first(c, now), KeyRecord{}
+		return k.grantNew(c, now), KeyRecord{}
 	}
 	k.expireHold(p, now)
 	switch {
@@ -144,7 +144,7 @@
 	return r
 }
 
-func (k *Keys) first(c Claim, now time.Time) Verdict {
+func (k *Keys) grantNew(c Claim, now time.Time) Verdict {
 	if now.Before(k.unknownUntil) {
 		return NotKnown
 	}
