--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -159,11 +159,11 @@
 // run.
 func (k *Keys) expireHold(p *KeyRecord, now time.Time) {
 	if p.Outcome == "" && now.After(p.until) {
-		k.end(p, hollowgrade.Unknown, nil, now)
+		k.finish(p, hollowgrade.Unknown, nil, now)
 	}
 }
 
-func (k *Keys) end(p *KeyRecord, o hollowgrade.Outcome, answer []byte, now time.Time) {
+func (k *Keys) finish(p *KeyRecord, o hollowgrade.Outcome, answer []byte, now time.Time) {
 	p.Outcome, p.Answer = o, answer
 	p.until = now.Add(k.window)
 	k.expiry = append(k.expiry, p)
@@ -188,7 +188,7 @@
 		// place in the order of forgetting, and those behind it wait for it.
 		p.Outcome, p.Answer, p.until = o, answer, now.Add(k.window)
 	default:
-		k.end(p, o, answer, now)
+		k.finish(p, o, answer, now)
 	}
 	return true
 }
