--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -80,12 +80,12 @@
 
 // KeyRecord is what a ledger remembers of a key.
 type KeyRecord struct {
-	ID      KeyID               `json:"id"`
-	Digest  uint64              `json:"digest"`
-	Request string              `json:"request"`
-	Outcome hollowgrade.Outcome `json:"outcome,omitempty"` // empty while it runs
-	Answer  []byte              `json:"answer,omitempty"`  // encoded, if it is kept
-	Left    time.Duration       `json:"left"`              // until the hold ends or the record is forgotten
+	ID        KeyID               `json:"id"`
+	Digest    uint64              `json:"digest"`
+	Request   string              `json:"request"`
+	Outcome   hollowgrade.Outcome `json:"outcome,omitempty"` // empty while it runs
+	Answer    []byte              `json:"answer,omitempty"`  // encoded, if it is kept
+	Remaining time.Duration       `json:"left"`              // until the hold ends or the record is forgotten
 
 	until time.Time
 }
@@ -140,7 +140,7 @@
 
 func (p *KeyRecord) withLeft(now time.Time) KeyRecord {
 	r := *p
-	r.Left = p.until.Sub(now)
+	r.Remaining = p.until.Sub(now)
 	return r
 }
 
@@ -221,7 +221,7 @@
 func (k *Keys) Import(rs []KeyRecord, now time.Time) {
 	for _, r := range rs {
 		p := r
-		p.until = now.Add(r.Left)
+		p.until = now.Add(r.Remaining)
 		k.records[p.ID] = &p
 		if p.Outcome != "" {
 			k.expiry = append(k.expiry, &p)
