--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -134,11 +134,11 @@
 		// The claimer asks again because our answer was lost.
 		return Granted, *p
 	default:
-		return Running, p.withLeft(now)
+		return Running, p.withRemaining(now)
 	}
 }
 
-func (p *KeyRecord) withLeft(now time.Time) KeyRecord {
+func (p *KeyRecord) withRemaining(now time.Time) KeyRecord {
 	r := *p
 	r.Remaining = p.until.Sub(now)
 	return r
@@ -212,7 +212,7 @@
 // Export returns all records, for a handover.
 func (k *Keys) Export(now time.Time) (rs []KeyRecord) {
 	for _, p := range k.records {
-		rs = append(rs, p.withLeft(now))
+		rs = append(rs, p.withRemaining(now))
 	}
 	return rs
 }
