--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -157,7 +157,7 @@
 	m.Grant(Lease{ID: "answer-1", Tokens: 600})
 	fmt.Println(m.Fits(500), m.Used())
 	held := []hollowgrade.Holding{{ID: "answer-1", Tokens: 600}, {ID: "left-behind", Tokens: 50}}
-	fmt.Println(m.Lost(held))
+	fmt.Println(m.OrphanTokens(held))
 	// Output:
 	// false 600
 	// 50
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -124,8 +124,8 @@
 	return os
 }
 
-// Lost returns how many tokens the engine holds that no lease answers for.
-func (m *Memory) Lost(held []hollowgrade.Holding) (tokens int) {
+// OrphanTokens returns how many tokens the engine holds that no lease answers for.
+func (m *Memory) OrphanTokens(held []hollowgrade.Holding) (tokens int) {
 	for _, h := range m.Orphans(held) {
 		tokens += h.Tokens
 	}
