--- a/agent/memory.go
+++ b/agent/memory.go
@@ -236,9 +236,9 @@
 	return os
 }
 
-// Lost returns how many tokens the engine held at the last two sweeps that no
+// OrphanTokens returns how many tokens the engine held at the last two sweeps that no
 // lease answered for.
-func (a *Agent) Lost() int {
+func (a *Agent) OrphanTokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lost
--- a/agent/memory_test.go
+++ b/agent/memory_test.go
@@ -16,9 +16,9 @@
 	held := []hollowgrade.Holding{{ID: "x", Kind: hollowgrade.HeldExport, Tokens: 40}}
 
 	require.Empty(t, a.orphans(load, held))
-	require.Zero(t, a.Lost(), "it may be on its way out")
+	require.Zero(t, a.OrphanTokens(), "it may be on its way out")
 	require.Len(t, a.orphans(load, held), 1)
-	require.Equal(t, 40, a.Lost())
+	require.Equal(t, 40, a.OrphanTokens())
 	require.Empty(t, a.orphans(load, nil))
-	require.Zero(t, a.Lost())
+	require.Zero(t, a.OrphanTokens())
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -220,7 +220,7 @@
 
 func (f *Fleet) lost() (n int) {
 	for _, a := range f.Agents {
-		n += a.Agent.Lost()
+		n += a.Agent.OrphanTokens()
 	}
 	return n
 }
--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -200,7 +200,7 @@
 			e.Used[a.Name] = a.Engine.Used()
 			if !a.stopped {
 				// A stopped process sweeps no more, and its last figure is old.
-				e.Lost[a.Name] = a.Lost()
+				e.Lost[a.Name] = a.OrphanTokens()
 			}
 		}
 	}
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -129,7 +129,7 @@
 // gauges adds the agent's own figures to the metrics.
 func (n *AgentNode) gauges() error {
 	if err := n.metrics.Gauge("hollowgrade.memory_lost", "Tokens that the engine holds and that no lease answers for.",
-		func() float64 { return float64(n.Agent.Lost()) }); err != nil {
+		func() float64 { return float64(n.Agent.OrphanTokens()) }); err != nil {
 		return err
 	}
 	return n.metrics.Gauge("hollowgrade.queued", "Requests in the queue.",
