--- a/agent/memory.go
+++ b/agent/memory.go
@@ -221,14 +221,14 @@
 		a.releaseLease(e.ID)
 	}
 	seen := map[string]int{}
-	a.lost = 0
+	a.orphanTokens = 0
 	for _, h := range a.memory.Orphans(held) {
 		if _, ok := a.jobs[h.ID]; ok {
 			continue
 		}
 		seen[h.ID] = a.suspects[h.ID] + 1
 		if seen[h.ID] >= orphanSweeps {
-			a.lost += h.Tokens
+			a.orphanTokens += h.Tokens
 			os = append(os, h)
 		}
 	}
@@ -241,5 +241,5 @@
 func (a *Agent) OrphanTokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lost
+	return a.orphanTokens
 }
