--- a/agent/agent.go
+++ b/agent/agent.go
@@ -106,8 +106,8 @@
 	// Fenced reports whether a higher epoch than the one given is known for
 	// the key.
 	Fenced(organisation, key string, epoch int64) bool
-	// TakeIn takes in a part of what a leaving keeper hands over.
-	TakeIn(h *wire.Handover) error
+	// ReceiveHandover takes in a part of what a leaving keeper hands over.
+	ReceiveHandover(h *wire.Handover) error
 }
 
 // Observation is one measured event of a request, for metrics.
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -457,8 +457,8 @@
 	return f.GetHello().GetIncarnation(), nil
 }
 
-// TakeIn implements [KeyKeeper].
-func (k *Keeper) TakeIn(h *wire.Handover) error {
+// ReceiveHandover implements [KeyKeeper].
+func (k *Keeper) ReceiveHandover(h *wire.Handover) error {
 	var rs []ledger.KeyRecord
 	if err := json.Unmarshal(h.Records, &rs); err != nil {
 		return err
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -35,7 +35,7 @@
 // will keep it.
 func (a *Agent) serveHandover(s *peer.Stream, h *wire.Handover) error {
 	for {
-		if err := a.keys.TakeIn(h); err != nil {
+		if err := a.keys.ReceiveHandover(h); err != nil {
 			return fmt.Errorf("%w: %w", peer.ErrBroken, err)
 		}
 		if h.Last {
