--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -40,14 +40,14 @@
 	// Grace is how long a keeper must be off the list before another takes
 	// its ranges.
 	Grace time.Duration
-	// Every is the time between two looks at the list.
-	Every time.Duration
+	// CheckInterval is the time between two looks at the list.
+	CheckInterval time.Duration
 }
 
 // DefaultKeyTimes returns times that suit boxes which are replaced a few
 // hundred times a day.
 func DefaultKeyTimes() KeyTimes {
-	return KeyTimes{Window: 15 * time.Minute, Lease: 2 * time.Minute, Grace: 10 * time.Second, Every: time.Second}
+	return KeyTimes{Window: 15 * time.Minute, Lease: 2 * time.Minute, Grace: 10 * time.Second, CheckInterval: time.Second}
 }
 
 // maxKeys bounds the records of one ledger, about 300 bytes each without the
@@ -136,7 +136,7 @@
 
 func (k *Keeper) loop(ctx context.Context) {
 	defer close(k.done)
-	for hollowgrade.Sleep(ctx, k.clock, k.times.Every) {
+	for hollowgrade.Sleep(ctx, k.clock, k.times.CheckInterval) {
 		k.takeRanges(ctx)
 	}
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -69,7 +69,7 @@
 	k := agent.DefaultKeyTimes()
 	k.Lease = 2 * time.Second
 	k.Grace = time.Second
-	k.Every = time.Second
+	k.CheckInterval = time.Second
 	return Config{
 		Entries:   2,
 		Engines:   3,
