--- a/agent/agent.go
+++ b/agent/agent.go
@@ -74,25 +74,25 @@
 	ctx    context.Context // ends when the agent stops
 	group  sync.WaitGroup
 
-	mu           sync.Mutex
-	queue        sched.Queue
-	memory       *ledger.Memory
-	jobs         map[string]*job // by engine id
-	waiting      map[*sched.Item]*job
-	queued       [hollowgrade.Classes]int
-	running      int
-	prefill      int // tokens given to the engine and not yet worked on
-	longHeld     int
-	speed        speed
-	orphanTokens int // tokens the engine holds that no lease answers for
-	receiving    int // exchanges whose body is still coming
-	draining     bool
-	idle         chan struct{} // closed when draining and nothing is left
-	changed      chan struct{} // closed and replaced when the status changes
-	suspects     map[string]int
-	reachable    bool
-	probed       bool          // whether the upstream was ever asked
-	probe        chan struct{} // asks for a sweep at once
+	mu             sync.Mutex
+	queue          sched.Queue
+	memory         *ledger.Memory
+	jobs           map[string]*job // by engine id
+	waiting        map[*sched.Item]*job
+	queued         [hollowgrade.Classes]int
+	running        int
+	pendingPrefill int // tokens given to the engine and not yet worked on
+	longHeld       int
+	speed          speed
+	orphanTokens   int // tokens the engine holds that no lease answers for
+	receiving      int // exchanges whose body is still coming
+	draining       bool
+	idle           chan struct{} // closed when draining and nothing is left
+	changed        chan struct{} // closed and replaced when the status changes
+	suspects       map[string]int
+	reachable      bool
+	probed         bool          // whether the upstream was ever asked
+	probe          chan struct{} // asks for a sweep at once
 }
 
 // KeyKeeper keeps the ledger of idempotency keys, if this agent does.
--- a/agent/control.go
+++ b/agent/control.go
@@ -52,7 +52,7 @@
 		Models:                 a.models,
 		Service:                a.serviceName,
 		Queued:                 int64(a.queue.Len()),
-		InstantQueuedTokens:    int64(a.queued[hollowgrade.Instant] + a.prefill),
+		InstantQueuedTokens:    int64(a.queued[hollowgrade.Instant] + a.pendingPrefill),
 		NormalQueuedTokens:     int64(a.queued[hollowgrade.Normal]),
 		BackgroundQueuedTokens: int64(a.queued[hollowgrade.Background]),
 		Running:                int64(a.running),
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -71,7 +71,7 @@
 
 func (a *Agent) returnGrant(i *sched.Item) {
 	a.running--
-	a.prefill -= i.Cost
+	a.pendingPrefill -= i.Cost
 	a.pump()
 }
 
@@ -91,7 +91,7 @@
 		a.dequeued(i)
 		a.take(j)
 		a.running++
-		a.prefill += i.Cost
+		a.pendingPrefill += i.Cost
 		close(j.grant)
 	}
 }
@@ -106,7 +106,7 @@
 	if a.engine == nil {
 		return true
 	}
-	if a.prefill > 0 && a.prefill+i.Cost > a.limits.PrefillWindow {
+	if a.pendingPrefill > 0 && a.pendingPrefill+i.Cost > a.limits.PrefillWindow {
 		return false
 	}
 	if _, ok := a.memory.Get(j.id); ok || j.submit.Reservation != "" {
@@ -149,7 +149,7 @@
 func (a *Agent) prefilled(tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.prefill -= tokens
+	a.pendingPrefill -= tokens
 	a.pump()
 }
 
--- a/agent/job.go
+++ b/agent/job.go
@@ -191,7 +191,7 @@
 	if r <= 0 {
 		return time.Second
 	}
-	t := a.prefill
+	t := a.pendingPrefill
 	for _, n := range a.queued {
 		t += n
 	}
