--- a/agent/agent.go
+++ b/agent/agent.go
@@ -85,7 +85,7 @@
 	longHeld       int
 	speed          speed
 	orphanTokens   int // tokens the engine holds that no lease answers for
-	receiving      int // exchanges whose body is still coming
+	exchanges      int // exchanges whose body is still coming
 	draining       bool
 	idle           chan struct{} // closed when draining and nothing is left
 	changed        chan struct{} // closed and replaced when the status changes
@@ -252,7 +252,7 @@
 }
 
 func (a *Agent) checkIdle() {
-	if !a.draining || len(a.jobs) > 0 || a.receiving > 0 {
+	if !a.draining || len(a.jobs) > 0 || a.exchanges > 0 {
 		return
 	}
 	select {
--- a/agent/job.go
+++ b/agent/job.go
@@ -108,11 +108,11 @@
 func (a *Agent) receives() (done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.receiving++
+	a.exchanges++
 	return func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.receiving--
+		a.exchanges--
 		a.checkIdle()
 	}
 }
