--- a/agent/job.go
+++ b/agent/job.go
@@ -80,7 +80,7 @@
 // serveSubmit takes a request in, runs it, and sends the final frame.
 func (a *Agent) serveSubmit(ctx context.Context, s *peer.Stream, m *wire.Submit) error {
 	j := newJob(m, s, a.clock.Now())
-	done := a.receives()
+	done := a.trackExchange()
 	defer done()
 	if err := a.receiveBody(j); err != nil {
 		return err
@@ -103,9 +103,9 @@
 	return s.Send(a.final(j, err))
 }
 
-// receives counts an exchange until it has been answered, for a planned stop to
+// trackExchange counts an exchange until it has been answered, for a planned stop to
 // wait for.
-func (a *Agent) receives() (done func()) {
+func (a *Agent) trackExchange() (done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.exchanges++
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -74,7 +74,7 @@
 // as its exchange: when the entry ends that, or dies, all of the group's memory
 // here is freed. The expiry is for entries that fall silent.
 func (a *Agent) serveReserve(ctx context.Context, s *peer.Stream, m *wire.Reserve) error {
-	done := a.receives()
+	done := a.trackExchange()
 	defer done()
 	ttl := time.Duration(m.TtlMicros) * time.Microsecond
 	ctx, stop := clockwork.WithTimeout(ctx, a.clock, ttl)
