--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -19,7 +19,7 @@
 	a.queue.Push(i)
 	a.waiting[i] = j
 	a.queued[i.Class] += i.Cost
-	a.pump()
+	a.grantSteps()
 	a.mu.Unlock()
 	select {
 	case <-j.grant:
@@ -72,7 +72,7 @@
 func (a *Agent) returnGrant(i *sched.Item) {
 	a.running--
 	a.pendingPrefill -= i.Cost
-	a.pump()
+	a.grantSteps()
 }
 
 func (a *Agent) dequeued(i *sched.Item) {
@@ -80,8 +80,8 @@
 	a.queued[i.Class] -= i.Cost
 }
 
-// pump grants as many steps as the upstream has room for. The lock is held.
-func (a *Agent) pump() {
+// grantSteps grants as many steps as the upstream has room for. The lock is held.
+func (a *Agent) grantSteps() {
 	for {
 		i := a.queue.Pop(a.clock.Now(), a.fits)
 		if i == nil {
@@ -150,7 +150,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pendingPrefill -= tokens
-	a.pump()
+	a.grantSteps()
 }
 
 // stepDone tells the dispatcher that a step has left the upstream.
@@ -158,7 +158,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.running--
-	a.pump()
+	a.grantSteps()
 }
 
 // mayStart is the very last check before anything goes to the upstream: the
--- a/agent/job.go
+++ b/agent/job.go
@@ -208,7 +208,7 @@
 	if !j.reserves {
 		a.releaseLease(j.id)
 	}
-	a.pump()
+	a.grantSteps()
 	a.checkIdle()
 }
 
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -65,7 +65,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pump()
+	a.grantSteps()
 }
 
 // serveReserve sets memory aside for a group that spans several engines. The
@@ -189,7 +189,7 @@
 	if a.reachable != (err == nil) {
 		a.reachable = err == nil
 		a.notify()
-		a.pump()
+		a.grantSteps()
 	}
 	return err
 }
