--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// bounce gives back everything that waits. The lock is held.
-func (a *Agent) bounce() {
+// rejectQueued gives back everything that waits. The lock is held.
+func (a *Agent) rejectQueued() {
 	for i, j := range a.waiting {
 		if a.queue.Remove(i) {
 			a.dequeued(i)
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -184,7 +184,7 @@
 	defer a.mu.Unlock()
 	a.probed = true
 	if err != nil {
-		a.bounce()
+		a.rejectQueued()
 	}
 	if a.reachable != (err == nil) {
 		a.reachable = err == nil
