--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -14,7 +14,7 @@
 // not be started.
 func (a *Agent) await(ctx context.Context, j *job) error {
 	a.mu.Lock()
-	j.grant, j.bounced = make(chan struct{}), make(chan struct{})
+	j.grant, j.rejected = make(chan struct{}), make(chan struct{})
 	i := a.item(j)
 	a.queue.Push(i)
 	a.waiting[i] = j
@@ -24,7 +24,7 @@
 	select {
 	case <-j.grant:
 		return a.checkDeadline(ctx, i)
-	case <-j.bounced:
+	case <-j.rejected:
 		return a.upstreamGone()
 	case <-ctx.Done():
 	}
@@ -53,7 +53,7 @@
 	for i, j := range a.waiting {
 		if a.queue.Remove(i) {
 			a.dequeued(i)
-			close(j.bounced)
+			close(j.rejected)
 		}
 	}
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -27,7 +27,7 @@
 	lease    time.Time // the claim on the key holds until then; zero without key
 	stream   *peer.Stream
 	grant    chan struct{}
-	bounced  chan struct{} // closed when the queue is emptied because the upstream is gone
+	rejected chan struct{} // closed when the queue is emptied because the upstream is gone
 	started  atomic.Bool
 	waited   time.Duration
 	reserves bool // only sets memory aside for a group
