--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -89,7 +89,7 @@
 		}
 		j := a.waiting[i]
 		a.dequeued(i)
-		a.take(j)
+		a.leaseMemory(j)
 		a.running++
 		a.pendingPrefill += i.Cost
 		close(j.grant)
@@ -129,8 +129,8 @@
 	return a.limits.LongShare
 }
 
-// take enters the job's memory into the ledger when its first step is granted.
-func (a *Agent) take(j *job) {
+// leaseMemory enters the job's memory into the ledger when its first step is granted.
+func (a *Agent) leaseMemory(j *job) {
 	if a.engine == nil || j.submit.Reservation != "" {
 		return
 	}
