--- a/agent/job.go
+++ b/agent/job.go
@@ -141,7 +141,7 @@
 	if err = a.admit(j); err != nil {
 		return err
 	}
-	defer a.leave(j)
+	defer a.removeJob(j)
 	if a.service != nil {
 		return a.runService(ctx, j)
 	}
@@ -199,8 +199,8 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// leave takes the job out of the agent's account and gives back its memory.
-func (a *Agent) leave(j *job) {
+// removeJob takes the job out of the agent's account and gives back its memory.
+func (a *Agent) removeJob(j *job) {
 	a.releasePieces(j)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -117,7 +117,7 @@
 	if err := a.admit(j); err != nil {
 		return err
 	}
-	defer a.leave(j)
+	defer a.removeJob(j)
 	if err := a.await(ctx, j); err != nil {
 		return fault.New(fault.GroupBusy, "%s had no room for %d tokens in time", a.box.Name, m.Tokens)
 	}
