--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -9,10 +9,10 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// await queues the job's next step and returns once it may be given to the
+// awaitGrant queues the job's next step and returns once it may be given to the
 // upstream. An error means that the step was taken out of the queue and will
 // not be started.
-func (a *Agent) await(ctx context.Context, j *job) error {
+func (a *Agent) awaitGrant(ctx context.Context, j *job) error {
 	a.mu.Lock()
 	j.grant, j.rejected = make(chan struct{}), make(chan struct{})
 	i := a.item(j)
--- a/agent/engine.go
+++ b/agent/engine.go
@@ -18,7 +18,7 @@
 // short request waits for one piece at most.
 func (a *Agent) runEngine(ctx context.Context, j *job) error {
 	for {
-		if err := a.await(ctx, j); err != nil {
+		if err := a.awaitGrant(ctx, j); err != nil {
 			return afterStart(j, err)
 		}
 		last, err := a.step(ctx, j)
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	defer a.removeJob(j)
-	if err := a.await(ctx, j); err != nil {
+	if err := a.awaitGrant(ctx, j); err != nil {
 		return fault.New(fault.GroupBusy, "%s had no room for %d tokens in time", a.box.Name, m.Tokens)
 	}
 	defer a.stepDone()
--- a/agent/service.go
+++ b/agent/service.go
@@ -16,7 +16,7 @@
 
 // runService passes a call on to the plain service and its answer back.
 func (a *Agent) runService(ctx context.Context, j *job) error {
-	if err := a.await(ctx, j); err != nil {
+	if err := a.awaitGrant(ctx, j); err != nil {
 		return err
 	}
 	defer a.stepDone()
