--- a/agent/engine.go
+++ b/agent/engine.go
@@ -83,7 +83,7 @@
 func (a *Agent) prefillPiece(ctx context.Context, j *job, end int) (err error) {
 	id := fmt.Sprintf("%s/%d", j.id, len(j.held))
 	at := a.clock.Now()
-	a.hold(j, id)
+	a.leasePiece(j, id)
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
 		ID:          id,
 		Model:       j.request.Model,
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -18,10 +18,10 @@
 // engineTimeout bounds the short calls to the engine.
 const engineTimeout = 2 * time.Second
 
-// hold notes a piece that the engine keeps for the job. Its memory is part of
+// leasePiece notes a piece that the engine keeps for the job. Its memory is part of
 // the job's lease or of the group's reservation already, so its own lease
 // counts nothing. A piece of a group ends with the reservation.
-func (a *Agent) hold(j *job, id string) {
+func (a *Agent) leasePiece(j *job, id string) {
 	j.held = append(j.held, id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
