--- a/agent/engine.go
+++ b/agent/engine.go
@@ -81,7 +81,7 @@
 
 // prefillPiece prefills the prompt up to end and keeps the piece on the engine.
 func (a *Agent) prefillPiece(ctx context.Context, j *job, end int) (err error) {
-	id := fmt.Sprintf("%s/%d", j.id, len(j.held))
+	id := fmt.Sprintf("%s/%d", j.id, len(j.pieces))
 	at := a.clock.Now()
 	a.leasePiece(j, id)
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
--- a/agent/job.go
+++ b/agent/job.go
@@ -33,7 +33,7 @@
 	reserves bool // only sets memory aside for a group
 	next     int  // bytes of the prompt that earlier pieces have prefilled
 	handles  []string
-	held     []string // ids of the pieces held on the engine
+	pieces   []string // ids of the pieces held on the engine
 	count    int      // tokens sent on
 }
 
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -22,7 +22,7 @@
 // the job's lease or of the group's reservation already, so its own lease
 // counts nothing. A piece of a group ends with the reservation.
 func (a *Agent) leasePiece(j *job, id string) {
-	j.held = append(j.held, id)
+	j.pieces = append(j.pieces, id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.HeldExport}
@@ -39,7 +39,7 @@
 	if j.submit.Reservation != "" {
 		return
 	}
-	for _, id := range j.held {
+	for _, id := range j.pieces {
 		a.free(id)
 	}
 }
