--- a/agent/memory.go
+++ b/agent/memory.go
@@ -40,11 +40,11 @@
 		return
 	}
 	for _, id := range j.pieces {
-		a.free(id)
+		a.releaseHolding(id)
 	}
 }
 
-func (a *Agent) free(id string) {
+func (a *Agent) releaseHolding(id string) {
 	a.mu.Lock()
 	a.releaseLease(id)
 	a.mu.Unlock()
@@ -61,7 +61,7 @@
 	ls := a.memory.OwnedBy(id)
 	a.mu.Unlock()
 	for _, l := range ls {
-		a.free(l.ID)
+		a.releaseHolding(l.ID)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	if err := a.engine.Reserve(ctx, m.Id, int(m.Tokens), ttl); err != nil {
-		a.free(m.Id)
+		a.releaseHolding(m.Id)
 		_ = a.engineError(ctx, err)
 		return fault.New(fault.GroupBusy, "the engine of %s reserved nothing: %v", a.box.Name, err)
 	}
