--- a/agent/memory.go
+++ b/agent/memory.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// freeOwned frees a reservation and the pieces that were made under it.
-func (a *Agent) freeOwned(id string) {
+// releaseReservation frees a reservation and the pieces that were made under it.
+func (a *Agent) releaseReservation(id string) {
 	a.mu.Lock()
 	ls := a.memory.OwnedBy(id)
 	a.mu.Unlock()
@@ -92,7 +92,7 @@
 		f.Outcome, f.Code, f.Message = string(hollowgrade.NotRun), string(e.Code), e.Message
 		return s.Send(&wire.Frame{Body: &wire.Frame_Final{Final: f}})
 	}
-	defer a.freeOwned(m.Id)
+	defer a.releaseReservation(m.Id)
 	if err = s.Send(&wire.Frame{Body: &wire.Frame_Final{Final: f}}); err != nil {
 		return err
 	}
