--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -136,7 +136,7 @@
 	}
 	n := j.request.Tokens()
 	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.HeldSequence, Tokens: n}
-	if j.reserves {
+	if j.reserveOnly {
 		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
 	}
 	if a.memory.Grant(l) && a.long(n) {
--- a/agent/job.go
+++ b/agent/job.go
@@ -19,22 +19,22 @@
 
 // job is one attempt at a request on its way through the agent.
 type job struct {
-	submit   *wire.Submit
-	request  hollowgrade.Request
-	id       string // at the engine
-	body     []byte
-	arrived  time.Time
-	lease    time.Time // the claim on the key holds until then; zero without key
-	stream   *peer.Stream
-	grant    chan struct{}
-	rejected chan struct{} // closed when the queue is emptied because the upstream is gone
-	started  atomic.Bool
-	waited   time.Duration
-	reserves bool // only sets memory aside for a group
-	next     int  // bytes of the prompt that earlier pieces have prefilled
-	handles  []string
-	pieces   []string // ids of the pieces held on the engine
-	count    int      // tokens sent on
+	submit      *wire.Submit
+	request     hollowgrade.Request
+	id          string // at the engine
+	body        []byte
+	arrived     time.Time
+	lease       time.Time // the claim on the key holds until then; zero without key
+	stream      *peer.Stream
+	grant       chan struct{}
+	rejected    chan struct{} // closed when the queue is emptied because the upstream is gone
+	started     atomic.Bool
+	waited      time.Duration
+	reserveOnly bool // only sets memory aside for a group
+	next        int  // bytes of the prompt that earlier pieces have prefilled
+	handles     []string
+	pieces      []string // ids of the pieces held on the engine
+	count       int      // tokens sent on
 }
 
 // The causes for which a job's context ends, beside its deadline.
@@ -205,7 +205,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.jobs, j.id)
-	if !j.reserves {
+	if !j.reserveOnly {
 		a.releaseLease(j.id)
 	}
 	a.grantSteps()
@@ -326,7 +326,7 @@
 // charge is the work that counts against the organisation's share: all of it
 // when the first piece is queued.
 func (a *Agent) charge(j *job) int {
-	if j.reserves {
+	if j.reserveOnly {
 		return j.request.PromptTokens
 	}
 	return len(j.body) / bytesPerToken
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -113,7 +113,7 @@
 		PromptTokens:    m.Tokens,
 		RemainingMicros: m.TtlMicros,
 	}, nil, a.clock.Now())
-	j.id, j.reserves = m.Id, true
+	j.id, j.reserveOnly = m.Id, true
 	if err := a.admit(j); err != nil {
 		return err
 	}
