--- a/agent/engine.go
+++ b/agent/engine.go
@@ -146,7 +146,7 @@
 		}
 		prefilled()
 		at = a.measureToken(j, at)
-		if err = a.pass(j, t); err != nil {
+		if err = a.sendToken(j, t); err != nil {
 			return err
 		}
 	}
@@ -165,9 +165,9 @@
 	return now
 }
 
-// pass sends one token on. An engine that leaves a gap or repeats itself has
+// sendToken sends one token on. An engine that leaves a gap or repeats itself has
 // broken its answer, and no token after that is believed.
-func (a *Agent) pass(j *job, t hollowgrade.Token) error {
+func (a *Agent) sendToken(j *job, t hollowgrade.Token) error {
 	if t.Offset != j.count {
 		return fault.New(fault.AnswerCut, "the engine sent token %d where %d was due", t.Offset, j.count)
 	}
