--- a/agent/service.go
+++ b/agent/service.go
@@ -44,10 +44,10 @@
 		return a.serviceError(ctx, err)
 	}
 	defer res.Body.Close()
-	return a.passResponse(ctx, j, res)
+	return a.forwardResponse(ctx, j, res)
 }
 
-func (a *Agent) passResponse(ctx context.Context, j *job, res *http.Response) error {
+func (a *Agent) forwardResponse(ctx context.Context, j *job, res *http.Response) error {
 	h := &wire.ServiceHead{Status: int32(res.StatusCode)}
 	for n, vs := range res.Header {
 		for _, v := range vs {
