--- a/agent/engine.go
+++ b/agent/engine.go
@@ -62,7 +62,7 @@
 		err = a.prefillPiece(ctx, j, end)
 		return err == nil && j.next == len(j.body), err
 	}
-	return true, a.answer(ctx, j, prefilled)
+	return true, a.streamAnswer(ctx, j, prefilled)
 }
 
 // start tells the entry that the request counts as run from here on.
@@ -118,8 +118,8 @@
 	return hs[len(hs)-1:]
 }
 
-// answer prefills the rest of the prompt and passes the tokens on.
-func (a *Agent) answer(ctx context.Context, j *job, prefilled func()) (err error) {
+// streamAnswer prefills the rest of the prompt and passes the tokens on.
+func (a *Agent) streamAnswer(ctx context.Context, j *job, prefilled func()) (err error) {
 	at := a.clock.Now()
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
 		ID:          j.id,
