--- a/agent/engine.go
+++ b/agent/engine.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return a.engineError(ctx, err)
 	}
-	a.measure(func(v *speed) { v.addPrefill((end-j.next)/bytesPerToken, a.clock.Since(at)) })
+	a.updateSpeed(func(v *speed) { v.addPrefill((end-j.next)/bytesPerToken, a.clock.Since(at)) })
 	j.handles = append(j.handles, h)
 	j.next = end
 	return nil
@@ -155,7 +155,7 @@
 func (a *Agent) measureToken(j *job, at time.Time) time.Time {
 	now := a.clock.Now()
 	first := j.count == len(j.submit.Prefix)
-	a.measure(func(v *speed) {
+	a.updateSpeed(func(v *speed) {
 		if first {
 			v.addPrefill((len(j.body)-j.next)/bytesPerToken, now.Sub(at))
 		} else {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (a *Agent) measure(f func(*speed)) {
+func (a *Agent) updateSpeed(f func(*speed)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f(&a.speed)
