--- a/agent/engine.go
+++ b/agent/engine.go
@@ -19,7 +19,7 @@
 func (a *Agent) runEngine(ctx context.Context, j *job) error {
 	for {
 		if err := a.awaitGrant(ctx, j); err != nil {
-			return afterStart(j, err)
+			return correctOutcome(j, err)
 		}
 		last, err := a.step(ctx, j)
 		if err != nil || last {
@@ -28,9 +28,9 @@
 	}
 }
 
-// afterStart corrects an error that says "not run" of a job of which earlier
+// correctOutcome corrects an error that says "not run" of a job of which earlier
 // pieces have run.
-func afterStart(j *job, err error) error {
+func correctOutcome(j *job, err error) error {
 	var f *fault.Error
 	if errors.As(err, &f) && f.Outcome == hollowgrade.NotRun && j.started.Load() {
 		return f.WithOutcome(hollowgrade.Failed)
--- a/agent/job_test.go
+++ b/agent/job_test.go
@@ -23,11 +23,11 @@
 	j := &job{}
 
 	t.Run("before the first piece it did not run", func(t *testing.T) {
-		requireOutcome(t, hollowgrade.NotRun, afterStart(j, gone))
+		requireOutcome(t, hollowgrade.NotRun, correctOutcome(j, gone))
 	})
 	t.Run("after the first piece it failed", func(t *testing.T) {
 		j.started.Store(true)
-		requireOutcome(t, hollowgrade.Failed, afterStart(j, gone))
+		requireOutcome(t, hollowgrade.Failed, correctOutcome(j, gone))
 	})
 }
 
