--- a/agent/engine.go
+++ b/agent/engine.go
@@ -54,7 +54,7 @@
 	if err = a.mayStart(j); err != nil && !j.started.Load() {
 		return false, err
 	}
-	if err = a.start(j); err != nil {
+	if err = a.sendStarted(j); err != nil {
 		return false, err
 	}
 	end := min(j.next+n*bytesPerToken, len(j.body))
@@ -65,8 +65,8 @@
 	return true, a.streamAnswer(ctx, j, prefilled)
 }
 
-// start tells the entry that the request counts as run from here on.
-func (a *Agent) start(j *job) error {
+// sendStarted tells the entry that the request counts as run from here on.
+func (a *Agent) sendStarted(j *job) error {
 	if j.started.Load() {
 		return nil
 	}
--- a/agent/service.go
+++ b/agent/service.go
@@ -36,7 +36,7 @@
 	if err = a.mayStart(j); err != nil {
 		return err
 	}
-	if err = a.start(j); err != nil {
+	if err = a.sendStarted(j); err != nil {
 		return err
 	}
 	res, err := a.service.Do(r)
