--- a/agent/job.go
+++ b/agent/job.go
@@ -214,7 +214,7 @@
 
 // releaseLease ends a lease and keeps count of what long requests hold.
 func (a *Agent) releaseLease(id string) {
-	if l, ok := a.memory.Release(id); ok && a.long(l.Tokens) {
+	if l, ok := a.memory.Release(id); ok && a.isLong(l.Tokens) {
 		a.longHeld -= l.Tokens
 	}
 }
@@ -303,7 +303,7 @@
 // engine has tokenised a prompt.
 const bytesPerToken = 4
 
-func (a *Agent) long(tokens int) bool {
+func (a *Agent) isLong(tokens int) bool {
 	return tokens > a.limits.LongTokens
 }
 
