--- a/agent/control.go
+++ b/agent/control.go
@@ -20,14 +20,14 @@
 		if err := s.Send(&wire.Frame{Body: &wire.Frame_Status{Status: m}}); err != nil {
 			return err
 		}
-		if !a.pause(ctx, changed) {
+		if !a.awaitReport(ctx, changed) {
 			return nil
 		}
 	}
 }
 
-// pause waits for the next reason to report. It returns false when ctx ends.
-func (a *Agent) pause(ctx context.Context, changed <-chan struct{}) bool {
+// awaitReport waits for the next reason to report. It returns false when ctx ends.
+func (a *Agent) awaitReport(ctx context.Context, changed <-chan struct{}) bool {
 	t := a.clock.NewTimer(a.limits.Heartbeat)
 	defer t.Stop()
 	select {
