--- a/agent/engine.go
+++ b/agent/engine.go
@@ -201,7 +201,7 @@
 	case errors.As(err, &r):
 		return fault.New(fault.UpstreamRefused, "the engine refused: %s", r.Message)
 	default:
-		a.suspectEngine()
+		a.markUnreachable()
 		return err
 	}
 }
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -153,10 +153,10 @@
 	}
 }
 
-// suspectEngine takes an engine that broke off as gone until the next sweep,
+// markUnreachable takes an engine that broke off as gone until the next sweep,
 // which it asks for at once, has found it there. Without this the agent would
 // draw requests to a dead engine until the sweep's turn came.
-func (a *Agent) suspectEngine() {
+func (a *Agent) markUnreachable() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.reachable {
