--- a/agent/control.go
+++ b/agent/control.go
@@ -69,8 +69,8 @@
 	step        time.Duration
 }
 
-// weight is that of a new sample in the moving averages.
-const weight = 0.1
+// sampleWeight is that of a new sample in the moving averages.
+const sampleWeight = 0.1
 
 // minSample is the smallest prefill that says anything of the rate; below it
 // the time of a single step dominates.
@@ -84,12 +84,12 @@
 	if s.prefillRate == 0 {
 		s.prefillRate = r
 	}
-	s.prefillRate += weight * (r - s.prefillRate)
+	s.prefillRate += sampleWeight * (r - s.prefillRate)
 }
 
 func (s *speed) addStep(d time.Duration) {
 	if s.step == 0 {
 		s.step = d
 	}
-	s.step += time.Duration(weight * float64(d-s.step))
+	s.step += time.Duration(sampleWeight * float64(d-s.step))
 }
