--- a/agent/control.go
+++ b/agent/control.go
@@ -72,12 +72,12 @@
 // sampleWeight is that of a new sample in the moving averages.
 const sampleWeight = 0.1
 
-// minSample is the smallest prefill that says anything of the rate; below it
+// minPrefillSampleTokens is the smallest prefill that says anything of the rate; below it
 // the time of a single step dominates.
-const minSample = 512
+const minPrefillSampleTokens = 512
 
 func (s *speed) addPrefill(tokens int, d time.Duration) {
-	if tokens < minSample || d <= 0 {
+	if tokens < minPrefillSampleTokens || d <= 0 {
 		return
 	}
 	r := float64(tokens) / d.Seconds()
