--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -80,7 +80,7 @@
 
 	mu      sync.Mutex
 	config  *config.Config
-	kept    map[int]*keptRange
+	ranges  map[int]*keptRange
 	pending map[int]*pendingRange // handed over to us and not yet ours by the log
 	minted  *ledger.Keys
 	missing map[string]time.Time // since when a keeper is off the list
@@ -112,7 +112,7 @@
 		agents: agents, dial: d, secret: s,
 		done:    make(chan struct{}),
 		config:  &config.Config{},
-		kept:    map[int]*keptRange{},
+		ranges:  map[int]*keptRange{},
 		pending: map[int]*pendingRange{},
 		minted:  ledger.NewKeys(t.Window, maxKeys),
 		missing: map[string]time.Time{},
@@ -153,11 +153,11 @@
 		r, ok := c.KeyRanges[ledger.RangeName(n)]
 		mine := ok && r.Owner == k.box && r.Incarnation == k.incarnation
 		if !mine {
-			delete(k.kept, n)
+			delete(k.ranges, n)
 			continue
 		}
-		if p := k.kept[n]; p == nil || p.epoch != r.Epoch {
-			k.kept[n] = k.begin(n, r)
+		if p := k.ranges[n]; p == nil || p.epoch != r.Epoch {
+			k.ranges[n] = k.begin(n, r)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 		}
 		return k.minted, 0, mintedLease
 	}
-	p := k.kept[id.Range()]
+	p := k.ranges[id.Range()]
 	lease = k.times.Lease - now.Sub(k.follower.Fresh())
 	if p == nil || k.leaving || now.Before(p.from) || lease <= 0 {
 		return nil, 0, 0
@@ -235,7 +235,7 @@
 	now := k.clock.Now()
 	id := ledger.KeyID{Organisation: m.Organisation, Key: m.Key}
 	keys := k.minted
-	if p := k.kept[id.Range()]; p != nil {
+	if p := k.ranges[id.Range()]; p != nil {
 		keys = p.keys
 	}
 	if _, _, _, ok := ledger.ParseMinted(id.Key); ok {
@@ -406,7 +406,7 @@
 	k.leaving = true
 	now := k.clock.Now()
 	m := map[int]pendingRange{}
-	for n, p := range k.kept {
+	for n, p := range k.ranges {
 		if !now.Before(p.from) {
 			m[n] = pendingRange{epoch: p.epoch, records: p.keys.Export(now)}
 		}
