--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -80,14 +80,14 @@
 
 	mu      sync.Mutex
 	config  *config.Config
-	ranges  map[int]*keptRange
+	ranges  map[int]*ownedRange
 	pending map[int]*pendingRange // handed over to us and not yet ours by the log
 	minted  *ledger.Keys
 	missing map[string]time.Time // since when a keeper is off the list
 	leaving bool
 }
 
-type keptRange struct {
+type ownedRange struct {
 	epoch int64
 	from  time.Time // no claim is granted before
 	keys  *ledger.Keys
@@ -112,7 +112,7 @@
 		agents: agents, dial: d, secret: s,
 		done:    make(chan struct{}),
 		config:  &config.Config{},
-		ranges:  map[int]*keptRange{},
+		ranges:  map[int]*ownedRange{},
 		pending: map[int]*pendingRange{},
 		minted:  ledger.NewKeys(t.Window, maxKeys),
 		missing: map[string]time.Time{},
@@ -165,9 +165,9 @@
 // begin opens the ledger of a range that has become ours. The keeper before us
 // may grant until its lease ends, and what it granted is not in our ledger
 // unless it handed it over.
-func (k *Keeper) begin(n int, r config.Range) *keptRange {
+func (k *Keeper) begin(n int, r config.Range) *ownedRange {
 	now := k.clock.Now()
-	p := &keptRange{epoch: r.Epoch, from: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
+	p := &ownedRange{epoch: r.Epoch, from: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
 	h := k.pending[n]
 	delete(k.pending, n)
 	switch {
