--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -88,9 +88,9 @@
 }
 
 type ownedRange struct {
-	epoch int64
-	from  time.Time // no claim is granted before
-	keys  *ledger.Keys
+	epoch      int64
+	grantsFrom time.Time // no claim is granted before
+	keys       *ledger.Keys
 }
 
 // pendingRange is a range on its way from one keeper to the next.
@@ -167,7 +167,7 @@
 // unless it handed it over.
 func (k *Keeper) begin(n int, r config.Range) *ownedRange {
 	now := k.clock.Now()
-	p := &ownedRange{epoch: r.Epoch, from: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
+	p := &ownedRange{epoch: r.Epoch, grantsFrom: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
 	h := k.pending[n]
 	delete(k.pending, n)
 	switch {
@@ -175,8 +175,8 @@
 	case r.Former != 0 && h != nil && h.whole && h.epoch == r.Former:
 		p.keys.Import(h.records, now)
 	default:
-		p.from = now.Add(k.times.Lease)
-		p.keys.SetUnknownUntil(p.from.Add(k.times.Window))
+		p.grantsFrom = now.Add(k.times.Lease)
+		p.keys.SetUnknownUntil(p.grantsFrom.Add(k.times.Window))
 	}
 	return p
 }
@@ -222,7 +222,7 @@
 	}
 	p := k.ranges[id.Range()]
 	lease = k.times.Lease - now.Sub(k.follower.Fresh())
-	if p == nil || k.leaving || now.Before(p.from) || lease <= 0 {
+	if p == nil || k.leaving || now.Before(p.grantsFrom) || lease <= 0 {
 		return nil, 0, 0
 	}
 	return p.keys, p.epoch, lease
@@ -407,7 +407,7 @@
 	now := k.clock.Now()
 	m := map[int]pendingRange{}
 	for n, p := range k.ranges {
-		if !now.Before(p.from) {
+		if !now.Before(p.grantsFrom) {
 			m[n] = pendingRange{epoch: p.epoch, records: p.keys.Export(now)}
 		}
 	}
