--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -95,9 +95,9 @@
 
 // pendingRange is a range on its way from one keeper to the next.
 type pendingRange struct {
-	epoch   int64 // of the keeper that hands over
-	records []ledger.KeyRecord
-	whole   bool
+	epoch    int64 // of the keeper that hands over
+	records  []ledger.KeyRecord
+	complete bool
 }
 
 // NewKeeper returns a keeper. Agents returns the agents' boxes as the platform
@@ -172,7 +172,7 @@
 	delete(k.pending, n)
 	switch {
 	case r.First:
-	case r.Former != 0 && h != nil && h.whole && h.epoch == r.Former:
+	case r.Former != 0 && h != nil && h.complete && h.epoch == r.Former:
 		p.keys.Import(h.records, now)
 	default:
 		p.grantsFrom = now.Add(k.times.Lease)
@@ -467,11 +467,11 @@
 	defer k.mu.Unlock()
 	n := int(h.Range)
 	p := k.pending[n]
-	if p == nil || p.whole || p.epoch != h.Epoch {
+	if p == nil || p.complete || p.epoch != h.Epoch {
 		p = &pendingRange{epoch: h.Epoch}
 		k.pending[n] = p
 	}
 	p.records = append(p.records, rs...)
-	p.whole = h.Last
+	p.complete = h.Last
 	return nil
 }
