--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -215,7 +215,7 @@
 // long the right to grant certainly lasts; nil if that is not here.
 func (k *Keeper) ledgerFor(id ledger.KeyID, now time.Time) (l *ledger.Keys, epoch int64, lease time.Duration) {
 	if b, i, s, ok := ledger.ParseMinted(id.Key); ok {
-		if b != k.box || i != k.incarnation || !k.genuine(s, now) {
+		if b != k.box || i != k.incarnation || !k.verifyMinted(s, now) {
 			return nil, 0, 0
 		}
 		return k.minted, 0, mintedLease
@@ -275,9 +275,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:markBytes])
 }
 
-// genuine reports whether the last part of a minted key is ours, and whether
+// verifyMinted reports whether the last part of a minted key is ours, and whether
 // it may still be used: its record would be forgotten after the window.
-func (k *Keeper) genuine(s string, now time.Time) bool {
+func (k *Keeper) verifyMinted(s string, now time.Time) bool {
 	if len(s) < 2*markBytes+1 {
 		return false
 	}
