--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -264,12 +264,12 @@
 // before it is claimed.
 func (k *Keeper) Mint() string {
 	n := strconv.FormatInt(hollowgrade.WallTime(k.clock).Add(k.times.Window/2).UnixNano(), 36) + "-" + uuid.NewString()
-	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.mark(n))
+	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.sign(n))
 }
 
 const markBytes = 12
 
-func (k *Keeper) mark(s string) string {
+func (k *Keeper) sign(s string) string {
 	h := hmac.New(sha256.New, k.secret)
 	_, _ = h.Write([]byte(s))
 	return hex.EncodeToString(h.Sum(nil)[:markBytes])
@@ -282,7 +282,7 @@
 		return false
 	}
 	n, m := s[:len(s)-2*markBytes-1], s[len(s)-2*markBytes:]
-	if !hmac.Equal([]byte(m), []byte(k.mark(n))) {
+	if !hmac.Equal([]byte(m), []byte(k.sign(n))) {
 		return false
 	}
 	e, _, _ := cutDash(n)
