--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -267,21 +267,21 @@
 	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.sign(n))
 }
 
-const markBytes = 12
+const signatureBytes = 12
 
 func (k *Keeper) sign(s string) string {
 	h := hmac.New(sha256.New, k.secret)
 	_, _ = h.Write([]byte(s))
-	return hex.EncodeToString(h.Sum(nil)[:markBytes])
+	return hex.EncodeToString(h.Sum(nil)[:signatureBytes])
 }
 
 // verifyMinted reports whether the last part of a minted key is ours, and whether
 // it may still be used: its record would be forgotten after the window.
 func (k *Keeper) verifyMinted(s string, now time.Time) bool {
-	if len(s) < 2*markBytes+1 {
+	if len(s) < 2*signatureBytes+1 {
 		return false
 	}
-	n, m := s[:len(s)-2*markBytes-1], s[len(s)-2*markBytes:]
+	n, m := s[:len(s)-2*signatureBytes-1], s[len(s)-2*signatureBytes:]
 	if !hmac.Equal([]byte(m), []byte(k.sign(n))) {
 		return false
 	}
