--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -137,7 +137,7 @@
 func (k *Keeper) loop(ctx context.Context) {
 	defer close(k.done)
 	for hollowgrade.Sleep(ctx, k.clock, k.times.CheckInterval) {
-		k.takeRanges(ctx)
+		k.acquireRanges(ctx)
 	}
 }
 
@@ -298,9 +298,9 @@
 	return s[:i], s[i+1:], true
 }
 
-// takeRanges takes the ranges that have no live keeper and for which this
+// acquireRanges takes the ranges that have no live keeper and for which this
 // agent ranks first.
-func (k *Keeper) takeRanges(ctx context.Context) {
+func (k *Keeper) acquireRanges(ctx context.Context) {
 	live := liveNames(k.agents(ctx))
 	if !slices.Contains(live, k.box) || k.follower.Fresh().IsZero() {
 		return
