--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -341,14 +341,14 @@
 	case stands && slices.Contains(live, cur.Owner):
 		delete(k.missing, cur.Owner)
 		return r, false
-	case stands && !k.goneFor(cur.Owner):
+	case stands && !k.absentForGrace(cur.Owner):
 		return r, false
 	default:
 		return r, sched.HighestRanked("key range "+ledger.RangeName(n), live) == k.box
 	}
 }
 
-func (k *Keeper) goneFor(owner string) bool {
+func (k *Keeper) absentForGrace(owner string) bool {
 	now := k.clock.Now()
 	since, ok := k.missing[owner]
 	if !ok {
