--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -382,7 +382,7 @@
 		return b.Role != hollowgrade.AgentRole || b.State != hollowgrade.BoxLive || b.Name == k.box
 	})
 	names := liveNames(boxes)
-	for n, h := range k.close() {
+	for n, h := range k.stopGranting() {
 		next := sched.HighestRanked("key range "+ledger.RangeName(n), names)
 		i := slices.IndexFunc(boxes, func(b hollowgrade.Box) bool { return b.Name == next })
 		if i < 0 {
@@ -399,8 +399,8 @@
 	return err
 }
 
-// close stops granting and returns the records of each range.
-func (k *Keeper) close() map[int]pendingRange {
+// stopGranting stops granting and returns the records of each range.
+func (k *Keeper) stopGranting() map[int]pendingRange {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leaving = true
