--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -388,7 +388,7 @@
 		if i < 0 {
 			return nil
 		}
-		inc, e := k.send(ctx, boxes[i].Peer, n, h)
+		inc, e := k.sendRange(ctx, boxes[i].Peer, n, h)
 		if e == nil {
 			e = k.publish(ctx, n, config.KeyRange{Owner: next, Incarnation: inc, Former: h.epoch})
 		}
@@ -418,7 +418,7 @@
 // largest size in each still fits.
 const handoverBatch = 16
 
-func (k *Keeper) send(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
+func (k *Keeper) sendRange(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	c, err := peer.Dial(ctx, k.dial, address)
