--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -157,15 +157,15 @@
 			continue
 		}
 		if p := k.ranges[n]; p == nil || p.epoch != r.Epoch {
-			k.ranges[n] = k.begin(n, r)
+			k.ranges[n] = k.openRange(n, r)
 		}
 	}
 }
 
-// begin opens the ledger of a range that has become ours. The keeper before us
+// openRange opens the ledger of a range that has become ours. The keeper before us
 // may grant until its lease ends, and what it granted is not in our ledger
 // unless it handed it over.
-func (k *Keeper) begin(n int, r config.Range) *ownedRange {
+func (k *Keeper) openRange(n int, r config.Range) *ownedRange {
 	now := k.clock.Now()
 	p := &ownedRange{epoch: r.Epoch, grantsFrom: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
 	h := k.pending[n]
