--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -54,9 +54,9 @@
 // answers.
 const maxKeys = 100_000
 
-// maxKeptAnswer bounds the answers that are kept for a key sent again, in
+// maxStoredAnswerBytes bounds the answers that are kept for a key sent again, in
 // bytes. Of a larger one only the outcome is kept.
-const maxKeptAnswer = 16 << 10
+const maxStoredAnswerBytes = 16 << 10
 
 // Keeper keeps the ledger of the key ranges that the log gives to this agent.
 // Ranges are taken by a record in the log, each naming the revision that it
@@ -242,7 +242,7 @@
 		keys = k.minted
 	}
 	var b []byte
-	if m.Answer != nil && proto.Size(m.Answer) <= maxKeptAnswer {
+	if m.Answer != nil && proto.Size(m.Answer) <= maxStoredAnswerBytes {
 		b, _ = proto.Marshal(m.Answer)
 	}
 	keys.Settle(id, m.Id, hollowgrade.Outcome(m.Outcome), b, now)
