--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -76,11 +76,11 @@
 func (p *Preparer) loop(ctx context.Context) {
 	defer close(p.done)
 	for hollowgrade.Sleep(ctx, p.clock, prepareEvery) {
-		p.look(ctx)
+		p.prepareDue(ctx)
 	}
 }
 
-func (p *Preparer) look(ctx context.Context) {
+func (p *Preparer) prepareDue(ctx context.Context) {
 	p.mu.Lock()
 	events := p.config.Events
 	p.mu.Unlock()
