--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -29,9 +29,9 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	config  *config.Config
-	ordered map[string]int64 // revision of each event that the engine was made ready for
+	mu       sync.Mutex
+	config   *config.Config
+	prepared map[string]int64 // revision of each event that the engine was made ready for
 }
 
 // NewPreparer returns a preparer. Agents returns the agents' boxes as the
@@ -41,9 +41,9 @@
 ) *Preparer {
 	return &Preparer{
 		box: box, engine: e, store: w, clock: k, logger: g, agents: agents,
-		done:    make(chan struct{}),
-		config:  &config.Config{},
-		ordered: map[string]int64{},
+		done:     make(chan struct{}),
+		config:   &config.Config{},
+		prepared: map[string]int64{},
 	}
 }
 
@@ -86,7 +86,7 @@
 	p.mu.Unlock()
 	now := p.clock.Now()
 	for n, e := range events {
-		if p.ordered[n] == e.Revision || now.Before(e.Starts.Add(-time.Duration(e.Prepares))) || !now.Before(e.Ends) {
+		if p.prepared[n] == e.Revision || now.Before(e.Starts.Add(-time.Duration(e.Prepares))) || !now.Before(e.Ends) {
 			continue
 		}
 		names := liveNames(p.agents(ctx))
@@ -98,7 +98,7 @@
 			p.logger.Warn("model not loaded yet", "event", n, "model", todo.Model, "err", err)
 			continue
 		}
-		p.ordered[n] = e.Revision
+		p.prepared[n] = e.Revision
 		p.logger.Info("engine is ready for event", "event", n, "model", todo.Model, "fence", e.Revision)
 	}
 }
