--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// prepareEvery is the time between two looks at the events. A fetch that the
+// prepareInterval is the time between two looks at the events. A fetch that the
 // store refused is tried again after it.
-const prepareEvery = time.Second
+const prepareInterval = time.Second
 
 func (p *Preparer) loop(ctx context.Context) {
 	defer close(p.done)
-	for hollowgrade.Sleep(ctx, p.clock, prepareEvery) {
+	for hollowgrade.Sleep(ctx, p.clock, prepareInterval) {
 		p.prepareDue(ctx)
 	}
 }
