--- a/entry/entry.go
+++ b/entry/entry.go
@@ -292,9 +292,9 @@
 	budget   *retry.Budget
 }
 
-// enter admits a request against the limits of the entry and of the
+// admit admits a request against the limits of the entry and of the
 // organisation. Leave must be called once it has ended.
-func (e *Entry) enter(r hollowgrade.Request, o config.Organisation) (leave func(), err error) {
+func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (leave func(), err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining {
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -34,7 +34,7 @@
 		}
 		defer func() { e.settleKey(q, err) }()
 	}
-	leave, err := e.enter(q.request, o)
+	leave, err := e.admit(q.request, o)
 	if err != nil {
 		return err
 	}
