--- a/entry/entry.go
+++ b/entry/entry.go
@@ -314,7 +314,7 @@
 	u.tokens += r.Tokens()
 	u.budget.Deposit()
 	e.opened()
-	return func() { e.leave(u, r) }, nil
+	return func() { e.release(u, r) }, nil
 }
 
 // shortRetry is when to come back after a refusal that passes quickly.
@@ -329,7 +329,7 @@
 	return u
 }
 
-func (e *Entry) leave(u *usage, r hollowgrade.Request) {
+func (e *Entry) release(u *usage, r hollowgrade.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u.requests--
