--- a/entry/entry.go
+++ b/entry/entry.go
@@ -69,18 +69,18 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	mu        sync.Mutex
-	links     map[string]*link   // by peer address
-	order     []*link            // the same, in a fixed order
-	targets   map[string][]*link // connected agents by what they serve; nil if to be made anew
-	placeTurn int
-	prefixes  *sched.Prefixes
-	usage     map[string]*usage // by organisation
-	open      int               // requests and settlements of keys
-	mintTurn  int
-	lingering bool
-	draining  bool
-	idle      chan struct{}
+	mu              sync.Mutex
+	links           map[string]*link   // by peer address
+	order           []*link            // the same, in a fixed order
+	targets         map[string][]*link // connected agents by what they serve; nil if to be made anew
+	candidateOffset int
+	prefixes        *sched.Prefixes
+	usage           map[string]*usage // by organisation
+	open            int               // requests and settlements of keys
+	mintTurn        int
+	lingering       bool
+	draining        bool
+	idle            chan struct{}
 }
 
 // Observation is one request that has ended, for metrics.
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -189,9 +189,9 @@
 		loads = append(loads, &l.load)
 	}
 	n := min(len(all), sample)
-	e.placeTurn += n
+	e.candidateOffset += n
 	for i := range n {
-		if l := all[(e.placeTurn+i)%len(all)]; !tried[l] {
+		if l := all[(e.candidateOffset+i)%len(all)]; !tried[l] {
 			add(l)
 		}
 	}
