--- a/entry/entry.go
+++ b/entry/entry.go
@@ -77,7 +77,7 @@
 	prefixes        *sched.Prefixes
 	usage           map[string]*usage // by organisation
 	open            int               // requests and settlements of keys
-	mintTurn        int
+	mintOffset      int
 	lingering       bool
 	draining        bool
 	idle            chan struct{}
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -230,9 +230,9 @@
 func (e *Entry) minters() (cs []*peer.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.mintTurn++
+	e.mintOffset++
 	for i := range e.order {
-		l := e.order[(i+e.mintTurn)%len(e.order)]
+		l := e.order[(i+e.mintOffset)%len(e.order)]
 		if l.conn != nil && !l.load.Draining {
 			cs = append(cs, l.conn)
 		}
