--- a/entry/serve.go
+++ b/entry/serve.go
@@ -39,12 +39,12 @@
 		return err
 	}
 	defer leave()
-	err = e.tryAll(ctx, q)
+	err = e.runAttempts(ctx, q)
 	return err
 }
 
-// tryAll makes attempts until one ends the request.
-func (e *Entry) tryAll(ctx context.Context, q *query) error {
+// runAttempts makes attempts until one ends the request.
+func (e *Entry) runAttempts(ctx context.Context, q *query) error {
 	a := core.Attempts{Clock: e.clock, Max: e.limits.MaxAttempts, Deadline: q.request.Deadline}
 	return a.Run(ctx, &attempts{entry: e, query: q, tried: map[*link]bool{}})
 }
