--- a/entry/serve.go
+++ b/entry/serve.go
@@ -26,7 +26,7 @@
 	}
 	ctx, stop := clockwork.WithDeadline(ctx, e.clock, q.request.Deadline)
 	defer stop()
-	defer func() { e.ended(q, err) }()
+	defer func() { e.recordEnd(q, err) }()
 	if q.request.Key != "" {
 		var replayed bool
 		if replayed, err = e.claimKey(ctx, q); err != nil || replayed {
@@ -246,8 +246,8 @@
 
 const shortestRetry = 100 * time.Millisecond
 
-// ended logs and counts a request.
-func (e *Entry) ended(q *query, err error) {
+// recordEnd logs and counts a request.
+func (e *Entry) recordEnd(q *query, err error) {
 	o := Observation{
 		Organisation: q.request.Organisation,
 		Kind:         q.request.Kind,
