--- a/entry/group.go
+++ b/entry/group.go
@@ -102,7 +102,7 @@
 	for i, m := range ms {
 		q.group = group{reservation: id, handles: handles, holding: i < len(ms)-1, from: m.from, to: m.to}
 		if err = e.attempt(ctx, m.link, m.conn, q); err != nil {
-			e.judge(m.link, err)
+			e.recordResult(m.link, err)
 			return m.link, groupFault(err, i)
 		}
 		handles = q.group.handles
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -91,12 +91,12 @@
 	}
 	err = e.attempt(ctx, l, c, q)
 	e.settled(l, q.request.ID)
-	e.judge(l, err)
+	e.recordResult(l, err)
 	return l, err
 }
 
-// judge tells the link's breaker how an attempt went.
-func (e *Entry) judge(l *link, err error) {
+// recordResult tells the link's breaker how an attempt went.
+func (e *Entry) recordResult(l *link, err error) {
 	var f *fault.Error
 	switch {
 	case err == nil:
