--- a/entry/serve.go
+++ b/entry/serve.go
@@ -76,7 +76,7 @@
 
 // Spend implements [core.Work].
 func (a *attempts) Spend() bool {
-	return a.entry.spend(a.query, a.last)
+	return a.entry.spendRetry(a.query, a.last)
 }
 
 // attemptOnce places the request and makes one attempt. The link is that of the
@@ -106,8 +106,8 @@
 	}
 }
 
-// spend takes a retry out of the budgets of the organisation and the upstream.
-func (e *Entry) spend(q *query, l *link) bool {
+// spendRetry takes a retry out of the budgets of the organisation and the upstream.
+func (e *Entry) spendRetry(q *query, l *link) bool {
 	e.mu.Lock()
 	u := e.usageOf(q.request.Organisation)
 	e.mu.Unlock()
