--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -52,7 +52,7 @@
 		sent = e.clock.Now()
 		m, err = e.claimOnce(ctx, q, sent)
 		decided := err == nil && ledger.Verdict(m.GetVerdict()) != ledger.NotMine
-		if decided || e.clock.Since(q.arrived) > min(claimPatience, r.Decision.Allowed/2) || !e.sleep(ctx, q, claimGap) {
+		if decided || e.clock.Since(q.arrived) > min(claimPatience, r.Decision.Allowed/2) || !e.sleepWithinDeadline(ctx, q, claimGap) {
 			break
 		}
 	}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -121,9 +121,9 @@
 	return true
 }
 
-// sleep waits before a keeper is asked again. It returns false when that would
+// sleepWithinDeadline waits before a keeper is asked again. It returns false when that would
 // go beyond the deadline.
-func (e *Entry) sleep(ctx context.Context, q *query, d time.Duration) bool {
+func (e *Entry) sleepWithinDeadline(ctx context.Context, q *query, d time.Duration) bool {
 	return q.request.Remaining(e.clock.Now()) > d && hollowgrade.Sleep(ctx, e.clock, d)
 }
 
