--- a/entry/serve.go
+++ b/entry/serve.go
@@ -141,7 +141,7 @@
 	if i < 0 {
 		return nil, nil, fault.New(fault.NoUpstream, "each upstream for %s is leaving or cut off", target(q.request)).WithRetryAfter(shortRetry)
 	}
-	if err := e.foresee(q, loads[i], w); err != nil {
+	if err := e.checkEstimate(q, loads[i], w); err != nil {
 		return nil, nil, err
 	}
 	l := ls[i]
@@ -222,8 +222,8 @@
 	return e.targets[target]
 }
 
-// foresee refuses what cannot end in time by the best that is known.
-func (e *Entry) foresee(q *query, l *sched.Load, w sched.Work) error {
+// checkEstimate refuses what cannot end in time by the best that is known.
+func (e *Entry) checkEstimate(q *query, l *sched.Load, w sched.Work) error {
 	if q.request.Service != "" {
 		return nil
 	}
