--- a/entry/serve.go
+++ b/entry/serve.go
@@ -171,24 +171,24 @@
 	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetry)
 }
 
-// sample bounds the upstreams that one placement looks at. Up to this many, all
+// maxCandidates bounds the upstreams that one placement looks at. Up to this many, all
 // are looked at; beyond, as many in turn, and those that hold the prefix.
-const sample = 32
+const maxCandidates = 32
 
 // candidates returns agents that serve the request, with their loads.
 func (e *Entry) candidates(q *query, tried map[*link]bool) (ls []*link, loads []*sched.Load) {
 	now := e.clock.Now()
 	all := e.serving(target(q.request))
 	holders := e.prefixes.Holders(q.prefixes)
-	ls = make([]*link, 0, sample+len(holders))
-	loads = make([]*sched.Load, 0, sample+len(holders))
+	ls = make([]*link, 0, maxCandidates+len(holders))
+	loads = make([]*sched.Load, 0, maxCandidates+len(holders))
 	add := func(l *link) {
 		l.load.Suspect = l.breaker.Open(now)
 		l.load.CachedTokens = 0
 		ls = append(ls, l)
 		loads = append(loads, &l.load)
 	}
-	n := min(len(all), sample)
+	n := min(len(all), maxCandidates)
 	e.candidateOffset += n
 	for i := range n {
 		if l := all[(e.candidateOffset+i)%len(all)]; !tried[l] {
