--- a/entry/entry.go
+++ b/entry/entry.go
@@ -298,17 +298,17 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining {
-		return nil, fault.New(fault.Draining, "entry %s is being stopped", e.box.Name).WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.Draining, "entry %s is being stopped", e.box.Name).WithRetryAfter(shortRetryAfter)
 	}
 	if e.open >= e.limits.MaxRequests {
-		return nil, fault.New(fault.Overloaded, "entry %s has %d requests open", e.box.Name, e.open).WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.Overloaded, "entry %s has %d requests open", e.box.Name, e.open).WithRetryAfter(shortRetryAfter)
 	}
 	u := e.usageOf(o.Name)
 	if o.MaxRequests > 0 && u.requests >= o.MaxRequests {
-		return nil, fault.New(fault.OrganisationLimit, "%s has %d requests in flight here, which is its limit", o.Name, u.requests).WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.OrganisationLimit, "%s has %d requests in flight here, which is its limit", o.Name, u.requests).WithRetryAfter(shortRetryAfter)
 	}
 	if o.MaxTokens > 0 && u.tokens > 0 && u.tokens+r.Tokens() > o.MaxTokens {
-		return nil, fault.New(fault.OrganisationLimit, "%s has %d tokens in flight here, its limit is %d", o.Name, u.tokens, o.MaxTokens).WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.OrganisationLimit, "%s has %d tokens in flight here, its limit is %d", o.Name, u.tokens, o.MaxTokens).WithRetryAfter(shortRetryAfter)
 	}
 	u.requests++
 	u.tokens += r.Tokens()
@@ -317,8 +317,8 @@
 	return func() { e.release(u, r) }, nil
 }
 
-// shortRetry is when to come back after a refusal that passes quickly.
-const shortRetry = time.Second
+// shortRetryAfter is when to come back after a refusal that passes quickly.
+const shortRetryAfter = time.Second
 
 func (e *Entry) usageOf(organisation string) *usage {
 	u, ok := e.usage[organisation]
--- a/entry/group.go
+++ b/entry/group.go
@@ -202,17 +202,17 @@
 			Class:        int32(q.request.Decision.Class),
 		}}})
 		if err != nil {
-			return ss, fault.New(fault.GroupBusy, "agent %s went away", m.link.box.Name).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "agent %s went away", m.link.box.Name).WithRetryAfter(shortRetryAfter)
 		}
 		ss = append(ss, s)
 		stop := context.AfterFunc(ctx, s.Abort)
 		f, err := s.Receive()
 		stop()
 		if ctx.Err() != nil {
-			return ss, fault.New(fault.GroupBusy, "the group of %d engines did not come free in time", len(ms)).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "the group of %d engines did not come free in time", len(ms)).WithRetryAfter(shortRetryAfter)
 		}
 		if err != nil || f.GetFinal().GetOutcome() != string(hollowgrade.Finished) {
-			return ss, fault.New(fault.GroupBusy, "agent %s reserved nothing: %s", m.link.box.Name, f.GetFinal().GetMessage()).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "agent %s reserved nothing: %s", m.link.box.Name, f.GetFinal().GetMessage()).WithRetryAfter(shortRetryAfter)
 		}
 	}
 	return ss, nil
--- a/entry/http.go
+++ b/entry/http.go
@@ -108,7 +108,7 @@
 // says of itself in other headers counts for nothing.
 func (e *Entry) authenticate(r *http.Request, c *caller) error {
 	if c.config.Revision == 0 {
-		return fault.New(fault.NoConfiguration, "entry %s has no configuration yet", e.box.Name).WithRetryAfter(shortRetry)
+		return fault.New(fault.NoConfiguration, "entry %s has no configuration yet", e.box.Name).WithRetryAfter(shortRetryAfter)
 	}
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
@@ -183,7 +183,7 @@
 func (e *Entry) decide(r *http.Request, c caller, q hollowgrade.Request) (hollowgrade.Request, error) {
 	p := c.config.PolicyFor(c.organisation)
 	if p == nil {
-		return q, fault.New(fault.NoConfiguration, "no policy is published").WithRetryAfter(shortRetry)
+		return q, fault.New(fault.NoConfiguration, "no policy is published").WithRetryAfter(shortRetryAfter)
 	}
 	q.ID, q.Organisation = c.id, c.organisation.Name
 	q.Kind, q.Event, q.Key = r.Header.Get(KindHeader), r.Header.Get(EventHeader), r.Header.Get(KeyHeader)
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -71,13 +71,13 @@
 	case ledger.Settled:
 		return e.replay(q, m)
 	case ledger.Running:
-		return false, fault.New(fault.KeyRunning, "a request with this key is running").WithRetryAfter(shortRetry)
+		return false, fault.New(fault.KeyRunning, "a request with this key is running").WithRetryAfter(shortRetryAfter)
 	case ledger.Reused:
 		return false, fault.New(fault.KeyReused, "the key was used before with another body")
 	case ledger.NotKnown:
 		return false, fault.New(fault.KeyUnknown, "the record of this key was lost with its keeper").WithRetryAfter(time.Minute)
 	default:
-		return false, fault.New(fault.KeyOwnerAway, "the keeper of this key does not decide now").WithRetryAfter(shortRetry)
+		return false, fault.New(fault.KeyOwnerAway, "the keeper of this key does not decide now").WithRetryAfter(shortRetryAfter)
 	}
 }
 
@@ -175,13 +175,13 @@
 func (e *Entry) askKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
 	c := e.keeper(r)
 	if c == nil {
-		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key is not connected").WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key is not connected").WithRetryAfter(shortRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	a, err := e.ask(ctx, c, f)
 	if err != nil {
-		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key does not answer").WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key does not answer").WithRetryAfter(shortRetryAfter)
 	}
 	return a, nil
 }
@@ -222,7 +222,7 @@
 			return json.NewEncoder(w).Encode(MintReply{Key: a.GetClaimReply().GetKey()})
 		}
 	}
-	return fault.New(fault.NoUpstream, "no agent could make a key").WithRetryAfter(shortRetry)
+	return fault.New(fault.NoUpstream, "no agent could make a key").WithRetryAfter(shortRetryAfter)
 }
 
 // minters returns the agents to ask for a key, beginning with another one each
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -139,7 +139,7 @@
 	w := work(q.request)
 	i := e.placement.Pick(w, loads)
 	if i < 0 {
-		return nil, nil, fault.New(fault.NoUpstream, "each upstream for %s is leaving or cut off", target(q.request)).WithRetryAfter(shortRetry)
+		return nil, nil, fault.New(fault.NoUpstream, "each upstream for %s is leaving or cut off", target(q.request)).WithRetryAfter(shortRetryAfter)
 	}
 	if err := e.checkEstimate(q, loads[i], w); err != nil {
 		return nil, nil, err
@@ -166,9 +166,9 @@
 
 func noUpstream(r hollowgrade.Request, tried int) error {
 	if tried > 0 {
-		return fault.New(fault.Overloaded, "each of the %d upstreams for %s refused", tried, target(r)).WithRetryAfter(shortRetry)
+		return fault.New(fault.Overloaded, "each of the %d upstreams for %s refused", tried, target(r)).WithRetryAfter(shortRetryAfter)
 	}
-	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetry)
+	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetryAfter)
 }
 
 // maxCandidates bounds the upstreams that one placement looks at. Up to this many, all
