--- a/entry/serve.go
+++ b/entry/serve.go
@@ -239,12 +239,12 @@
 	f := fault.New(fault.CannotMakeIt, "the answer would take %s at the best upstream, allowed are %s",
 		p.Total.Round(time.Millisecond), left.Round(time.Millisecond))
 	if p.Wait > 0 && p.Total-p.Wait <= left {
-		f = f.WithRetryAfter(max(p.Total-left, shortestRetry))
+		f = f.WithRetryAfter(max(p.Total-left, minRetryAfter))
 	}
 	return f
 }
 
-const shortestRetry = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
 // recordEnd logs and counts a request.
 func (e *Entry) recordEnd(q *query, err error) {
