--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -117,10 +117,10 @@
 		case *wire.Frame_Started:
 			started = true
 		case *wire.Frame_Tokens:
-			e.settled(l, q.request.ID)
+			e.removeSent(l, q.request.ID)
 			err = e.passTokens(q, b.Tokens)
 		case *wire.Frame_ServiceHead:
-			e.settled(l, q.request.ID)
+			e.removeSent(l, q.request.ID)
 			err = e.passHead(q, b.ServiceHead)
 		case *wire.Frame_Chunk:
 			err = q.passed(q.sink.Data(b.Chunk.Data))
--- a/entry/link.go
+++ b/entry/link.go
@@ -207,8 +207,8 @@
 	l.count()
 }
 
-// settled takes own work out of the load again.
-func (e *Entry) settled(l *link, id string) {
+// removeSent takes own work out of the load again.
+func (e *Entry) removeSent(l *link, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := l.sent[id]; ok {
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -44,7 +44,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				e.settled(l, "r")
+				e.removeSent(l, "r")
 			}
 		})
 	}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	err = e.attempt(ctx, l, c, q)
-	e.settled(l, q.request.ID)
+	e.removeSent(l, q.request.ID)
 	e.recordResult(l, err)
 	return l, err
 }
