--- a/entry/link.go
+++ b/entry/link.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// note adds own work to the link's load, until a report covers it.
-func (l *link) note(id string, tokens int, now time.Time) {
+// addSent adds own work to the link's load, until a report covers it.
+func (l *link) addSent(id string, tokens int, now time.Time) {
 	l.sent[id] = sentWork{tokens: tokens, at: now}
 	l.count()
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -147,7 +147,7 @@
 	l := ls[i]
 	now := e.clock.Now()
 	l.breaker.Allow(now)
-	l.note(q.request.ID, max(w.PromptTokens-l.load.CachedTokens, 1), now)
+	l.addSent(q.request.ID, max(w.PromptTokens-l.load.CachedTokens, 1), now)
 	l.budget.Deposit()
 	e.prefixes.Add(q.prefixes, l.box.Peer)
 	return l, l.conn, nil
