--- a/entry/link.go
+++ b/entry/link.go
@@ -179,7 +179,7 @@
 	l.load.PrefillRate = m.PrefillRate
 	l.load.Step = time.Duration(m.StepMicros) * time.Microsecond
 	l.load.Draining = m.Draining
-	l.count()
+	l.sumSent()
 }
 
 const minRoundTrip = 5 * time.Millisecond
@@ -190,11 +190,11 @@
 	e.targets = nil
 	l.conn, l.status = nil, nil
 	clear(l.sent)
-	l.count()
+	l.sumSent()
 }
 
-// count sums up the work that no report covers.
-func (l *link) count() {
+// sumSent sums up the work that no report covers.
+func (l *link) sumSent() {
 	l.load.SentTokens, l.load.SentItems = 0, len(l.sent)
 	for _, w := range l.sent {
 		l.load.SentTokens += w.tokens
@@ -204,7 +204,7 @@
 // addSent adds own work to the link's load, until a report covers it.
 func (l *link) addSent(id string, tokens int, now time.Time) {
 	l.sent[id] = sentWork{tokens: tokens, at: now}
-	l.count()
+	l.sumSent()
 }
 
 // removeSent takes own work out of the load again.
@@ -213,7 +213,7 @@
 	defer e.mu.Unlock()
 	if _, ok := l.sent[id]; ok {
 		delete(l.sent, id)
-		l.count()
+		l.sumSent()
 	}
 }
 
