--- a/entry/link.go
+++ b/entry/link.go
@@ -146,12 +146,12 @@
 			return stood
 		}
 		quiet.Reset(silence)
-		e.reported(l, c, f.GetStatus())
+		e.updateStatus(l, c, f.GetStatus())
 		stood = true
 	}
 }
 
-func (e *Entry) reported(l *link, c *peer.Conn, m *wire.Status) {
+func (e *Entry) updateStatus(l *link, c *peer.Conn, m *wire.Status) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.status != nil && l.status.Incarnation != m.Incarnation {
