--- a/entry/link.go
+++ b/entry/link.go
@@ -130,7 +130,7 @@
 		return false
 	}
 	defer s.Abort()
-	defer e.lost(l)
+	defer e.disconnected(l)
 	return e.readStatus(ctx, l, c, s)
 }
 
@@ -184,7 +184,7 @@
 
 const minRoundTrip = 5 * time.Millisecond
 
-func (e *Entry) lost(l *link) {
+func (e *Entry) disconnected(l *link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.targets = nil
