--- a/entry/link.go
+++ b/entry/link.go
@@ -107,16 +107,16 @@
 	b.InitialInterval = 50 * time.Millisecond
 	b.MaxInterval = maxDialWait
 	for ctx.Err() == nil {
-		if e.useLink(ctx, l) {
+		if e.runConnection(ctx, l) {
 			b.Reset()
 		}
 		hollowgrade.Sleep(ctx, e.clock, b.NextBackOff())
 	}
 }
 
-// useLink holds one connection until it ends, and reports whether it ever
+// runConnection holds one connection until it ends, and reports whether it ever
 // stood.
-func (e *Entry) useLink(ctx context.Context, l *link) (stood bool) {
+func (e *Entry) runConnection(ctx context.Context, l *link) (stood bool) {
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := peer.Dial(d, e.dial, l.box.Peer)
