--- a/entry/link.go
+++ b/entry/link.go
@@ -90,7 +90,7 @@
 	e.targets = nil
 	e.order = append(e.order, l)
 	slices.SortFunc(e.order, func(a, b *link) int { return strings.Compare(a.box.Peer, b.box.Peer) })
-	e.group.Go(func() { e.keepLink(ctx, l) })
+	e.group.Go(func() { e.maintainLink(ctx, l) })
 }
 
 func newBreaker() *retry.Breaker {
@@ -101,8 +101,8 @@
 	return retry.NewBudget(l.RetryRatio, l.RetrySaved)
 }
 
-// keepLink connects again and again until ctx ends.
-func (e *Entry) keepLink(ctx context.Context, l *link) {
+// maintainLink connects again and again until ctx ends.
+func (e *Entry) maintainLink(ctx context.Context, l *link) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
 	b.MaxInterval = maxDialWait
