--- a/entry/link.go
+++ b/entry/link.go
@@ -116,7 +116,7 @@
 
 // runConnection holds one connection until it ends, and reports whether it ever
 // stood.
-func (e *Entry) runConnection(ctx context.Context, l *link) (stood bool) {
+func (e *Entry) runConnection(ctx context.Context, l *link) (connected bool) {
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := peer.Dial(d, e.dial, l.box.Peer)
