--- a/entry/link.go
+++ b/entry/link.go
@@ -135,7 +135,7 @@
 }
 
 // readStatus takes in reports until the connection ends or falls silent.
-func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (stood bool) {
+func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (connected bool) {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
 	quiet := e.clock.AfterFunc(silence, func() { _ = c.Close() })
@@ -143,11 +143,11 @@
 	for {
 		f, err := s.Receive()
 		if err != nil || f.GetStatus() == nil {
-			return stood
+			return connected
 		}
 		quiet.Reset(silence)
 		e.updateStatus(l, c, f.GetStatus())
-		stood = true
+		connected = true
 	}
 }
 
