--- a/entry/link.go
+++ b/entry/link.go
@@ -19,7 +19,7 @@
 	listEvery        = time.Second     // between two looks at the list of boxes
 	dialTimeout      = 2 * time.Second // for a connection to an agent
 	maxDialWait      = 5 * time.Second // between two tries
-	silence          = 3 * time.Second // after this without a heartbeat the agent is given up
+	statusTimeout    = 3 * time.Second // after this without a heartbeat the agent is given up
 	breakerThreshold = 3
 	breakerCooldown  = 2 * time.Second
 	hallDistance     = 1500 * time.Microsecond // assumed one way between two data halls
@@ -138,14 +138,14 @@
 func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (connected bool) {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
-	quiet := e.clock.AfterFunc(silence, func() { _ = c.Close() })
+	quiet := e.clock.AfterFunc(statusTimeout, func() { _ = c.Close() })
 	defer quiet.Stop()
 	for {
 		f, err := s.Receive()
 		if err != nil || f.GetStatus() == nil {
 			return connected
 		}
-		quiet.Reset(silence)
+		quiet.Reset(statusTimeout)
 		e.updateStatus(l, c, f.GetStatus())
 		connected = true
 	}
