--- a/entry/link.go
+++ b/entry/link.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	listEvery        = time.Second     // between two looks at the list of boxes
+	listInterval     = time.Second     // between two looks at the list of boxes
 	dialTimeout      = 2 * time.Second // for a connection to an agent
 	maxDialWait      = 5 * time.Second // between two tries
 	statusTimeout    = 3 * time.Second // after this without a heartbeat the agent is given up
@@ -49,7 +49,7 @@
 func (e *Entry) linkLoop() {
 	for e.ctx.Err() == nil {
 		e.syncLinks(e.agents(e.ctx))
-		hollowgrade.Sleep(e.ctx, e.clock, listEvery)
+		hollowgrade.Sleep(e.ctx, e.clock, listInterval)
 	}
 	e.syncLinks(nil)
 }
