--- a/entry/link.go
+++ b/entry/link.go
@@ -18,7 +18,7 @@
 const (
 	listInterval     = time.Second     // between two looks at the list of boxes
 	dialTimeout      = 2 * time.Second // for a connection to an agent
-	maxDialWait      = 5 * time.Second // between two tries
+	maxDialBackoff   = 5 * time.Second // between two tries
 	statusTimeout    = 3 * time.Second // after this without a heartbeat the agent is given up
 	breakerThreshold = 3
 	breakerCooldown  = 2 * time.Second
@@ -105,7 +105,7 @@
 func (e *Entry) maintainLink(ctx context.Context, l *link) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
-	b.MaxInterval = maxDialWait
+	b.MaxInterval = maxDialBackoff
 	for ctx.Err() == nil {
 		if e.runConnection(ctx, l) {
 			b.Reset()
