--- a/entry/link.go
+++ b/entry/link.go
@@ -22,7 +22,7 @@
 	statusTimeout    = 3 * time.Second // after this without a heartbeat the agent is given up
 	breakerThreshold = 3
 	breakerCooldown  = 2 * time.Second
-	hallDistance     = 1500 * time.Microsecond // assumed one way between two data halls
+	hallLatency      = 1500 * time.Microsecond // assumed one way between two data halls
 )
 
 // link is the connection to one agent, with what it last said of itself. The
@@ -84,7 +84,7 @@
 		budget:  newBudget(e.limits),
 	}
 	if b.Hall != e.box.Hall {
-		l.load.OneWayLatency = hallDistance
+		l.load.OneWayLatency = hallLatency
 	}
 	e.links[b.Peer] = l
 	e.targets = nil
