--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -45,8 +45,8 @@
 	return min(max(left/50, least), most)
 }
 
-// errCaller marks an error in passing the answer on to the caller.
-var errCaller = errors.New("caller is gone")
+// errCallerGone marks an error in passing the answer on to the caller.
+var errCallerGone = errors.New("caller is gone")
 
 // attempt sends the request to one agent and passes its answer on. The error
 // is a [fault.Error] whose outcome says what became of this attempt.
@@ -136,7 +136,7 @@
 }
 
 func passError(err error) error {
-	if errors.Is(err, errCaller) {
+	if errors.Is(err, errCallerGone) {
 		return fault.New(fault.CallerGone, "%v", err)
 	}
 	return fault.As(err, hollowgrade.Failed)
@@ -179,7 +179,7 @@
 	if err == nil || q.request.Key != "" {
 		return nil
 	}
-	return errors.Join(errCaller, err)
+	return errors.Join(errCallerGone, err)
 }
 
 // finalError checks the final frame. A count that differs from what was
