--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -123,7 +123,7 @@
 			e.removeSent(l, q.request.ID)
 			err = e.passHead(q, b.ServiceHead)
 		case *wire.Frame_Chunk:
-			err = q.passed(q.sink.Data(b.Chunk.Data))
+			err = q.callerError(q.sink.Data(b.Chunk.Data))
 		case *wire.Frame_Final:
 			return finalError(q, b.Final)
 		default:
@@ -159,7 +159,7 @@
 		if len(q.tokens) == 0 {
 			q.first = e.clock.Since(q.arrived)
 		}
-		if err := q.passed(q.sink.Token(o, t)); err != nil {
+		if err := q.callerError(q.sink.Token(o, t)); err != nil {
 			return err
 		}
 		q.tokens = append(q.tokens, t)
@@ -170,12 +170,12 @@
 func (e *Entry) passHead(q *query, h *wire.ServiceHead) error {
 	q.began = true
 	q.first = e.clock.Since(q.arrived)
-	return q.passed(q.sink.Head(h))
+	return q.callerError(q.sink.Head(h))
 }
 
-// passed judges an error in passing the answer on. What runs under a key does
+// callerError judges an error in passing the answer on. What runs under a key does
 // not end because its caller is gone.
-func (q *query) passed(err error) error {
+func (q *query) callerError(err error) error {
 	if err == nil || q.request.Key != "" {
 		return nil
 	}
