--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -130,12 +130,12 @@
 			err = fault.New(fault.AnswerCut, "agent %s sent a frame that is not due", l.box.Name)
 		}
 		if err != nil {
-			return passError(err)
+			return attemptError(err)
 		}
 	}
 }
 
-func passError(err error) error {
+func attemptError(err error) error {
 	if errors.Is(err, errCallerGone) {
 		return fault.New(fault.CallerGone, "%v", err)
 	}
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -119,7 +119,7 @@
 	if a.Head != nil {
 		h := &wire.ServiceHead{Status: a.Head.Status, Headers: append(a.Head.Headers, &wire.Header{Name: ReplayHeader, Value: "true"})}
 		if err := q.sink.Head(h); err != nil {
-			return false, passError(err)
+			return false, attemptError(err)
 		}
 		return true, q.sink.Data(a.Body)
 	}
