--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -118,7 +118,7 @@
 			started = true
 		case *wire.Frame_Tokens:
 			e.removeSent(l, q.request.ID)
-			err = e.passTokens(q, b.Tokens)
+			err = e.forwardTokens(q, b.Tokens)
 		case *wire.Frame_ServiceHead:
 			e.removeSent(l, q.request.ID)
 			err = e.passHead(q, b.ServiceHead)
@@ -142,9 +142,9 @@
 	return fault.As(err, hollowgrade.Failed)
 }
 
-// passTokens takes exactly the next token of the present attempt. What an
+// forwardTokens takes exactly the next token of the present attempt. What an
 // earlier attempt sent late is dropped, and a gap ends the attempt.
-func (e *Entry) passTokens(q *query, m *wire.Tokens) error {
+func (e *Entry) forwardTokens(q *query, m *wire.Tokens) error {
 	if int(m.Attempt) != q.request.Attempt {
 		return nil
 	}
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -38,28 +38,28 @@
 	begin := func() (*query, *kept) {
 		k := &kept{}
 		q := &query{sink: k, request: hollowgrade.Request{Attempt: 2}}
-		require.NoError(t, e.passTokens(q, tokens(2, 0, "a", "b")))
+		require.NoError(t, e.forwardTokens(q, tokens(2, 0, "a", "b")))
 		return q, k
 	}
 	t.Run("the next tokens are passed on", func(t *testing.T) {
 		q, k := begin()
-		require.NoError(t, e.passTokens(q, tokens(2, 2, "c")))
+		require.NoError(t, e.forwardTokens(q, tokens(2, 2, "c")))
 		require.Equal(t, "abc", k.text)
 	})
 	t.Run("a frame that comes twice counts once", func(t *testing.T) {
 		q, k := begin()
-		require.NoError(t, e.passTokens(q, tokens(2, 0, "a", "b")))
-		require.NoError(t, e.passTokens(q, tokens(2, 1, "b", "c")))
+		require.NoError(t, e.forwardTokens(q, tokens(2, 0, "a", "b")))
+		require.NoError(t, e.forwardTokens(q, tokens(2, 1, "b", "c")))
 		require.Equal(t, "abc", k.text)
 	})
 	t.Run("a late frame of an earlier attempt is dropped", func(t *testing.T) {
 		q, k := begin()
-		require.NoError(t, e.passTokens(q, tokens(1, 2, "x")))
+		require.NoError(t, e.forwardTokens(q, tokens(1, 2, "x")))
 		require.Equal(t, "ab", k.text)
 	})
 	t.Run("a gap ends the attempt", func(t *testing.T) {
 		q, k := begin()
-		requireCut(t, e.passTokens(q, tokens(2, 3, "d")))
+		requireCut(t, e.forwardTokens(q, tokens(2, 3, "d")))
 		require.Equal(t, "ab", k.text)
 	})
 	t.Run("a final frame with another count is a failure", func(t *testing.T) {
