--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -121,7 +121,7 @@
 			err = e.forwardTokens(q, b.Tokens)
 		case *wire.Frame_ServiceHead:
 			e.removeSent(l, q.request.ID)
-			err = e.passHead(q, b.ServiceHead)
+			err = e.forwardHead(q, b.ServiceHead)
 		case *wire.Frame_Chunk:
 			err = q.callerError(q.sink.Data(b.Chunk.Data))
 		case *wire.Frame_Final:
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func (e *Entry) passHead(q *query, h *wire.ServiceHead) error {
+func (e *Entry) forwardHead(q *query, h *wire.ServiceHead) error {
 	q.began = true
 	q.first = e.clock.Since(q.arrived)
 	return q.callerError(q.sink.Head(h))
