--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -60,7 +60,7 @@
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
 	if sent, err := e.sendBody(s, q); err != nil {
-		return e.broken(ctx, l, q, sent, false)
+		return e.connectionError(ctx, l, q, sent, false)
 	}
 	return e.receive(ctx, l, s, q)
 }
@@ -111,7 +111,7 @@
 	for {
 		f, err := s.Receive()
 		if err != nil {
-			return e.broken(ctx, l, q, true, started)
+			return e.connectionError(ctx, l, q, true, started)
 		}
 		switch b := f.Body.(type) {
 		case *wire.Frame_Started:
@@ -201,10 +201,10 @@
 	return f.WithRetryAfter(time.Duration(m.RetryAfterMicros) * time.Microsecond)
 }
 
-// broken says what an exchange that ended without a final frame means. An
+// connectionError says what an exchange that ended without a final frame means. An
 // agent cancels what was started for an entry that is gone, unless it runs
 // under a key; a plain service may have done its work all the same.
-func (e *Entry) broken(ctx context.Context, l *link, q *query, sent, started bool) error {
+func (e *Entry) connectionError(ctx context.Context, l *link, q *query, sent, started bool) error {
 	o := hollowgrade.Unknown
 	switch {
 	case !sent:
