--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -190,7 +190,7 @@
 		if q.request.Service == "" && !q.group.holding && int(m.Count) != len(q.tokens) {
 			return fault.New(fault.AnswerCut, "the answer has %d tokens, %d were received", m.Count, len(q.tokens))
 		}
-		q.group.hold(m.Handle)
+		q.group.addHandle(m.Handle)
 		return nil
 	}
 	c := fault.Code(m.Code)
--- a/entry/group.go
+++ b/entry/group.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (g *group) hold(handle string) {
+func (g *group) addHandle(handle string) {
 	if g.holding && handle != "" {
 		g.handles = append(g.handles, handle)
 	}
