--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -187,7 +187,7 @@
 func finalError(q *query, m *wire.Final) error {
 	o := hollowgrade.Outcome(m.Outcome)
 	if o == hollowgrade.Finished {
-		if q.request.Service == "" && !q.group.holding && int(m.Count) != len(q.tokens) {
+		if q.request.Service == "" && !q.group.holdOnly && int(m.Count) != len(q.tokens) {
 			return fault.New(fault.AnswerCut, "the answer has %d tokens, %d were received", m.Count, len(q.tokens))
 		}
 		q.group.addHandle(m.Handle)
--- a/entry/group.go
+++ b/entry/group.go
@@ -24,7 +24,7 @@
 type group struct {
 	reservation string
 	handles     []string
-	holding     bool // the member only prefills its part
+	holdOnly    bool // the member only prefills its part
 	from, to    int  // bytes of the prompt; to is 0 if there is no group
 }
 
@@ -42,16 +42,16 @@
 	}
 	m.Reservation = g.reservation
 	m.Handles = g.handles
-	m.HoldOnly = g.holding
+	m.HoldOnly = g.holdOnly
 	m.PromptTokens = int64((g.to - g.from) / bytesPerToken)
-	if g.holding {
+	if g.holdOnly {
 		m.MaxTokens = 0
 		m.Prefix = nil
 	}
 }
 
 func (g *group) addHandle(handle string) {
-	if g.holding && handle != "" {
+	if g.holdOnly && handle != "" {
 		g.handles = append(g.handles, handle)
 	}
 }
@@ -100,7 +100,7 @@
 	defer func() { q.group = group{} }()
 	var handles []string
 	for i, m := range ms {
-		q.group = group{reservation: id, handles: handles, holding: i < len(ms)-1, from: m.from, to: m.to}
+		q.group = group{reservation: id, handles: handles, holdOnly: i < len(ms)-1, from: m.from, to: m.to}
 		if err = e.attempt(ctx, m.link, m.conn, q); err != nil {
 			e.recordResult(m.link, err)
 			return m.link, groupFault(err, i)
