--- a/entry/group.go
+++ b/entry/group.go
@@ -147,7 +147,7 @@
 		return nil, fault.New(fault.PromptTooLong, "%d tokens do not fit into the %d that %d engines hold", q.request.Tokens(), room, len(ms))
 	}
 	slices.SortFunc(ms, func(a, b member) int { return strings.Compare(a.link.box.Peer, b.link.box.Peer) })
-	cut(ms, len(q.body), q.request.MaxTokens)
+	splitPrompt(ms, len(q.body), q.request.MaxTokens)
 	return ms, nil
 }
 
@@ -158,9 +158,9 @@
 	return 0
 }
 
-// cut shares the prompt out in parts of whole blocks in proportion to the
+// splitPrompt shares the prompt out in parts of whole blocks in proportion to the
 // members' memory. The last member takes the answer too.
-func cut(ms []member, bytes, answer int) {
+func splitPrompt(ms []member, bytes, answer int) {
 	total := 0
 	for _, m := range ms {
 		total += wholeBlocks(m.link.load.TotalTokens)
