--- a/entry/group.go
+++ b/entry/group.go
@@ -171,7 +171,7 @@
 		m := &ms[i]
 		// Rounded up, so that what is left for the last member is never more
 		// than its share.
-		share := wholeBlocks(tokens*wholeBlocks(m.link.load.TotalTokens)/total + cutBlock - 1)
+		share := wholeBlocks(tokens*wholeBlocks(m.link.load.TotalTokens)/total + splitBlockTokens - 1)
 		m.from, m.to = from, min(from+share*bytesPerToken, bytes)
 		m.tokens = (m.to - m.from) / bytesPerToken
 		if i == len(ms)-1 {
@@ -182,11 +182,11 @@
 	}
 }
 
-// cutBlock is the unit, in tokens, at which a prompt is cut.
-const cutBlock = 1024
+// splitBlockTokens is the unit, in tokens, at which a prompt is cut.
+const splitBlockTokens = 1024
 
 func wholeBlocks(tokens int) int {
-	return tokens / cutBlock * cutBlock
+	return tokens / splitBlockTokens * splitBlockTokens
 }
 
 // reserveGroup reserves at each member in turn. Each reservation stands until
