--- a/entry/group.go
+++ b/entry/group.go
@@ -127,7 +127,7 @@
 	ls = slices.DeleteFunc(ls, func(l *link) bool { return l.load.Draining })
 	slices.SortStableFunc(ls, func(a, b *link) int {
 		if a.load.Suspect != b.load.Suspect {
-			return cmp.Compare(suspicion(a), suspicion(b))
+			return cmp.Compare(suspectRank(a), suspectRank(b))
 		}
 		return cmp.Compare(b.load.TotalTokens-b.load.HeldTokens, a.load.TotalTokens-a.load.HeldTokens)
 	})
@@ -151,7 +151,7 @@
 	return ms, nil
 }
 
-func suspicion(l *link) int {
+func suspectRank(l *link) int {
 	if l.load.Suspect {
 		return 1
 	}
