--- a/entry/group.go
+++ b/entry/group.go
@@ -65,9 +65,9 @@
 	to     int
 }
 
-// defaultGroup is how many engines a prompt may span when the published model
+// defaultGroupSize is how many engines a prompt may span when the published model
 // does not say.
-const defaultGroup = 4
+const defaultGroupSize = 4
 
 // needsGroup reports whether the request is too large for each single engine.
 func (e *Entry) needsGroup(r hollowgrade.Request) bool {
@@ -131,7 +131,7 @@
 		}
 		return cmp.Compare(b.load.TotalTokens-b.load.HeldTokens, a.load.TotalTokens-a.load.HeldTokens)
 	})
-	most := defaultGroup
+	most := defaultGroupSize
 	if m := e.config.Load().Models[q.request.Model]; m.MaxGroup > 0 {
 		most = m.MaxGroup
 	}
