--- a/entry/group.go
+++ b/entry/group.go
@@ -218,8 +218,8 @@
 	return ss, nil
 }
 
-// ask sends one frame and returns the answer.
-func (e *Entry) ask(ctx context.Context, c *peer.Conn, f *wire.Frame) (*wire.Frame, error) {
+// roundTrip sends one frame and returns the answer.
+func (e *Entry) roundTrip(ctx context.Context, c *peer.Conn, f *wire.Frame) (*wire.Frame, error) {
 	s, err := c.Open(f)
 	if err != nil {
 		return nil, err
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -179,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	a, err := e.ask(ctx, c, f)
+	a, err := e.roundTrip(ctx, c, f)
 	if err != nil {
 		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key does not answer").WithRetryAfter(shortRetryAfter)
 	}
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), claimTimeout)
 	defer cancel()
 	for _, c := range e.minters() {
-		a, err := e.ask(ctx, c, &wire.Frame{Body: &wire.Frame_Mint{Mint: &wire.Mint{}}})
+		a, err := e.roundTrip(ctx, c, &wire.Frame{Body: &wire.Frame_Mint{Mint: &wire.Mint{}}})
 		if err == nil && a.GetClaimReply().GetKey() != "" {
 			w.Header().Set("Content-Type", "application/json")
 			return json.NewEncoder(w).Encode(MintReply{Key: a.GetClaimReply().GetKey()})
