--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -83,7 +83,7 @@
 
 func (e *Entry) claimOnce(ctx context.Context, q *query, now time.Time) (*wire.ClaimReply, error) {
 	r := q.request
-	a, err := e.askKeeper(ctx, r, &wire.Frame{Body: &wire.Frame_Claim{Claim: &wire.Claim{
+	a, err := e.callKeeper(ctx, r, &wire.Frame{Body: &wire.Frame_Claim{Claim: &wire.Claim{
 		Key:          r.Key,
 		Organisation: r.Organisation,
 		Digest:       q.digest(),
@@ -162,7 +162,7 @@
 // meanwhile; the next keeper has the record by then.
 func (e *Entry) settle(r hollowgrade.Request, m *wire.Settle) {
 	for range settleTries {
-		_, err := e.askKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
+		_, err := e.callKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
 		if err == nil || e.ctx.Err() != nil {
 			return
 		}
@@ -171,8 +171,8 @@
 	e.log.Warn("key not settled", "request", r.ID)
 }
 
-// askKeeper sends a frame to the keeper of the request's key.
-func (e *Entry) askKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
+// callKeeper sends a frame to the keeper of the request's key.
+func (e *Entry) callKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
 	c := e.keeper(r)
 	if c == nil {
 		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key is not connected").WithRetryAfter(shortRetryAfter)
