--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -31,12 +31,12 @@
 }
 
 const (
-	claimTimeout = time.Second
-	maxClaimTime = 5 * time.Second // while the range changes hands
-	claimGap     = 100 * time.Millisecond
-	holdMargin   = 10 * time.Second // beyond the allowed time, for the end to be told
-	settleTries  = 20
-	settleGap    = 500 * time.Millisecond
+	claimTimeout    = time.Second
+	maxClaimTime    = 5 * time.Second // while the range changes hands
+	claimRetryDelay = 100 * time.Millisecond
+	holdMargin      = 10 * time.Second // beyond the allowed time, for the end to be told
+	settleTries     = 20
+	settleGap       = 500 * time.Millisecond
 )
 
 // claimKey asks the keeper of the key for the right to run. Replayed says that
@@ -52,7 +52,7 @@
 		sent = e.clock.Now()
 		m, err = e.claimOnce(ctx, q, sent)
 		decided := err == nil && ledger.Verdict(m.GetVerdict()) != ledger.NotMine
-		if decided || e.clock.Since(q.arrived) > min(maxClaimTime, r.Decision.Allowed/2) || !e.sleepWithinDeadline(ctx, q, claimGap) {
+		if decided || e.clock.Since(q.arrived) > min(maxClaimTime, r.Decision.Allowed/2) || !e.sleepWithinDeadline(ctx, q, claimRetryDelay) {
 			break
 		}
 	}
