--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -35,7 +35,7 @@
 	maxClaimTime    = 5 * time.Second // while the range changes hands
 	claimRetryDelay = 100 * time.Millisecond
 	holdMargin      = 10 * time.Second // beyond the allowed time, for the end to be told
-	settleTries     = 20
+	settleAttempts  = 20
 	settleGap       = 500 * time.Millisecond
 )
 
@@ -161,7 +161,7 @@
 // settle tries until the keeper has answered. The range may be changing hands
 // meanwhile; the next keeper has the record by then.
 func (e *Entry) settle(r hollowgrade.Request, m *wire.Settle) {
-	for range settleTries {
+	for range settleAttempts {
 		_, err := e.callKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
 		if err == nil || e.ctx.Err() != nil {
 			return
