--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -31,12 +31,12 @@
 }
 
 const (
-	claimTimeout    = time.Second
-	maxClaimTime    = 5 * time.Second // while the range changes hands
-	claimRetryDelay = 100 * time.Millisecond
-	holdMargin      = 10 * time.Second // beyond the allowed time, for the end to be told
-	settleAttempts  = 20
-	settleGap       = 500 * time.Millisecond
+	claimTimeout     = time.Second
+	maxClaimTime     = 5 * time.Second // while the range changes hands
+	claimRetryDelay  = 100 * time.Millisecond
+	holdMargin       = 10 * time.Second // beyond the allowed time, for the end to be told
+	settleAttempts   = 20
+	settleRetryDelay = 500 * time.Millisecond
 )
 
 // claimKey asks the keeper of the key for the right to run. Replayed says that
@@ -166,7 +166,7 @@
 		if err == nil || e.ctx.Err() != nil {
 			return
 		}
-		hollowgrade.Sleep(e.ctx, e.clock, settleGap)
+		hollowgrade.Sleep(e.ctx, e.clock, settleRetryDelay)
 	}
 	e.log.Warn("key not settled", "request", r.ID)
 }
