--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -243,9 +243,9 @@
 // recorder keeps a copy of a plain service's answer while it is passed on.
 type recorder struct {
 	sink
-	head *wire.ServiceHead
-	body []byte
-	over bool
+	head     *wire.ServiceHead
+	body     []byte
+	overflow bool
 }
 
 // maxRecorded bounds the answers that are sent to the keeper, in bytes.
@@ -262,13 +262,13 @@
 	if len(r.body)+len(b) <= maxRecorded {
 		r.body = append(r.body, b...)
 	} else {
-		r.over = true
+		r.overflow = true
 	}
 	return r.sink.Data(b)
 }
 
 func (r *recorder) answer() *wire.StoredAnswer {
-	if r.over || r.head == nil {
+	if r.overflow || r.head == nil {
 		return nil
 	}
 	return &wire.StoredAnswer{Head: r.head, Body: r.body}
