--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -248,8 +248,8 @@
 	overflow bool
 }
 
-// maxRecorded bounds the answers that are sent to the keeper, in bytes.
-const maxRecorded = 16 << 10
+// maxRecordedBytes bounds the answers that are sent to the keeper, in bytes.
+const maxRecordedBytes = 16 << 10
 
 // Head implements [sink].
 func (r *recorder) Head(h *wire.ServiceHead) error {
@@ -259,7 +259,7 @@
 
 // Data implements [sink].
 func (r *recorder) Data(b []byte) error {
-	if len(r.body)+len(b) <= maxRecorded {
+	if len(r.body)+len(b) <= maxRecordedBytes {
 		r.body = append(r.body, b...)
 	} else {
 		r.overflow = true
