--- a/entry/completions.go
+++ b/entry/completions.go
@@ -112,7 +112,7 @@
 	q := &query{body: []byte(b.Prompt), arrived: e.clock.Now()}
 	q.prefixes = sched.PrefixHashes(q.body)
 	var err error
-	q.request, err = e.decide(r, c, hollowgrade.Request{
+	q.request, err = e.applyPolicy(r, c, hollowgrade.Request{
 		Model:        b.Model,
 		PromptTokens: (len(b.Prompt) + bytesPerToken - 1) / bytesPerToken,
 		MaxTokens:    n,
--- a/entry/http.go
+++ b/entry/http.go
@@ -178,9 +178,9 @@
 	}
 }
 
-// decide applies the organisation's policy and what the caller asks for by
+// applyPolicy applies the organisation's policy and what the caller asks for by
 // headers.
-func (e *Entry) decide(r *http.Request, c caller, q hollowgrade.Request) (hollowgrade.Request, error) {
+func (e *Entry) applyPolicy(r *http.Request, c caller, q hollowgrade.Request) (hollowgrade.Request, error) {
 	p := c.config.PolicyFor(c.organisation)
 	if p == nil {
 		return q, fault.New(fault.NoConfiguration, "no policy is published").WithRetryAfter(shortRetryAfter)
--- a/entry/services.go
+++ b/entry/services.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	q := &query{body: b, arrived: e.clock.Now(), head: head(r, n, c)}
-	q.request, err = e.decide(r, c, hollowgrade.Request{Service: n})
+	q.request, err = e.applyPolicy(r, c, hollowgrade.Request{Service: n})
 	if err != nil {
 		return err
 	}
