--- a/entry/http.go
+++ b/entry/http.go
@@ -205,7 +205,7 @@
 	if err != nil {
 		return q, fmt.Errorf("decide: %w", err)
 	}
-	if d.Allowed, err = allowed(r, d.Allowed); err != nil {
+	if d.Allowed, err = allowedTime(r, d.Allowed); err != nil {
 		return q, err
 	}
 	if !d.Repeatable && q.Key == "" {
@@ -247,9 +247,9 @@
 	return len(s) <= limit
 }
 
-// allowed returns the allowed time: what the caller asks for, but never more
+// allowedTime returns the allowedTime time: what the caller asks for, but never more
 // than the policy gives.
-func allowed(r *http.Request, most time.Duration) (time.Duration, error) {
+func allowedTime(r *http.Request, most time.Duration) (time.Duration, error) {
 	h := r.Header.Get(AllowedHeader)
 	if h == "" {
 		return most, nil
