--- a/entry/completions.go
+++ b/entry/completions.go
@@ -18,7 +18,7 @@
 
 const (
 	defaultMaxTokens = 256
-	mostMaxTokens    = 65_536
+	maxTokensLimit   = 65_536
 )
 
 // completionCall is the body of a call to [CompletionsPath].
@@ -106,8 +106,8 @@
 	if b.MaxTokens != nil {
 		n = *b.MaxTokens
 	}
-	if n < 1 || n > mostMaxTokens {
-		return fault.New(fault.MalformedBody, "max_tokens is %d, it must be from 1 to %d", n, mostMaxTokens)
+	if n < 1 || n > maxTokensLimit {
+		return fault.New(fault.MalformedBody, "max_tokens is %d, it must be from 1 to %d", n, maxTokensLimit)
 	}
 	q := &query{body: []byte(b.Prompt), arrived: e.clock.Now()}
 	q.prefixes = sched.PrefixHashes(q.body)
