--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -13,7 +13,7 @@
 
 // kept is a sink that keeps what a caller would receive.
 type kept struct {
-	passage
+	serviceAnswer
 	text string
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer callers.BoundWrites(w, q.request.Deadline)()
-	s := &passage{w: w}
+	s := &serviceAnswer{w: w}
 	q.sink = s
 	err = e.serve(r.Context(), q, c.organisation)
 	if err != nil && s.began {
@@ -74,19 +74,19 @@
 	return h
 }
 
-// passage is the sink of a plain service's answer.
-type passage struct {
+// serviceAnswer is the sink of a plain service's answer.
+type serviceAnswer struct {
 	w     http.ResponseWriter
 	began bool
 }
 
 // Token implements [sink].
-func (p *passage) Token(int, string) error {
+func (p *serviceAnswer) Token(int, string) error {
 	return nil
 }
 
 // Head implements [sink].
-func (p *passage) Head(h *wire.ServiceHead) error {
+func (p *serviceAnswer) Head(h *wire.ServiceHead) error {
 	from := http.Header{}
 	for _, v := range h.Headers {
 		from.Add(v.Name, v.Value)
@@ -102,7 +102,7 @@
 }
 
 // Data implements [sink].
-func (p *passage) Data(b []byte) error {
+func (p *serviceAnswer) Data(b []byte) error {
 	if _, err := p.w.Write(b); err != nil {
 		return err
 	}
