--- a/entry/services.go
+++ b/entry/services.go
@@ -13,9 +13,9 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// ownHeaders are for the entry and not for the service behind it. A bearer key
+// droppedHeaders are for the entry and not for the service behind it. A bearer key
 // must never leave it.
-var ownHeaders = []string{"Authorization", "Content-Length", "Host"}
+var droppedHeaders = []string{"Authorization", "Content-Length", "Host"}
 
 // organisationHeader tells a service whose call it is.
 const organisationHeader = "Hollowgrade-Organisation"
@@ -61,7 +61,7 @@
 	}
 	h := &wire.ServiceHead{Method: r.Method, Path: p}
 	for n, vs := range hollowgrade.EndToEnd(r.Header) {
-		if slices.Contains(ownHeaders, n) || slices.Contains(setHeaders, n) {
+		if slices.Contains(droppedHeaders, n) || slices.Contains(setHeaders, n) {
 			continue
 		}
 		for _, v := range vs {
