--- a/entry/services.go
+++ b/entry/services.go
@@ -20,8 +20,8 @@
 // organisationHeader tells a service whose call it is.
 const organisationHeader = "Hollowgrade-Organisation"
 
-// setHeaders are set by the entry alone, whatever a caller or a service says.
-var setHeaders = []string{RequestHeader, organisationHeader}
+// reservedHeaders are set by the entry alone, whatever a caller or a service says.
+var reservedHeaders = []string{RequestHeader, organisationHeader}
 
 // callService serves a call to a plain service.
 func (e *Entry) callService(w http.ResponseWriter, r *http.Request, c caller) error {
@@ -61,7 +61,7 @@
 	}
 	h := &wire.ServiceHead{Method: r.Method, Path: p}
 	for n, vs := range hollowgrade.EndToEnd(r.Header) {
-		if slices.Contains(droppedHeaders, n) || slices.Contains(setHeaders, n) {
+		if slices.Contains(droppedHeaders, n) || slices.Contains(reservedHeaders, n) {
 			continue
 		}
 		for _, v := range vs {
@@ -92,7 +92,7 @@
 		from.Add(v.Name, v.Value)
 	}
 	for n, vs := range hollowgrade.EndToEnd(from) {
-		if !slices.Contains(setHeaders, n) {
+		if !slices.Contains(reservedHeaders, n) {
 			p.w.Header()[n] = vs
 		}
 	}
