--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -11,14 +11,14 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// kept is a sink that keeps what a caller would receive.
-type kept struct {
+// recordingSink is a sink that keeps what a caller would receive.
+type recordingSink struct {
 	serviceAnswer
 	text string
 }
 
 // Token implements [sink].
-func (k *kept) Token(_ int, text string) error {
+func (k *recordingSink) Token(_ int, text string) error {
 	k.text += text
 	return nil
 }
@@ -35,8 +35,8 @@
 
 func TestPassTokens(t *testing.T) {
 	e := withLinks(0)
-	begin := func() (*query, *kept) {
-		k := &kept{}
+	begin := func() (*query, *recordingSink) {
+		k := &recordingSink{}
 		q := &query{sink: k, request: hollowgrade.Request{Attempt: 2}}
 		require.NoError(t, e.forwardTokens(q, tokens(2, 0, "a", "b")))
 		return q, k
