--- a/entry/links_test.go
+++ b/entry/links_test.go
@@ -20,14 +20,14 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// counted counts the bytes that come in on a connection.
-type counted struct {
+// countingConn counts the bytes that come in on a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements [net.Conn].
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -84,7 +84,7 @@
 			var bytes atomic.Int64
 			dial := func(ctx context.Context, address string) (net.Conn, error) {
 				c, err := peer.TCP()(ctx, address)
-				return counted{c, &bytes}, err
+				return countingConn{c, &bytes}, err
 			}
 			e := New(hollowgrade.Box{Name: "e", Hall: "h"}, "i", nil, func(context.Context) []hollowgrade.Box { return bs },
 				WithLogger(g), WithDialer(dial))
