--- a/entry/links_test.go
+++ b/entry/links_test.go
@@ -70,7 +70,7 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-const watched = 5 * time.Second
+const measureTime = 5 * time.Second
 
 // BenchmarkLinks measures what it costs to be connected to n agents: the bytes
 // that their reports take, and processor time and memory of both ends of the
@@ -98,7 +98,7 @@
 			}
 			for range b.N {
 				at, spent, had := time.Now(), cpu(b), bytes.Load()
-				time.Sleep(watched)
+				time.Sleep(measureTime)
 				seconds := time.Since(at).Seconds()
 				b.ReportMetric(float64(bytes.Load()-had)/seconds, "B/s")
 				b.ReportMetric(100*(cpu(b)-spent).Seconds()/seconds, "%core")
