--- a/entry/links_test.go
+++ b/entry/links_test.go
@@ -93,7 +93,7 @@
 				e.cancel()
 				e.group.Wait()
 			}()
-			for e.linked() < n {
+			for e.connectedAgents() < n {
 				runtime.Gosched()
 			}
 			for range b.N {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (e *Entry) linked() (n int) {
+func (e *Entry) connectedAgents() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range e.order {
