--- a/agent/service.go
+++ b/agent/service.go
@@ -25,7 +25,7 @@
 	if h == nil {
 		return fault.New(fault.MalformedBody, "the call has no head")
 	}
-	check := upstream.WithLastCheck(ctx, func() error { return a.mayStart(j) })
+	check := upstream.WithPreSendCheck(ctx, func() error { return a.mayStart(j) })
 	r, err := http.NewRequestWithContext(check, h.Method, h.Path, bytes.NewReader(j.body))
 	if err != nil {
 		return fault.New(fault.MalformedBody, "the call cannot be made: %v", err)
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -24,10 +24,10 @@
 
 type checkKey struct{}
 
-// WithLastCheck returns a context whose check is made once more after a
+// WithPreSendCheck returns a context whose check is made once more after a
 // connection has been opened for a call, which can take long. An error from it
 // keeps the call from being sent.
-func WithLastCheck(ctx context.Context, check func() error) context.Context {
+func WithPreSendCheck(ctx context.Context, check func() error) context.Context {
 	return context.WithValue(ctx, checkKey{}, check)
 }
 
