--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -130,7 +130,7 @@
 	}
 	b := bufio.NewScanner(res.Body)
 	b.Buffer(nil, maxEventBytes)
-	return &events{body: res.Body, lines: b, cancel: cancel}, nil
+	return &eventStream{body: res.Body, lines: b, cancel: cancel}, nil
 }
 
 // Cancel implements [hollowgrade.Engine].
@@ -229,7 +229,7 @@
 	return &RefusedError{Status: res.StatusCode, Message: string(bytes.TrimSpace(b))}
 }
 
-type events struct {
+type eventStream struct {
 	body   io.ReadCloser
 	lines  *bufio.Scanner
 	cancel context.CancelFunc
@@ -237,7 +237,7 @@
 
 // Next implements [hollowgrade.TokenStream]. An answer without its closing
 // event is cut, whatever the transport says.
-func (e *events) Next() (t hollowgrade.Token, err error) {
+func (e *eventStream) Next() (t hollowgrade.Token, err error) {
 	for e.lines.Scan() {
 		d, ok := bytes.CutPrefix(e.lines.Bytes(), []byte("data: "))
 		if !ok {
@@ -262,7 +262,7 @@
 }
 
 // Close implements [hollowgrade.TokenStream].
-func (e *events) Close() error {
+func (e *eventStream) Close() error {
 	e.cancel()
 	return e.body.Close()
 }
