--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -82,7 +82,7 @@
 const (
 	maxEventBytes = 1 << 20
 	maxReplyBytes = 16 << 20
-	idleConns     = 512
+	maxIdleConns  = 512
 )
 
 // Transport returns an HTTP transport that keeps enough idle connections to
@@ -90,8 +90,8 @@
 func Transport(d DialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:         d,
-		MaxIdleConns:        idleConns,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}
 }
