--- a/callers/server.go
+++ b/callers/server.go
@@ -90,9 +90,9 @@
 	return func(s *Server) { s.linger = d }
 }
 
-// WithOpening sets what is waited for before the first connection is accepted.
+// WithAcceptGate sets what is waited for before the first connection is accepted.
 // Connections that come earlier wait in the listener's queue.
-func WithOpening(f func(context.Context)) Option {
+func WithAcceptGate(f func(context.Context)) Option {
 	return func(s *Server) { s.opening = f }
 }
 
--- a/callers/server_test.go
+++ b/callers/server_test.go
@@ -225,7 +225,7 @@
 
 func TestConnectionsWaitUntilTheServerOpens(t *testing.T) {
 	open := make(chan struct{})
-	_, address := start(t, func(http.ResponseWriter, *http.Request) {}, WithOpening(func(ctx context.Context) {
+	_, address := start(t, func(http.ResponseWriter, *http.Request) {}, WithAcceptGate(func(ctx context.Context) {
 		select {
 		case <-open:
 		case <-ctx.Done():
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -165,7 +165,7 @@
 	}
 	front := platform.NewFront(n.Core, n.limits, n.clock, g)
 	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), front,
-		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithOpening(n.awaitOpen))
+		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithAcceptGate(n.awaitOpen))
 	l, err = listen(c.Readiness)
 	if err != nil {
 		return err
