--- a/callers/server.go
+++ b/callers/server.go
@@ -40,14 +40,14 @@
 
 // Server serves callers. It implements [kernel.Service].
 type Server struct {
-	listener net.Listener
-	server   *http.Server
-	handler  http.Handler
-	limits   func() Limits
-	clock    hollowgrade.Clock
-	log      *log.Logger
-	linger   time.Duration
-	opening  func(context.Context)
+	listener   net.Listener
+	server     *http.Server
+	handler    http.Handler
+	limits     func() Limits
+	clock      hollowgrade.Clock
+	log        *log.Logger
+	linger     time.Duration
+	acceptGate func(context.Context)
 
 	mu       sync.Mutex
 	conns    map[net.Conn]*conn
@@ -93,7 +93,7 @@
 // WithAcceptGate sets what is waited for before the first connection is accepted.
 // Connections that come earlier wait in the listener's queue.
 func WithAcceptGate(f func(context.Context)) Option {
-	return func(s *Server) { s.opening = f }
+	return func(s *Server) { s.acceptGate = f }
 }
 
 type connKey struct{}
@@ -101,13 +101,13 @@
 // New returns a server for the listener.
 func New(l net.Listener, h http.Handler, os ...Option) *Server {
 	s := &Server{
-		listener: l,
-		handler:  h,
-		limits:   func() Limits { return Limits{} },
-		clock:    hollowgrade.SystemClock(),
-		log:      log.Default(),
-		opening:  func(context.Context) {},
-		conns:    map[net.Conn]*conn{},
+		listener:   l,
+		handler:    h,
+		limits:     func() Limits { return Limits{} },
+		clock:      hollowgrade.SystemClock(),
+		log:        log.Default(),
+		acceptGate: func(context.Context) {},
+		conns:      map[net.Conn]*conn{},
 	}
 	for _, o := range os {
 		o(s)
@@ -131,7 +131,7 @@
 	s.cancel = cancel
 	s.group.Go(func() { s.sweepLoop(ctx) })
 	s.group.Go(func() {
-		s.opening(ctx)
+		s.acceptGate(ctx)
 		if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			s.log.Error("callers' listener failed", "err", err)
 		}
