--- a/callers/server.go
+++ b/callers/server.go
@@ -49,14 +49,14 @@
 	linger     time.Duration
 	acceptGate func(context.Context)
 
-	mu          sync.Mutex
-	conns       map[net.Conn]*conn
-	active      int // requests in the handler
-	stopping    bool
-	group       sync.WaitGroup
-	cancel      context.CancelFunc
-	baseContext context.Context // of which those of all requests are made
-	giveUp      context.CancelCauseFunc
+	mu             sync.Mutex
+	conns          map[net.Conn]*conn
+	active         int // requests in the handler
+	stopping       bool
+	group          sync.WaitGroup
+	cancel         context.CancelFunc
+	baseContext    context.Context // of which those of all requests are made
+	cancelRequests context.CancelCauseFunc
 }
 
 // conn is what is known of a connection.
@@ -112,7 +112,7 @@
 	for _, o := range os {
 		o(s)
 	}
-	s.baseContext, s.giveUp = context.WithCancelCause(context.Background())
+	s.baseContext, s.cancelRequests = context.WithCancelCause(context.Background())
 	s.server = &http.Server{
 		BaseContext:       func(net.Listener) context.Context { return s.baseContext },
 		Handler:           http.HandlerFunc(s.handle),
@@ -196,7 +196,7 @@
 	for s.closeUnused(); s.answering(); s.closeUnused() {
 		if bounded && time.Until(end) < lastAnswers && s.baseContext.Err() == nil {
 			s.log.Warn("calls given up", "requests", s.Active(), "why", "the time of the stop is over")
-			s.giveUp(hollowgrade.ErrStopping)
+			s.cancelRequests(hollowgrade.ErrStopping)
 		}
 		if !hollowgrade.Sleep(ctx, s.clock, look) {
 			s.log.Warn("stopped with requests open", "requests", s.Active())
