--- a/callers/server.go
+++ b/callers/server.go
@@ -116,7 +116,7 @@
 	s.server = &http.Server{
 		BaseContext:       func(net.Listener) context.Context { return s.baseContext },
 		Handler:           http.HandlerFunc(s.handle),
-		ConnState:         s.note,
+		ConnState:         s.trackConn,
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		MaxHeaderBytes:    maxHeaderBytes,
 		ReadHeaderTimeout: 0, // the sweep bounds it by the limits in force
@@ -238,8 +238,8 @@
 	s.active--
 }
 
-// note follows the state of a connection.
-func (s *Server) note(c net.Conn, st http.ConnState) {
+// trackConn follows the state of a connection.
+func (s *Server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st == http.StateClosed || st == http.StateHijacked {
