--- a/callers/server.go
+++ b/callers/server.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// answering reports whether a request is open, or the end of its answer is still being written: that goes
+// busy reports whether a request is open, or the end of its answer is still being written: that goes
 // on once the handler has returned, and its connection is no longer active when it is done.
-func (s *Server) answering() bool {
+func (s *Server) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.conns {
@@ -193,7 +193,7 @@
 func (s *Server) drain(ctx context.Context) error {
 	const look = 20 * time.Millisecond
 	end, bounded := ctx.Deadline()
-	for s.closeUnused(); s.answering(); s.closeUnused() {
+	for s.closeUnused(); s.busy(); s.closeUnused() {
 		if bounded && time.Until(end) < lastAnswers && s.baseContext.Err() == nil {
 			s.log.Warn("calls given up", "requests", s.Active(), "why", "the time of the stop is over")
 			s.cancelRequests(hollowgrade.ErrStopping)
