--- a/callers/server.go
+++ b/callers/server.go
@@ -191,14 +191,14 @@
 // drain waits until no request is open, and lets no new one in. Those that are open shortly before ctx ends are given up, with
 // [hollowgrade.ErrStopping] as the cause.
 func (s *Server) drain(ctx context.Context) error {
-	const look = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	end, bounded := ctx.Deadline()
 	for s.closeUnused(); s.busy(); s.closeUnused() {
 		if bounded && time.Until(end) < lastAnswers && s.baseContext.Err() == nil {
 			s.log.Warn("calls given up", "requests", s.Active(), "why", "the time of the stop is over")
 			s.cancelRequests(hollowgrade.ErrStopping)
 		}
-		if !hollowgrade.Sleep(ctx, s.clock, look) {
+		if !hollowgrade.Sleep(ctx, s.clock, pollInterval) {
 			s.log.Warn("stopped with requests open", "requests", s.Active())
 			return ctx.Err()
 		}
