--- a/callers/server.go
+++ b/callers/server.go
@@ -26,10 +26,10 @@
 	// defaultHeaderTimeout and defaultIdleTimeout hold until limits are known.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = time.Minute
-	// lastAnswers is how long before the end of a planned stop the calls that are still open are given up, so that
+	// finalAnswerTime is how long before the end of a planned stop the calls that are still open are given up, so that
 	// their answers are written: the way of a local hang-up through a call, and a packet to callers. Without it a call
 	// that outlasted the stop had its connection closed without an answer.
-	lastAnswers = 200 * time.Millisecond
+	finalAnswerTime = 200 * time.Millisecond
 )
 
 // Limits bound callers' connections. A zero value stands for the default.
@@ -194,7 +194,7 @@
 	const pollInterval = 20 * time.Millisecond
 	end, bounded := ctx.Deadline()
 	for s.closeUnused(); s.busy(); s.closeUnused() {
-		if bounded && time.Until(end) < lastAnswers && s.baseContext.Err() == nil {
+		if bounded && time.Until(end) < finalAnswerTime && s.baseContext.Err() == nil {
 			s.log.Warn("calls given up", "requests", s.Active(), "why", "the time of the stop is over")
 			s.cancelRequests(hollowgrade.ErrStopping)
 		}
