--- a/callers/server.go
+++ b/callers/server.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// sweepEvery is how often connections are looked at.
-	sweepEvery = 250 * time.Millisecond
+	// sweepInterval is how often connections are looked at.
+	sweepInterval = 250 * time.Millisecond
 	// maxHeaderBytes bounds what is read of headers before the handler sees
 	// them and applies the published limit.
 	maxHeaderBytes = 1 << 20
@@ -250,7 +250,7 @@
 }
 
 func (s *Server) sweepLoop(ctx context.Context) {
-	for hollowgrade.Sleep(ctx, s.clock, sweepEvery) {
+	for hollowgrade.Sleep(ctx, s.clock, sweepInterval) {
 		s.sweep()
 	}
 }
--- a/callers/server_test.go
+++ b/callers/server_test.go
@@ -87,7 +87,7 @@
 		WithLimits(func() Limits { return Limits{HeaderTimeout: time.Millisecond, IdleTimeout: time.Millisecond} }))
 	c, in := dial(t, a)
 	fmt.Fprint(c, request)
-	time.AfterFunc(3*sweepEvery, func() { close(release) })
+	time.AfterFunc(3*sweepInterval, func() { close(release) })
 	r, err := http.ReadResponse(in, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, r.StatusCode)
