--- a/agent/agent.go
+++ b/agent/agent.go
@@ -89,7 +89,7 @@
 	draining       bool
 	idle           chan struct{} // closed when draining and nothing is left
 	changed        chan struct{} // closed and replaced when the status changes
-	suspects       map[string]int
+	sweepsSeen     map[string]int
 	reachable      bool
 	probed         bool          // whether the upstream was ever asked
 	probe          chan struct{} // asks for a sweep at once
@@ -190,7 +190,7 @@
 		observe:     func(Observation) {},
 		jobs:        map[string]*job{},
 		waiting:     map[*sched.Item]*job{},
-		suspects:    map[string]int{},
+		sweepsSeen:  map[string]int{},
 		idle:        make(chan struct{}),
 		changed:     make(chan struct{}),
 		probe:       make(chan struct{}, 1),
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -226,13 +226,13 @@
 		if _, ok := a.jobs[h.ID]; ok {
 			continue
 		}
-		seen[h.ID] = a.suspects[h.ID] + 1
+		seen[h.ID] = a.sweepsSeen[h.ID] + 1
 		if seen[h.ID] >= orphanSweeps {
 			a.orphanTokens += h.Tokens
 			os = append(os, h)
 		}
 	}
-	a.suspects = seen
+	a.sweepsSeen = seen
 	return os
 }
 
