--- a/agent/agent.go
+++ b/agent/agent.go
@@ -82,7 +82,7 @@
 	queued         [hollowgrade.Classes]int
 	running        int
 	pendingPrefill int // tokens given to the engine and not yet worked on
-	longHeld       int
+	longLeased     int
 	speed          speed
 	orphanTokens   int // tokens the engine holds that no lease answers for
 	exchanges      int // exchanges whose body is still coming
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -113,7 +113,7 @@
 		return true
 	}
 	n := j.request.Tokens()
-	if a.isLong(n) && a.longHeld > 0 && float64(a.longHeld+n) > a.longShare(j)*float64(a.memory.Total()) {
+	if a.isLong(n) && a.longLeased > 0 && float64(a.longLeased+n) > a.longShare(j)*float64(a.memory.Total()) {
 		return false
 	}
 	return a.memory.Fits(n)
@@ -140,7 +140,7 @@
 		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
 	}
 	if a.memory.Grant(l) && a.isLong(n) {
-		a.longHeld += n
+		a.longLeased += n
 	}
 }
 
--- a/agent/job.go
+++ b/agent/job.go
@@ -215,7 +215,7 @@
 // releaseLease ends a lease and keeps count of what long requests hold.
 func (a *Agent) releaseLease(id string) {
 	if l, ok := a.memory.Release(id); ok && a.isLong(l.Tokens) {
-		a.longHeld -= l.Tokens
+		a.longLeased -= l.Tokens
 	}
 }
 
