--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -33,13 +33,13 @@
 	switch {
 	case a.queue.Remove(i):
 		a.dequeued(i)
-	case closed(j.grant):
+	case isClosed(j.grant):
 		a.returnGrant(i)
 	}
 	return context.Cause(ctx)
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
