--- a/agent/agent.go
+++ b/agent/agent.go
@@ -248,10 +248,10 @@
 	}
 	a.draining = true
 	a.notify()
-	a.checkIdle()
+	a.closeIfIdle()
 }
 
-func (a *Agent) checkIdle() {
+func (a *Agent) closeIfIdle() {
 	if !a.draining || len(a.jobs) > 0 || a.exchanges > 0 {
 		return
 	}
--- a/agent/job.go
+++ b/agent/job.go
@@ -113,7 +113,7 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.exchanges--
-		a.checkIdle()
+		a.closeIfIdle()
 	}
 }
 
@@ -209,7 +209,7 @@
 		a.releaseLease(j.id)
 	}
 	a.grantSteps()
-	a.checkIdle()
+	a.closeIfIdle()
 }
 
 // releaseLease ends a lease and keeps count of what long requests hold.
