--- a/entry/entry.go
+++ b/entry/entry.go
@@ -226,10 +226,10 @@
 		return
 	}
 	e.draining = true
-	e.checkIdle()
+	e.closeIfIdle()
 }
 
-func (e *Entry) checkIdle() {
+func (e *Entry) closeIfIdle() {
 	if !e.draining || e.open > 0 {
 		return
 	}
@@ -345,5 +345,5 @@
 
 func (e *Entry) closed() {
 	e.open--
-	e.checkIdle()
+	e.closeIfIdle()
 }
