--- a/entry/entry.go
+++ b/entry/entry.go
@@ -313,7 +313,7 @@
 	u.requests++
 	u.tokens += r.Tokens()
 	u.budget.Deposit()
-	e.opened()
+	e.addOpen()
 	return func() { e.release(u, r) }, nil
 }
 
@@ -339,7 +339,7 @@
 
 // opened and closed count what a planned stop waits for. The lock is held.
 
-func (e *Entry) opened() {
+func (e *Entry) addOpen() {
 	e.open++
 }
 
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -148,7 +148,7 @@
 		m.Answer = q.claim.body.answer()
 	}
 	e.mu.Lock()
-	e.opened()
+	e.addOpen()
 	e.mu.Unlock()
 	e.group.Go(func() {
 		e.settle(q.request, m)
