--- a/entry/entry.go
+++ b/entry/entry.go
@@ -334,7 +334,7 @@
 	defer e.mu.Unlock()
 	u.requests--
 	u.tokens -= r.Tokens()
-	e.closed()
+	e.removeOpen()
 }
 
 // opened and closed count what a planned stop waits for. The lock is held.
@@ -343,7 +343,7 @@
 	e.open++
 }
 
-func (e *Entry) closed() {
+func (e *Entry) removeOpen() {
 	e.open--
 	e.closeIfIdle()
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -154,7 +154,7 @@
 		e.settle(q.request, m)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.closed()
+		e.removeOpen()
 	})
 }
 
