--- a/entry/entry.go
+++ b/entry/entry.go
@@ -76,7 +76,7 @@
 	candidateOffset int
 	prefixes        *sched.Prefixes
 	usage           map[string]*usage // by organisation
-	open            int               // requests and settlements of keys
+	openCount       int               // requests and settlements of keys
 	mintOffset      int
 	lingering       bool
 	draining        bool
@@ -230,7 +230,7 @@
 }
 
 func (e *Entry) closeIfIdle() {
-	if !e.draining || e.open > 0 {
+	if !e.draining || e.openCount > 0 {
 		return
 	}
 	select {
@@ -300,8 +300,8 @@
 	if e.draining {
 		return nil, fault.New(fault.Draining, "entry %s is being stopped", e.box.Name).WithRetryAfter(shortRetryAfter)
 	}
-	if e.open >= e.limits.MaxRequests {
-		return nil, fault.New(fault.Overloaded, "entry %s has %d requests open", e.box.Name, e.open).WithRetryAfter(shortRetryAfter)
+	if e.openCount >= e.limits.MaxRequests {
+		return nil, fault.New(fault.Overloaded, "entry %s has %d requests open", e.box.Name, e.openCount).WithRetryAfter(shortRetryAfter)
 	}
 	u := e.usageOf(o.Name)
 	if o.MaxRequests > 0 && u.requests >= o.MaxRequests {
@@ -340,10 +340,10 @@
 // opened and closed count what a planned stop waits for. The lock is held.
 
 func (e *Entry) addOpen() {
-	e.open++
+	e.openCount++
 }
 
 func (e *Entry) removeOpen() {
-	e.open--
+	e.openCount--
 	e.closeIfIdle()
 }
