--- a/entry/completions.go
+++ b/entry/completions.go
@@ -98,7 +98,7 @@
 }
 
 // generate serves a call for a model.
-func (e *Entry) generate(w http.ResponseWriter, r *http.Request, c caller, b completionCall, s shape) error {
+func (e *Entry) generate(w http.ResponseWriter, r *http.Request, c caller, b completionCall, s answerFormat) error {
 	if _, ok := c.config.Models[b.Model]; !ok {
 		return fault.New(fault.UnknownModel, "there is no model %q", b.Model)
 	}
@@ -130,15 +130,15 @@
 	return a.end(err)
 }
 
-// shape is the form of an answer: that of a completion or that of a chat.
-type shape struct {
+// answerFormat is the form of an answer: that of a completion or that of a chat.
+type answerFormat struct {
 	object, chunk string
 	chat          bool
 }
 
 var (
-	textShape = shape{object: "text_completion", chunk: "text_completion"}
-	chatShape = shape{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	textShape = answerFormat{object: "text_completion", chunk: "text_completion"}
+	chatShape = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
 // answer is the sink of a model's answer, whole or as server-sent events.
@@ -146,7 +146,7 @@
 	w      http.ResponseWriter
 	id     string
 	model  string
-	shape  shape
+	shape  answerFormat
 	stream bool
 	prompt int
 	began  bool // whether a byte of the answer has been sent
