--- a/entry/completions.go
+++ b/entry/completions.go
@@ -50,7 +50,7 @@
 	if b.Prompt == "" {
 		return fault.New(fault.MalformedBody, "prompt must be a string that is not empty")
 	}
-	return e.generate(w, r, c, b, textShape)
+	return e.generate(w, r, c, b, textFormat)
 }
 
 func (e *Entry) chat(w http.ResponseWriter, r *http.Request, c caller) error {
@@ -137,8 +137,8 @@
 }
 
 var (
-	textShape = answerFormat{object: "text_completion", chunk: "text_completion"}
-	chatShape = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	textFormat = answerFormat{object: "text_completion", chunk: "text_completion"}
+	chatShape  = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
 // answer is the sink of a model's answer, whole or as server-sent events.
