--- a/entry/completions.go
+++ b/entry/completions.go
@@ -62,7 +62,7 @@
 		return fault.New(fault.MalformedBody, "messages must hold one message at least")
 	}
 	p := completionCall{Model: b.Model, Prompt: chatPrompt(b.Messages), MaxTokens: b.MaxTokens, Stream: b.Stream}
-	return e.generate(w, r, c, p, chatShape)
+	return e.generate(w, r, c, p, chatFormat)
 }
 
 // chatPrompt joins messages into one prompt. The same beginning of a
@@ -138,7 +138,7 @@
 
 var (
 	textFormat = answerFormat{object: "text_completion", chunk: "text_completion"}
-	chatShape  = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	chatFormat = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
 // answer is the sink of a model's answer, whole or as server-sent events.
