--- a/entry/completions.go
+++ b/entry/completions.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	defer callers.BoundWrites(w, q.request.Deadline)()
-	a := &answer{w: w, id: c.id, model: b.Model, shape: s, stream: b.Stream, prompt: q.request.PromptTokens}
+	a := &answer{w: w, id: c.id, model: b.Model, format: s, stream: b.Stream, prompt: q.request.PromptTokens}
 	q.sink = a
 	err = e.serve(r.Context(), q, c.organisation)
 	if err != nil && !a.began {
@@ -146,7 +146,7 @@
 	w      http.ResponseWriter
 	id     string
 	model  string
-	shape  answerFormat
+	format answerFormat
 	stream bool
 	prompt int
 	began  bool // whether a byte of the answer has been sent
@@ -196,10 +196,10 @@
 		a.began = true
 	}
 	c := choice{Text: &text}
-	if a.shape.chat {
+	if a.format.chat {
 		c = choice{Delta: &delta{Content: text}}
 	}
-	return a.event(a.body(a.shape.chunk, c))
+	return a.event(a.body(a.format.chunk, c))
 }
 
 // Head implements [sink].
@@ -239,7 +239,7 @@
 	stop := "stop"
 	u := &tokenUsage{PromptTokens: a.prompt, CompletionTokens: a.count, TotalTokens: a.prompt + a.count}
 	if a.stream {
-		last := a.body(a.shape.chunk, choice{FinishReason: &stop})
+		last := a.body(a.format.chunk, choice{FinishReason: &stop})
 		last.Usage = u
 		if a.event(last) == nil {
 			_, _ = io.WriteString(a.w, "data: [DONE]\n\n")
@@ -248,10 +248,10 @@
 	}
 	t := a.text.String()
 	c := choice{Text: &t, FinishReason: &stop}
-	if a.shape.chat {
+	if a.format.chat {
 		c = choice{Message: &message{Role: "assistant", Content: t}, FinishReason: &stop}
 	}
-	b := a.body(a.shape.object, c)
+	b := a.body(a.format.object, c)
 	b.Usage = u
 	a.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(a.w).Encode(b)
