--- a/entry/services.go
+++ b/entry/services.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	q := &query{body: b, arrived: e.clock.Now(), head: head(r, n, c)}
+	q := &query{body: b, arrived: e.clock.Now(), head: serviceHead(r, n, c)}
 	q.request, err = e.applyPolicy(r, c, hollowgrade.Request{Service: n})
 	if err != nil {
 		return err
@@ -50,8 +50,8 @@
 	return err
 }
 
-// head makes the head of the call as the service will see it.
-func head(r *http.Request, service string, c caller) *wire.ServiceHead {
+// serviceHead makes the serviceHead of the call as the service will see it.
+func serviceHead(r *http.Request, service string, c caller) *wire.ServiceHead {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), ServicesPath+service)
 	if !strings.HasPrefix(p, "/") {
 		p = "/" + p
