--- a/entry/http.go
+++ b/entry/http.go
@@ -249,14 +249,14 @@
 
 // allowedTime returns the allowedTime time: what the caller asks for, but never more
 // than the policy gives.
-func allowedTime(r *http.Request, most time.Duration) (time.Duration, error) {
+func allowedTime(r *http.Request, limit time.Duration) (time.Duration, error) {
 	h := r.Header.Get(AllowedHeader)
 	if h == "" {
-		return most, nil
+		return limit, nil
 	}
 	d, err := time.ParseDuration(h)
 	if err != nil || d <= 0 {
 		return 0, fault.New(fault.BadHeader, "%s is %q, it must be a positive duration such as 1500ms or 30s", AllowedHeader, h)
 	}
-	return min(d, most), nil
+	return min(d, limit), nil
 }
