--- a/standalone/directory.go
+++ b/standalone/directory.go
@@ -18,8 +18,8 @@
 	boxes  hollowgrade.Boxes
 	static []hollowgrade.Box
 
-	mu   sync.Mutex
-	last []hollowgrade.Box
+	mu         sync.Mutex
+	lastListed []hollowgrade.Box
 }
 
 // NewDirectory returns a directory. Boxes may be nil; static holds the agents
@@ -54,7 +54,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.last = bs
+		d.lastListed = bs
 	}
-	return d.last
+	return d.lastListed
 }
