--- a/callers/server.go
+++ b/callers/server.go
@@ -215,7 +215,7 @@
 
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	c, _ := r.Context().Value(connKey{}).(net.Conn)
-	s.begin(c)
+	s.beginRequest(c)
 	defer s.end()
 	if s.Stopping() {
 		w.Header().Set("Connection", "close")
@@ -223,7 +223,7 @@
 	s.handler.ServeHTTP(w, r)
 }
 
-func (s *Server) begin(c net.Conn) {
+func (s *Server) beginRequest(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active++
