--- a/callers/server.go
+++ b/callers/server.go
@@ -216,7 +216,7 @@
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	c, _ := r.Context().Value(connKey{}).(net.Conn)
 	s.beginRequest(c)
-	defer s.end()
+	defer s.endRequest()
 	if s.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (s *Server) end() {
+func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
