--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside one upstream. It alone decides what is
-// exclusive to that upstream: the order of work, what has run, and who holds
-// its memory. Entries ask; none of them decides.
+// Package agent is the process beside one upstream. The agent alone decides what is exclusive to
+// that upstream: the order of its work, what has run, and who holds its memory. Entries send
+// requests to it and decide none of this.
 package agent
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// Limits bound what an agent takes on.
+// Limits bound what an agent accepts.
 type Limits struct {
 	MaxRunning    int           // sequences or calls at the upstream at once
 	MaxQueued     int           // requests in the queue
 	MaxBodyBytes  int64         // prompt or body of one request
-	PrefillWindow int           // prompt tokens given to the engine and not yet worked on
-	Piece         int           // tokens of a long prompt that are prefilled in one go, 0 for no pieces
-	LongShare     float64       // part of the memory that long requests may hold together
-	LongTokens    int           // a request that holds more than this is long
-	Patience      time.Duration // after this an item is overdue
-	Heartbeat     time.Duration // longest time between two status reports
-	Linger        time.Duration // for which a planned stop answers entries that have not heard of it
-	Sweep         time.Duration // between two comparisons of the ledger with the engine
+	PrefillWindow int           // prompt tokens sent to the engine and not yet prefilled
+	Piece         int           // prompt tokens that are prefilled in one step, 0 to prefill the whole prompt
+	LongShare     float64       // share of the memory that long requests may hold together
+	LongTokens    int           // a request that needs more memory than this is long
+	Patience      time.Duration // queueing time after which an item is overdue
+	Heartbeat     time.Duration // longest interval between two status reports
+	Linger        time.Duration // how long a planned stop waits for entries to receive its status
+	Sweep         time.Duration // interval between two comparisons of the ledger with the engine
 }
 
 // DefaultLimits returns limits that suit an engine of a few hundred thousand
@@ -81,36 +81,36 @@
 	waiting        map[*sched.Item]*job
 	queued         [hollowgrade.Classes]int
 	running        int
-	pendingPrefill int // tokens given to the engine and not yet worked on
+	pendingPrefill int // tokens sent to the engine and not yet prefilled
 	longLeased     int
 	speed          speed
-	orphanTokens   int // tokens the engine holds that no lease answers for
-	exchanges      int // exchanges whose body is still coming
+	orphanTokens   int // tokens of holdings on the engine without a lease
+	exchanges      int // exchanges that are not yet answered
 	draining       bool
-	idle           chan struct{} // closed when draining and nothing is left
+	idle           chan struct{} // closed when draining and no work is left
 	changed        chan struct{} // closed and replaced when the status changes
 	sweepsSeen     map[string]int
 	reachable      bool
-	probed         bool          // whether the upstream was ever asked
-	probe          chan struct{} // asks for a sweep at once
+	probed         bool          // whether a sweep has been made
+	probe          chan struct{} // requests a sweep at once
 }
 
-// KeyKeeper keeps the ledger of idempotency keys, if this agent does.
+// KeyKeeper is the part of [Keeper] that an agent uses.
 type KeyKeeper interface {
-	// Claim answers the claim on a key.
+	// Claim decides about a claim on a key.
 	Claim(c *wire.Claim) *wire.ClaimReply
-	// Settle notes how the run under a key ended.
+	// Settle records how the run under a key ended.
 	Settle(s *wire.Settle)
 	// Mint returns a new key that names this keeper.
 	Mint() string
 	// Fenced reports whether a higher epoch than the one given is known for
 	// the key.
 	Fenced(organisation, key string, epoch int64) bool
-	// ReceiveHandover takes in a part of what a leaving keeper hands over.
+	// ReceiveHandover receives one batch of the records that a stopping keeper hands over.
 	ReceiveHandover(h *wire.Handover) error
 }
 
-// Observation is one measured event of a request, for metrics.
+// Observation describes one request that has ended, for metrics.
 type Observation struct {
 	Organisation string
 	Kind         string
@@ -120,11 +120,10 @@
 	PromptTokens int
 }
 
-// Option changes an agent as it is made.
+// Option configures an agent.
 type Option func(*Agent)
 
-// WithEngine sets the model engine beside the agent and the models that it
-// serves.
+// WithEngine sets the model engine beside the agent and the models that it serves.
 func WithEngine(e hollowgrade.Engine, models ...string) Option {
 	return func(a *Agent) { a.engine, a.models = e, models }
 }
@@ -149,12 +148,12 @@
 	return func(a *Agent) { a.limits = l }
 }
 
-// WithQueue sets the order of work.
+// WithQueue sets the queue, which decides the order of work.
 func WithQueue(q sched.Queue) Option {
 	return func(a *Agent) { a.queue = q }
 }
 
-// WithRevision sets where the revision of the configuration in force is read.
+// WithRevision sets the function that returns the revision of the configuration in force.
 func WithRevision(f func() int64) Option {
 	return func(a *Agent) { a.revision = f }
 }
@@ -164,18 +163,19 @@
 	return func(a *Agent) { a.keys = k }
 }
 
-// WithSnapshot sets where a peer's wish for the newest configuration is met.
+// WithSnapshot sets the function that returns the newest configuration if it is newer than the
+// given revision, for peers that request it.
 func WithSnapshot(f func(newerThan int64) []byte) Option {
 	return func(a *Agent) { a.snapshot = f }
 }
 
-// WithObserver sets who is told of each request that has ended.
+// WithObserver sets the function that is called for each request that has ended.
 func WithObserver(f func(Observation)) Option {
 	return func(a *Agent) { a.observe = f }
 }
 
-// New returns an agent for the box that will serve on the listener. The
-// incarnation tells this process from earlier ones at the same address.
+// New returns an agent for the box that will serve on the listener. The incarnation distinguishes
+// this process from earlier ones at the same address.
 func New(b hollowgrade.Box, incarnation string, l net.Listener, os ...Option) *Agent {
 	a := &Agent{
 		box:         b,
@@ -218,12 +218,12 @@
 	return nil
 }
 
-// Stop implements [kernel.Service]. It drains: what has been accepted is
-// finished, for as long as ctx lasts.
+// Stop implements [kernel.Service]. It drains: accepted requests are finished, for as long as ctx
+// lasts.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.Drain()
-	// Entries need the time to hear of the drain. What they had sent before is
-	// refused with a definite answer meanwhile, so they can send it elsewhere.
+	// Entries need this time to receive the draining status. Requests that they sent before are
+	// refused as not run meanwhile, so they can be sent elsewhere.
 	hollowgrade.Sleep(ctx, a.clock, a.limits.Linger)
 	var err error
 	select {
@@ -238,8 +238,7 @@
 	return err
 }
 
-// Drain makes the agent refuse new work and say so to every entry. What has
-// been accepted goes on.
+// Drain makes the agent refuse new work and report this to every entry. Accepted requests go on.
 func (a *Agent) Drain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -272,7 +271,7 @@
 	a.log.Warn("peer cut off", "peer", p.String(), "err", err)
 }
 
-// handle serves one exchange by the kind of its first frame.
+// handle serves one exchange by the type of its first frame.
 func (a *Agent) handle(ctx context.Context, s *peer.Stream, f *wire.Frame) error {
 	switch b := f.Body.(type) {
 	case *wire.Frame_Hello:
@@ -290,7 +289,7 @@
 	}
 }
 
-// Ready reports whether the agent takes work, and if not, why.
+// Ready reports whether the agent accepts work, and if not, why.
 func (a *Agent) Ready() (ok bool, why string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
