--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -9,9 +9,8 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// awaitGrant queues the job's next step and returns once it may be given to the
-// upstream. An error means that the step was taken out of the queue and will
-// not be started.
+// awaitGrant queues the job's next step and returns once it may be sent to the upstream. An error
+// means that the step was removed from the queue and will not be started.
 func (a *Agent) awaitGrant(ctx context.Context, j *job) error {
 	a.mu.Lock()
 	j.grant, j.rejected = make(chan struct{}), make(chan struct{})
@@ -48,7 +47,7 @@
 	}
 }
 
-// rejectQueued gives back everything that waits. The lock is held.
+// rejectQueued rejects all queued steps. The lock must be held.
 func (a *Agent) rejectQueued() {
 	for i, j := range a.waiting {
 		if a.queue.Remove(i) {
@@ -58,7 +57,7 @@
 	}
 }
 
-// checkDeadline gives the grant back if the deadline passed together with it.
+// checkDeadline returns the grant if ctx ended at the same time.
 func (a *Agent) checkDeadline(ctx context.Context, i *sched.Item) error {
 	if ctx.Err() == nil {
 		return nil
@@ -80,7 +79,7 @@
 	a.queued[i.Class] -= i.Cost
 }
 
-// grantSteps grants as many steps as the upstream has room for. The lock is held.
+// grantSteps grants as many steps as the upstream has room for. The lock must be held.
 func (a *Agent) grantSteps() {
 	for {
 		i := a.queue.Pop(a.clock.Now(), a.fits)
@@ -96,8 +95,8 @@
 	}
 }
 
-// fits reports whether the upstream has room for the step. Once a job holds
-// its memory, its later pieces need none.
+// fits reports whether the upstream has room for the step. The later pieces of a job need no more
+// memory than its lease.
 func (a *Agent) fits(i *sched.Item) bool {
 	j := a.waiting[i]
 	if a.running >= a.limits.MaxRunning || !a.reachable {
@@ -119,9 +118,9 @@
 	return a.memory.Fits(n)
 }
 
-// longShare is the part of the memory that long requests may hold together for
-// the job to join them: the agent's own limit, or the policy's if that is less.
-// A single long request is let in whatever its size.
+// longShare is the share of the memory that long requests may hold together, with this job: the
+// agent's own limit, or the policy's if that is lower. A single long request is admitted whatever
+// its size.
 func (a *Agent) longShare(j *job) float64 {
 	if s := j.request.Decision.Share; s > 0 {
 		return min(s, a.limits.LongShare)
@@ -144,8 +143,8 @@
 	}
 }
 
-// prefilled tells the dispatcher that the engine has worked off the tokens of
-// a step, so that the next one may be given to it.
+// prefilled records that the engine has prefilled the tokens of a step, so that the next step may
+// be granted.
 func (a *Agent) prefilled(tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,7 +152,7 @@
 	a.grantSteps()
 }
 
-// stepDone tells the dispatcher that a step has left the upstream.
+// stepDone records that a step has left the upstream.
 func (a *Agent) stepDone() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -161,20 +160,18 @@
 	a.grantSteps()
 }
 
-// mayStart is the very last check before anything goes to the upstream: the
-// claim on the key must still hold by this process's own monotonic clock, and
-// no higher epoch may be known. A process that was paused after its grant
-// stops here.
+// mayStart is the last check before anything is sent to the upstream: the claim on the key must
+// still hold by this process's own monotonic clock, and no higher epoch may be known. It stops a
+// process that was paused after its grant.
 //
-// The window that remains: the check and the write of the first byte are two
-// steps, and a process can be paused between them. An upstream that checks no
-// fence can then be given a request whose key has a new owner; the new owner
-// answers "unknown" for that key, so a second run cannot come from it.
+// A window remains, since a process can also be paused between this check and the write of the
+// first byte. An upstream that checks no fence may then run a request whose key has a new owner.
+// The new owner answers "unknown" for that key, so it never starts a second run.
 func (a *Agent) mayStart(j *job) error {
 	if j.request.Key == "" {
 		return nil
 	}
-	hollowgrade.Notice(a.clock) // or a lease that lapsed while the machine was suspended would seem to hold
+	hollowgrade.Notice(a.clock) // otherwise a lease that expired while the machine was suspended would seem valid
 	if !a.clock.Now().Before(j.lease) {
 		return fault.New(fault.ClaimLapsed, "the claim on the key lapsed before the start").WithRetryAfter(minRetryAfter)
 	}
