--- a/agent/job.go
+++ b/agent/job.go
@@ -17,27 +17,27 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// job is one attempt at a request on its way through the agent.
+// job is one attempt at a request, from its arrival at the agent to the final frame.
 type job struct {
 	submit      *wire.Submit
 	request     hollowgrade.Request
 	id          string // at the engine
 	body        []byte
 	arrived     time.Time
-	lease       time.Time // the claim on the key holds until then; zero without key
+	lease       time.Time // end of the claim on the key; zero without a key
 	stream      *peer.Stream
 	grant       chan struct{}
-	rejected    chan struct{} // closed when the queue is emptied because the upstream is gone
+	rejected    chan struct{} // closed when the queue is emptied because the upstream does not answer
 	started     atomic.Bool
 	waited      time.Duration
-	reserveOnly bool // only sets memory aside for a group
-	next        int  // bytes of the prompt that earlier pieces have prefilled
+	reserveOnly bool // reserves memory for a group and runs nothing
+	next        int  // bytes of the prompt that earlier pieces prefilled
 	handles     []string
-	pieces      []string // ids of the pieces held on the engine
-	count       int      // tokens sent on
+	pieces      []string // ids of the prefilled pieces kept on the engine
+	count       int      // tokens of a model, or bytes of a service, sent to the entry
 }
 
-// The causes for which a job's context ends, beside its deadline.
+// Causes that end a job's context, besides its deadline.
 var (
 	errCallerGone = errors.New("the entry ended the exchange")
 	errStopped    = errors.New("the agent was stopped")
@@ -77,7 +77,7 @@
 	return j
 }
 
-// serveSubmit takes a request in, runs it, and sends the final frame.
+// serveSubmit receives a request, runs it, and sends the final frame.
 func (a *Agent) serveSubmit(ctx context.Context, s *peer.Stream, m *wire.Submit) error {
 	j := newJob(m, s, a.clock.Now())
 	done := a.trackExchange()
@@ -90,9 +90,9 @@
 	ctx, stop := clockwork.WithDeadline(ctx, a.clock, j.request.Deadline)
 	defer stop()
 	go func() {
-		// Whatever comes, or ends, here means that nobody wants the answer. A
-		// run under a key that has begun goes on all the same: half of it
-		// would be worse than all of it.
+		// Any frame here, or the end of the exchange, means that the entry no longer wants the
+		// answer. A run under a key that has started goes on: its effects would otherwise be left
+		// half done.
 		_, _ = s.Receive()
 		if j.request.Key == "" || !j.started.Load() {
 			cancel(errCallerGone)
@@ -103,8 +103,7 @@
 	return s.Send(a.final(j, err))
 }
 
-// trackExchange counts an exchange until it has been answered, for a planned stop to
-// wait for.
+// trackExchange counts an exchange until it is answered, since a planned stop waits for it.
 func (a *Agent) trackExchange() (done func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,8 +116,8 @@
 	}
 }
 
-// receiveBody reads the prompt or body. The job cannot run before all of it
-// has come, so an entry that fails to send the last frame may say "not run".
+// receiveBody reads the prompt or body. The job cannot run before the last frame has arrived, so an
+// entry that fails to send that frame may report "not run".
 func (a *Agent) receiveBody(j *job) error {
 	for {
 		f, err := j.stream.Receive()
@@ -136,7 +135,7 @@
 	}
 }
 
-// run takes the job through queue and upstream.
+// run passes the job through the queue and to the upstream.
 func (a *Agent) run(ctx context.Context, j *job) (err error) {
 	if err = a.admit(j); err != nil {
 		return err
@@ -148,7 +147,7 @@
 	return a.runEngine(ctx, j)
 }
 
-// admit checks whether the job may queue here, and enters it.
+// admit checks whether the job may queue here, and registers it.
 func (a *Agent) admit(j *job) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,8 +173,8 @@
 	return nil
 }
 
-// upstreamGone refuses what has not been started while the upstream does not
-// answer, so that its entry can send it elsewhere.
+// upstreamGone returns the fault for a job that has not started while the upstream does not answer.
+// Its outcome is "not run", so that the entry can send the request elsewhere.
 func (a *Agent) upstreamGone() error {
 	return fault.New(fault.UpstreamLost, "the upstream of %s does not answer", a.box.Name).WithOutcome(hollowgrade.NotRun)
 }
@@ -185,7 +184,7 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// drainTime estimates when what is queued now will have been started.
+// drainTime estimates how long it takes until everything that is queued now has been started.
 func (a *Agent) drainTime() time.Duration {
 	r := a.speed.prefillRate
 	if r <= 0 {
@@ -199,7 +198,7 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// removeJob takes the job out of the agent's account and gives back its memory.
+// removeJob removes an ended job and releases its memory.
 func (a *Agent) removeJob(j *job) {
 	a.releasePieces(j)
 	a.mu.Lock()
@@ -212,7 +211,7 @@
 	a.closeIfIdle()
 }
 
-// releaseLease ends a lease and keeps count of what long requests hold.
+// releaseLease ends a lease and updates the tokens leased to long requests.
 func (a *Agent) releaseLease(id string) {
 	if l, ok := a.memory.Release(id); ok && a.isLong(l.Tokens) {
 		a.longLeased -= l.Tokens
@@ -241,7 +240,7 @@
 	})
 }
 
-// final makes the last frame of the exchange.
+// final returns the last frame of the exchange.
 func (a *Agent) final(j *job, err error) *wire.Frame {
 	m := &wire.Final{
 		Attempt: int32(j.request.Attempt),
@@ -259,9 +258,8 @@
 	return &wire.Frame{Body: &wire.Frame_Final{Final: m}}
 }
 
-// faultOf says what an error means for the caller. A job that was never
-// started did not run: it has been taken out of the queue, and it is the agent
-// alone that starts it.
+// faultOf returns the fault to report for an error. A job that was never started has not run: it
+// has left the queue, and only the agent could have started it.
 func (a *Agent) faultOf(j *job, err error) (f *fault.Error) {
 	var known *fault.Error
 	switch {
@@ -280,14 +278,14 @@
 	case !j.started.Load():
 		return f.WithOutcome(hollowgrade.NotRun)
 	case a.service != nil:
-		// A plain service may have done all of the work before it was cut off.
+		// A plain service may have done all of the work before the connection ended.
 		return f.WithOutcome(hollowgrade.Unknown)
 	default:
 		return f.WithOutcome(hollowgrade.Failed)
 	}
 }
 
-// cost is the work that the job's next step gives to the engine, in tokens.
+// cost is the work of the job's next step in tokens; a call to a service counts as 1.
 func (a *Agent) cost(j *job) int {
 	if a.service != nil {
 		return 1
@@ -299,15 +297,15 @@
 	return rest
 }
 
-// bytesPerToken is the rule of thumb by which work is measured before the
-// engine has tokenised a prompt.
+// bytesPerToken is the assumed size of a token, used to estimate work before the engine has
+// tokenised a prompt.
 const bytesPerToken = 4
 
 func (a *Agent) isLong(tokens int) bool {
 	return tokens > a.limits.LongTokens
 }
 
-// item makes the queue's view of the job's next step.
+// item returns the queue item of the job's next step.
 func (a *Agent) item(j *job) *sched.Item {
 	now := a.clock.Now()
 	return &sched.Item{
@@ -323,8 +321,8 @@
 	}
 }
 
-// charge is the work that counts against the organisation's share: all of it
-// when the first piece is queued.
+// charge is the work counted against the organisation's share. The whole prompt is charged with its
+// first piece; later pieces resume the request and are not charged.
 func (a *Agent) charge(j *job) int {
 	if j.reserveOnly {
 		return j.request.PromptTokens
@@ -332,8 +330,8 @@
 	return len(j.body) / bytesPerToken
 }
 
-// patience is how long the job may be passed over: the agent's limit, or half
-// of what is left of its allowed time if that is less.
+// patience is how long the job may queue before it is overdue: the agent's limit, or half of its
+// remaining time if that is less.
 func (a *Agent) patience(j *job, now time.Time) time.Duration {
 	return min(a.limits.Patience, j.request.Remaining(now)/2)
 }
--- a/agent/job_test.go
+++ b/agent/job_test.go
@@ -16,8 +16,8 @@
 	require.Equal(t, want, fault.As(err, hollowgrade.Unknown).Outcome)
 }
 
-// A job that waits between two of its pieces is bounced when the engine is
-// gone. It has run in part, and "not run" would be a lie.
+// A job that waits between two of its pieces is rejected when the engine stops answering. It has
+// run in part, so its outcome must not be "not run".
 func TestBouncedBetweenPieces(t *testing.T) {
 	gone := fault.New(fault.UpstreamLost, "gone").WithOutcome(hollowgrade.NotRun)
 	j := &job{}
@@ -47,7 +47,8 @@
 	})
 }
 
-// A claim on a key does not outlive a suspension of the machine, during which the steady clock stands still.
+// A claim on a key must not outlive a suspension of the machine, during which the monotonic clock
+// stands still.
 func TestClaimOverASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started, lost := time.Now(), time.Duration(0)
