--- a/agent/memory.go
+++ b/agent/memory.go
@@ -15,12 +15,12 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// engineTimeout bounds the short calls to the engine.
+// engineTimeout bounds a short call to the engine, to the log, or to another agent.
 const engineTimeout = 2 * time.Second
 
-// leasePiece notes a piece that the engine keeps for the job. Its memory is part of
-// the job's lease or of the group's reservation already, so its own lease
-// counts nothing. A piece of a group ends with the reservation.
+// leasePiece enters a lease for a piece that the engine keeps for the job. Its memory is part of
+// the job's lease or of the group's reservation already, so this lease has no tokens. A piece of a
+// group expires with the reservation.
 func (a *Agent) leasePiece(j *job, id string) {
 	j.pieces = append(j.pieces, id)
 	a.mu.Lock()
@@ -32,9 +32,9 @@
 	a.memory.Grant(l)
 }
 
-// releasePieces frees the pieces of a job that has ended. What cannot be freed
-// now, the sweep will free: no lease answers for it any longer. The pieces of
-// a group stay until the entry releases the reservation, or it expires.
+// releasePieces releases the pieces of a job that has ended. The sweep retries failed releases,
+// since the pieces have no lease any more. The pieces of a group stay until the entry releases the
+// reservation, or it expires.
 func (a *Agent) releasePieces(j *job) {
 	if j.submit.Reservation != "" {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// releaseReservation frees a reservation and the pieces that were made under it.
+// releaseReservation releases a reservation and the pieces that were made under it.
 func (a *Agent) releaseReservation(id string) {
 	a.mu.Lock()
 	ls := a.memory.OwnedBy(id)
@@ -68,11 +68,10 @@
 	a.grantSteps()
 }
 
-// serveReserve sets memory aside for a group that spans several engines. The
-// reservation waits its turn in the queue like any request: otherwise small
-// requests would take each piece of memory that comes free. It stands as long
-// as its exchange: when the entry ends that, or dies, all of the group's memory
-// here is freed. The expiry is for entries that fall silent.
+// serveReserve reserves memory for a group that spans several engines. The reservation queues like
+// any request: otherwise small requests would take each piece of memory as it is freed. When the
+// entry ends the exchange, or crashes, all of the group's memory here is released; the expiry
+// covers entries that stop responding.
 func (a *Agent) serveReserve(ctx context.Context, s *peer.Stream, m *wire.Reserve) error {
 	done := a.trackExchange()
 	defer done()
@@ -133,9 +132,9 @@
 	return nil
 }
 
-// sweepLoop compares the ledger with what the engine holds. It is also the
-// probe that finds the engine gone and back, and it adopts nothing: what a
-// former process left behind is an orphan, and is freed.
+// sweepLoop compares the ledger with the holdings of the engine at an interval. It also detects
+// that the engine stopped answering, and that it answers again. Holdings that a former process left
+// behind are not adopted: they are orphans and are released.
 func (a *Agent) sweepLoop() {
 	for {
 		if err := a.sweep(); err != nil && a.ctx.Err() == nil {
@@ -153,9 +152,9 @@
 	}
 }
 
-// markUnreachable takes an engine that broke off as gone until the next sweep,
-// which it asks for at once, has found it there. Without this the agent would
-// draw requests to a dead engine until the sweep's turn came.
+// markUnreachable treats an engine whose call failed as gone until a sweep, which it requests at
+// once, has reached it. Otherwise the agent would attract requests to a crashed engine until the
+// next regular sweep.
 func (a *Agent) markUnreachable() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,11 +193,11 @@
 	return err
 }
 
-// orphanSweeps is how many sweeps in a row must find a holding without a lease
-// before it is freed: a holding can be seen before its lease, or after.
+// orphanSweeps is how many sweeps in a row must find a holding without a lease before it is
+// released: a holding can be seen before its lease is entered, or after it has ended.
 const orphanSweeps = 2
 
-// reclaim frees what no lease answers for, and what expired leases held.
+// reclaim releases the holdings without a lease, including those of expired leases.
 func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Holding) {
 	for _, h := range a.orphans(l, held) {
 		if err := errors.Join(a.engine.Cancel(ctx, h.ID), a.engine.Release(ctx, h.ID)); err != nil {
@@ -236,8 +235,7 @@
 	return os
 }
 
-// OrphanTokens returns how many tokens the engine held at the last two sweeps that no
-// lease answered for.
+// OrphanTokens returns how many tokens of holdings the last two sweeps found without a lease.
 func (a *Agent) OrphanTokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/memory_test.go
+++ b/agent/memory_test.go
@@ -8,15 +8,15 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// A holding can be seen between the release of its lease and its own: only one
-// that two sweeps in a row find without a lease is lost.
+// A sweep can see a holding between the release of its lease and its own release, so only a holding
+// that two sweeps in a row find without a lease is an orphan.
 func TestLostMemoryIsSeenTwice(t *testing.T) {
 	a := New(hollowgrade.Box{}, "i", nil)
 	load := hollowgrade.EngineLoad{TotalTokens: 100}
 	held := []hollowgrade.Holding{{ID: "x", Kind: hollowgrade.HeldExport, Tokens: 40}}
 
 	require.Empty(t, a.orphans(load, held))
-	require.Zero(t, a.OrphanTokens(), "it may be on its way out")
+	require.Zero(t, a.OrphanTokens(), "one sweep is not enough")
 	require.Len(t, a.orphans(load, held), 1)
 	require.Equal(t, 40, a.OrphanTokens())
 	require.Empty(t, a.orphans(load, nil))
