--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -29,18 +29,17 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// KeyTimes are the times that bound the keeping of idempotency keys.
+// KeyTimes are the durations that bound how idempotency keys are kept.
 type KeyTimes struct {
 	// Window is how long a key is remembered after its run has ended.
 	Window time.Duration
-	// Lease is how long a keeper goes on without having seen the end of the
-	// log. After a crash its keys wait that long for the next keeper; in an
-	// outage of the log it is how long callers' own keys are served.
+	// Lease is how long a keeper goes on granting without having read the end of the log. After a
+	// crash its keys wait that long for the next keeper; in an outage of the log, callers' own keys
+	// are served that long.
 	Lease time.Duration
-	// Grace is how long a keeper must be off the list before another takes
-	// its ranges.
+	// Grace is how long a keeper must be missing from the list before another takes its ranges.
 	Grace time.Duration
-	// CheckInterval is the time between two looks at the list.
+	// CheckInterval is the interval between two checks of the list.
 	CheckInterval time.Duration
 }
 
@@ -50,19 +49,17 @@
 	return KeyTimes{Window: 15 * time.Minute, Lease: 2 * time.Minute, Grace: 10 * time.Second, CheckInterval: time.Second}
 }
 
-// maxKeys bounds the records of one ledger, about 300 bytes each without the
-// answers.
+// maxKeys bounds the records of one ledger; each takes about 300 bytes without its answer.
 const maxKeys = 100_000
 
-// maxStoredAnswerBytes bounds the answers that are kept for a key sent again, in
-// bytes. Of a larger one only the outcome is kept.
+// maxStoredAnswerBytes bounds the answers that are stored for repeated calls with a key. Of a
+// larger answer only the outcome is kept.
 const maxStoredAnswerBytes = 16 << 10
 
-// Keeper keeps the ledger of the key ranges that the log gives to this agent.
-// Ranges are taken by a record in the log, each naming the revision that it
-// replaces, so each epoch of a range has one keeper. A keeper that has not
-// seen the end of the log for the time of its lease stops granting, and its
-// successor waits that long before it begins; so no two grant at once.
+// Keeper keeps the ledger of the key ranges that the log assigns to this agent. A keeper acquires a
+// range by a record in the log that names the revision it replaces, so each epoch of a range has
+// one keeper. A keeper that has not read the end of the log for the duration of its lease stops
+// granting, and its successor waits that long before it starts, so no two keepers grant at once.
 type Keeper struct {
 	box         string
 	incarnation string
@@ -81,27 +78,27 @@
 	mu      sync.Mutex
 	config  *config.Config
 	ranges  map[int]*ownedRange
-	pending map[int]*pendingRange // handed over to us and not yet ours by the log
+	pending map[int]*pendingRange // handed over to this keeper, but not yet assigned to it by the log
 	minted  *ledger.Keys
-	missing map[string]time.Time // since when a keeper is off the list
+	missing map[string]time.Time // since when a keeper is missing from the list
 	leaving bool
 }
 
 type ownedRange struct {
 	epoch      int64
-	grantsFrom time.Time // no claim is granted before
+	grantsFrom time.Time // no claim is granted before this
 	keys       *ledger.Keys
 }
 
-// pendingRange is a range on its way from one keeper to the next.
+// pendingRange is a range that is being handed over from one keeper to the next.
 type pendingRange struct {
-	epoch    int64 // of the keeper that hands over
+	epoch    int64 // of the keeper that hands the range over
 	records  []ledger.KeyRecord
 	complete bool
 }
 
-// NewKeeper returns a keeper. Agents returns the agents' boxes as the platform
-// lists them.
+// NewKeeper returns a keeper. The function agents returns the agents' boxes as the platform lists
+// them.
 func NewKeeper(box, incarnation string, t KeyTimes, k hollowgrade.Clock, g *log.Logger, l hollowgrade.Log,
 	f *fold.Follower, agents func(context.Context) []hollowgrade.Box, d peer.Dialer,
 ) *Keeper {
@@ -141,7 +138,7 @@
 	}
 }
 
-// SetConfig tells the keeper who owns which range.
+// SetConfig sets the configuration, which assigns the ranges to keepers.
 func (k *Keeper) SetConfig(c *config.Config) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -162,9 +159,9 @@
 	}
 }
 
-// openRange opens the ledger of a range that has become ours. The keeper before us
-// may grant until its lease ends, and what it granted is not in our ledger
-// unless it handed it over.
+// openRange opens the ledger of a range that has been assigned to this keeper. The previous keeper
+// may grant until its lease ends, and unless it handed its records over they are not in the new
+// ledger: claims wait for the lease, and keys without a record are unknown for a window more.
 func (k *Keeper) openRange(n int, r config.Range) *ownedRange {
 	now := k.clock.Now()
 	p := &ownedRange{epoch: r.Epoch, grantsFrom: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
@@ -207,12 +204,12 @@
 	return a
 }
 
-// mintedLease is the lease on a minted key: its keeper never changes, so only
-// the hold of the claim bounds it.
+// mintedLease is the lease on a minted key: its keeper never changes, so only the hold of the claim
+// bounds it.
 const mintedLease = time.Hour
 
-// ledgerFor returns the ledger that decides about the key, its epoch, and how
-// long the right to grant certainly lasts; nil if that is not here.
+// ledgerFor returns the ledger that decides about the key, its epoch, and how long this keeper may
+// certainly grant; nil if another keeper decides, or none does yet.
 func (k *Keeper) ledgerFor(id ledger.KeyID, now time.Time) (l *ledger.Keys, epoch int64, lease time.Duration) {
 	if b, i, s, ok := ledger.ParseMinted(id.Key); ok {
 		if b != k.box || i != k.incarnation || !k.verifyMinted(s, now) {
@@ -259,9 +256,8 @@
 	return k.config.KeyRanges[ledger.RangeName(id.Range())].Epoch > epoch
 }
 
-// Mint implements [KeyKeeper]. A minted key ends with its time of expiry and a
-// mark that only this process can make, so nothing need be remembered of it
-// before it is claimed.
+// Mint implements [KeyKeeper]. A minted key ends with its expiry and a signature that only this
+// process can make, so it needs no record before it is claimed.
 func (k *Keeper) Mint() string {
 	n := strconv.FormatInt(hollowgrade.WallTime(k.clock).Add(k.times.Window/2).UnixNano(), 36) + "-" + uuid.NewString()
 	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.sign(n))
@@ -275,8 +271,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:signatureBytes])
 }
 
-// verifyMinted reports whether the last part of a minted key is ours, and whether
-// it may still be used: its record would be forgotten after the window.
+// verifyMinted reports whether the last part of a minted key was signed by this keeper and has not
+// expired. A minted key expires before its record would be forgotten, so it cannot run twice.
 func (k *Keeper) verifyMinted(s string, now time.Time) bool {
 	if len(s) < 2*signatureBytes+1 {
 		return false
@@ -298,8 +294,7 @@
 	return s[:i], s[i+1:], true
 }
 
-// acquireRanges takes the ranges that have no live keeper and for which this
-// agent ranks first.
+// acquireRanges acquires the ranges that have no live keeper and for which this agent ranks first.
 func (k *Keeper) acquireRanges(ctx context.Context) {
 	live := liveNames(k.agents(ctx))
 	if !slices.Contains(live, k.box) || k.follower.Fresh().IsZero() {
@@ -326,7 +321,7 @@
 	return ns
 }
 
-// takeover decides whether to take a range now.
+// takeover decides whether to acquire a range now.
 func (k *Keeper) takeover(n int, live []string) (r config.KeyRange, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -336,7 +331,7 @@
 	case k.leaving:
 		return r, false
 	case stands && cur.Owner == k.box:
-		// A former process of this box kept it.
+		// A former process of this box may own it.
 		return r, cur.Incarnation != k.incarnation
 	case stands && slices.Contains(live, cur.Owner):
 		delete(k.missing, cur.Owner)
@@ -370,13 +365,13 @@
 	_, err = fold.Publish(ctx, k.log, s, c)
 	var f *fault.Error
 	if errors.As(err, &f) && f.Code == fault.LostRace {
-		return nil // somebody else has it, which is as good
+		return nil // another keeper has acquired the range
 	}
 	return err
 }
 
-// handOver gives each range with its ledger to the agent that ranks next. From
-// here on this keeper grants nothing.
+// handOver sends each range with its records to the agent that ranks next. This keeper grants
+// nothing from here on.
 func (k *Keeper) handOver(ctx context.Context) (err error) {
 	boxes := slices.DeleteFunc(k.agents(ctx), func(b hollowgrade.Box) bool {
 		return b.Role != hollowgrade.AgentRole || b.State != hollowgrade.BoxLive || b.Name == k.box
@@ -414,8 +409,8 @@
 	return m
 }
 
-// handoverBatch is the number of records in one frame. An answer of the
-// largest size in each still fits.
+// handoverBatch is the number of records in one frame, small enough that each may have an answer of
+// the largest size.
 const handoverBatch = 16
 
 func (k *Keeper) sendRange(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
@@ -428,7 +423,7 @@
 	defer c.Close()
 	var s *peer.Stream
 	for b := range slices.Chunk(append(h.records, ledger.KeyRecord{}), handoverBatch) {
-		// The empty record at the end makes sure that there is a last batch.
+		// The empty record at the end ensures that there is a last batch.
 		last := b[len(b)-1].ID.Key == ""
 		if last {
 			b = b[:len(b)-1]
