--- a/agent/control.go
+++ b/agent/control.go
@@ -9,11 +9,11 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// minReportGap bounds how often one entry is told of a changed load.
+// minReportGap bounds how often one entry receives a report of a changed load.
 const minReportGap = 50 * time.Millisecond
 
-// serveControl reports the agent's status to one entry until the connection
-// ends: at each heartbeat, and sooner when the agent begins to drain.
+// serveControl reports the agent's status to one entry until the connection ends: at each
+// heartbeat, and sooner when the status changes.
 func (a *Agent) serveControl(ctx context.Context, s *peer.Stream) error {
 	for {
 		m, changed := a.status()
@@ -26,7 +26,7 @@
 	}
 }
 
-// awaitReport waits for the next reason to report. It returns false when ctx ends.
+// awaitReport waits until the next report is due. It returns false when ctx ends.
 func (a *Agent) awaitReport(ctx context.Context, changed <-chan struct{}) bool {
 	t := a.clock.NewTimer(a.limits.Heartbeat)
 	defer t.Stop()
@@ -69,11 +69,11 @@
 	step        time.Duration
 }
 
-// sampleWeight is that of a new sample in the moving averages.
+// sampleWeight is the weight of a new sample in the moving averages.
 const sampleWeight = 0.1
 
-// minPrefillSampleTokens is the smallest prefill that says anything of the rate; below it
-// the time of a single step dominates.
+// minPrefillSampleTokens is the smallest prefill that counts as a sample of the rate; below it the
+// time of a single step dominates.
 const minPrefillSampleTokens = 512
 
 func (s *speed) addPrefill(tokens int, d time.Duration) {
--- a/agent/engine.go
+++ b/agent/engine.go
@@ -13,9 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// runEngine prefills the prompt, in pieces if it is long, and then passes the
-// answer on. Between two pieces the job goes back into the queue, so that a
-// short request waits for one piece at most.
+// runEngine prefills the prompt, in pieces if it is long, and then streams the answer. Between two
+// pieces the job returns to the queue, so that a short request waits for one piece at most.
 func (a *Agent) runEngine(ctx context.Context, j *job) error {
 	for {
 		if err := a.awaitGrant(ctx, j); err != nil {
@@ -28,8 +27,8 @@
 	}
 }
 
-// correctOutcome corrects an error that says "not run" of a job of which earlier
-// pieces have run.
+// correctOutcome changes the outcome "not run" to "failed" for a job of which earlier pieces have
+// run.
 func correctOutcome(j *job, err error) error {
 	var f *fault.Error
 	if errors.As(err, &f) && f.Outcome == hollowgrade.NotRun && j.started.Load() {
@@ -38,8 +37,8 @@
 	return err
 }
 
-// step gives one granted piece of the prompt to the engine, or the rest of the
-// prompt with the answer. It reports whether it was the last.
+// step sends one granted piece of the prompt to the engine, or the rest of the prompt and streams
+// the answer. It reports whether it was the last step.
 func (a *Agent) step(ctx context.Context, j *job) (last bool, err error) {
 	defer a.stepDone()
 	n := a.cost(j)
@@ -65,7 +64,7 @@
 	return true, a.streamAnswer(ctx, j, prefilled)
 }
 
-// sendStarted tells the entry that the request counts as run from here on.
+// sendStarted reports to the entry that the request counts as run from here on.
 func (a *Agent) sendStarted(j *job) error {
 	if j.started.Load() {
 		return nil
@@ -110,7 +109,7 @@
 	return nil
 }
 
-// lastOf returns the last handle, which stands for all the pieces before it.
+// lastOf returns the last handle, which includes all pieces before it.
 func lastOf(hs []string) []string {
 	if len(hs) == 0 {
 		return nil
@@ -118,7 +117,7 @@
 	return hs[len(hs)-1:]
 }
 
-// streamAnswer prefills the rest of the prompt and passes the tokens on.
+// streamAnswer prefills the rest of the prompt and sends the tokens to the entry.
 func (a *Agent) streamAnswer(ctx context.Context, j *job, prefilled func()) (err error) {
 	at := a.clock.Now()
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
@@ -165,8 +164,8 @@
 	return now
 }
 
-// sendToken sends one token on. An engine that leaves a gap or repeats itself has
-// broken its answer, and no token after that is believed.
+// sendToken sends one token to the entry. A gap or a repetition in the offsets fails the answer,
+// and later tokens are not trusted.
 func (a *Agent) sendToken(j *job, t hollowgrade.Token) error {
 	if t.Offset != j.count {
 		return fault.New(fault.AnswerCut, "the engine sent token %d where %d was due", t.Offset, j.count)
@@ -185,14 +184,14 @@
 	f(&a.speed)
 }
 
-// enginePriority maps class and priority onto the engine's single number.
+// enginePriority maps class and priority to the engine's single number.
 func enginePriority(r hollowgrade.Request) int {
 	const band = 1000
 	return int(hollowgrade.Classes-r.Decision.Class)*band + r.Decision.Priority
 }
 
-// engineError tells a refusal of the engine from its loss, and either from the
-// end of the job itself.
+// engineError distinguishes a refusal by the engine from its loss, and both from the end of the
+// job's context.
 func (a *Agent) engineError(ctx context.Context, err error) error {
 	var r *upstream.RefusedError
 	switch {
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -31,8 +31,8 @@
 	return s.Send(&wire.Frame{Body: &wire.Frame_ClaimReply{ClaimReply: r}})
 }
 
-// serveHandover takes in a range of keys and answers with the incarnation that
-// will keep it.
+// serveHandover receives the records of a range of keys and replies with the incarnation that will
+// keep it.
 func (a *Agent) serveHandover(s *peer.Stream, h *wire.Handover) error {
 	for {
 		if err := a.keys.ReceiveHandover(h); err != nil {
@@ -51,8 +51,8 @@
 	}
 }
 
-// serveFold hands the newest configuration to a peer that has an older one, as
-// a new box does while the log is out.
+// serveFold sends the newest configuration to a peer that has an older one, such as a new box
+// during an outage of the log.
 func (a *Agent) serveFold(s *peer.Stream, m *wire.FoldRequest) error {
 	var b []byte
 	if a.snapshot != nil {
--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -15,9 +15,9 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// Preparer gets the engine beside this agent ready for events: it fetches the
-// weights through the platform's store and orders the engine to load them,
-// before the event starts. Each agent decides for itself by its rank.
+// Preparer gets the engine beside this agent ready for events: it fetches the weights through the
+// platform's store and orders the engine to load them, before the event starts. Each agent decides
+// for itself by its rank among the agents.
 type Preparer struct {
 	box    string
 	clock  hollowgrade.Clock
@@ -31,7 +31,7 @@
 
 	mu       sync.Mutex
 	config   *config.Config
-	prepared map[string]int64 // revision of each event that the engine was made ready for
+	prepared map[string]int64 // revision of each event for which the engine is prepared
 }
 
 // NewPreparer returns a preparer. Agents returns the agents' boxes as the
@@ -47,7 +47,7 @@
 	}
 }
 
-// SetConfig tells the preparer of the events.
+// SetConfig sets the configuration, which has the events.
 func (p *Preparer) SetConfig(c *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// prepareInterval is the time between two looks at the events. A fetch that the
-// store refused is tried again after it.
+// prepareInterval is the interval between two checks of the events. A fetch that the store refused
+// is retried after it.
 const prepareInterval = time.Second
 
 func (p *Preparer) loop(ctx context.Context) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// prepare loads one model. The order carries the revision of the event as its
-// fence, so that a process that was paused cannot undo a later order.
+// prepare loads one model. The order has the revision of the event as its fence, so that a process
+// that was paused cannot undo a later order.
 func (p *Preparer) prepare(ctx context.Context, model string, fence int64) error {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
--- a/agent/service.go
+++ b/agent/service.go
@@ -14,7 +14,7 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// runService passes a call on to the plain service and its answer back.
+// runService forwards a call to the plain service and its response to the entry.
 func (a *Agent) runService(ctx context.Context, j *job) error {
 	if err := a.awaitGrant(ctx, j); err != nil {
 		return err
@@ -75,7 +75,8 @@
 	}
 }
 
-// serviceError says whether the call ended for our reasons or the service's.
+// serviceError returns the error to report for a failed call. A call that was never sent has not
+// run; if the job's context has ended, its cause is the error.
 func (a *Agent) serviceError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
