--- a/entry/serve.go
+++ b/entry/serve.go
@@ -16,12 +16,12 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// serve brings a request to its end, whatever that is. It returns within the
-// allowed time, and at once when nothing more can be done.
+// serve processes a request until it ends in an answer or an error. It returns within the allowed
+// time, and at once when nothing more can be done.
 func (e *Entry) serve(ctx context.Context, q *query, o config.Organisation) (err error) {
 	if q.request.Key != "" {
-		// What runs under a key goes on without its caller, so that the keeper
-		// learns how it ended and can tell when the key comes again.
+		// A run under a key goes on without its caller, so that the keeper learns its outcome and
+		// can reply to a repeated request with the key.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, stop := clockwork.WithDeadline(ctx, e.clock, q.request.Deadline)
@@ -54,7 +54,7 @@
 	entry *Entry
 	query *query
 	tried map[*link]bool
-	last  *link // that was asked last
+	last  *link // of the last attempt
 }
 
 // Try implements [core.Work].
@@ -68,8 +68,8 @@
 	return core.Try{Err: err, Placed: l != nil}
 }
 
-// Repeatable implements [core.Work]. A second run does no harm if the policy
-// says so, and if what the caller has so far can be gone on from.
+// Repeatable implements [core.Work]. A request may be repeated if the policy allows it and the
+// answer can be continued from what the caller has received.
 func (a *attempts) Repeatable() bool {
 	return a.query.request.Decision.Repeatable && !a.query.began
 }
@@ -79,8 +79,8 @@
 	return a.entry.spendRetry(a.query, a.last)
 }
 
-// attemptOnce places the request and makes one attempt. The link is that of the
-// upstream which was asked last, or nil if none was given the request.
+// attemptOnce selects an upstream and makes one attempt. The link is that of the upstream, or nil
+// if the request was sent to none.
 func (e *Entry) attemptOnce(ctx context.Context, q *query, tried map[*link]bool) (l *link, err error) {
 	if q.request.Service == "" && e.needsGroup(q.request) {
 		return e.serveGroup(ctx, q)
@@ -95,7 +95,7 @@
 	return l, err
 }
 
-// recordResult tells the link's breaker how an attempt went.
+// recordResult reports the result of an attempt to the link's breaker.
 func (e *Entry) recordResult(l *link, err error) {
 	var f *fault.Error
 	switch {
@@ -106,7 +106,7 @@
 	}
 }
 
-// spendRetry takes a retry out of the budgets of the organisation and the upstream.
+// spendRetry takes a retry from the budgets of the organisation and of the upstream.
 func (e *Entry) spendRetry(q *query, l *link) bool {
 	e.mu.Lock()
 	u := e.usageOf(q.request.Organisation)
@@ -121,14 +121,14 @@
 	return true
 }
 
-// sleepWithinDeadline waits before a keeper is asked again. It returns false when that would
-// go beyond the deadline.
+// sleepWithinDeadline waits before the keeper is called again. It returns false without waiting if
+// the deadline would pass.
 func (e *Entry) sleepWithinDeadline(ctx context.Context, q *query, d time.Duration) bool {
 	return q.request.Remaining(e.clock.Now()) > d && hollowgrade.Sleep(ctx, e.clock, d)
 }
 
-// place picks an agent, and refuses the request at once if none could answer
-// in time. Agents that were tried are left out.
+// place selects an agent that has not been tried, and refuses the request at once if none could
+// answer in time.
 func (e *Entry) place(q *query, tried map[*link]bool) (*link, *peer.Conn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,8 +171,8 @@
 	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetryAfter)
 }
 
-// maxCandidates bounds the upstreams that one placement looks at. Up to this many, all
-// are looked at; beyond, as many in turn, and those that hold the prefix.
+// maxCandidates bounds the upstreams that one placement compares. If more serve the request,
+// placements take this many in rotation, and those that hold the prefix.
 const maxCandidates = 32
 
 // candidates returns agents that serve the request, with their loads.
@@ -208,8 +208,8 @@
 	return ls, loads
 }
 
-// serving returns the connected agents that serve a target. The lists are made
-// anew only when an agent came, went, or changed what it serves.
+// serving returns the connected agents that serve a target. The lists are rebuilt only after an
+// agent connected, disconnected, or changed what it serves.
 func (e *Entry) serving(target string) []*link {
 	if e.targets == nil {
 		e.targets = map[string][]*link{}
@@ -222,7 +222,7 @@
 	return e.targets[target]
 }
 
-// checkEstimate refuses what cannot end in time by the best that is known.
+// checkEstimate refuses a request whose estimated time exceeds its remaining time.
 func (e *Entry) checkEstimate(q *query, l *sched.Load, w sched.Work) error {
 	if q.request.Service != "" {
 		return nil
