--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the process that callers talk to. It decides who a request
-// belongs to and what policy binds it, picks an upstream, passes the answer
-// back as it comes, and tries again elsewhere where that does no harm. All it
-// knows of upstreams is a hint; the agents beside them decide.
+// Package entry is the process that callers connect to. It authenticates a request, applies the
+// policy of its organisation, selects an upstream, forwards the answer as it arrives, and retries
+// on another upstream where a second run does no harm. Its view of upstreams may be stale; the
+// agents beside them decide.
 package entry
 
 import (
@@ -24,16 +24,16 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// Limits bound what an entry takes on.
+// Limits bound what an entry accepts.
 type Limits struct {
-	MaxBodyBytes  int64         // of a caller's request
-	BodyTimeout   time.Duration // for a caller to send its body
-	HeaderTimeout time.Duration // for a caller to send its headers
-	MaxRequests   int           // open at once
-	MaxAttempts   int           // for one request
+	MaxBodyBytes  int64         // size of a caller's request
+	BodyTimeout   time.Duration // time for a caller to send its body
+	HeaderTimeout time.Duration // time for a caller to send its headers
+	MaxRequests   int           // requests open at once
+	MaxAttempts   int           // attempts at one request
 	RetryRatio    float64       // retries for each first attempt, in the long run
 	RetrySaved    float64       // retries that a budget can save up
-	Linger        time.Duration // for which a planned stop goes on serving, until the balancer leads elsewhere
+	Linger        time.Duration // how long a planned stop goes on serving, until the balancer has noticed
 }
 
 // DefaultLimits returns limits that suit a small box.
@@ -71,19 +71,19 @@
 
 	mu              sync.Mutex
 	links           map[string]*link   // by peer address
-	order           []*link            // the same, in a fixed order
-	targets         map[string][]*link // connected agents by what they serve; nil if to be made anew
+	order           []*link            // the same, sorted by address
+	targets         map[string][]*link // connected agents by what they serve; nil if outdated
 	candidateOffset int
 	prefixes        *sched.Prefixes
 	usage           map[string]*usage // by organisation
-	openCount       int               // requests and settlements of keys
+	openCount       int               // open requests and settlements of keys
 	mintOffset      int
 	lingering       bool
 	draining        bool
 	idle            chan struct{}
 }
 
-// Observation is one request that has ended, for metrics.
+// Observation describes one request that has ended, for metrics.
 type Observation struct {
 	Organisation string
 	Kind         string
@@ -93,13 +93,13 @@
 	Code         fault.Code
 	PromptTokens int
 	FirstToken   time.Duration // zero if none was sent
-	Ideal        time.Duration // predicted time to first token without any wait, zero for plain services
+	Ideal        time.Duration // predicted time to first token without queueing, zero for plain services
 	Took         time.Duration
 	Attempts     int
 	Tokens       int
 }
 
-// Option changes an entry as it is made.
+// Option configures an entry.
 type Option func(*Entry)
 
 // WithClock sets the clock.
@@ -117,29 +117,29 @@
 	return func(e *Entry) { e.limits = l }
 }
 
-// WithDialer sets how agents are reached.
+// WithDialer sets how connections to agents are opened.
 func WithDialer(d peer.Dialer) Option {
 	return func(e *Entry) { e.dial = d }
 }
 
-// WithPlacement sets how an upstream is picked.
+// WithPlacement sets how an upstream is selected.
 func WithPlacement(p sched.Placement) Option {
 	return func(e *Entry) { e.placement = p }
 }
 
-// WithObserver sets who is told of each request that has ended.
+// WithObserver sets the function that is called for each request that has ended.
 func WithObserver(f func(Observation)) Option {
 	return func(e *Entry) { e.observe = f }
 }
 
-// idleTimeout ends connections on which no request comes.
+// idleTimeout bounds how long a connection stays open without a request.
 const idleTimeout = 2 * time.Minute
 
-// prefixLimit bounds the memory of the prefix index: about 100 bytes each.
+// prefixLimit bounds the entries of the prefix index; each takes about 100 bytes.
 const prefixLimit = 200_000
 
-// New returns an entry for the box that will serve callers on the listener.
-// Agents returns the agents' boxes as the platform lists them.
+// New returns an entry for the box that will serve callers on the listener. The function agents
+// returns the agents' boxes as the platform lists them.
 func New(b hollowgrade.Box, incarnation string, l net.Listener, agents func(context.Context) []hollowgrade.Box, os ...Option) *Entry {
 	e := &Entry{
 		box:         b,
@@ -166,8 +166,7 @@
 	return e
 }
 
-// SetConfig puts a configuration in force. An older one never replaces a newer
-// one.
+// SetConfig puts a configuration in force. An older one never replaces a newer one.
 func (e *Entry) SetConfig(c *config.Config) {
 	for {
 		old := e.config.Load()
@@ -188,10 +187,9 @@
 	return nil
 }
 
-// Stop implements [kernel.Service]. First the entry says that it is not ready
-// and goes on serving, since requests are on their way to it until the balancer
-// has noticed. Then it refuses new ones, and finishes those that are open, for
-// as long as ctx lasts.
+// Stop implements [kernel.Service]. First the entry reports itself not ready and goes on serving,
+// since the balancer sends requests until it has noticed. Then it refuses new requests and finishes
+// the open ones, for as long as ctx lasts.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.linger(ctx)
 	e.Drain()
@@ -217,8 +215,8 @@
 	hollowgrade.Sleep(ctx, e.clock, e.limits.Linger)
 }
 
-// Drain makes the entry refuse new requests and report itself not ready, so
-// that the balancer leads elsewhere.
+// Drain makes the entry refuse new requests and report itself not ready, so that the balancer sends
+// callers elsewhere.
 func (e *Entry) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,7 +238,7 @@
 	}
 }
 
-// Ready reports whether the balancer should lead callers here, and if not, why.
+// Ready reports whether the balancer should send callers here, and if not, why.
 func (e *Entry) Ready() (ok bool, why string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -292,8 +290,8 @@
 	budget   *retry.Budget
 }
 
-// admit admits a request against the limits of the entry and of the
-// organisation. Leave must be called once it has ended.
+// admit checks a request against the limits of the entry and of the organisation, and counts it.
+// The returned function must be called once the request has ended.
 func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (leave func(), err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -317,7 +315,7 @@
 	return func() { e.release(u, r) }, nil
 }
 
-// shortRetryAfter is when to come back after a refusal that passes quickly.
+// shortRetryAfter is the retry-after of a refusal whose cause passes quickly.
 const shortRetryAfter = time.Second
 
 func (e *Entry) usageOf(organisation string) *usage {
@@ -337,7 +335,7 @@
 	e.removeOpen()
 }
 
-// opened and closed count what a planned stop waits for. The lock is held.
+// addOpen and removeOpen count what a planned stop waits for. The lock must be held.
 
 func (e *Entry) addOpen() {
 	e.openCount++
