--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -21,35 +21,35 @@
 	sink     sink
 	arrived  time.Time
 	first    time.Duration // until the first token
-	ideal    time.Duration // the same, as predicted without any wait
-	tokens   []string      // of the answer, as passed on to the caller
-	began    bool          // whether the head of a plain service's answer was passed on
+	ideal    time.Duration // the same, as predicted without queueing
+	tokens   []string      // of the answer, as sent to the caller
+	began    bool          // whether the head of a plain service's answer was sent to the caller
 	claim    claim         // for requests that may run once only
 	group    group         // for prompts that need several engines
 }
 
-// sink takes the answer on its way to the caller.
+// sink receives the answer and sends it to the caller.
 type sink interface {
-	// Token passes the next token on. An error means that the caller is gone.
+	// Token sends the next token. An error means that the caller is gone.
 	Token(offset int, text string) error
-	// Head passes on the head of a plain service's answer.
+	// Head sends the head of a plain service's answer.
 	Head(h *wire.ServiceHead) error
-	// Data passes on a part of a plain service's answer.
+	// Data sends a part of a plain service's answer.
 	Data(b []byte) error
 }
 
-// agentMargin is taken off the allowed time for the agent, so that its word on
-// what became of the request arrives before the entry's own time is up.
+// agentMargin is subtracted from the allowed time for the agent, so that its final frame arrives
+// before the entry's own deadline.
 func agentMargin(left time.Duration) time.Duration {
 	const least, most = 10 * time.Millisecond, 250 * time.Millisecond
 	return min(max(left/50, least), most)
 }
 
-// errCallerGone marks an error in passing the answer on to the caller.
+// errCallerGone marks an error in sending the answer to the caller.
 var errCallerGone = errors.New("caller is gone")
 
-// attempt sends the request to one agent and passes its answer on. The error
-// is a [fault.Error] whose outcome says what became of this attempt.
+// attempt sends the request to one agent and forwards its answer. The error is a [fault.Error] with
+// the outcome of this attempt.
 func (e *Entry) attempt(ctx context.Context, l *link, c *peer.Conn, q *query) error {
 	left := q.request.Remaining(e.clock.Now())
 	s, err := c.Open(&wire.Frame{Body: &wire.Frame_Submit{Submit: e.submit(q, left-agentMargin(left))}})
@@ -65,8 +65,8 @@
 	return e.receive(ctx, l, s, q)
 }
 
-// sendBody sends the body. Sent reports whether the last frame may have left:
-// the agent starts nothing before it has come.
+// sendBody sends the body. Sent reports whether the last frame may have been sent: the agent starts
+// nothing before that frame arrives.
 func (e *Entry) sendBody(s *peer.Stream, q *query) (sent bool, err error) {
 	b := q.group.part(q.body)
 	n := max((len(b)-1)/peer.MaxChunk, 0) * peer.MaxChunk
@@ -105,7 +105,7 @@
 	return m
 }
 
-// receive passes frames on until the final one.
+// receive forwards frames until the final one.
 func (e *Entry) receive(ctx context.Context, l *link, s *peer.Stream, q *query) error {
 	started := false
 	for {
@@ -142,8 +142,8 @@
 	return fault.As(err, hollowgrade.Failed)
 }
 
-// forwardTokens takes exactly the next token of the present attempt. What an
-// earlier attempt sent late is dropped, and a gap ends the attempt.
+// forwardTokens forwards exactly the next token of the current attempt. Late tokens of an earlier
+// attempt are dropped, and a gap ends the attempt.
 func (e *Entry) forwardTokens(q *query, m *wire.Tokens) error {
 	if int(m.Attempt) != q.request.Attempt {
 		return nil
@@ -173,8 +173,8 @@
 	return q.callerError(q.sink.Head(h))
 }
 
-// callerError judges an error in passing the answer on. What runs under a key does
-// not end because its caller is gone.
+// callerError marks an error in sending the answer to the caller. A run under a key does not end
+// because its caller is gone, so the error is dropped then.
 func (q *query) callerError(err error) error {
 	if err == nil || q.request.Key != "" {
 		return nil
@@ -182,8 +182,8 @@
 	return errors.Join(errCallerGone, err)
 }
 
-// finalError checks the final frame. A count that differs from what was
-// received is a failure, never a short success.
+// finalError checks the final frame. A count that differs from the tokens received is a failure,
+// never a short success.
 func finalError(q *query, m *wire.Final) error {
 	o := hollowgrade.Outcome(m.Outcome)
 	if o == hollowgrade.Finished {
@@ -201,9 +201,9 @@
 	return f.WithRetryAfter(time.Duration(m.RetryAfterMicros) * time.Microsecond)
 }
 
-// connectionError says what an exchange that ended without a final frame means. An
-// agent cancels what was started for an entry that is gone, unless it runs
-// under a key; a plain service may have done its work all the same.
+// connectionError returns the fault of an exchange that ended without a final frame. An agent
+// cancels what was started for an entry that is gone, unless it runs under a key; a plain service
+// may have done its work all the same.
 func (e *Entry) connectionError(ctx context.Context, l *link, q *query, sent, started bool) error {
 	o := hollowgrade.Unknown
 	switch {
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -11,7 +11,7 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// recordingSink is a sink that keeps what a caller would receive.
+// recordingSink records the text that a caller would receive.
 type recordingSink struct {
 	serviceAnswer
 	text string
