--- a/entry/group.go
+++ b/entry/group.go
@@ -13,22 +13,21 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// A prompt that no single engine can hold is spread over a group. The entry
-// reserves memory at each member, all or nothing and always in the order of
-// their addresses, so that two groups never wait for each other in a circle.
-// Then the members prefill one part after another, each attached to the parts
-// before it, and the last one generates the answer. Reservations expire by
-// themselves if the entry dies.
-
-// group is the part of a query that belongs to one member of its group.
+// group is the part of a query that one member of its group runs.
+//
+// A prompt that is too large for any single engine is split over a group. The entry reserves memory
+// at each member, all or nothing and always in the order of their addresses, so that two groups
+// cannot deadlock. The members prefill one part after another, each attached to the parts before
+// it, and the last one generates the answer. Reservations expire by themselves if the entry
+// crashes.
 type group struct {
 	reservation string
 	handles     []string
-	holdOnly    bool // the member only prefills its part
+	holdOnly    bool // the member prefills its part and generates nothing
 	from, to    int  // bytes of the prompt; to is 0 if there is no group
 }
 
-// part returns the bytes that go to the present member.
+// part returns the bytes that are sent to the current member.
 func (g *group) part(body []byte) []byte {
 	if g.to == 0 {
 		return body
@@ -65,11 +64,10 @@
 	to     int
 }
 
-// defaultGroupSize is how many engines a prompt may span when the published model
-// does not say.
+// defaultGroupSize is how many engines a prompt may span if the published model has no limit.
 const defaultGroupSize = 4
 
-// needsGroup reports whether the request is too large for each single engine.
+// needsGroup reports whether the request is too large for every single engine.
 func (e *Entry) needsGroup(r hollowgrade.Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,8 +78,8 @@
 	return most > 0 && r.Tokens() > most
 }
 
-// serveGroup makes one attempt on a group. The link is that of the member that
-// failed, or nil if the group was not reserved.
+// serveGroup makes one attempt on a group. The link is that of the member that failed, or nil if
+// the group was not reserved.
 func (e *Entry) serveGroup(ctx context.Context, q *query) (l *link, err error) {
 	ms, err := e.planGroup(q)
 	if err != nil {
@@ -110,7 +108,7 @@
 	return nil, nil
 }
 
-// groupFault corrects the outcome for the parts that earlier members ran.
+// groupFault changes the outcome "not run" to "failed" if earlier members have run their parts.
 func groupFault(err error, before int) error {
 	f := fault.As(err, hollowgrade.Unknown)
 	if before > 0 && f.Outcome == hollowgrade.NotRun {
@@ -119,7 +117,7 @@
 	return f
 }
 
-// planGroup chooses the members with the most room, and cuts the prompt.
+// planGroup chooses the members with the most free memory, and splits the prompt.
 func (e *Entry) planGroup(q *query) (ms []member, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,8 +156,8 @@
 	return 0
 }
 
-// splitPrompt shares the prompt out in parts of whole blocks in proportion to the
-// members' memory. The last member takes the answer too.
+// splitPrompt splits the prompt into parts of whole blocks in proportion to the members' memory.
+// The last member also needs memory for the answer.
 func splitPrompt(ms []member, bytes, answer int) {
 	total := 0
 	for _, m := range ms {
@@ -169,8 +167,7 @@
 	from := 0
 	for i := range ms {
 		m := &ms[i]
-		// Rounded up, so that what is left for the last member is never more
-		// than its share.
+		// Rounded up, so that the rest for the last member is never more than its share.
 		share := wholeBlocks(tokens*wholeBlocks(m.link.load.TotalTokens)/total + splitBlockTokens - 1)
 		m.from, m.to = from, min(from+share*bytesPerToken, bytes)
 		m.tokens = (m.to - m.from) / bytesPerToken
@@ -182,15 +179,15 @@
 	}
 }
 
-// splitBlockTokens is the unit, in tokens, at which a prompt is cut.
+// splitBlockTokens is the unit, in tokens, in which a prompt is split.
 const splitBlockTokens = 1024
 
 func wholeBlocks(tokens int) int {
 	return tokens / splitBlockTokens * splitBlockTokens
 }
 
-// reserveGroup reserves at each member in turn. Each reservation stands until
-// its exchange is ended.
+// reserveGroup reserves memory at each member in turn. Each reservation lasts until its exchange
+// ends.
 func (e *Entry) reserveGroup(ctx context.Context, q *query, ms []member, id string) (ss []*peer.Stream, err error) {
 	ttl := q.request.Remaining(e.clock.Now()) + time.Second
 	for _, m := range ms {
@@ -218,7 +215,7 @@
 	return ss, nil
 }
 
-// roundTrip sends one frame and returns the answer.
+// roundTrip sends one frame and returns the reply.
 func (e *Entry) roundTrip(ctx context.Context, c *peer.Conn, f *wire.Frame) (*wire.Frame, error) {
 	s, err := c.Open(f)
 	if err != nil {
