--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -18,8 +18,8 @@
 // claim is the right to run a request once under its key.
 type claim struct {
 	epoch int64
-	lease time.Time // the keeper's right to grant certainly lasts until then
-	body  *recorder // keeps the answer of a plain service, for the keeper
+	lease time.Time // until then the keeper's right to grant certainly lasts
+	body  *recorder // records the answer of a plain service, for the keeper
 }
 
 func (c *claim) fill(m *wire.Submit, now time.Time) {
@@ -32,18 +32,18 @@
 
 const (
 	claimTimeout     = time.Second
-	maxClaimTime     = 5 * time.Second // while the range changes hands
+	maxClaimTime     = 5 * time.Second // while the range moves to another keeper
 	claimRetryDelay  = 100 * time.Millisecond
-	holdMargin       = 10 * time.Second // beyond the allowed time, for the end to be told
+	holdMargin       = 10 * time.Second // beyond the allowed time, for the outcome to be reported
 	settleAttempts   = 20
 	settleRetryDelay = 500 * time.Millisecond
 )
 
-// claimKey asks the keeper of the key for the right to run. Replayed says that
-// the answer of an earlier run has been passed on instead.
+// claimKey claims the right to run from the keeper of the key. Replayed reports that the answer of
+// an earlier run was sent instead.
 //
-// It comes before every other refusal: "not run" may be said of a request with
-// a key only once it is certain that no earlier one with that key has run.
+// The claim comes before every other refusal: a request with a key may be refused as "not run" only
+// once it is certain that no earlier one with that key has run.
 func (e *Entry) claimKey(ctx context.Context, q *query) (replayed bool, err error) {
 	r := q.request
 	var sent time.Time
@@ -93,7 +93,7 @@
 	return a.GetClaimReply(), err
 }
 
-// digest tells two requests under one key apart.
+// digest distinguishes different requests with the same key.
 func (q *query) digest() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(q.request.Model + "\x00" + q.request.Service + "\x00")
@@ -104,7 +104,7 @@
 	return d.Sum64()
 }
 
-// replay passes the answer of an earlier run on, or says how it ended.
+// replay sends the answer of an earlier run, or returns a fault with its outcome.
 func (e *Entry) replay(q *query, m *wire.ClaimReply) (bool, error) {
 	o := hollowgrade.Outcome(m.Outcome)
 	a := m.GetAnswer()
@@ -131,8 +131,8 @@
 	return true, nil
 }
 
-// settleKey tells the keeper how the run ended, without keeping the caller
-// waiting. If it cannot be told, the key ends as "unknown" there.
+// settleKey reports the outcome of the run to the keeper in the background, so that the caller
+// doesn't wait. If the report fails, the keeper ends the key as "unknown".
 func (e *Entry) settleKey(q *query, err error) {
 	m := &wire.Settle{
 		Key:          q.request.Key,
@@ -158,8 +158,8 @@
 	})
 }
 
-// settle tries until the keeper has answered. The range may be changing hands
-// meanwhile; the next keeper has the record by then.
+// settle retries until the keeper has replied. The range may be moving to another keeper meanwhile,
+// which has the record by then.
 func (e *Entry) settle(r hollowgrade.Request, m *wire.Settle) {
 	for range settleAttempts {
 		_, err := e.callKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
@@ -171,7 +171,7 @@
 	e.log.Warn("key not settled", "request", r.ID)
 }
 
-// callKeeper sends a frame to the keeper of the request's key.
+// callKeeper sends a frame to the keeper of the request's key and returns the reply.
 func (e *Entry) callKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
 	c := e.keeper(r)
 	if c == nil {
@@ -186,8 +186,8 @@
 	return a, nil
 }
 
-// keeper returns the connection to the one agent that decides about the key:
-// the one that a minted key names, or the one that the log gives the range to.
+// keeper returns the connection to the one agent that decides about the key: the one named in a
+// minted key, or the one to which the log assigns the range.
 func (e *Entry) keeper(r hollowgrade.Request) *peer.Conn {
 	box, incarnation, _, ok := ledger.ParseMinted(r.Key)
 	if !ok {
@@ -205,13 +205,13 @@
 	return nil
 }
 
-// MintReply is the answer to a call of [KeysPath].
+// MintReply is the reply to a call of [KeysPath].
 type MintReply struct {
 	Key string `json:"key"`
 }
 
-// mintKey makes an idempotency key whose keeper never changes, so that it works
-// through outages of the log and needs no waiting when another agent dies.
+// mintKey returns an idempotency key whose keeper never changes, so that it works during outages of
+// the log and needs no waiting when another agent crashes.
 func (e *Entry) mintKey(w http.ResponseWriter, r *http.Request, _ caller) error {
 	ctx, cancel := context.WithTimeout(r.Context(), claimTimeout)
 	defer cancel()
@@ -225,8 +225,7 @@
 	return fault.New(fault.NoUpstream, "no agent could make a key").WithRetryAfter(shortRetryAfter)
 }
 
-// minters returns the agents to ask for a key, beginning with another one each
-// time.
+// minters returns the agents that can mint a key, starting with another one each time.
 func (e *Entry) minters() (cs []*peer.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,7 +239,7 @@
 	return cs
 }
 
-// recorder keeps a copy of a plain service's answer while it is passed on.
+// recorder keeps a copy of a plain service's answer while it is sent to the caller.
 type recorder struct {
 	sink
 	head     *wire.ServiceHead
@@ -248,7 +247,7 @@
 	overflow bool
 }
 
-// maxRecordedBytes bounds the answers that are sent to the keeper, in bytes.
+// maxRecordedBytes bounds the body of an answer that is sent to the keeper.
 const maxRecordedBytes = 16 << 10
 
 // Head implements [sink].
