--- a/entry/link.go
+++ b/entry/link.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	listInterval     = time.Second     // between two looks at the list of boxes
+	listInterval     = time.Second     // between two reads of the list of boxes
 	dialTimeout      = 2 * time.Second // for a connection to an agent
-	maxDialBackoff   = 5 * time.Second // between two tries
-	statusTimeout    = 3 * time.Second // after this without a heartbeat the agent is given up
+	maxDialBackoff   = 5 * time.Second // between two attempts to connect
+	statusTimeout    = 3 * time.Second // after this time without a heartbeat the connection is closed
 	breakerThreshold = 3
 	breakerCooldown  = 2 * time.Second
-	hallLatency      = 1500 * time.Microsecond // assumed one way between two data halls
+	hallLatency      = 1500 * time.Microsecond // assumed one-way latency between two data halls
 )
 
-// link is the connection to one agent, with what it last said of itself. The
-// entry's lock guards it, but for box, which never changes.
+// link is the connection to one agent, with its last status report. The entry's lock guards all
+// fields but box, which never changes.
 type link struct {
 	box     hollowgrade.Box
 	cancel  context.CancelFunc
-	conn    *peer.Conn // nil while there is none
+	conn    *peer.Conn // nil while disconnected
 	status  *wire.Status
 	load    sched.Load
-	sent    map[string]sentWork // own work that no report covers yet, by request
+	sent    map[string]sentWork // work sent by this entry that no report covers yet, by request
 	breaker *retry.Breaker
 	budget  *retry.Budget
 }
@@ -43,9 +43,9 @@
 	at     time.Time
 }
 
-// linkLoop keeps one link for each agent on the list. An agent that leaves the
-// list keeps its link while its connection lives: the list lags both ways, and
-// the agent itself says when it is draining.
+// linkLoop keeps one link for each agent on the list. An agent that is missing from the list keeps
+// its link while its connection lasts: the list lags in both directions, and the agent itself
+// reports when it is draining.
 func (e *Entry) linkLoop() {
 	for e.ctx.Err() == nil {
 		e.syncLinks(e.agents(e.ctx))
@@ -101,7 +101,7 @@
 	return retry.NewBudget(l.RetryRatio, l.RetrySaved)
 }
 
-// maintainLink connects again and again until ctx ends.
+// maintainLink reconnects until ctx ends.
 func (e *Entry) maintainLink(ctx context.Context, l *link) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
@@ -114,8 +114,8 @@
 	}
 }
 
-// runConnection holds one connection until it ends, and reports whether it ever
-// stood.
+// runConnection opens one connection and uses it until it ends. It reports whether any status
+// arrived on it.
 func (e *Entry) runConnection(ctx context.Context, l *link) (connected bool) {
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -134,7 +134,8 @@
 	return e.readStatus(ctx, l, c, s)
 }
 
-// readStatus takes in reports until the connection ends or falls silent.
+// readStatus applies status reports until the connection ends or no report arrives for
+// statusTimeout.
 func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (connected bool) {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
@@ -166,7 +167,7 @@
 	}
 	now := e.clock.Now()
 	for id, w := range l.sent {
-		// What was sent a round trip before the report is in the report.
+		// The report includes work that was sent more than a round trip before it.
 		if now.Sub(w.at) > 2*l.load.OneWayLatency+minRoundTrip {
 			delete(l.sent, id)
 		}
@@ -201,13 +202,13 @@
 	}
 }
 
-// addSent adds own work to the link's load, until a report covers it.
+// addSent adds sent work to the link's load, until a report covers it.
 func (l *link) addSent(id string, tokens int, now time.Time) {
 	l.sent[id] = sentWork{tokens: tokens, at: now}
 	l.sumSent()
 }
 
-// removeSent takes own work out of the load again.
+// removeSent removes the work of a request from the link's load.
 func (e *Entry) removeSent(l *link, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// targets lists what the agent serves, as target names it.
+// targets lists what the agent serves, in the form of [target].
 func (l *link) targets() (ts []string) {
 	if l.conn == nil || l.status == nil {
 		return nil
--- a/entry/links_test.go
+++ b/entry/links_test.go
@@ -20,7 +20,7 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// countingConn counts the bytes that come in on a connection.
+// countingConn counts the bytes received on a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -72,9 +72,8 @@
 
 const measureTime = 5 * time.Second
 
-// BenchmarkLinks measures what it costs to be connected to n agents: the bytes
-// that their reports take, and processor time and memory of both ends of the
-// links, which are in this one process.
+// BenchmarkLinks measures the cost of being connected to n agents: the bytes of their reports, and
+// processor time and memory of both ends of the links, which share this process.
 func BenchmarkLinks(b *testing.B) {
 	for _, n := range []int{18, 60, 180, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -12,7 +12,7 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// withLinks returns an entry that believes itself connected to n agents.
+// withLinks returns an entry with links to n agents that are marked as connected.
 func withLinks(n int) *Entry {
 	e := New(hollowgrade.Box{Name: "e", Hall: "h"}, "i", nil, func(context.Context) []hollowgrade.Box { return nil })
 	for i := range n {
