--- a/entry/completions.go
+++ b/entry/completions.go
@@ -65,9 +65,8 @@
 	return e.generate(w, r, c, p, chatFormat)
 }
 
-// chatPrompt joins messages into one prompt. The same beginning of a
-// conversation gives the same beginning of the prompt, so that prefix caches
-// work.
+// chatPrompt joins messages into one prompt. Conversations with the same beginning give prompts
+// with the same beginning, so that prefix caches work.
 func chatPrompt(ms []message) string {
 	var b strings.Builder
 	for _, m := range ms {
@@ -130,7 +129,7 @@
 	return a.end(err)
 }
 
-// answerFormat is the form of an answer: that of a completion or that of a chat.
+// answerFormat is the JSON format of an answer: of a completion or of a chat.
 type answerFormat struct {
 	object, chunk string
 	chat          bool
@@ -141,7 +140,7 @@
 	chatFormat = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
-// answer is the sink of a model's answer, whole or as server-sent events.
+// answer is the sink of a model's answer, sent as a whole or as server-sent events.
 type answer struct {
 	w      http.ResponseWriter
 	id     string
@@ -155,7 +154,7 @@
 	buffer bytes.Buffer
 }
 
-// The types below are the common form of completions and chats.
+// The types below are the JSON objects that completions and chats have in common.
 
 type choice struct {
 	Index        int      `json:"index"`
@@ -229,8 +228,8 @@
 	return http.NewResponseController(a.w).Flush()
 }
 
-// end sends what closes the answer. In a stream that has begun, a failure is
-// the last event, and the event that marks a whole answer never follows it.
+// end sends the rest of the answer. In a stream that has begun, a failure is the last event, and
+// the event that marks a complete answer never follows it.
 func (a *answer) end(err error) error {
 	if err != nil {
 		_ = a.event(errorBody(a.id, fault.As(err, hollowgrade.Unknown)))
--- a/entry/http.go
+++ b/entry/http.go
@@ -48,7 +48,7 @@
 const (
 	maxNameBytes  = 64  // of kind and event
 	maxKeyBytes   = 256 // of an idempotency key
-	bytesPerToken = 4   // rule of thumb until the engine has tokenised a prompt
+	bytesPerToken = 4   // assumed size of a token until the engine has tokenised a prompt
 )
 
 func (e *Entry) router() http.Handler {
@@ -62,21 +62,21 @@
 		return fault.New(fault.NoSuchPath, "there is no such path")
 	})
 	r.MethodNotAllowedHandler = e.handle(func(w http.ResponseWriter, r *http.Request, _ caller) error {
-		// Each path that is bound to a method takes POST alone.
+		// POST is the only method of every path that has a fixed method.
 		w.Header().Set("Allow", http.MethodPost)
 		return fault.New(fault.WrongMethod, "the path does not take the method %s", r.Method)
 	})
 	return r
 }
 
-// serveReady answers the platform's balancer, which sees only this listener.
+// serveReady answers the health check of the platform's balancer, which reaches only this listener.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if ok, why := e.Ready(); !ok {
 		http.Error(w, why, http.StatusServiceUnavailable)
 	}
 }
 
-// caller is what is known of who sends a request.
+// caller identifies the sender of a request.
 type caller struct {
 	id           string // of the request
 	organisation config.Organisation
@@ -85,7 +85,7 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller) error
 
-// handle authenticates the caller and turns errors into answers.
+// handle authenticates the caller and turns errors into error responses.
 func (e *Entry) handle(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := caller{id: uuid.NewString(), config: e.config.Load()}
@@ -104,8 +104,8 @@
 	}
 }
 
-// authenticate finds the organisation by the bearer key alone: what a caller
-// says of itself in other headers counts for nothing.
+// authenticate finds the organisation by the bearer key alone; other headers of the caller are not
+// trusted.
 func (e *Entry) authenticate(r *http.Request, c *caller) error {
 	if c.config.Revision == 0 {
 		return fault.New(fault.NoConfiguration, "entry %s has no configuration yet", e.box.Name).WithRetryAfter(shortRetryAfter)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// ErrorBody is the JSON object that tells a caller of a refusal or a failure.
+// ErrorBody is the JSON object that describes a refusal or a failure.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -145,7 +145,7 @@
 	}}
 }
 
-// refuse sends an error before any byte of an answer has been sent.
+// refuse sends an error response. No byte of an answer may have been sent before.
 func (e *Entry) refuse(w http.ResponseWriter, id string, err error) {
 	f := fault.As(err, hollowgrade.Unknown)
 	if f.Code == fault.Internal {
@@ -159,7 +159,7 @@
 	_ = json.NewEncoder(w).Encode(errorBody(id, f))
 }
 
-// readBody reads the whole body of a caller, within limits of size and time.
+// readBody reads the whole body of a caller, within the limits of size and time.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) (b []byte, err error) {
 	c := http.NewResponseController(w)
 	_ = c.SetReadDeadline(time.Now().Add(e.limits.BodyTimeout))
@@ -178,8 +178,7 @@
 	}
 }
 
-// applyPolicy applies the organisation's policy and what the caller asks for by
-// headers.
+// applyPolicy applies the organisation's policy and the values that the caller sets by headers.
 func (e *Entry) applyPolicy(r *http.Request, c caller, q hollowgrade.Request) (hollowgrade.Request, error) {
 	p := c.config.PolicyFor(c.organisation)
 	if p == nil {
@@ -247,8 +246,7 @@
 	return len(s) <= limit
 }
 
-// allowedTime returns the allowedTime time: what the caller asks for, but never more
-// than the policy gives.
+// allowedTime returns the time that the caller requests, but at most the limit of the policy.
 func allowedTime(r *http.Request, limit time.Duration) (time.Duration, error) {
 	h := r.Header.Get(AllowedHeader)
 	if h == "" {
--- a/entry/services.go
+++ b/entry/services.go
@@ -13,14 +13,13 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// droppedHeaders are for the entry and not for the service behind it. A bearer key
-// must never leave it.
+// droppedHeaders are not forwarded to the service. A bearer key must never leave the entry.
 var droppedHeaders = []string{"Authorization", "Content-Length", "Host"}
 
-// organisationHeader tells a service whose call it is.
+// organisationHeader names the caller's organisation to a service.
 const organisationHeader = "Hollowgrade-Organisation"
 
-// reservedHeaders are set by the entry alone, whatever a caller or a service says.
+// reservedHeaders are set by the entry alone; values from a caller or a service are dropped.
 var reservedHeaders = []string{RequestHeader, organisationHeader}
 
 // callService serves a call to a plain service.
@@ -43,14 +42,14 @@
 	q.sink = s
 	err = e.serve(r.Context(), q, c.organisation)
 	if err != nil && s.began {
-		// The status has been sent. Only breaking the connection tells the
-		// caller that the body is not whole.
+		// The status has been sent, so only closing the connection shows the
+		// caller that the body is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	return err
 }
 
-// serviceHead makes the serviceHead of the call as the service will see it.
+// serviceHead returns the head of the call as the service will receive it.
 func serviceHead(r *http.Request, service string, c caller) *wire.ServiceHead {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), ServicesPath+service)
 	if !strings.HasPrefix(p, "/") {
