--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -35,8 +35,8 @@
 	return strconv.Itoa(n)
 }
 
-// MintedPrefix begins the keys that a keeper makes. Such a key names its
-// keeper's box and incarnation, and no other process ever decides about it.
+// MintedPrefix starts the keys that a keeper mints. Such a key names its keeper's box and
+// incarnation, and no other process ever decides about it.
 const MintedPrefix = "hgk"
 
 const mintedSeparator = "~"
@@ -55,37 +55,37 @@
 	return p[1], p[2], p[3], true
 }
 
-// Verdict answers a claim.
+// Verdict is the decision about a claim.
 type Verdict string
 
 // The verdicts.
 const (
-	Granted   Verdict = "granted"    // run it, once
-	Running   Verdict = "running"    // an earlier claim holds
-	Settled   Verdict = "settled"    // it has ended, see the outcome
+	Granted   Verdict = "granted"    // the claimer may run the request, once
+	Running   Verdict = "running"    // a request with the key is running
+	Settled   Verdict = "settled"    // the run has ended, see the outcome
 	Reused    Verdict = "reused"     // the key was used with another body
-	NotKnown  Verdict = "not_known"  // it may have run before this ledger began
+	NotKnown  Verdict = "not_known"  // the key has no record, but may have run before this ledger began
 	Full      Verdict = "full"       // the ledger has no room
-	NotMine   Verdict = "not_mine"   // another keeper decides, or none yet
+	NotMine   Verdict = "not_mine"   // another keeper decides about the key, or none does yet
 	NotMinted Verdict = "not_minted" // not a key that this keeper made
 )
 
-// Claim asks for the right to run a key once.
+// Claim is a request for the right to run a key once.
 type Claim struct {
 	ID      KeyID
 	Digest  uint64        // of the request's body
-	Request string        // id of the request that claims
-	Hold    time.Duration // how long the run can take at most
+	Request string        // id of the claiming request
+	Hold    time.Duration // longest time that the run can take
 }
 
-// KeyRecord is what a ledger remembers of a key.
+// KeyRecord is the record of a key.
 type KeyRecord struct {
 	ID        KeyID               `json:"id"`
 	Digest    uint64              `json:"digest"`
 	Request   string              `json:"request"`
 	Outcome   hollowgrade.Outcome `json:"outcome,omitempty"` // empty while it runs
-	Answer    []byte              `json:"answer,omitempty"`  // encoded, if it is kept
-	Remaining time.Duration       `json:"left"`              // until the hold ends or the record is forgotten
+	Answer    []byte              `json:"answer,omitempty"`  // encoded, empty if it is not stored
+	Remaining time.Duration       `json:"left"`              // until the hold ends or the record expires
 
 	until time.Time
 }
@@ -95,9 +95,9 @@
 type Keys struct {
 	window       time.Duration
 	limit        int
-	unknownUntil time.Time // until then a key that is not in the ledger may have run
+	unknownUntil time.Time // until then a key without a record may have run
 	records      map[KeyID]*KeyRecord
-	expiry       []*KeyRecord // settled records in the order in which they are forgotten
+	expiry       []*KeyRecord // settled records in the order in which they expire
 }
 
 // NewKeys returns an empty ledger of at most limit records.
@@ -105,8 +105,8 @@
 	return &Keys{window: window, limit: limit, records: map[KeyID]*KeyRecord{}}
 }
 
-// SetUnknownUntil says that until t a key that is not in the ledger may have run:
-// its record may have been lost with a former keeper.
+// SetUnknownUntil sets the time until which a key without a record may have run, since its record
+// may have been lost with a former keeper.
 func (k *Keys) SetUnknownUntil(t time.Time) {
 	k.unknownUntil = t
 }
@@ -116,8 +116,8 @@
 	return len(k.records)
 }
 
-// Claim decides about a claim. The record is that of the run which the verdict
-// speaks of, if there is one.
+// Claim decides about a claim. The record is that of the earlier run to which the verdict refers,
+// if any.
 func (k *Keys) Claim(c Claim, now time.Time) (v Verdict, r KeyRecord) {
 	k.expire(now)
 	p, ok := k.records[c.ID]
@@ -131,7 +131,7 @@
 	case p.Outcome != "":
 		return Settled, *p
 	case p.Request == c.Request:
-		// The claimer asks again because our answer was lost.
+		// The request repeats its claim because the reply was lost.
 		return Granted, *p
 	default:
 		return Running, p.withRemaining(now)
@@ -155,7 +155,7 @@
 	return Granted
 }
 
-// expireHold turns a run of which nobody has told the end into one that may have
+// expireHold turns a run whose hold has ended without a reported outcome into one that may have
 // run.
 func (k *Keys) expireHold(p *KeyRecord, now time.Time) {
 	if p.Outcome == "" && now.After(p.until) {
@@ -169,9 +169,9 @@
 	k.expiry = append(k.expiry, p)
 }
 
-// Settle notes how the run that the request claimed has ended. A run that did
-// not happen frees the key. It reports whether the record has changed: it must be
-// the request's, and not have a definite end yet.
+// Settle records how the run that the request claimed has ended. A run that did not happen frees
+// the key. It reports whether the record has changed: it must be the request's, and must not have a
+// definite outcome yet.
 func (k *Keys) Settle(id KeyID, request string, o hollowgrade.Outcome, answer []byte, now time.Time) bool {
 	p, ok := k.records[id]
 	if !ok || p.Request != request {
@@ -184,8 +184,8 @@
 	case o == hollowgrade.NotRun:
 		delete(k.records, id)
 	case p.Outcome == hollowgrade.Unknown:
-		// The window counts from the end that is known now. The record keeps its
-		// place in the order of forgetting, and those behind it wait for it.
+		// The window starts again at the definite outcome. The record keeps its place in the order
+		// of expiry, so the records behind it expire no earlier than it does.
 		p.Outcome, p.Answer, p.until = o, answer, now.Add(k.window)
 	default:
 		k.finish(p, o, answer, now)
@@ -193,7 +193,7 @@
 	return true
 }
 
-// expire forgets records whose window has passed.
+// expire deletes records whose window has passed.
 func (k *Keys) expire(now time.Time) {
 	for len(k.expiry) > 0 && now.After(k.expiry[0].until) {
 		p := k.expiry[0]
@@ -217,7 +217,7 @@
 	return rs
 }
 
-// Import takes in records of a former keeper.
+// Import adds the records of a former keeper.
 func (k *Keys) Import(rs []KeyRecord, now time.Time) {
 	for _, r := range rs {
 		p := r
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -84,8 +84,9 @@
 	})
 }
 
-// Whatever happens, a key is granted to a second request only after the first
-// one was settled as not run, or after the window.
+// A key must be granted to a second request only after the first one was settled as not run, or
+// after the window since its end. The test checks this over random sequences of claims, settlements
+// and delays.
 func TestKeysGrantOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k, now := NewKeys(time.Hour, 100), t0
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -1,7 +1,6 @@
-// Package ledger keeps account of what must not be lost or done twice: the
-// memory of an engine, and the runs under idempotency keys. The ledgers are
-// plain data: they are given the time and do no I/O. Their owner guards them
-// against concurrent use.
+// Package ledger records what must not be lost or run twice: the memory of an engine, and the runs
+// under idempotency keys. The ledgers are plain data: callers pass them the time, and they do no
+// I/O. Their owner guards them against concurrent use.
 package ledger
 
 import (
@@ -12,23 +11,23 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Lease is memory on an engine that somebody answers for.
+// Lease is memory on an engine that a request or a group has reserved.
 type Lease struct {
 	ID      string
-	Owner   string // request or group that it is for
+	Owner   string // request or group that the memory is for
 	Kind    hollowgrade.HoldingKind
 	Tokens  int
-	Expires time.Time // after this the memory is taken back
+	Expires time.Time // after this the memory is released; zero for no expiry
 }
 
-// Memory is the account of one engine's memory, in tokens.
+// Memory is the ledger of one engine's memory, in tokens.
 type Memory struct {
 	total  int
 	used   int
 	leases map[string]Lease
 }
 
-// NewMemory returns an account of an engine with the given number of tokens.
+// NewMemory returns a ledger for an engine with the given number of tokens.
 func NewMemory(total int) *Memory {
 	return &Memory{total: total, leases: map[string]Lease{}}
 }
@@ -38,12 +37,12 @@
 	return m.total
 }
 
-// SetTotal changes the size, as when an engine first reports it.
+// SetTotal changes the size, for example when an engine first reports it.
 func (m *Memory) SetTotal(n int) {
 	m.total = n
 }
 
-// Used returns how much is leased.
+// Used returns how many tokens are leased.
 func (m *Memory) Used() int {
 	return m.used
 }
@@ -53,8 +52,8 @@
 	return m.used+tokens <= m.total
 }
 
-// Grant enters a lease if it fits, and reports whether it did. An id that is
-// taken is refused.
+// Grant enters a lease if it fits, and reports whether it did. An id that has a lease already is
+// refused.
 func (m *Memory) Grant(l Lease) bool {
 	if _, ok := m.leases[l.ID]; ok || !m.Fits(l.Tokens) {
 		return false
@@ -64,8 +63,7 @@
 	return true
 }
 
-// Adopt enters a lease for memory that is found held on the engine, whether it
-// fits or not: it is held already.
+// Adopt enters a lease for memory that the engine already holds, whether or not it fits.
 func (m *Memory) Adopt(l Lease) {
 	m.Release(l.ID)
 	m.leases[l.ID] = l
@@ -88,7 +86,7 @@
 	return l, ok
 }
 
-// Expired returns the leases that have run out at now, by id.
+// Expired returns the leases that have expired at now, by id.
 func (m *Memory) Expired(now time.Time) (ls []Lease) {
 	for _, l := range m.leases {
 		if !l.Expires.IsZero() && now.After(l.Expires) {
@@ -114,7 +112,7 @@
 	slices.SortFunc(ls, func(a, b Lease) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Orphans returns what the engine holds and no lease answers for.
+// Orphans returns the holdings of the engine that have no lease.
 func (m *Memory) Orphans(held []hollowgrade.Holding) (os []hollowgrade.Holding) {
 	for _, h := range held {
 		if _, ok := m.leases[h.ID]; !ok {
@@ -124,7 +122,7 @@
 	return os
 }
 
-// OrphanTokens returns how many tokens the engine holds that no lease answers for.
+// OrphanTokens returns the tokens of the holdings that have no lease.
 func (m *Memory) OrphanTokens(held []hollowgrade.Holding) (tokens int) {
 	for _, h := range m.Orphans(held) {
 		tokens += h.Tokens
