--- a/callers/server.go
+++ b/callers/server.go
@@ -1,6 +1,5 @@
-// Package callers runs the HTTP server that callers connect to: it bounds how
-// long their connections may be idle or slow by limits that change while it
-// runs, and ends it without cutting off a request.
+// Package callers runs the HTTP server that callers connect to. It bounds how long connections may
+// be idle or slow by limits that can change while it runs, and stops without cutting off a request.
 package callers
 
 import (
@@ -18,17 +17,17 @@
 )
 
 const (
-	// sweepInterval is how often connections are looked at.
+	// sweepInterval is how often connections are checked against the limits.
 	sweepInterval = 250 * time.Millisecond
-	// maxHeaderBytes bounds what is read of headers before the handler sees
-	// them and applies the published limit.
+	// maxHeaderBytes bounds the headers that are read before the handler applies the published
+	// limit.
 	maxHeaderBytes = 1 << 20
-	// defaultHeaderTimeout and defaultIdleTimeout hold until limits are known.
+	// defaultHeaderTimeout and defaultIdleTimeout apply until limits are set.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = time.Minute
-	// finalAnswerTime is how long before the end of a planned stop the calls that are still open are given up, so that
-	// their answers are written: the way of a local hang-up through a call, and a packet to callers. Without it a call
-	// that outlasted the stop had its connection closed without an answer.
+	// finalAnswerTime is how long before the end of a planned stop the requests that are still open
+	// are cancelled. It leaves time to cancel a local call and to write the answer; otherwise the
+	// connections would be closed without an answer.
 	finalAnswerTime = 200 * time.Millisecond
 )
 
@@ -55,18 +54,18 @@
 	stopping       bool
 	group          sync.WaitGroup
 	cancel         context.CancelFunc
-	baseContext    context.Context // of which those of all requests are made
+	baseContext    context.Context // parent of the contexts of all requests
 	cancelRequests context.CancelCauseFunc
 }
 
-// conn is what is known of a connection.
+// conn is the state of a connection.
 type conn struct {
 	state   http.ConnState
 	since   time.Time
-	handled bool // whether the handler has the request
+	handled bool // whether the handler has started on the request
 }
 
-// Option changes a server as it is made.
+// Option configures a server.
 type Option func(*Server)
 
 // WithClock sets the clock.
@@ -79,19 +78,19 @@
 	return func(s *Server) { s.log = l }
 }
 
-// WithLimits sets how the limits in force are known.
+// WithLimits sets the function that returns the limits in force.
 func WithLimits(f func() Limits) Option {
 	return func(s *Server) { s.limits = f }
 }
 
-// WithLinger sets for how long a planned stop goes on accepting connections,
-// until the balancer leads elsewhere.
+// WithLinger sets for how long a planned stop goes on accepting connections, until the balancer
+// sends callers elsewhere.
 func WithLinger(d time.Duration) Option {
 	return func(s *Server) { s.linger = d }
 }
 
-// WithAcceptGate sets what is waited for before the first connection is accepted.
-// Connections that come earlier wait in the listener's queue.
+// WithAcceptGate sets a function that must return before the first connection is accepted. Earlier
+// connections wait in the listener's queue.
 func WithAcceptGate(f func(context.Context)) Option {
 	return func(s *Server) { s.acceptGate = f }
 }
@@ -119,7 +118,7 @@
 		ConnState:         s.trackConn,
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		MaxHeaderBytes:    maxHeaderBytes,
-		ReadHeaderTimeout: 0, // the sweep bounds it by the limits in force
+		ReadHeaderTimeout: 0, // the sweep applies the limit in force
 		ErrorLog:          s.log.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 	}
 	return s
@@ -146,17 +145,16 @@
 	return s.stopping
 }
 
-// Stop implements [kernel.Service]. It goes on serving for the time that the
-// balancer needs to lead elsewhere, and its answers tell callers to close their
-// connections; then it takes nothing new and waits for what is open, for as
-// long as ctx lasts.
+// Stop implements [kernel.Service]. It goes on serving until the balancer sends callers elsewhere,
+// and its answers ask callers to close their connections. Then it accepts nothing new and waits for
+// open requests, for as long as ctx lasts.
 func (s *Server) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
 	hollowgrade.Sleep(ctx, s.clock, s.linger)
 	_ = s.listener.Close()
-	s.server.SetKeepAlivesEnabled(false) // an answer that began before the stop did not tell its caller to close
+	s.server.SetKeepAlivesEnabled(false) // answers that began before the stop did not ask the caller to close
 	err := s.drain(ctx)
 	s.cancel()
 	_ = s.server.Close()
@@ -175,8 +173,8 @@
 	}
 }
 
-// busy reports whether a request is open, or the end of its answer is still being written: that goes
-// on once the handler has returned, and its connection is no longer active when it is done.
+// busy reports whether a request is open or the end of its answer is still being written. The
+// writing goes on after the handler has returned, and the connection stays active until it is done.
 func (s *Server) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,8 +186,8 @@
 	return s.active > 0
 }
 
-// drain waits until no request is open, and lets no new one in. Those that are open shortly before ctx ends are given up, with
-// [hollowgrade.ErrStopping] as the cause.
+// drain waits until no request is open, and accepts no new one. Shortly before ctx ends, the
+// requests that are still open are cancelled with [hollowgrade.ErrStopping] as the cause.
 func (s *Server) drain(ctx context.Context) error {
 	const pollInterval = 20 * time.Millisecond
 	end, bounded := ctx.Deadline()
@@ -238,7 +236,7 @@
 	s.active--
 }
 
-// trackConn follows the state of a connection.
+// trackConn records the state of a connection.
 func (s *Server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/callers/server_test.go
+++ b/callers/server_test.go
@@ -39,7 +39,7 @@
 	return s, l.Addr().String()
 }
 
-// dial opens a connection and returns it with what reads its answers.
+// dial opens a connection and returns it with a reader of its answers.
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -136,7 +136,7 @@
 	close(block)
 }
 
-// slowListener accepts connections whose writes take a while once they are to be slow.
+// slowListener accepts connections whose writes are delayed while slow is set.
 type slowListener struct {
 	net.Listener
 	slow atomic.Bool
@@ -159,8 +159,8 @@
 	return c.Conn.Write(b)
 }
 
-// The end of an answer is written once its handler has returned. A stop that counted handlers closed the connection
-// before that, so that its caller had an answer without an end; seen once, in a run of all tests beside load.
+// The end of an answer is written after its handler has returned. A stop that waits only for
+// handlers closes the connection before that, and the caller receives an incomplete answer.
 func TestPlannedStopWaitsForTheLastBytes(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{})
@@ -188,9 +188,8 @@
 	require.NoError(t, <-over)
 }
 
-// A kept connection whose answer began before the stop was not told to close.
-// Found by hunt on korrigan-replay, mix with seed 204464596513: it took a
-// request five seconds after SIGTERM and could not finish it.
+// A kept connection whose answer began before the stop was not asked to close. It must be closed
+// after that answer: otherwise it could bring in a request that the stopping server cannot finish.
 func TestNothingIsTakenOnceThePlannedStopWaits(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{})
