--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -1,10 +1,9 @@
-// Package upstream implements the interfaces to model engines and to plain
-// services over their HTTP protocols.
+// Package upstream implements the interfaces to model engines and to plain services over their HTTP
+// protocols.
 //
-// The engine's protocol is the completions interface that engines commonly
-// offer, with server-sent events, and beside it plain JSON calls for what
-// engines differ in: cancel, holdings, reservations, export, orders and load.
-// docs/operators/agent.md lists them.
+// The engine's protocol is the completions interface that engines commonly offer, with server-sent
+// events, and plain JSON calls for operations that engines offer in different ways: cancel,
+// holdings, reservations, export, orders and load. docs/operators/agent.md lists them.
 package upstream
 
 import (
@@ -61,12 +60,12 @@
 	TTLMillis int64  `json:"ttl_ms,omitempty"`
 }
 
-// HandleReply is the answer to a call of [PathExport].
+// HandleReply is the reply to a call of [PathExport].
 type HandleReply struct {
 	Handle string `json:"handle"`
 }
 
-// LoadReply is the answer to a call of [PathLoad].
+// LoadReply is the reply to a call of [PathLoad].
 type LoadReply struct {
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
@@ -76,7 +75,7 @@
 	Models      []string  `json:"models"`
 }
 
-// Done is the data of the event after the last token of a whole answer.
+// Done is the data of the event that ends a complete answer.
 const Done = "[DONE]"
 
 const (
@@ -85,8 +84,8 @@
 	maxIdleConns  = 512
 )
 
-// Transport returns an HTTP transport that keeps enough idle connections to
-// one upstream. Dial may be nil.
+// Transport returns an HTTP transport that keeps enough idle connections to one upstream. A nil
+// dial function stands for the default one.
 func Transport(d DialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:         d,
@@ -208,7 +207,7 @@
 	return res, nil
 }
 
-// RefusedError says that the engine answered, and did not take the call.
+// RefusedError reports that the engine replied with a status other than 200.
 type RefusedError struct {
 	Status  int
 	Message string
@@ -235,8 +234,8 @@
 	cancel context.CancelFunc
 }
 
-// Next implements [hollowgrade.TokenStream]. An answer without its closing
-// event is cut, whatever the transport says.
+// Next implements [hollowgrade.TokenStream]. An answer without its closing event is incomplete,
+// even if the transport reports no error.
 func (e *eventStream) Next() (t hollowgrade.Token, err error) {
 	for e.lines.Scan() {
 		d, ok := bytes.CutPrefix(e.lines.Bytes(), []byte("data: "))
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -14,25 +14,23 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialTimeout bounds a connection to a plain service. A call that got no
-// connection has not run, and can go elsewhere while there is time.
+// dialTimeout bounds the time to connect to a plain service. A call that got no connection has not
+// run, and can be sent elsewhere while there is time.
 const dialTimeout = time.Second
 
-// ErrNotSent is in the chain of the error of a call that never got a
-// connection: no byte of it has left.
+// ErrNotSent is in the chain of the error of a call that got no connection: no byte of it was sent.
 var ErrNotSent = errors.New("no connection to the service")
 
 type checkKey struct{}
 
-// WithPreSendCheck returns a context whose check is made once more after a
-// connection has been opened for a call, which can take long. An error from it
-// keeps the call from being sent.
+// WithPreSendCheck returns a context whose check runs once more after a connection has been opened
+// for a call, which can take long. An error from it prevents the call from being sent.
 func WithPreSendCheck(ctx context.Context, check func() error) context.Context {
 	return context.WithValue(ctx, checkKey{}, check)
 }
 
-// ServiceTransport returns an HTTP transport for a plain service. Dial may be
-// nil.
+// ServiceTransport returns an HTTP transport for a plain service. A nil dial function stands for
+// the default one.
 func ServiceTransport(d DialFunc) *http.Transport {
 	if d == nil {
 		d = (&net.Dialer{}).DialContext
@@ -67,13 +65,12 @@
 	return &Service{base: u, transport: t}, nil
 }
 
-// Do implements [hollowgrade.Service]. The path of r is taken below the base
-// URL. Redirects are handed back, not followed: a second call would be a
-// second run.
+// Do implements [hollowgrade.Service]. The path of r is resolved below the base URL. Redirects are
+// returned and not followed: a second call would be a second run.
 func (s *Service) Do(r *http.Request) (*http.Response, error) {
 	u := *s.base
-	// Joined by hand: url.JoinPath would clean the path, which is the service's
-	// to read, and drops the first slash below a base URL without a path.
+	// Joined here, since url.JoinPath would clean the path, which is for the service to interpret,
+	// and drops the first slash below a base URL without a path.
 	base := strings.TrimSuffix(u.Path, "/")
 	u.Path, u.RawPath = base+r.URL.Path, base+r.URL.EscapedPath()
 	u.RawQuery = r.URL.RawQuery
