--- a/standalone/directory.go
+++ b/standalone/directory.go
@@ -11,9 +11,9 @@
 
 const listTimeout = 2 * time.Second
 
-// Directory answers who the agents are, from the platform's list and from
-// addresses in the settings. While the list cannot be read, the last one that
-// was read stands: it is a hint, and an old hint beats none.
+// Directory lists the boxes from the platform's list and from addresses in the settings. While the
+// platform's list cannot be read, the last one that was read is used: a stale list is better than
+// none.
 type Directory struct {
 	boxes  hollowgrade.Boxes
 	static []hollowgrade.Box
@@ -22,8 +22,7 @@
 	lastListed []hollowgrade.Box
 }
 
-// NewDirectory returns a directory. Boxes may be nil; static holds the agents
-// that the settings name.
+// NewDirectory returns a directory. Boxes may be nil; static has the agents that the settings name.
 func NewDirectory(boxes hollowgrade.Boxes, static []hollowgrade.Box) *Directory {
 	return &Directory{boxes: boxes, static: static}
 }
--- a/standalone/standalone.go
+++ b/standalone/standalone.go
@@ -1,6 +1,6 @@
-// Package standalone implements the interfaces to an append-only log, a box list
-// and a weight store over HTTP with JSON, as the demo and the stand-ins speak
-// them. Deployments on the users' platform use package platform instead.
+// Package standalone implements the interfaces to an append-only log, a box list and a weight store
+// over HTTP with JSON, for the demo and the stand-ins. Deployments on the users' platform use
+// package platform instead.
 package standalone
 
 import (
@@ -26,12 +26,12 @@
 	PathFetch  = "/fetch"
 )
 
-// AppendReply is the answer to an append.
+// AppendReply is the reply to an append.
 type AppendReply struct {
 	Offset int64 `json:"offset"`
 }
 
-// FetchCall asks the weight store for a model.
+// FetchCall requests a model from the weight store.
 type FetchCall struct {
 	Box   string `json:"box"`
 	Model string `json:"model"`
@@ -73,7 +73,7 @@
 	client client
 }
 
-// NewLog returns a client for the log at the base URL. T may be nil.
+// NewLog returns a client for the log at the base URL. A nil transport stands for the default one.
 func NewLog(base string, t http.RoundTripper) *Log {
 	return &Log{client: newClient(base, t)}
 }
@@ -100,7 +100,8 @@
 	client client
 }
 
-// NewBoxes returns a client for the box list at the base URL. T may be nil.
+// NewBoxes returns a client for the box list at the base URL. A nil transport stands for the
+// default one.
 func NewBoxes(base string, t http.RoundTripper) *Boxes {
 	return &Boxes{client: newClient(base, t)}
 }
@@ -116,8 +117,8 @@
 	client client
 }
 
-// NewWeights returns a client for the weight store at the base URL. T may be
-// nil.
+// NewWeights returns a client for the weight store at the base URL. A nil transport stands for the
+// default one.
 func NewWeights(base string, t http.RoundTripper) *Weights {
 	return &Weights{client: newClient(base, t)}
 }
