--- a/agent/agent.go
+++ b/agent/agent.go
@@ -198,7 +198,7 @@
 	for _, o := range os {
 		o(a)
 	}
-	a.server = peer.NewServer(a.handle, a.cutOff)
+	a.server = peer.NewServer(a.handle, a.logBrokenPeer)
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
@@ -267,7 +267,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *Agent) cutOff(p net.Addr, err error) {
+func (a *Agent) logBrokenPeer(p net.Addr, err error) {
 	a.log.Warn("peer cut off", "peer", p.String(), "err", err)
 }
 
