--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -301,7 +301,7 @@
 		return
 	}
 	for n := range ledger.Ranges {
-		c, ok := k.takeover(n, live)
+		c, ok := k.planAcquisition(n, live)
 		if !ok {
 			continue
 		}
@@ -321,8 +321,8 @@
 	return ns
 }
 
-// takeover decides whether to acquire a range now.
-func (k *Keeper) takeover(n int, live []string) (r config.KeyRange, ok bool) {
+// planAcquisition decides whether to acquire a range now.
+func (k *Keeper) planAcquisition(n int, live []string) (r config.KeyRange, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	cur, stands := k.config.KeyRanges[ledger.RangeName(n)]
