--- a/agent/memory.go
+++ b/agent/memory.go
@@ -201,7 +201,7 @@
 func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Holding) {
 	for _, h := range a.orphans(l, held) {
 		if err := errors.Join(a.engine.Cancel(ctx, h.ID), a.engine.Release(ctx, h.ID)); err != nil {
-			a.log.Warn("orphan not freed", "id", h.ID, "err", err)
+			a.log.Warn("cannot release engine memory that has no lease", "id", h.ID, "err", err)
 			continue
 		}
 		a.log.Info("orphan freed", "id", h.ID, "kind", h.Kind, "tokens", h.Tokens)
