--- a/agent/memory.go
+++ b/agent/memory.go
@@ -204,7 +204,7 @@
 			a.log.Warn("cannot release engine memory that has no lease", "id", h.ID, "err", err)
 			continue
 		}
-		a.log.Info("orphan freed", "id", h.ID, "kind", h.Kind, "tokens", h.Tokens)
+		a.log.Info("released engine memory that has no lease", "id", h.ID, "kind", h.Kind, "tokens", h.Tokens)
 	}
 }
 
