--- a/callers/server.go
+++ b/callers/server.go
@@ -193,7 +193,7 @@
 	end, bounded := ctx.Deadline()
 	for s.closeUnused(); s.busy(); s.closeUnused() {
 		if bounded && time.Until(end) < finalAnswerTime && s.baseContext.Err() == nil {
-			s.log.Warn("calls given up", "requests", s.Active(), "why", "the time of the stop is over")
+			s.log.Warn("cancelled the requests that were still open", "requests", s.Active(), "why", "the time of the stop is over")
 			s.cancelRequests(hollowgrade.ErrStopping)
 		}
 		if !hollowgrade.Sleep(ctx, s.clock, pollInterval) {
