--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -168,7 +168,7 @@
 		}
 		hollowgrade.Sleep(e.ctx, e.clock, settleRetryDelay)
 	}
-	e.log.Warn("key not settled", "request", r.ID)
+	e.log.Warn("cannot report the outcome of a key to its keeper", "request", r.ID)
 }
 
 // callKeeper sends a frame to the keeper of the request's key and returns the reply.
