--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -306,7 +306,7 @@
 			continue
 		}
 		if err := k.publish(ctx, n, c); err != nil && ctx.Err() == nil {
-			k.logger.Warn("key range not taken", "range", n, "err", err)
+			k.logger.Warn("key range not acquired", "range", n, "err", err)
 			return
 		}
 	}
