--- a/agent/agent.go
+++ b/agent/agent.go
@@ -25,7 +25,7 @@
 	MaxQueued     int           // requests in the queue
 	MaxBodyBytes  int64         // prompt or body of one request
 	PrefillWindow int           // prompt tokens sent to the engine and not yet prefilled
-	Piece         int           // prompt tokens that are prefilled in one step, 0 to prefill the whole prompt
+	Piece         int           // prompt tokens that are prefilled in one step, 0 for the whole prompt
 	LongShare     float64       // share of the memory that long requests may hold together
 	LongTokens    int           // a request that needs more memory than this is long
 	Patience      time.Duration // queueing time after which an item is overdue
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -171,7 +171,7 @@
 	if j.request.Key == "" {
 		return nil
 	}
-	hollowgrade.Notice(a.clock) // otherwise a lease that expired while the machine was suspended would seem valid
+	hollowgrade.Notice(a.clock) // otherwise a lease that expired during a suspension would seem valid
 	if !a.clock.Now().Before(j.lease) {
 		return fault.New(fault.ClaimLapsed, "the claim on the key lapsed before the start").WithRetryAfter(minRetryAfter)
 	}
--- a/callers/server.go
+++ b/callers/server.go
@@ -154,7 +154,7 @@
 	s.mu.Unlock()
 	hollowgrade.Sleep(ctx, s.clock, s.linger)
 	_ = s.listener.Close()
-	s.server.SetKeepAlivesEnabled(false) // answers that began before the stop did not ask the caller to close
+	s.server.SetKeepAlivesEnabled(false) // earlier answers did not ask the caller to close
 	err := s.drain(ctx)
 	s.cancel()
 	_ = s.server.Close()
--- a/entry/group.go
+++ b/entry/group.go
@@ -18,8 +18,7 @@
 // A prompt that is too large for any single engine is split over a group. The entry reserves memory
 // at each member, all or nothing and always in the order of their addresses, so that two groups
 // cannot deadlock. The members prefill one part after another, each attached to the parts before
-// it, and the last one generates the answer. Reservations expire by themselves if the entry
-// crashes.
+// it, and the last one generates the answer. Reservations expire if the entry crashes.
 type group struct {
 	reservation string
 	handles     []string
--- a/entry/http.go
+++ b/entry/http.go
@@ -62,7 +62,7 @@
 		return fault.New(fault.NoSuchPath, "there is no such path")
 	})
 	r.MethodNotAllowedHandler = e.handle(func(w http.ResponseWriter, r *http.Request, _ caller) error {
-		// POST is the only method of every path that has a fixed method.
+		// Every path with a fixed method takes POST only.
 		w.Header().Set("Allow", http.MethodPost)
 		return fault.New(fault.WrongMethod, "the path does not take the method %s", r.Method)
 	})
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -32,7 +32,7 @@
 
 const (
 	claimTimeout     = time.Second
-	maxClaimTime     = 5 * time.Second // while the range moves to another keeper
+	maxClaimTime     = 5 * time.Second // for a claim, while the range moves to another keeper
 	claimRetryDelay  = 100 * time.Millisecond
 	holdMargin       = 10 * time.Second // beyond the allowed time, for the outcome to be reported
 	settleAttempts   = 20
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -121,8 +121,8 @@
 	return true
 }
 
-// sleepWithinDeadline waits before the keeper is called again. It returns false without waiting if
-// the deadline would pass.
+// sleepWithinDeadline waits before the keeper is called again. It returns false if the deadline
+// would pass or ctx ends.
 func (e *Entry) sleepWithinDeadline(ctx context.Context, q *query, d time.Duration) bool {
 	return q.request.Remaining(e.clock.Now()) > d && hollowgrade.Sleep(ctx, e.clock, d)
 }
