--- a/agent/control.go
+++ b/agent/control.go
@@ -9,25 +9,25 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// minReportGap bounds how often one entry is told of a changed load.
+// minReportGap bounds how often one entry receives a report of a changed load.
 const minReportGap = 50 * time.Millisecond
 
-// serveControl reports the agent's status to one entry until the connection
-// ends: at each heartbeat, and sooner when the agent begins to drain.
+// serveControl reports the agent's status to one entry until the connection ends: at each
+// heartbeat, and sooner when the status changes.
 func (a *Agent) serveControl(ctx context.Context, s *peer.Stream) error {
 	for {
 		m, changed := a.status()
 		if err := s.Send(&wire.Frame{Body: &wire.Frame_Status{Status: m}}); err != nil {
 			return err
 		}
-		if !a.pause(ctx, changed) {
+		if !a.awaitReport(ctx, changed) {
 			return nil
 		}
 	}
 }
 
-// pause waits for the next reason to report. It returns false when ctx ends.
-func (a *Agent) pause(ctx context.Context, changed <-chan struct{}) bool {
+// awaitReport waits until the next report is due. It returns false when ctx ends.
+func (a *Agent) awaitReport(ctx context.Context, changed <-chan struct{}) bool {
 	t := a.clock.NewTimer(a.limits.Heartbeat)
 	defer t.Stop()
 	select {
@@ -52,7 +52,7 @@
 		Models:                 a.models,
 		Service:                a.serviceName,
 		Queued:                 int64(a.queue.Len()),
-		InstantQueuedTokens:    int64(a.queued[hollowgrade.Instant] + a.prefill),
+		InstantQueuedTokens:    int64(a.queued[hollowgrade.Instant] + a.pendingPrefill),
 		NormalQueuedTokens:     int64(a.queued[hollowgrade.Normal]),
 		BackgroundQueuedTokens: int64(a.queued[hollowgrade.Background]),
 		Running:                int64(a.running),
@@ -69,27 +69,27 @@
 	step        time.Duration
 }
 
-// weight is that of a new sample in the moving averages.
-const weight = 0.1
+// sampleWeight is the weight of a new sample in the moving averages.
+const sampleWeight = 0.1
 
-// minSample is the smallest prefill that says anything of the rate; below it
-// the time of a single step dominates.
-const minSample = 512
+// minPrefillSampleTokens is the smallest prefill that counts as a sample of the rate; below it the
+// time of a single step dominates.
+const minPrefillSampleTokens = 512
 
 func (s *speed) addPrefill(tokens int, d time.Duration) {
-	if tokens < minSample || d <= 0 {
+	if tokens < minPrefillSampleTokens || d <= 0 {
 		return
 	}
 	r := float64(tokens) / d.Seconds()
 	if s.prefillRate == 0 {
 		s.prefillRate = r
 	}
-	s.prefillRate += weight * (r - s.prefillRate)
+	s.prefillRate += sampleWeight * (r - s.prefillRate)
 }
 
 func (s *speed) addStep(d time.Duration) {
 	if s.step == 0 {
 		s.step = d
 	}
-	s.step += time.Duration(weight * float64(d-s.step))
+	s.step += time.Duration(sampleWeight * float64(d-s.step))
 }
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -9,22 +9,21 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// await queues the job's next step and returns once it may be given to the
-// upstream. An error means that the step was taken out of the queue and will
-// not be started.
-func (a *Agent) await(ctx context.Context, j *job) error {
+// awaitGrant queues the job's next step and returns once it may be sent to the upstream. An error
+// means that the step was removed from the queue and will not be started.
+func (a *Agent) awaitGrant(ctx context.Context, j *job) error {
 	a.mu.Lock()
-	j.grant, j.bounced = make(chan struct{}), make(chan struct{})
+	j.grant, j.rejected = make(chan struct{}), make(chan struct{})
 	i := a.item(j)
 	a.queue.Push(i)
 	a.waiting[i] = j
 	a.queued[i.Class] += i.Cost
-	a.pump()
+	a.grantSteps()
 	a.mu.Unlock()
 	select {
 	case <-j.grant:
 		return a.checkDeadline(ctx, i)
-	case <-j.bounced:
+	case <-j.rejected:
 		return a.upstreamGone()
 	case <-ctx.Done():
 	}
@@ -33,13 +32,13 @@
 	switch {
 	case a.queue.Remove(i):
 		a.dequeued(i)
-	case closed(j.grant):
+	case isClosed(j.grant):
 		a.returnGrant(i)
 	}
 	return context.Cause(ctx)
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -48,17 +47,17 @@
 	}
 }
 
-// bounce gives back everything that waits. The lock is held.
-func (a *Agent) bounce() {
+// rejectQueued rejects all queued steps. The lock must be held.
+func (a *Agent) rejectQueued() {
 	for i, j := range a.waiting {
 		if a.queue.Remove(i) {
 			a.dequeued(i)
-			close(j.bounced)
+			close(j.rejected)
 		}
 	}
 }
 
-// checkDeadline gives the grant back if the deadline passed together with it.
+// checkDeadline returns the grant if ctx ended at the same time.
 func (a *Agent) checkDeadline(ctx context.Context, i *sched.Item) error {
 	if ctx.Err() == nil {
 		return nil
@@ -71,8 +70,8 @@
 
 func (a *Agent) returnGrant(i *sched.Item) {
 	a.running--
-	a.prefill -= i.Cost
-	a.pump()
+	a.pendingPrefill -= i.Cost
+	a.grantSteps()
 }
 
 func (a *Agent) dequeued(i *sched.Item) {
@@ -80,8 +79,8 @@
 	a.queued[i.Class] -= i.Cost
 }
 
-// pump grants as many steps as the upstream has room for. The lock is held.
-func (a *Agent) pump() {
+// grantSteps grants as many steps as the upstream has room for. The lock must be held.
+func (a *Agent) grantSteps() {
 	for {
 		i := a.queue.Pop(a.clock.Now(), a.fits)
 		if i == nil {
@@ -89,15 +88,15 @@
 		}
 		j := a.waiting[i]
 		a.dequeued(i)
-		a.take(j)
+		a.leaseMemory(j)
 		a.running++
-		a.prefill += i.Cost
+		a.pendingPrefill += i.Cost
 		close(j.grant)
 	}
 }
 
-// fits reports whether the upstream has room for the step. Once a job holds
-// its memory, its later pieces need none.
+// fits reports whether the upstream has room for the step. The later pieces of a job need no more
+// memory than its lease.
 func (a *Agent) fits(i *sched.Item) bool {
 	j := a.waiting[i]
 	if a.running >= a.limits.MaxRunning || !a.reachable {
@@ -106,22 +105,22 @@
 	if a.engine == nil {
 		return true
 	}
-	if a.prefill > 0 && a.prefill+i.Cost > a.limits.PrefillWindow {
+	if a.pendingPrefill > 0 && a.pendingPrefill+i.Cost > a.limits.PrefillWindow {
 		return false
 	}
 	if _, ok := a.memory.Get(j.id); ok || j.submit.Reservation != "" {
 		return true
 	}
 	n := j.request.Tokens()
-	if a.long(n) && a.longHeld > 0 && float64(a.longHeld+n) > a.longShare(j)*float64(a.memory.Total()) {
+	if a.isLong(n) && a.longLeased > 0 && float64(a.longLeased+n) > a.longShare(j)*float64(a.memory.Total()) {
 		return false
 	}
 	return a.memory.Fits(n)
 }
 
-// longShare is the part of the memory that long requests may hold together for
-// the job to join them: the agent's own limit, or the policy's if that is less.
-// A single long request is let in whatever its size.
+// longShare is the share of the memory that long requests may hold together, with this job: the
+// agent's own limit, or the policy's if that is lower. A single long request is admitted whatever
+// its size.
 func (a *Agent) longShare(j *job) float64 {
 	if s := j.request.Decision.Share; s > 0 {
 		return min(s, a.limits.LongShare)
@@ -129,52 +128,50 @@
 	return a.limits.LongShare
 }
 
-// take enters the job's memory into the ledger when its first step is granted.
-func (a *Agent) take(j *job) {
+// leaseMemory enters the job's memory into the ledger when its first step is granted.
+func (a *Agent) leaseMemory(j *job) {
 	if a.engine == nil || j.submit.Reservation != "" {
 		return
 	}
 	n := j.request.Tokens()
 	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.HeldSequence, Tokens: n}
-	if j.reserves {
+	if j.reserveOnly {
 		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
 	}
-	if a.memory.Grant(l) && a.long(n) {
-		a.longHeld += n
+	if a.memory.Grant(l) && a.isLong(n) {
+		a.longLeased += n
 	}
 }
 
-// prefilled tells the dispatcher that the engine has worked off the tokens of
-// a step, so that the next one may be given to it.
+// prefilled records that the engine has prefilled the tokens of a step, so that the next step may
+// be granted.
 func (a *Agent) prefilled(tokens int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.prefill -= tokens
-	a.pump()
+	a.pendingPrefill -= tokens
+	a.grantSteps()
 }
 
-// stepDone tells the dispatcher that a step has left the upstream.
+// stepDone records that a step has left the upstream.
 func (a *Agent) stepDone() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.running--
-	a.pump()
+	a.grantSteps()
 }
 
-// mayStart is the very last check before anything goes to the upstream: the
-// claim on the key must still hold by this process's own monotonic clock, and
-// no higher epoch may be known. A process that was paused after its grant
-// stops here.
+// mayStart is the last check before anything is sent to the upstream: the claim on the key must
+// still hold by this process's own monotonic clock, and no higher epoch may be known. It stops a
+// process that was paused after its grant.
 //
-// The window that remains: the check and the write of the first byte are two
-// steps, and a process can be paused between them. An upstream that checks no
-// fence can then be given a request whose key has a new owner; the new owner
-// answers "unknown" for that key, so a second run cannot come from it.
+// A window remains, since a process can also be paused between this check and the write of the
+// first byte. An upstream that checks no fence may then run a request whose key has a new owner.
+// The new owner answers "unknown" for that key, so it never starts a second run.
 func (a *Agent) mayStart(j *job) error {
 	if j.request.Key == "" {
 		return nil
 	}
-	hollowgrade.Notice(a.clock) // or a lease that lapsed while the machine was suspended would seem to hold
+	hollowgrade.Notice(a.clock) // otherwise a lease that expired during a suspension would seem valid
 	if !a.clock.Now().Before(j.lease) {
 		return fault.New(fault.ClaimLapsed, "the claim on the key lapsed before the start").WithRetryAfter(minRetryAfter)
 	}
--- a/agent/engine.go
+++ b/agent/engine.go
@@ -13,13 +13,12 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// runEngine prefills the prompt, in pieces if it is long, and then passes the
-// answer on. Between two pieces the job goes back into the queue, so that a
-// short request waits for one piece at most.
+// runEngine prefills the prompt, in pieces if it is long, and then streams the answer. Between two
+// pieces the job returns to the queue, so that a short request waits for one piece at most.
 func (a *Agent) runEngine(ctx context.Context, j *job) error {
 	for {
-		if err := a.await(ctx, j); err != nil {
-			return afterStart(j, err)
+		if err := a.awaitGrant(ctx, j); err != nil {
+			return correctOutcome(j, err)
 		}
 		last, err := a.step(ctx, j)
 		if err != nil || last {
@@ -28,9 +27,9 @@
 	}
 }
 
-// afterStart corrects an error that says "not run" of a job of which earlier
-// pieces have run.
-func afterStart(j *job, err error) error {
+// correctOutcome changes the outcome "not run" to "failed" for a job of which earlier pieces have
+// run.
+func correctOutcome(j *job, err error) error {
 	var f *fault.Error
 	if errors.As(err, &f) && f.Outcome == hollowgrade.NotRun && j.started.Load() {
 		return f.WithOutcome(hollowgrade.Failed)
@@ -38,8 +37,8 @@
 	return err
 }
 
-// step gives one granted piece of the prompt to the engine, or the rest of the
-// prompt with the answer. It reports whether it was the last.
+// step sends one granted piece of the prompt to the engine, or the rest of the prompt and streams
+// the answer. It reports whether it was the last step.
 func (a *Agent) step(ctx context.Context, j *job) (last bool, err error) {
 	defer a.stepDone()
 	n := a.cost(j)
@@ -54,7 +53,7 @@
 	if err = a.mayStart(j); err != nil && !j.started.Load() {
 		return false, err
 	}
-	if err = a.start(j); err != nil {
+	if err = a.sendStarted(j); err != nil {
 		return false, err
 	}
 	end := min(j.next+n*bytesPerToken, len(j.body))
@@ -62,11 +61,11 @@
 		err = a.prefillPiece(ctx, j, end)
 		return err == nil && j.next == len(j.body), err
 	}
-	return true, a.answer(ctx, j, prefilled)
+	return true, a.streamAnswer(ctx, j, prefilled)
 }
 
-// start tells the entry that the request counts as run from here on.
-func (a *Agent) start(j *job) error {
+// sendStarted reports to the entry that the request counts as run from here on.
+func (a *Agent) sendStarted(j *job) error {
 	if j.started.Load() {
 		return nil
 	}
@@ -81,9 +80,9 @@
 
 // prefillPiece prefills the prompt up to end and keeps the piece on the engine.
 func (a *Agent) prefillPiece(ctx context.Context, j *job, end int) (err error) {
-	id := fmt.Sprintf("%s/%d", j.id, len(j.held))
+	id := fmt.Sprintf("%s/%d", j.id, len(j.pieces))
 	at := a.clock.Now()
-	a.hold(j, id)
+	a.leasePiece(j, id)
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
 		ID:          id,
 		Model:       j.request.Model,
@@ -104,13 +103,13 @@
 	if err != nil {
 		return a.engineError(ctx, err)
 	}
-	a.measure(func(v *speed) { v.addPrefill((end-j.next)/bytesPerToken, a.clock.Since(at)) })
+	a.updateSpeed(func(v *speed) { v.addPrefill((end-j.next)/bytesPerToken, a.clock.Since(at)) })
 	j.handles = append(j.handles, h)
 	j.next = end
 	return nil
 }
 
-// lastOf returns the last handle, which stands for all the pieces before it.
+// lastOf returns the last handle, which includes all pieces before it.
 func lastOf(hs []string) []string {
 	if len(hs) == 0 {
 		return nil
@@ -118,8 +117,8 @@
 	return hs[len(hs)-1:]
 }
 
-// answer prefills the rest of the prompt and passes the tokens on.
-func (a *Agent) answer(ctx context.Context, j *job, prefilled func()) (err error) {
+// streamAnswer prefills the rest of the prompt and sends the tokens to the entry.
+func (a *Agent) streamAnswer(ctx context.Context, j *job, prefilled func()) (err error) {
 	at := a.clock.Now()
 	s, err := a.engine.Generate(ctx, hollowgrade.Generation{
 		ID:          j.id,
@@ -146,7 +145,7 @@
 		}
 		prefilled()
 		at = a.measureToken(j, at)
-		if err = a.pass(j, t); err != nil {
+		if err = a.sendToken(j, t); err != nil {
 			return err
 		}
 	}
@@ -155,7 +154,7 @@
 func (a *Agent) measureToken(j *job, at time.Time) time.Time {
 	now := a.clock.Now()
 	first := j.count == len(j.submit.Prefix)
-	a.measure(func(v *speed) {
+	a.updateSpeed(func(v *speed) {
 		if first {
 			v.addPrefill((len(j.body)-j.next)/bytesPerToken, now.Sub(at))
 		} else {
@@ -165,9 +164,9 @@
 	return now
 }
 
-// pass sends one token on. An engine that leaves a gap or repeats itself has
-// broken its answer, and no token after that is believed.
-func (a *Agent) pass(j *job, t hollowgrade.Token) error {
+// sendToken sends one token to the entry. A gap or a repetition in the offsets fails the answer,
+// and later tokens are not trusted.
+func (a *Agent) sendToken(j *job, t hollowgrade.Token) error {
 	if t.Offset != j.count {
 		return fault.New(fault.AnswerCut, "the engine sent token %d where %d was due", t.Offset, j.count)
 	}
@@ -179,20 +178,20 @@
 	return nil
 }
 
-func (a *Agent) measure(f func(*speed)) {
+func (a *Agent) updateSpeed(f func(*speed)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f(&a.speed)
 }
 
-// enginePriority maps class and priority onto the engine's single number.
+// enginePriority maps class and priority to the engine's single number.
 func enginePriority(r hollowgrade.Request) int {
 	const band = 1000
 	return int(hollowgrade.Classes-r.Decision.Class)*band + r.Decision.Priority
 }
 
-// engineError tells a refusal of the engine from its loss, and either from the
-// end of the job itself.
+// engineError distinguishes a refusal by the engine from its loss, and both from the end of the
+// job's context.
 func (a *Agent) engineError(ctx context.Context, err error) error {
 	var r *upstream.RefusedError
 	switch {
@@ -201,7 +200,7 @@
 	case errors.As(err, &r):
 		return fault.New(fault.UpstreamRefused, "the engine refused: %s", r.Message)
 	default:
-		a.suspectEngine()
+		a.markUnreachable()
 		return err
 	}
 }
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -29,40 +29,37 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// KeyTimes are the times that bound the keeping of idempotency keys.
+// KeyTimes are the durations that bound how idempotency keys are kept.
 type KeyTimes struct {
 	// Window is how long a key is remembered after its run has ended.
 	Window time.Duration
-	// Lease is how long a keeper goes on without having seen the end of the
-	// log. After a crash its keys wait that long for the next keeper; in an
-	// outage of the log it is how long callers' own keys are served.
+	// Lease is how long a keeper goes on granting without having read the end of the log. After a
+	// crash its keys wait that long for the next keeper; in an outage of the log, callers' own keys
+	// are served that long.
 	Lease time.Duration
-	// Grace is how long a keeper must be off the list before another takes
-	// its ranges.
+	// Grace is how long a keeper must be missing from the list before another takes its ranges.
 	Grace time.Duration
-	// Every is the time between two looks at the list.
-	Every time.Duration
+	// CheckInterval is the interval between two checks of the list.
+	CheckInterval time.Duration
 }
 
 // DefaultKeyTimes returns times that suit boxes which are replaced a few
 // hundred times a day.
 func DefaultKeyTimes() KeyTimes {
-	return KeyTimes{Window: 15 * time.Minute, Lease: 2 * time.Minute, Grace: 10 * time.Second, Every: time.Second}
+	return KeyTimes{Window: 15 * time.Minute, Lease: 2 * time.Minute, Grace: 10 * time.Second, CheckInterval: time.Second}
 }
 
-// maxKeys bounds the records of one ledger, about 300 bytes each without the
-// answers.
+// maxKeys bounds the records of one ledger; each takes about 300 bytes without its answer.
 const maxKeys = 100_000
 
-// maxKeptAnswer bounds the answers that are kept for a key sent again, in
-// bytes. Of a larger one only the outcome is kept.
-const maxKeptAnswer = 16 << 10
+// maxStoredAnswerBytes bounds the answers that are stored for repeated calls with a key. Of a
+// larger answer only the outcome is kept.
+const maxStoredAnswerBytes = 16 << 10
 
-// Keeper keeps the ledger of the key ranges that the log gives to this agent.
-// Ranges are taken by a record in the log, each naming the revision that it
-// replaces, so each epoch of a range has one keeper. A keeper that has not
-// seen the end of the log for the time of its lease stops granting, and its
-// successor waits that long before it begins; so no two grant at once.
+// Keeper keeps the ledger of the key ranges that the log assigns to this agent. A keeper acquires a
+// range by a record in the log that names the revision it replaces, so each epoch of a range has
+// one keeper. A keeper that has not read the end of the log for the duration of its lease stops
+// granting, and its successor waits that long before it starts, so no two keepers grant at once.
 type Keeper struct {
 	box         string
 	incarnation string
@@ -80,28 +77,28 @@
 
 	mu      sync.Mutex
 	config  *config.Config
-	kept    map[int]*keptRange
-	pending map[int]*pendingRange // handed over to us and not yet ours by the log
+	ranges  map[int]*ownedRange
+	pending map[int]*pendingRange // handed over to this keeper, but not yet assigned to it by the log
 	minted  *ledger.Keys
-	missing map[string]time.Time // since when a keeper is off the list
+	missing map[string]time.Time // since when a keeper is missing from the list
 	leaving bool
 }
 
-type keptRange struct {
-	epoch int64
-	from  time.Time // no claim is granted before
-	keys  *ledger.Keys
+type ownedRange struct {
+	epoch      int64
+	grantsFrom time.Time // no claim is granted before this
+	keys       *ledger.Keys
 }
 
-// pendingRange is a range on its way from one keeper to the next.
+// pendingRange is a range that is being handed over from one keeper to the next.
 type pendingRange struct {
-	epoch   int64 // of the keeper that hands over
-	records []ledger.KeyRecord
-	whole   bool
+	epoch    int64 // of the keeper that hands the range over
+	records  []ledger.KeyRecord
+	complete bool
 }
 
-// NewKeeper returns a keeper. Agents returns the agents' boxes as the platform
-// lists them.
+// NewKeeper returns a keeper. The function agents returns the agents' boxes as the platform lists
+// them.
 func NewKeeper(box, incarnation string, t KeyTimes, k hollowgrade.Clock, g *log.Logger, l hollowgrade.Log,
 	f *fold.Follower, agents func(context.Context) []hollowgrade.Box, d peer.Dialer,
 ) *Keeper {
@@ -112,7 +109,7 @@
 		agents: agents, dial: d, secret: s,
 		done:    make(chan struct{}),
 		config:  &config.Config{},
-		kept:    map[int]*keptRange{},
+		ranges:  map[int]*ownedRange{},
 		pending: map[int]*pendingRange{},
 		minted:  ledger.NewKeys(t.Window, maxKeys),
 		missing: map[string]time.Time{},
@@ -136,12 +133,12 @@
 
 func (k *Keeper) loop(ctx context.Context) {
 	defer close(k.done)
-	for hollowgrade.Sleep(ctx, k.clock, k.times.Every) {
-		k.takeRanges(ctx)
+	for hollowgrade.Sleep(ctx, k.clock, k.times.CheckInterval) {
+		k.acquireRanges(ctx)
 	}
 }
 
-// SetConfig tells the keeper who owns which range.
+// SetConfig sets the configuration, which assigns the ranges to keepers.
 func (k *Keeper) SetConfig(c *config.Config) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -153,30 +150,30 @@
 		r, ok := c.KeyRanges[ledger.RangeName(n)]
 		mine := ok && r.Owner == k.box && r.Incarnation == k.incarnation
 		if !mine {
-			delete(k.kept, n)
+			delete(k.ranges, n)
 			continue
 		}
-		if p := k.kept[n]; p == nil || p.epoch != r.Epoch {
-			k.kept[n] = k.begin(n, r)
+		if p := k.ranges[n]; p == nil || p.epoch != r.Epoch {
+			k.ranges[n] = k.openRange(n, r)
 		}
 	}
 }
 
-// begin opens the ledger of a range that has become ours. The keeper before us
-// may grant until its lease ends, and what it granted is not in our ledger
-// unless it handed it over.
-func (k *Keeper) begin(n int, r config.Range) *keptRange {
+// openRange opens the ledger of a range that has been assigned to this keeper. The previous keeper
+// may grant until its lease ends, and unless it handed its records over they are not in the new
+// ledger: claims wait for the lease, and keys without a record are unknown for a window more.
+func (k *Keeper) openRange(n int, r config.Range) *ownedRange {
 	now := k.clock.Now()
-	p := &keptRange{epoch: r.Epoch, from: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
+	p := &ownedRange{epoch: r.Epoch, grantsFrom: now, keys: ledger.NewKeys(k.times.Window, maxKeys)}
 	h := k.pending[n]
 	delete(k.pending, n)
 	switch {
 	case r.First:
-	case r.Former != 0 && h != nil && h.whole && h.epoch == r.Former:
+	case r.Former != 0 && h != nil && h.complete && h.epoch == r.Former:
 		p.keys.Import(h.records, now)
 	default:
-		p.from = now.Add(k.times.Lease)
-		p.keys.BlindUntil(p.from.Add(k.times.Window))
+		p.grantsFrom = now.Add(k.times.Lease)
+		p.keys.SetUnknownUntil(p.grantsFrom.Add(k.times.Window))
 	}
 	return p
 }
@@ -207,22 +204,22 @@
 	return a
 }
 
-// mintedLease is the lease on a minted key: its keeper never changes, so only
-// the hold of the claim bounds it.
+// mintedLease is the lease on a minted key: its keeper never changes, so only the hold of the claim
+// bounds it.
 const mintedLease = time.Hour
 
-// ledgerFor returns the ledger that decides about the key, its epoch, and how
-// long the right to grant certainly lasts; nil if that is not here.
+// ledgerFor returns the ledger that decides about the key, its epoch, and how long this keeper may
+// certainly grant; nil if another keeper decides, or none does yet.
 func (k *Keeper) ledgerFor(id ledger.KeyID, now time.Time) (l *ledger.Keys, epoch int64, lease time.Duration) {
 	if b, i, s, ok := ledger.ParseMinted(id.Key); ok {
-		if b != k.box || i != k.incarnation || !k.genuine(s, now) {
+		if b != k.box || i != k.incarnation || !k.verifyMinted(s, now) {
 			return nil, 0, 0
 		}
 		return k.minted, 0, mintedLease
 	}
-	p := k.kept[id.Range()]
+	p := k.ranges[id.Range()]
 	lease = k.times.Lease - now.Sub(k.follower.Fresh())
-	if p == nil || k.leaving || now.Before(p.from) || lease <= 0 {
+	if p == nil || k.leaving || now.Before(p.grantsFrom) || lease <= 0 {
 		return nil, 0, 0
 	}
 	return p.keys, p.epoch, lease
@@ -235,14 +232,14 @@
 	now := k.clock.Now()
 	id := ledger.KeyID{Organisation: m.Organisation, Key: m.Key}
 	keys := k.minted
-	if p := k.kept[id.Range()]; p != nil {
+	if p := k.ranges[id.Range()]; p != nil {
 		keys = p.keys
 	}
 	if _, _, _, ok := ledger.ParseMinted(id.Key); ok {
 		keys = k.minted
 	}
 	var b []byte
-	if m.Answer != nil && proto.Size(m.Answer) <= maxKeptAnswer {
+	if m.Answer != nil && proto.Size(m.Answer) <= maxStoredAnswerBytes {
 		b, _ = proto.Marshal(m.Answer)
 	}
 	keys.Settle(id, m.Id, hollowgrade.Outcome(m.Outcome), b, now)
@@ -259,30 +256,29 @@
 	return k.config.KeyRanges[ledger.RangeName(id.Range())].Epoch > epoch
 }
 
-// Mint implements [KeyKeeper]. A minted key ends with its time of expiry and a
-// mark that only this process can make, so nothing need be remembered of it
-// before it is claimed.
+// Mint implements [KeyKeeper]. A minted key ends with its expiry and a signature that only this
+// process can make, so it needs no record before it is claimed.
 func (k *Keeper) Mint() string {
 	n := strconv.FormatInt(hollowgrade.WallTime(k.clock).Add(k.times.Window/2).UnixNano(), 36) + "-" + uuid.NewString()
-	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.mark(n))
+	return ledger.MintedKey(k.box, k.incarnation, n+"-"+k.sign(n))
 }
 
-const markBytes = 12
+const signatureBytes = 12
 
-func (k *Keeper) mark(s string) string {
+func (k *Keeper) sign(s string) string {
 	h := hmac.New(sha256.New, k.secret)
 	_, _ = h.Write([]byte(s))
-	return hex.EncodeToString(h.Sum(nil)[:markBytes])
+	return hex.EncodeToString(h.Sum(nil)[:signatureBytes])
 }
 
-// genuine reports whether the last part of a minted key is ours, and whether
-// it may still be used: its record would be forgotten after the window.
-func (k *Keeper) genuine(s string, now time.Time) bool {
-	if len(s) < 2*markBytes+1 {
+// verifyMinted reports whether the last part of a minted key was signed by this keeper and has not
+// expired. A minted key expires before its record would be forgotten, so it cannot run twice.
+func (k *Keeper) verifyMinted(s string, now time.Time) bool {
+	if len(s) < 2*signatureBytes+1 {
 		return false
 	}
-	n, m := s[:len(s)-2*markBytes-1], s[len(s)-2*markBytes:]
-	if !hmac.Equal([]byte(m), []byte(k.mark(n))) {
+	n, m := s[:len(s)-2*signatureBytes-1], s[len(s)-2*signatureBytes:]
+	if !hmac.Equal([]byte(m), []byte(k.sign(n))) {
 		return false
 	}
 	e, _, _ := cutDash(n)
@@ -298,20 +294,19 @@
 	return s[:i], s[i+1:], true
 }
 
-// takeRanges takes the ranges that have no live keeper and for which this
-// agent ranks first.
-func (k *Keeper) takeRanges(ctx context.Context) {
+// acquireRanges acquires the ranges that have no live keeper and for which this agent ranks first.
+func (k *Keeper) acquireRanges(ctx context.Context) {
 	live := liveNames(k.agents(ctx))
 	if !slices.Contains(live, k.box) || k.follower.Fresh().IsZero() {
 		return
 	}
 	for n := range ledger.Ranges {
-		c, ok := k.takeover(n, live)
+		c, ok := k.planAcquisition(n, live)
 		if !ok {
 			continue
 		}
 		if err := k.publish(ctx, n, c); err != nil && ctx.Err() == nil {
-			k.logger.Warn("key range not taken", "range", n, "err", err)
+			k.logger.Warn("key range not acquired", "range", n, "err", err)
 			return
 		}
 	}
@@ -326,8 +321,8 @@
 	return ns
 }
 
-// takeover decides whether to take a range now.
-func (k *Keeper) takeover(n int, live []string) (r config.KeyRange, ok bool) {
+// planAcquisition decides whether to acquire a range now.
+func (k *Keeper) planAcquisition(n int, live []string) (r config.KeyRange, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	cur, stands := k.config.KeyRanges[ledger.RangeName(n)]
@@ -336,19 +331,19 @@
 	case k.leaving:
 		return r, false
 	case stands && cur.Owner == k.box:
-		// A former process of this box kept it.
+		// A former process of this box may own it.
 		return r, cur.Incarnation != k.incarnation
 	case stands && slices.Contains(live, cur.Owner):
 		delete(k.missing, cur.Owner)
 		return r, false
-	case stands && !k.goneFor(cur.Owner):
+	case stands && !k.absentForGrace(cur.Owner):
 		return r, false
 	default:
 		return r, sched.HighestRanked("key range "+ledger.RangeName(n), live) == k.box
 	}
 }
 
-func (k *Keeper) goneFor(owner string) bool {
+func (k *Keeper) absentForGrace(owner string) bool {
 	now := k.clock.Now()
 	since, ok := k.missing[owner]
 	if !ok {
@@ -370,25 +365,25 @@
 	_, err = fold.Publish(ctx, k.log, s, c)
 	var f *fault.Error
 	if errors.As(err, &f) && f.Code == fault.LostRace {
-		return nil // somebody else has it, which is as good
+		return nil // another keeper has acquired the range
 	}
 	return err
 }
 
-// handOver gives each range with its ledger to the agent that ranks next. From
-// here on this keeper grants nothing.
+// handOver sends each range with its records to the agent that ranks next. This keeper grants
+// nothing from here on.
 func (k *Keeper) handOver(ctx context.Context) (err error) {
 	boxes := slices.DeleteFunc(k.agents(ctx), func(b hollowgrade.Box) bool {
 		return b.Role != hollowgrade.AgentRole || b.State != hollowgrade.BoxLive || b.Name == k.box
 	})
 	names := liveNames(boxes)
-	for n, h := range k.close() {
+	for n, h := range k.stopGranting() {
 		next := sched.HighestRanked("key range "+ledger.RangeName(n), names)
 		i := slices.IndexFunc(boxes, func(b hollowgrade.Box) bool { return b.Name == next })
 		if i < 0 {
 			return nil
 		}
-		inc, e := k.send(ctx, boxes[i].Peer, n, h)
+		inc, e := k.sendRange(ctx, boxes[i].Peer, n, h)
 		if e == nil {
 			e = k.publish(ctx, n, config.KeyRange{Owner: next, Incarnation: inc, Former: h.epoch})
 		}
@@ -399,26 +394,26 @@
 	return err
 }
 
-// close stops granting and returns the records of each range.
-func (k *Keeper) close() map[int]pendingRange {
+// stopGranting stops granting and returns the records of each range.
+func (k *Keeper) stopGranting() map[int]pendingRange {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leaving = true
 	now := k.clock.Now()
 	m := map[int]pendingRange{}
-	for n, p := range k.kept {
-		if !now.Before(p.from) {
+	for n, p := range k.ranges {
+		if !now.Before(p.grantsFrom) {
 			m[n] = pendingRange{epoch: p.epoch, records: p.keys.Export(now)}
 		}
 	}
 	return m
 }
 
-// handoverBatch is the number of records in one frame. An answer of the
-// largest size in each still fits.
+// handoverBatch is the number of records in one frame, small enough that each may have an answer of
+// the largest size.
 const handoverBatch = 16
 
-func (k *Keeper) send(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
+func (k *Keeper) sendRange(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	c, err := peer.Dial(ctx, k.dial, address)
@@ -428,7 +423,7 @@
 	defer c.Close()
 	var s *peer.Stream
 	for b := range slices.Chunk(append(h.records, ledger.KeyRecord{}), handoverBatch) {
-		// The empty record at the end makes sure that there is a last batch.
+		// The empty record at the end ensures that there is a last batch.
 		last := b[len(b)-1].ID.Key == ""
 		if last {
 			b = b[:len(b)-1]
@@ -457,8 +452,8 @@
 	return f.GetHello().GetIncarnation(), nil
 }
 
-// TakeIn implements [KeyKeeper].
-func (k *Keeper) TakeIn(h *wire.Handover) error {
+// ReceiveHandover implements [KeyKeeper].
+func (k *Keeper) ReceiveHandover(h *wire.Handover) error {
 	var rs []ledger.KeyRecord
 	if err := json.Unmarshal(h.Records, &rs); err != nil {
 		return err
@@ -467,11 +462,11 @@
 	defer k.mu.Unlock()
 	n := int(h.Range)
 	p := k.pending[n]
-	if p == nil || p.whole || p.epoch != h.Epoch {
+	if p == nil || p.complete || p.epoch != h.Epoch {
 		p = &pendingRange{epoch: h.Epoch}
 		k.pending[n] = p
 	}
 	p.records = append(p.records, rs...)
-	p.whole = h.Last
+	p.complete = h.Last
 	return nil
 }
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -15,14 +15,14 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// engineTimeout bounds the short calls to the engine.
+// engineTimeout bounds a short call to the engine, to the log, or to another agent.
 const engineTimeout = 2 * time.Second
 
-// hold notes a piece that the engine keeps for the job. Its memory is part of
-// the job's lease or of the group's reservation already, so its own lease
-// counts nothing. A piece of a group ends with the reservation.
-func (a *Agent) hold(j *job, id string) {
-	j.held = append(j.held, id)
+// leasePiece enters a lease for a piece that the engine keeps for the job. Its memory is part of
+// the job's lease or of the group's reservation already, so this lease has no tokens. A piece of a
+// group expires with the reservation.
+func (a *Agent) leasePiece(j *job, id string) {
+	j.pieces = append(j.pieces, id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.HeldExport}
@@ -32,19 +32,19 @@
 	a.memory.Grant(l)
 }
 
-// releasePieces frees the pieces of a job that has ended. What cannot be freed
-// now, the sweep will free: no lease answers for it any longer. The pieces of
-// a group stay until the entry releases the reservation, or it expires.
+// releasePieces releases the pieces of a job that has ended. The sweep retries failed releases,
+// since the pieces have no lease any more. The pieces of a group stay until the entry releases the
+// reservation, or it expires.
 func (a *Agent) releasePieces(j *job) {
 	if j.submit.Reservation != "" {
 		return
 	}
-	for _, id := range j.held {
-		a.free(id)
+	for _, id := range j.pieces {
+		a.releaseHolding(id)
 	}
 }
 
-func (a *Agent) free(id string) {
+func (a *Agent) releaseHolding(id string) {
 	a.mu.Lock()
 	a.releaseLease(id)
 	a.mu.Unlock()
@@ -55,26 +55,25 @@
 	}
 }
 
-// freeOwned frees a reservation and the pieces that were made under it.
-func (a *Agent) freeOwned(id string) {
+// releaseReservation releases a reservation and the pieces that were made under it.
+func (a *Agent) releaseReservation(id string) {
 	a.mu.Lock()
 	ls := a.memory.OwnedBy(id)
 	a.mu.Unlock()
 	for _, l := range ls {
-		a.free(l.ID)
+		a.releaseHolding(l.ID)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pump()
+	a.grantSteps()
 }
 
-// serveReserve sets memory aside for a group that spans several engines. The
-// reservation waits its turn in the queue like any request: otherwise small
-// requests would take each piece of memory that comes free. It stands as long
-// as its exchange: when the entry ends that, or dies, all of the group's memory
-// here is freed. The expiry is for entries that fall silent.
+// serveReserve reserves memory for a group that spans several engines. The reservation queues like
+// any request: otherwise small requests would take each piece of memory as it is freed. When the
+// entry ends the exchange, or crashes, all of the group's memory here is released; the expiry
+// covers entries that stop responding.
 func (a *Agent) serveReserve(ctx context.Context, s *peer.Stream, m *wire.Reserve) error {
-	done := a.receives()
+	done := a.trackExchange()
 	defer done()
 	ttl := time.Duration(m.TtlMicros) * time.Microsecond
 	ctx, stop := clockwork.WithTimeout(ctx, a.clock, ttl)
@@ -92,7 +91,7 @@
 		f.Outcome, f.Code, f.Message = string(hollowgrade.NotRun), string(e.Code), e.Message
 		return s.Send(&wire.Frame{Body: &wire.Frame_Final{Final: f}})
 	}
-	defer a.freeOwned(m.Id)
+	defer a.releaseReservation(m.Id)
 	if err = s.Send(&wire.Frame{Body: &wire.Frame_Final{Final: f}}); err != nil {
 		return err
 	}
@@ -113,12 +112,12 @@
 		PromptTokens:    m.Tokens,
 		RemainingMicros: m.TtlMicros,
 	}, nil, a.clock.Now())
-	j.id, j.reserves = m.Id, true
+	j.id, j.reserveOnly = m.Id, true
 	if err := a.admit(j); err != nil {
 		return err
 	}
-	defer a.leave(j)
-	if err := a.await(ctx, j); err != nil {
+	defer a.removeJob(j)
+	if err := a.awaitGrant(ctx, j); err != nil {
 		return fault.New(fault.GroupBusy, "%s had no room for %d tokens in time", a.box.Name, m.Tokens)
 	}
 	defer a.stepDone()
@@ -126,16 +125,16 @@
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	if err := a.engine.Reserve(ctx, m.Id, int(m.Tokens), ttl); err != nil {
-		a.free(m.Id)
+		a.releaseHolding(m.Id)
 		_ = a.engineError(ctx, err)
 		return fault.New(fault.GroupBusy, "the engine of %s reserved nothing: %v", a.box.Name, err)
 	}
 	return nil
 }
 
-// sweepLoop compares the ledger with what the engine holds. It is also the
-// probe that finds the engine gone and back, and it adopts nothing: what a
-// former process left behind is an orphan, and is freed.
+// sweepLoop compares the ledger with the holdings of the engine at an interval. It also detects
+// that the engine stopped answering, and that it answers again. Holdings that a former process left
+// behind are not adopted: they are orphans and are released.
 func (a *Agent) sweepLoop() {
 	for {
 		if err := a.sweep(); err != nil && a.ctx.Err() == nil {
@@ -153,10 +152,10 @@
 	}
 }
 
-// suspectEngine takes an engine that broke off as gone until the next sweep,
-// which it asks for at once, has found it there. Without this the agent would
-// draw requests to a dead engine until the sweep's turn came.
-func (a *Agent) suspectEngine() {
+// markUnreachable treats an engine whose call failed as gone until a sweep, which it requests at
+// once, has reached it. Otherwise the agent would attract requests to a crashed engine until the
+// next regular sweep.
+func (a *Agent) markUnreachable() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.reachable {
@@ -184,28 +183,28 @@
 	defer a.mu.Unlock()
 	a.probed = true
 	if err != nil {
-		a.bounce()
+		a.rejectQueued()
 	}
 	if a.reachable != (err == nil) {
 		a.reachable = err == nil
 		a.notify()
-		a.pump()
+		a.grantSteps()
 	}
 	return err
 }
 
-// orphanSweeps is how many sweeps in a row must find a holding without a lease
-// before it is freed: a holding can be seen before its lease, or after.
+// orphanSweeps is how many sweeps in a row must find a holding without a lease before it is
+// released: a holding can be seen before its lease is entered, or after it has ended.
 const orphanSweeps = 2
 
-// reclaim frees what no lease answers for, and what expired leases held.
+// reclaim releases the holdings without a lease, including those of expired leases.
 func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Holding) {
 	for _, h := range a.orphans(l, held) {
 		if err := errors.Join(a.engine.Cancel(ctx, h.ID), a.engine.Release(ctx, h.ID)); err != nil {
-			a.log.Warn("orphan not freed", "id", h.ID, "err", err)
+			a.log.Warn("cannot release engine memory that has no lease", "id", h.ID, "err", err)
 			continue
 		}
-		a.log.Info("orphan freed", "id", h.ID, "kind", h.Kind, "tokens", h.Tokens)
+		a.log.Info("released engine memory that has no lease", "id", h.ID, "kind", h.Kind, "tokens", h.Tokens)
 	}
 }
 
@@ -221,25 +220,24 @@
 		a.releaseLease(e.ID)
 	}
 	seen := map[string]int{}
-	a.lost = 0
+	a.orphanTokens = 0
 	for _, h := range a.memory.Orphans(held) {
 		if _, ok := a.jobs[h.ID]; ok {
 			continue
 		}
-		seen[h.ID] = a.suspects[h.ID] + 1
+		seen[h.ID] = a.sweepsSeen[h.ID] + 1
 		if seen[h.ID] >= orphanSweeps {
-			a.lost += h.Tokens
+			a.orphanTokens += h.Tokens
 			os = append(os, h)
 		}
 	}
-	a.suspects = seen
+	a.sweepsSeen = seen
 	return os
 }
 
-// Lost returns how many tokens the engine held at the last two sweeps that no
-// lease answered for.
-func (a *Agent) Lost() int {
+// OrphanTokens returns how many tokens of holdings the last two sweeps found without a lease.
+func (a *Agent) OrphanTokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lost
+	return a.orphanTokens
 }
--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -15,9 +15,9 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// Preparer gets the engine beside this agent ready for events: it fetches the
-// weights through the platform's store and orders the engine to load them,
-// before the event starts. Each agent decides for itself by its rank.
+// Preparer gets the engine beside this agent ready for events: it fetches the weights through the
+// platform's store and orders the engine to load them, before the event starts. Each agent decides
+// for itself by its rank among the agents.
 type Preparer struct {
 	box    string
 	clock  hollowgrade.Clock
@@ -29,9 +29,9 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	config  *config.Config
-	ordered map[string]int64 // revision of each event that the engine was made ready for
+	mu       sync.Mutex
+	config   *config.Config
+	prepared map[string]int64 // revision of each event for which the engine is prepared
 }
 
 // NewPreparer returns a preparer. Agents returns the agents' boxes as the
@@ -41,13 +41,13 @@
 ) *Preparer {
 	return &Preparer{
 		box: box, engine: e, store: w, clock: k, logger: g, agents: agents,
-		done:    make(chan struct{}),
-		config:  &config.Config{},
-		ordered: map[string]int64{},
+		done:     make(chan struct{}),
+		config:   &config.Config{},
+		prepared: map[string]int64{},
 	}
 }
 
-// SetConfig tells the preparer of the events.
+// SetConfig sets the configuration, which has the events.
 func (p *Preparer) SetConfig(c *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,24 +69,24 @@
 	return nil
 }
 
-// prepareEvery is the time between two looks at the events. A fetch that the
-// store refused is tried again after it.
-const prepareEvery = time.Second
+// prepareInterval is the interval between two checks of the events. A fetch that the store refused
+// is retried after it.
+const prepareInterval = time.Second
 
 func (p *Preparer) loop(ctx context.Context) {
 	defer close(p.done)
-	for hollowgrade.Sleep(ctx, p.clock, prepareEvery) {
-		p.look(ctx)
+	for hollowgrade.Sleep(ctx, p.clock, prepareInterval) {
+		p.prepareDue(ctx)
 	}
 }
 
-func (p *Preparer) look(ctx context.Context) {
+func (p *Preparer) prepareDue(ctx context.Context) {
 	p.mu.Lock()
 	events := p.config.Events
 	p.mu.Unlock()
 	now := p.clock.Now()
 	for n, e := range events {
-		if p.ordered[n] == e.Revision || now.Before(e.Starts.Add(-time.Duration(e.Prepares))) || !now.Before(e.Ends) {
+		if p.prepared[n] == e.Revision || now.Before(e.Starts.Add(-time.Duration(e.Prepares))) || !now.Before(e.Ends) {
 			continue
 		}
 		names := liveNames(p.agents(ctx))
@@ -98,13 +98,13 @@
 			p.logger.Warn("model not loaded yet", "event", n, "model", todo.Model, "err", err)
 			continue
 		}
-		p.ordered[n] = e.Revision
+		p.prepared[n] = e.Revision
 		p.logger.Info("engine is ready for event", "event", n, "model", todo.Model, "fence", e.Revision)
 	}
 }
 
-// prepare loads one model. The order carries the revision of the event as its
-// fence, so that a process that was paused cannot undo a later order.
+// prepare loads one model. The order has the revision of the event as its fence, so that a process
+// that was paused cannot undo a later order.
 func (p *Preparer) prepare(ctx context.Context, model string, fence int64) error {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
--- a/agent/service.go
+++ b/agent/service.go
@@ -14,9 +14,9 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// runService passes a call on to the plain service and its answer back.
+// runService forwards a call to the plain service and its response to the entry.
 func (a *Agent) runService(ctx context.Context, j *job) error {
-	if err := a.await(ctx, j); err != nil {
+	if err := a.awaitGrant(ctx, j); err != nil {
 		return err
 	}
 	defer a.stepDone()
@@ -25,7 +25,7 @@
 	if h == nil {
 		return fault.New(fault.MalformedBody, "the call has no head")
 	}
-	check := upstream.WithLastCheck(ctx, func() error { return a.mayStart(j) })
+	check := upstream.WithPreSendCheck(ctx, func() error { return a.mayStart(j) })
 	r, err := http.NewRequestWithContext(check, h.Method, h.Path, bytes.NewReader(j.body))
 	if err != nil {
 		return fault.New(fault.MalformedBody, "the call cannot be made: %v", err)
@@ -36,7 +36,7 @@
 	if err = a.mayStart(j); err != nil {
 		return err
 	}
-	if err = a.start(j); err != nil {
+	if err = a.sendStarted(j); err != nil {
 		return err
 	}
 	res, err := a.service.Do(r)
@@ -44,10 +44,10 @@
 		return a.serviceError(ctx, err)
 	}
 	defer res.Body.Close()
-	return a.passResponse(ctx, j, res)
+	return a.forwardResponse(ctx, j, res)
 }
 
-func (a *Agent) passResponse(ctx context.Context, j *job, res *http.Response) error {
+func (a *Agent) forwardResponse(ctx context.Context, j *job, res *http.Response) error {
 	h := &wire.ServiceHead{Status: int32(res.StatusCode)}
 	for n, vs := range res.Header {
 		for _, v := range vs {
@@ -75,7 +75,8 @@
 	}
 }
 
-// serviceError says whether the call ended for our reasons or the service's.
+// serviceError returns the error to report for a failed call. A call that was never sent has not
+// run; if the job's context has ended, its cause is the error.
 func (a *Agent) serviceError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -18,7 +18,7 @@
 
 const (
 	defaultMaxTokens = 256
-	mostMaxTokens    = 65_536
+	maxTokensLimit   = 65_536
 )
 
 // completionCall is the body of a call to [CompletionsPath].
@@ -50,7 +50,7 @@
 	if b.Prompt == "" {
 		return fault.New(fault.MalformedBody, "prompt must be a string that is not empty")
 	}
-	return e.generate(w, r, c, b, textShape)
+	return e.generate(w, r, c, b, textFormat)
 }
 
 func (e *Entry) chat(w http.ResponseWriter, r *http.Request, c caller) error {
@@ -62,12 +62,11 @@
 		return fault.New(fault.MalformedBody, "messages must hold one message at least")
 	}
 	p := completionCall{Model: b.Model, Prompt: chatPrompt(b.Messages), MaxTokens: b.MaxTokens, Stream: b.Stream}
-	return e.generate(w, r, c, p, chatShape)
+	return e.generate(w, r, c, p, chatFormat)
 }
 
-// chatPrompt joins messages into one prompt. The same beginning of a
-// conversation gives the same beginning of the prompt, so that prefix caches
-// work.
+// chatPrompt joins messages into one prompt. Conversations with the same beginning give prompts
+// with the same beginning, so that prefix caches work.
 func chatPrompt(ms []message) string {
 	var b strings.Builder
 	for _, m := range ms {
@@ -98,7 +97,7 @@
 }
 
 // generate serves a call for a model.
-func (e *Entry) generate(w http.ResponseWriter, r *http.Request, c caller, b completionCall, s shape) error {
+func (e *Entry) generate(w http.ResponseWriter, r *http.Request, c caller, b completionCall, s answerFormat) error {
 	if _, ok := c.config.Models[b.Model]; !ok {
 		return fault.New(fault.UnknownModel, "there is no model %q", b.Model)
 	}
@@ -106,13 +105,13 @@
 	if b.MaxTokens != nil {
 		n = *b.MaxTokens
 	}
-	if n < 1 || n > mostMaxTokens {
-		return fault.New(fault.MalformedBody, "max_tokens is %d, it must be from 1 to %d", n, mostMaxTokens)
+	if n < 1 || n > maxTokensLimit {
+		return fault.New(fault.MalformedBody, "max_tokens is %d, it must be from 1 to %d", n, maxTokensLimit)
 	}
 	q := &query{body: []byte(b.Prompt), arrived: e.clock.Now()}
 	q.prefixes = sched.PrefixHashes(q.body)
 	var err error
-	q.request, err = e.decide(r, c, hollowgrade.Request{
+	q.request, err = e.applyPolicy(r, c, hollowgrade.Request{
 		Model:        b.Model,
 		PromptTokens: (len(b.Prompt) + bytesPerToken - 1) / bytesPerToken,
 		MaxTokens:    n,
@@ -121,7 +120,7 @@
 		return err
 	}
 	defer callers.BoundWrites(w, q.request.Deadline)()
-	a := &answer{w: w, id: c.id, model: b.Model, shape: s, stream: b.Stream, prompt: q.request.PromptTokens}
+	a := &answer{w: w, id: c.id, model: b.Model, format: s, stream: b.Stream, prompt: q.request.PromptTokens}
 	q.sink = a
 	err = e.serve(r.Context(), q, c.organisation)
 	if err != nil && !a.began {
@@ -130,23 +129,23 @@
 	return a.end(err)
 }
 
-// shape is the form of an answer: that of a completion or that of a chat.
-type shape struct {
+// answerFormat is the JSON format of an answer: of a completion or of a chat.
+type answerFormat struct {
 	object, chunk string
 	chat          bool
 }
 
 var (
-	textShape = shape{object: "text_completion", chunk: "text_completion"}
-	chatShape = shape{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	textFormat = answerFormat{object: "text_completion", chunk: "text_completion"}
+	chatFormat = answerFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
-// answer is the sink of a model's answer, whole or as server-sent events.
+// answer is the sink of a model's answer, sent as a whole or as server-sent events.
 type answer struct {
 	w      http.ResponseWriter
 	id     string
 	model  string
-	shape  shape
+	format answerFormat
 	stream bool
 	prompt int
 	began  bool // whether a byte of the answer has been sent
@@ -155,7 +154,7 @@
 	buffer bytes.Buffer
 }
 
-// The types below are the common form of completions and chats.
+// The types below are the JSON objects that completions and chats have in common.
 
 type choice struct {
 	Index        int      `json:"index"`
@@ -196,10 +195,10 @@
 		a.began = true
 	}
 	c := choice{Text: &text}
-	if a.shape.chat {
+	if a.format.chat {
 		c = choice{Delta: &delta{Content: text}}
 	}
-	return a.event(a.body(a.shape.chunk, c))
+	return a.event(a.body(a.format.chunk, c))
 }
 
 // Head implements [sink].
@@ -229,8 +228,8 @@
 	return http.NewResponseController(a.w).Flush()
 }
 
-// end sends what closes the answer. In a stream that has begun, a failure is
-// the last event, and the event that marks a whole answer never follows it.
+// end sends the rest of the answer. In a stream that has begun, a failure is the last event, and
+// the event that marks a complete answer never follows it.
 func (a *answer) end(err error) error {
 	if err != nil {
 		_ = a.event(errorBody(a.id, fault.As(err, hollowgrade.Unknown)))
@@ -239,7 +238,7 @@
 	stop := "stop"
 	u := &tokenUsage{PromptTokens: a.prompt, CompletionTokens: a.count, TotalTokens: a.prompt + a.count}
 	if a.stream {
-		last := a.body(a.shape.chunk, choice{FinishReason: &stop})
+		last := a.body(a.format.chunk, choice{FinishReason: &stop})
 		last.Usage = u
 		if a.event(last) == nil {
 			_, _ = io.WriteString(a.w, "data: [DONE]\n\n")
@@ -248,10 +247,10 @@
 	}
 	t := a.text.String()
 	c := choice{Text: &t, FinishReason: &stop}
-	if a.shape.chat {
+	if a.format.chat {
 		c = choice{Message: &message{Role: "assistant", Content: t}, FinishReason: &stop}
 	}
-	b := a.body(a.shape.object, c)
+	b := a.body(a.format.object, c)
 	b.Usage = u
 	a.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(a.w).Encode(b)
--- a/entry/group.go
+++ b/entry/group.go
@@ -13,22 +13,20 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// A prompt that no single engine can hold is spread over a group. The entry
-// reserves memory at each member, all or nothing and always in the order of
-// their addresses, so that two groups never wait for each other in a circle.
-// Then the members prefill one part after another, each attached to the parts
-// before it, and the last one generates the answer. Reservations expire by
-// themselves if the entry dies.
-
-// group is the part of a query that belongs to one member of its group.
+// group is the part of a query that one member of its group runs.
+//
+// A prompt that is too large for any single engine is split over a group. The entry reserves memory
+// at each member, all or nothing and always in the order of their addresses, so that two groups
+// cannot deadlock. The members prefill one part after another, each attached to the parts before
+// it, and the last one generates the answer. Reservations expire if the entry crashes.
 type group struct {
 	reservation string
 	handles     []string
-	holding     bool // the member only prefills its part
+	holdOnly    bool // the member prefills its part and generates nothing
 	from, to    int  // bytes of the prompt; to is 0 if there is no group
 }
 
-// part returns the bytes that go to the present member.
+// part returns the bytes that are sent to the current member.
 func (g *group) part(body []byte) []byte {
 	if g.to == 0 {
 		return body
@@ -42,16 +40,16 @@
 	}
 	m.Reservation = g.reservation
 	m.Handles = g.handles
-	m.HoldOnly = g.holding
+	m.HoldOnly = g.holdOnly
 	m.PromptTokens = int64((g.to - g.from) / bytesPerToken)
-	if g.holding {
+	if g.holdOnly {
 		m.MaxTokens = 0
 		m.Prefix = nil
 	}
 }
 
-func (g *group) hold(handle string) {
-	if g.holding && handle != "" {
+func (g *group) addHandle(handle string) {
+	if g.holdOnly && handle != "" {
 		g.handles = append(g.handles, handle)
 	}
 }
@@ -65,11 +63,10 @@
 	to     int
 }
 
-// defaultGroup is how many engines a prompt may span when the published model
-// does not say.
-const defaultGroup = 4
+// defaultGroupSize is how many engines a prompt may span if the published model has no limit.
+const defaultGroupSize = 4
 
-// needsGroup reports whether the request is too large for each single engine.
+// needsGroup reports whether the request is too large for every single engine.
 func (e *Entry) needsGroup(r hollowgrade.Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,8 +77,8 @@
 	return most > 0 && r.Tokens() > most
 }
 
-// serveGroup makes one attempt on a group. The link is that of the member that
-// failed, or nil if the group was not reserved.
+// serveGroup makes one attempt on a group. The link is that of the member that failed, or nil if
+// the group was not reserved.
 func (e *Entry) serveGroup(ctx context.Context, q *query) (l *link, err error) {
 	ms, err := e.planGroup(q)
 	if err != nil {
@@ -100,9 +97,9 @@
 	defer func() { q.group = group{} }()
 	var handles []string
 	for i, m := range ms {
-		q.group = group{reservation: id, handles: handles, holding: i < len(ms)-1, from: m.from, to: m.to}
+		q.group = group{reservation: id, handles: handles, holdOnly: i < len(ms)-1, from: m.from, to: m.to}
 		if err = e.attempt(ctx, m.link, m.conn, q); err != nil {
-			e.judge(m.link, err)
+			e.recordResult(m.link, err)
 			return m.link, groupFault(err, i)
 		}
 		handles = q.group.handles
@@ -110,7 +107,7 @@
 	return nil, nil
 }
 
-// groupFault corrects the outcome for the parts that earlier members ran.
+// groupFault changes the outcome "not run" to "failed" if earlier members have run their parts.
 func groupFault(err error, before int) error {
 	f := fault.As(err, hollowgrade.Unknown)
 	if before > 0 && f.Outcome == hollowgrade.NotRun {
@@ -119,7 +116,7 @@
 	return f
 }
 
-// planGroup chooses the members with the most room, and cuts the prompt.
+// planGroup chooses the members with the most free memory, and splits the prompt.
 func (e *Entry) planGroup(q *query) (ms []member, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,11 +124,11 @@
 	ls = slices.DeleteFunc(ls, func(l *link) bool { return l.load.Draining })
 	slices.SortStableFunc(ls, func(a, b *link) int {
 		if a.load.Suspect != b.load.Suspect {
-			return cmp.Compare(suspicion(a), suspicion(b))
+			return cmp.Compare(suspectRank(a), suspectRank(b))
 		}
 		return cmp.Compare(b.load.TotalTokens-b.load.HeldTokens, a.load.TotalTokens-a.load.HeldTokens)
 	})
-	most := defaultGroup
+	most := defaultGroupSize
 	if m := e.config.Load().Models[q.request.Model]; m.MaxGroup > 0 {
 		most = m.MaxGroup
 	}
@@ -147,20 +144,20 @@
 		return nil, fault.New(fault.PromptTooLong, "%d tokens do not fit into the %d that %d engines hold", q.request.Tokens(), room, len(ms))
 	}
 	slices.SortFunc(ms, func(a, b member) int { return strings.Compare(a.link.box.Peer, b.link.box.Peer) })
-	cut(ms, len(q.body), q.request.MaxTokens)
+	splitPrompt(ms, len(q.body), q.request.MaxTokens)
 	return ms, nil
 }
 
-func suspicion(l *link) int {
+func suspectRank(l *link) int {
 	if l.load.Suspect {
 		return 1
 	}
 	return 0
 }
 
-// cut shares the prompt out in parts of whole blocks in proportion to the
-// members' memory. The last member takes the answer too.
-func cut(ms []member, bytes, answer int) {
+// splitPrompt splits the prompt into parts of whole blocks in proportion to the members' memory.
+// The last member also needs memory for the answer.
+func splitPrompt(ms []member, bytes, answer int) {
 	total := 0
 	for _, m := range ms {
 		total += wholeBlocks(m.link.load.TotalTokens)
@@ -169,9 +166,8 @@
 	from := 0
 	for i := range ms {
 		m := &ms[i]
-		// Rounded up, so that what is left for the last member is never more
-		// than its share.
-		share := wholeBlocks(tokens*wholeBlocks(m.link.load.TotalTokens)/total + cutBlock - 1)
+		// Rounded up, so that the rest for the last member is never more than its share.
+		share := wholeBlocks(tokens*wholeBlocks(m.link.load.TotalTokens)/total + splitBlockTokens - 1)
 		m.from, m.to = from, min(from+share*bytesPerToken, bytes)
 		m.tokens = (m.to - m.from) / bytesPerToken
 		if i == len(ms)-1 {
@@ -182,15 +178,15 @@
 	}
 }
 
-// cutBlock is the unit, in tokens, at which a prompt is cut.
-const cutBlock = 1024
+// splitBlockTokens is the unit, in tokens, in which a prompt is split.
+const splitBlockTokens = 1024
 
 func wholeBlocks(tokens int) int {
-	return tokens / cutBlock * cutBlock
+	return tokens / splitBlockTokens * splitBlockTokens
 }
 
-// reserveGroup reserves at each member in turn. Each reservation stands until
-// its exchange is ended.
+// reserveGroup reserves memory at each member in turn. Each reservation lasts until its exchange
+// ends.
 func (e *Entry) reserveGroup(ctx context.Context, q *query, ms []member, id string) (ss []*peer.Stream, err error) {
 	ttl := q.request.Remaining(e.clock.Now()) + time.Second
 	for _, m := range ms {
@@ -202,24 +198,24 @@
 			Class:        int32(q.request.Decision.Class),
 		}}})
 		if err != nil {
-			return ss, fault.New(fault.GroupBusy, "agent %s went away", m.link.box.Name).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "agent %s went away", m.link.box.Name).WithRetryAfter(shortRetryAfter)
 		}
 		ss = append(ss, s)
 		stop := context.AfterFunc(ctx, s.Abort)
 		f, err := s.Receive()
 		stop()
 		if ctx.Err() != nil {
-			return ss, fault.New(fault.GroupBusy, "the group of %d engines did not come free in time", len(ms)).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "the group of %d engines did not come free in time", len(ms)).WithRetryAfter(shortRetryAfter)
 		}
 		if err != nil || f.GetFinal().GetOutcome() != string(hollowgrade.Finished) {
-			return ss, fault.New(fault.GroupBusy, "agent %s reserved nothing: %s", m.link.box.Name, f.GetFinal().GetMessage()).WithRetryAfter(shortRetry)
+			return ss, fault.New(fault.GroupBusy, "agent %s reserved nothing: %s", m.link.box.Name, f.GetFinal().GetMessage()).WithRetryAfter(shortRetryAfter)
 		}
 	}
 	return ss, nil
 }
 
-// ask sends one frame and returns the answer.
-func (e *Entry) ask(ctx context.Context, c *peer.Conn, f *wire.Frame) (*wire.Frame, error) {
+// roundTrip sends one frame and returns the reply.
+func (e *Entry) roundTrip(ctx context.Context, c *peer.Conn, f *wire.Frame) (*wire.Frame, error) {
 	s, err := c.Open(f)
 	if err != nil {
 		return nil, err
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -18,8 +18,8 @@
 // claim is the right to run a request once under its key.
 type claim struct {
 	epoch int64
-	lease time.Time // the keeper's right to grant certainly lasts until then
-	body  *recorder // keeps the answer of a plain service, for the keeper
+	lease time.Time // until then the keeper's right to grant certainly lasts
+	body  *recorder // records the answer of a plain service, for the keeper
 }
 
 func (c *claim) fill(m *wire.Submit, now time.Time) {
@@ -31,19 +31,19 @@
 }
 
 const (
-	claimTimeout  = time.Second
-	claimPatience = 5 * time.Second // while the range changes hands
-	claimGap      = 100 * time.Millisecond
-	holdMargin    = 10 * time.Second // beyond the allowed time, for the end to be told
-	settleTries   = 20
-	settleGap     = 500 * time.Millisecond
+	claimTimeout     = time.Second
+	maxClaimTime     = 5 * time.Second // for a claim, while the range moves to another keeper
+	claimRetryDelay  = 100 * time.Millisecond
+	holdMargin       = 10 * time.Second // beyond the allowed time, for the outcome to be reported
+	settleAttempts   = 20
+	settleRetryDelay = 500 * time.Millisecond
 )
 
-// claimKey asks the keeper of the key for the right to run. Replayed says that
-// the answer of an earlier run has been passed on instead.
+// claimKey claims the right to run from the keeper of the key. Replayed reports that the answer of
+// an earlier run was sent instead.
 //
-// It comes before every other refusal: "not run" may be said of a request with
-// a key only once it is certain that no earlier one with that key has run.
+// The claim comes before every other refusal: a request with a key may be refused as "not run" only
+// once it is certain that no earlier one with that key has run.
 func (e *Entry) claimKey(ctx context.Context, q *query) (replayed bool, err error) {
 	r := q.request
 	var sent time.Time
@@ -52,7 +52,7 @@
 		sent = e.clock.Now()
 		m, err = e.claimOnce(ctx, q, sent)
 		decided := err == nil && ledger.Verdict(m.GetVerdict()) != ledger.NotMine
-		if decided || e.clock.Since(q.arrived) > min(claimPatience, r.Decision.Allowed/2) || !e.sleep(ctx, q, claimGap) {
+		if decided || e.clock.Since(q.arrived) > min(maxClaimTime, r.Decision.Allowed/2) || !e.sleepWithinDeadline(ctx, q, claimRetryDelay) {
 			break
 		}
 	}
@@ -71,19 +71,19 @@
 	case ledger.Settled:
 		return e.replay(q, m)
 	case ledger.Running:
-		return false, fault.New(fault.KeyRunning, "a request with this key is running").WithRetryAfter(shortRetry)
+		return false, fault.New(fault.KeyRunning, "a request with this key is running").WithRetryAfter(shortRetryAfter)
 	case ledger.Reused:
 		return false, fault.New(fault.KeyReused, "the key was used before with another body")
 	case ledger.NotKnown:
 		return false, fault.New(fault.KeyUnknown, "the record of this key was lost with its keeper").WithRetryAfter(time.Minute)
 	default:
-		return false, fault.New(fault.KeyOwnerAway, "the keeper of this key does not decide now").WithRetryAfter(shortRetry)
+		return false, fault.New(fault.KeyOwnerAway, "the keeper of this key does not decide now").WithRetryAfter(shortRetryAfter)
 	}
 }
 
 func (e *Entry) claimOnce(ctx context.Context, q *query, now time.Time) (*wire.ClaimReply, error) {
 	r := q.request
-	a, err := e.askKeeper(ctx, r, &wire.Frame{Body: &wire.Frame_Claim{Claim: &wire.Claim{
+	a, err := e.callKeeper(ctx, r, &wire.Frame{Body: &wire.Frame_Claim{Claim: &wire.Claim{
 		Key:          r.Key,
 		Organisation: r.Organisation,
 		Digest:       q.digest(),
@@ -93,7 +93,7 @@
 	return a.GetClaimReply(), err
 }
 
-// digest tells two requests under one key apart.
+// digest distinguishes different requests with the same key.
 func (q *query) digest() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(q.request.Model + "\x00" + q.request.Service + "\x00")
@@ -104,7 +104,7 @@
 	return d.Sum64()
 }
 
-// replay passes the answer of an earlier run on, or says how it ended.
+// replay sends the answer of an earlier run, or returns a fault with its outcome.
 func (e *Entry) replay(q *query, m *wire.ClaimReply) (bool, error) {
 	o := hollowgrade.Outcome(m.Outcome)
 	a := m.GetAnswer()
@@ -119,7 +119,7 @@
 	if a.Head != nil {
 		h := &wire.ServiceHead{Status: a.Head.Status, Headers: append(a.Head.Headers, &wire.Header{Name: ReplayHeader, Value: "true"})}
 		if err := q.sink.Head(h); err != nil {
-			return false, passError(err)
+			return false, attemptError(err)
 		}
 		return true, q.sink.Data(a.Body)
 	}
@@ -131,8 +131,8 @@
 	return true, nil
 }
 
-// settleKey tells the keeper how the run ended, without keeping the caller
-// waiting. If it cannot be told, the key ends as "unknown" there.
+// settleKey reports the outcome of the run to the keeper in the background, so that the caller
+// doesn't wait. If the report fails, the keeper ends the key as "unknown".
 func (e *Entry) settleKey(q *query, err error) {
 	m := &wire.Settle{
 		Key:          q.request.Key,
@@ -148,46 +148,46 @@
 		m.Answer = q.claim.body.answer()
 	}
 	e.mu.Lock()
-	e.opened()
+	e.addOpen()
 	e.mu.Unlock()
 	e.group.Go(func() {
 		e.settle(q.request, m)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.closed()
+		e.removeOpen()
 	})
 }
 
-// settle tries until the keeper has answered. The range may be changing hands
-// meanwhile; the next keeper has the record by then.
+// settle retries until the keeper has replied. The range may be moving to another keeper meanwhile,
+// which has the record by then.
 func (e *Entry) settle(r hollowgrade.Request, m *wire.Settle) {
-	for range settleTries {
-		_, err := e.askKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
+	for range settleAttempts {
+		_, err := e.callKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
 		if err == nil || e.ctx.Err() != nil {
 			return
 		}
-		hollowgrade.Sleep(e.ctx, e.clock, settleGap)
+		hollowgrade.Sleep(e.ctx, e.clock, settleRetryDelay)
 	}
-	e.log.Warn("key not settled", "request", r.ID)
+	e.log.Warn("cannot report the outcome of a key to its keeper", "request", r.ID)
 }
 
-// askKeeper sends a frame to the keeper of the request's key.
-func (e *Entry) askKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
+// callKeeper sends a frame to the keeper of the request's key and returns the reply.
+func (e *Entry) callKeeper(ctx context.Context, r hollowgrade.Request, f *wire.Frame) (*wire.Frame, error) {
 	c := e.keeper(r)
 	if c == nil {
-		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key is not connected").WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key is not connected").WithRetryAfter(shortRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	a, err := e.ask(ctx, c, f)
+	a, err := e.roundTrip(ctx, c, f)
 	if err != nil {
-		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key does not answer").WithRetryAfter(shortRetry)
+		return nil, fault.New(fault.KeyOwnerAway, "the keeper of this key does not answer").WithRetryAfter(shortRetryAfter)
 	}
 	return a, nil
 }
 
-// keeper returns the connection to the one agent that decides about the key:
-// the one that a minted key names, or the one that the log gives the range to.
+// keeper returns the connection to the one agent that decides about the key: the one named in a
+// minted key, or the one to which the log assigns the range.
 func (e *Entry) keeper(r hollowgrade.Request) *peer.Conn {
 	box, incarnation, _, ok := ledger.ParseMinted(r.Key)
 	if !ok {
@@ -205,34 +205,33 @@
 	return nil
 }
 
-// MintReply is the answer to a call of [KeysPath].
+// MintReply is the reply to a call of [KeysPath].
 type MintReply struct {
 	Key string `json:"key"`
 }
 
-// mintKey makes an idempotency key whose keeper never changes, so that it works
-// through outages of the log and needs no waiting when another agent dies.
+// mintKey returns an idempotency key whose keeper never changes, so that it works during outages of
+// the log and needs no waiting when another agent crashes.
 func (e *Entry) mintKey(w http.ResponseWriter, r *http.Request, _ caller) error {
 	ctx, cancel := context.WithTimeout(r.Context(), claimTimeout)
 	defer cancel()
 	for _, c := range e.minters() {
-		a, err := e.ask(ctx, c, &wire.Frame{Body: &wire.Frame_Mint{Mint: &wire.Mint{}}})
+		a, err := e.roundTrip(ctx, c, &wire.Frame{Body: &wire.Frame_Mint{Mint: &wire.Mint{}}})
 		if err == nil && a.GetClaimReply().GetKey() != "" {
 			w.Header().Set("Content-Type", "application/json")
 			return json.NewEncoder(w).Encode(MintReply{Key: a.GetClaimReply().GetKey()})
 		}
 	}
-	return fault.New(fault.NoUpstream, "no agent could make a key").WithRetryAfter(shortRetry)
+	return fault.New(fault.NoUpstream, "no agent could make a key").WithRetryAfter(shortRetryAfter)
 }
 
-// minters returns the agents to ask for a key, beginning with another one each
-// time.
+// minters returns the agents that can mint a key, starting with another one each time.
 func (e *Entry) minters() (cs []*peer.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.mintTurn++
+	e.mintOffset++
 	for i := range e.order {
-		l := e.order[(i+e.mintTurn)%len(e.order)]
+		l := e.order[(i+e.mintOffset)%len(e.order)]
 		if l.conn != nil && !l.load.Draining {
 			cs = append(cs, l.conn)
 		}
@@ -240,16 +239,16 @@
 	return cs
 }
 
-// recorder keeps a copy of a plain service's answer while it is passed on.
+// recorder keeps a copy of a plain service's answer while it is sent to the caller.
 type recorder struct {
 	sink
-	head *wire.ServiceHead
-	body []byte
-	over bool
+	head     *wire.ServiceHead
+	body     []byte
+	overflow bool
 }
 
-// maxRecorded bounds the answers that are sent to the keeper, in bytes.
-const maxRecorded = 16 << 10
+// maxRecordedBytes bounds the body of an answer that is sent to the keeper.
+const maxRecordedBytes = 16 << 10
 
 // Head implements [sink].
 func (r *recorder) Head(h *wire.ServiceHead) error {
@@ -259,16 +258,16 @@
 
 // Data implements [sink].
 func (r *recorder) Data(b []byte) error {
-	if len(r.body)+len(b) <= maxRecorded {
+	if len(r.body)+len(b) <= maxRecordedBytes {
 		r.body = append(r.body, b...)
 	} else {
-		r.over = true
+		r.overflow = true
 	}
 	return r.sink.Data(b)
 }
 
 func (r *recorder) answer() *wire.StoredAnswer {
-	if r.over || r.head == nil {
+	if r.overflow || r.head == nil {
 		return nil
 	}
 	return &wire.StoredAnswer{Head: r.head, Body: r.body}
--- a/entry/link.go
+++ b/entry/link.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	listEvery        = time.Second     // between two looks at the list of boxes
+	listInterval     = time.Second     // between two reads of the list of boxes
 	dialTimeout      = 2 * time.Second // for a connection to an agent
-	maxDialWait      = 5 * time.Second // between two tries
-	silence          = 3 * time.Second // after this without a heartbeat the agent is given up
+	maxDialBackoff   = 5 * time.Second // between two attempts to connect
+	statusTimeout    = 3 * time.Second // after this time without a heartbeat the connection is closed
 	breakerThreshold = 3
 	breakerCooldown  = 2 * time.Second
-	hallDistance     = 1500 * time.Microsecond // assumed one way between two data halls
+	hallLatency      = 1500 * time.Microsecond // assumed one-way latency between two data halls
 )
 
-// link is the connection to one agent, with what it last said of itself. The
-// entry's lock guards it, but for box, which never changes.
+// link is the connection to one agent, with its last status report. The entry's lock guards all
+// fields but box, which never changes.
 type link struct {
 	box     hollowgrade.Box
 	cancel  context.CancelFunc
-	conn    *peer.Conn // nil while there is none
+	conn    *peer.Conn // nil while disconnected
 	status  *wire.Status
 	load    sched.Load
-	sent    map[string]sentWork // own work that no report covers yet, by request
+	sent    map[string]sentWork // work sent by this entry that no report covers yet, by request
 	breaker *retry.Breaker
 	budget  *retry.Budget
 }
@@ -43,13 +43,13 @@
 	at     time.Time
 }
 
-// linkLoop keeps one link for each agent on the list. An agent that leaves the
-// list keeps its link while its connection lives: the list lags both ways, and
-// the agent itself says when it is draining.
+// linkLoop keeps one link for each agent on the list. An agent that is missing from the list keeps
+// its link while its connection lasts: the list lags in both directions, and the agent itself
+// reports when it is draining.
 func (e *Entry) linkLoop() {
 	for e.ctx.Err() == nil {
 		e.syncLinks(e.agents(e.ctx))
-		hollowgrade.Sleep(e.ctx, e.clock, listEvery)
+		hollowgrade.Sleep(e.ctx, e.clock, listInterval)
 	}
 	e.syncLinks(nil)
 }
@@ -84,13 +84,13 @@
 		budget:  newBudget(e.limits),
 	}
 	if b.Hall != e.box.Hall {
-		l.load.OneWayLatency = hallDistance
+		l.load.OneWayLatency = hallLatency
 	}
 	e.links[b.Peer] = l
 	e.targets = nil
 	e.order = append(e.order, l)
 	slices.SortFunc(e.order, func(a, b *link) int { return strings.Compare(a.box.Peer, b.box.Peer) })
-	e.group.Go(func() { e.keepLink(ctx, l) })
+	e.group.Go(func() { e.maintainLink(ctx, l) })
 }
 
 func newBreaker() *retry.Breaker {
@@ -101,22 +101,22 @@
 	return retry.NewBudget(l.RetryRatio, l.RetrySaved)
 }
 
-// keepLink connects again and again until ctx ends.
-func (e *Entry) keepLink(ctx context.Context, l *link) {
+// maintainLink reconnects until ctx ends.
+func (e *Entry) maintainLink(ctx context.Context, l *link) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
-	b.MaxInterval = maxDialWait
+	b.MaxInterval = maxDialBackoff
 	for ctx.Err() == nil {
-		if e.useLink(ctx, l) {
+		if e.runConnection(ctx, l) {
 			b.Reset()
 		}
 		hollowgrade.Sleep(ctx, e.clock, b.NextBackOff())
 	}
 }
 
-// useLink holds one connection until it ends, and reports whether it ever
-// stood.
-func (e *Entry) useLink(ctx context.Context, l *link) (stood bool) {
+// runConnection opens one connection and uses it until it ends. It reports whether any status
+// arrived on it.
+func (e *Entry) runConnection(ctx context.Context, l *link) (connected bool) {
 	d, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := peer.Dial(d, e.dial, l.box.Peer)
@@ -130,28 +130,29 @@
 		return false
 	}
 	defer s.Abort()
-	defer e.lost(l)
+	defer e.disconnected(l)
 	return e.readStatus(ctx, l, c, s)
 }
 
-// readStatus takes in reports until the connection ends or falls silent.
-func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (stood bool) {
+// readStatus applies status reports until the connection ends or no report arrives for
+// statusTimeout.
+func (e *Entry) readStatus(ctx context.Context, l *link, c *peer.Conn, s *peer.Stream) (connected bool) {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
-	quiet := e.clock.AfterFunc(silence, func() { _ = c.Close() })
+	quiet := e.clock.AfterFunc(statusTimeout, func() { _ = c.Close() })
 	defer quiet.Stop()
 	for {
 		f, err := s.Receive()
 		if err != nil || f.GetStatus() == nil {
-			return stood
+			return connected
 		}
-		quiet.Reset(silence)
-		e.reported(l, c, f.GetStatus())
-		stood = true
+		quiet.Reset(statusTimeout)
+		e.updateStatus(l, c, f.GetStatus())
+		connected = true
 	}
 }
 
-func (e *Entry) reported(l *link, c *peer.Conn, m *wire.Status) {
+func (e *Entry) updateStatus(l *link, c *peer.Conn, m *wire.Status) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.status != nil && l.status.Incarnation != m.Incarnation {
@@ -166,7 +167,7 @@
 	}
 	now := e.clock.Now()
 	for id, w := range l.sent {
-		// What was sent a round trip before the report is in the report.
+		// The report includes work that was sent more than a round trip before it.
 		if now.Sub(w.at) > 2*l.load.OneWayLatency+minRoundTrip {
 			delete(l.sent, id)
 		}
@@ -179,45 +180,45 @@
 	l.load.PrefillRate = m.PrefillRate
 	l.load.Step = time.Duration(m.StepMicros) * time.Microsecond
 	l.load.Draining = m.Draining
-	l.count()
+	l.sumSent()
 }
 
 const minRoundTrip = 5 * time.Millisecond
 
-func (e *Entry) lost(l *link) {
+func (e *Entry) disconnected(l *link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.targets = nil
 	l.conn, l.status = nil, nil
 	clear(l.sent)
-	l.count()
+	l.sumSent()
 }
 
-// count sums up the work that no report covers.
-func (l *link) count() {
+// sumSent sums up the work that no report covers.
+func (l *link) sumSent() {
 	l.load.SentTokens, l.load.SentItems = 0, len(l.sent)
 	for _, w := range l.sent {
 		l.load.SentTokens += w.tokens
 	}
 }
 
-// note adds own work to the link's load, until a report covers it.
-func (l *link) note(id string, tokens int, now time.Time) {
+// addSent adds sent work to the link's load, until a report covers it.
+func (l *link) addSent(id string, tokens int, now time.Time) {
 	l.sent[id] = sentWork{tokens: tokens, at: now}
-	l.count()
+	l.sumSent()
 }
 
-// settled takes own work out of the load again.
-func (e *Entry) settled(l *link, id string) {
+// removeSent removes the work of a request from the link's load.
+func (e *Entry) removeSent(l *link, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := l.sent[id]; ok {
 		delete(l.sent, id)
-		l.count()
+		l.sumSent()
 	}
 }
 
-// targets lists what the agent serves, as target names it.
+// targets lists what the agent serves, in the form of [target].
 func (l *link) targets() (ts []string) {
 	if l.conn == nil || l.status == nil {
 		return nil
--- a/entry/links_test.go
+++ b/entry/links_test.go
@@ -20,14 +20,14 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// counted counts the bytes that come in on a connection.
-type counted struct {
+// countingConn counts the bytes received on a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements [net.Conn].
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -70,11 +70,10 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-const watched = 5 * time.Second
+const measureTime = 5 * time.Second
 
-// BenchmarkLinks measures what it costs to be connected to n agents: the bytes
-// that their reports take, and processor time and memory of both ends of the
-// links, which are in this one process.
+// BenchmarkLinks measures the cost of being connected to n agents: the bytes of their reports, and
+// processor time and memory of both ends of the links, which share this process.
 func BenchmarkLinks(b *testing.B) {
 	for _, n := range []int{18, 60, 180, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -84,7 +83,7 @@
 			var bytes atomic.Int64
 			dial := func(ctx context.Context, address string) (net.Conn, error) {
 				c, err := peer.TCP()(ctx, address)
-				return counted{c, &bytes}, err
+				return countingConn{c, &bytes}, err
 			}
 			e := New(hollowgrade.Box{Name: "e", Hall: "h"}, "i", nil, func(context.Context) []hollowgrade.Box { return bs },
 				WithLogger(g), WithDialer(dial))
@@ -93,12 +92,12 @@
 				e.cancel()
 				e.group.Wait()
 			}()
-			for e.linked() < n {
+			for e.connectedAgents() < n {
 				runtime.Gosched()
 			}
 			for range b.N {
 				at, spent, had := time.Now(), cpu(b), bytes.Load()
-				time.Sleep(watched)
+				time.Sleep(measureTime)
 				seconds := time.Since(at).Seconds()
 				b.ReportMetric(float64(bytes.Load()-had)/seconds, "B/s")
 				b.ReportMetric(100*(cpu(b)-spent).Seconds()/seconds, "%core")
@@ -108,7 +107,7 @@
 	}
 }
 
-func (e *Entry) linked() (n int) {
+func (e *Entry) connectedAgents() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range e.order {
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -16,17 +16,17 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// serve brings a request to its end, whatever that is. It returns within the
-// allowed time, and at once when nothing more can be done.
+// serve processes a request until it ends in an answer or an error. It returns within the allowed
+// time, and at once when nothing more can be done.
 func (e *Entry) serve(ctx context.Context, q *query, o config.Organisation) (err error) {
 	if q.request.Key != "" {
-		// What runs under a key goes on without its caller, so that the keeper
-		// learns how it ended and can tell when the key comes again.
+		// A run under a key goes on without its caller, so that the keeper learns its outcome and
+		// can reply to a repeated request with the key.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, stop := clockwork.WithDeadline(ctx, e.clock, q.request.Deadline)
 	defer stop()
-	defer func() { e.ended(q, err) }()
+	defer func() { e.recordEnd(q, err) }()
 	if q.request.Key != "" {
 		var replayed bool
 		if replayed, err = e.claimKey(ctx, q); err != nil || replayed {
@@ -34,17 +34,17 @@
 		}
 		defer func() { e.settleKey(q, err) }()
 	}
-	leave, err := e.enter(q.request, o)
+	leave, err := e.admit(q.request, o)
 	if err != nil {
 		return err
 	}
 	defer leave()
-	err = e.tryAll(ctx, q)
+	err = e.runAttempts(ctx, q)
 	return err
 }
 
-// tryAll makes attempts until one ends the request.
-func (e *Entry) tryAll(ctx context.Context, q *query) error {
+// runAttempts makes attempts until one ends the request.
+func (e *Entry) runAttempts(ctx context.Context, q *query) error {
 	a := core.Attempts{Clock: e.clock, Max: e.limits.MaxAttempts, Deadline: q.request.Deadline}
 	return a.Run(ctx, &attempts{entry: e, query: q, tried: map[*link]bool{}})
 }
@@ -54,7 +54,7 @@
 	entry *Entry
 	query *query
 	tried map[*link]bool
-	last  *link // that was asked last
+	last  *link // of the last attempt
 }
 
 // Try implements [core.Work].
@@ -68,19 +68,19 @@
 	return core.Try{Err: err, Placed: l != nil}
 }
 
-// Repeatable implements [core.Work]. A second run does no harm if the policy
-// says so, and if what the caller has so far can be gone on from.
+// Repeatable implements [core.Work]. A request may be repeated if the policy allows it and the
+// answer can be continued from what the caller has received.
 func (a *attempts) Repeatable() bool {
 	return a.query.request.Decision.Repeatable && !a.query.began
 }
 
 // Spend implements [core.Work].
 func (a *attempts) Spend() bool {
-	return a.entry.spend(a.query, a.last)
+	return a.entry.spendRetry(a.query, a.last)
 }
 
-// attemptOnce places the request and makes one attempt. The link is that of the
-// upstream which was asked last, or nil if none was given the request.
+// attemptOnce selects an upstream and makes one attempt. The link is that of the upstream, or nil
+// if the request was sent to none.
 func (e *Entry) attemptOnce(ctx context.Context, q *query, tried map[*link]bool) (l *link, err error) {
 	if q.request.Service == "" && e.needsGroup(q.request) {
 		return e.serveGroup(ctx, q)
@@ -90,13 +90,13 @@
 		return nil, err
 	}
 	err = e.attempt(ctx, l, c, q)
-	e.settled(l, q.request.ID)
-	e.judge(l, err)
+	e.removeSent(l, q.request.ID)
+	e.recordResult(l, err)
 	return l, err
 }
 
-// judge tells the link's breaker how an attempt went.
-func (e *Entry) judge(l *link, err error) {
+// recordResult reports the result of an attempt to the link's breaker.
+func (e *Entry) recordResult(l *link, err error) {
 	var f *fault.Error
 	switch {
 	case err == nil:
@@ -106,8 +106,8 @@
 	}
 }
 
-// spend takes a retry out of the budgets of the organisation and the upstream.
-func (e *Entry) spend(q *query, l *link) bool {
+// spendRetry takes a retry from the budgets of the organisation and of the upstream.
+func (e *Entry) spendRetry(q *query, l *link) bool {
 	e.mu.Lock()
 	u := e.usageOf(q.request.Organisation)
 	e.mu.Unlock()
@@ -121,14 +121,14 @@
 	return true
 }
 
-// sleep waits before a keeper is asked again. It returns false when that would
-// go beyond the deadline.
-func (e *Entry) sleep(ctx context.Context, q *query, d time.Duration) bool {
+// sleepWithinDeadline waits before the keeper is called again. It returns false if the deadline
+// would pass or ctx ends.
+func (e *Entry) sleepWithinDeadline(ctx context.Context, q *query, d time.Duration) bool {
 	return q.request.Remaining(e.clock.Now()) > d && hollowgrade.Sleep(ctx, e.clock, d)
 }
 
-// place picks an agent, and refuses the request at once if none could answer
-// in time. Agents that were tried are left out.
+// place selects an agent that has not been tried, and refuses the request at once if none could
+// answer in time.
 func (e *Entry) place(q *query, tried map[*link]bool) (*link, *peer.Conn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,15 +139,15 @@
 	w := work(q.request)
 	i := e.placement.Pick(w, loads)
 	if i < 0 {
-		return nil, nil, fault.New(fault.NoUpstream, "each upstream for %s is leaving or cut off", target(q.request)).WithRetryAfter(shortRetry)
+		return nil, nil, fault.New(fault.NoUpstream, "each upstream for %s is leaving or cut off", target(q.request)).WithRetryAfter(shortRetryAfter)
 	}
-	if err := e.foresee(q, loads[i], w); err != nil {
+	if err := e.checkEstimate(q, loads[i], w); err != nil {
 		return nil, nil, err
 	}
 	l := ls[i]
 	now := e.clock.Now()
 	l.breaker.Allow(now)
-	l.note(q.request.ID, max(w.PromptTokens-l.load.CachedTokens, 1), now)
+	l.addSent(q.request.ID, max(w.PromptTokens-l.load.CachedTokens, 1), now)
 	l.budget.Deposit()
 	e.prefixes.Add(q.prefixes, l.box.Peer)
 	return l, l.conn, nil
@@ -166,32 +166,32 @@
 
 func noUpstream(r hollowgrade.Request, tried int) error {
 	if tried > 0 {
-		return fault.New(fault.Overloaded, "each of the %d upstreams for %s refused", tried, target(r)).WithRetryAfter(shortRetry)
+		return fault.New(fault.Overloaded, "each of the %d upstreams for %s refused", tried, target(r)).WithRetryAfter(shortRetryAfter)
 	}
-	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetry)
+	return fault.New(fault.NoUpstream, "no upstream for %s is connected", target(r)).WithRetryAfter(shortRetryAfter)
 }
 
-// sample bounds the upstreams that one placement looks at. Up to this many, all
-// are looked at; beyond, as many in turn, and those that hold the prefix.
-const sample = 32
+// maxCandidates bounds the upstreams that one placement compares. If more serve the request,
+// placements take this many in rotation, and those that hold the prefix.
+const maxCandidates = 32
 
 // candidates returns agents that serve the request, with their loads.
 func (e *Entry) candidates(q *query, tried map[*link]bool) (ls []*link, loads []*sched.Load) {
 	now := e.clock.Now()
 	all := e.serving(target(q.request))
 	holders := e.prefixes.Holders(q.prefixes)
-	ls = make([]*link, 0, sample+len(holders))
-	loads = make([]*sched.Load, 0, sample+len(holders))
+	ls = make([]*link, 0, maxCandidates+len(holders))
+	loads = make([]*sched.Load, 0, maxCandidates+len(holders))
 	add := func(l *link) {
 		l.load.Suspect = l.breaker.Open(now)
 		l.load.CachedTokens = 0
 		ls = append(ls, l)
 		loads = append(loads, &l.load)
 	}
-	n := min(len(all), sample)
-	e.placeTurn += n
+	n := min(len(all), maxCandidates)
+	e.candidateOffset += n
 	for i := range n {
-		if l := all[(e.placeTurn+i)%len(all)]; !tried[l] {
+		if l := all[(e.candidateOffset+i)%len(all)]; !tried[l] {
 			add(l)
 		}
 	}
@@ -208,8 +208,8 @@
 	return ls, loads
 }
 
-// serving returns the connected agents that serve a target. The lists are made
-// anew only when an agent came, went, or changed what it serves.
+// serving returns the connected agents that serve a target. The lists are rebuilt only after an
+// agent connected, disconnected, or changed what it serves.
 func (e *Entry) serving(target string) []*link {
 	if e.targets == nil {
 		e.targets = map[string][]*link{}
@@ -222,8 +222,8 @@
 	return e.targets[target]
 }
 
-// foresee refuses what cannot end in time by the best that is known.
-func (e *Entry) foresee(q *query, l *sched.Load, w sched.Work) error {
+// checkEstimate refuses a request whose estimated time exceeds its remaining time.
+func (e *Entry) checkEstimate(q *query, l *sched.Load, w sched.Work) error {
 	if q.request.Service != "" {
 		return nil
 	}
@@ -239,15 +239,15 @@
 	f := fault.New(fault.CannotMakeIt, "the answer would take %s at the best upstream, allowed are %s",
 		p.Total.Round(time.Millisecond), left.Round(time.Millisecond))
 	if p.Wait > 0 && p.Total-p.Wait <= left {
-		f = f.WithRetryAfter(max(p.Total-left, shortestRetry))
+		f = f.WithRetryAfter(max(p.Total-left, minRetryAfter))
 	}
 	return f
 }
 
-const shortestRetry = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
-// ended logs and counts a request.
-func (e *Entry) ended(q *query, err error) {
+// recordEnd logs and counts a request.
+func (e *Entry) recordEnd(q *query, err error) {
 	o := Observation{
 		Organisation: q.request.Organisation,
 		Kind:         q.request.Kind,
--- a/entry/services.go
+++ b/entry/services.go
@@ -13,15 +13,14 @@
 	"github.com/hollowgrade/hollowgrade/internal/wire"
 )
 
-// ownHeaders are for the entry and not for the service behind it. A bearer key
-// must never leave it.
-var ownHeaders = []string{"Authorization", "Content-Length", "Host"}
+// droppedHeaders are not forwarded to the service. A bearer key must never leave the entry.
+var droppedHeaders = []string{"Authorization", "Content-Length", "Host"}
 
-// organisationHeader tells a service whose call it is.
+// organisationHeader names the caller's organisation to a service.
 const organisationHeader = "Hollowgrade-Organisation"
 
-// setHeaders are set by the entry alone, whatever a caller or a service says.
-var setHeaders = []string{RequestHeader, organisationHeader}
+// reservedHeaders are set by the entry alone; values from a caller or a service are dropped.
+var reservedHeaders = []string{RequestHeader, organisationHeader}
 
 // callService serves a call to a plain service.
 func (e *Entry) callService(w http.ResponseWriter, r *http.Request, c caller) error {
@@ -33,25 +32,25 @@
 	if err != nil {
 		return err
 	}
-	q := &query{body: b, arrived: e.clock.Now(), head: head(r, n, c)}
-	q.request, err = e.decide(r, c, hollowgrade.Request{Service: n})
+	q := &query{body: b, arrived: e.clock.Now(), head: serviceHead(r, n, c)}
+	q.request, err = e.applyPolicy(r, c, hollowgrade.Request{Service: n})
 	if err != nil {
 		return err
 	}
 	defer callers.BoundWrites(w, q.request.Deadline)()
-	s := &passage{w: w}
+	s := &serviceAnswer{w: w}
 	q.sink = s
 	err = e.serve(r.Context(), q, c.organisation)
 	if err != nil && s.began {
-		// The status has been sent. Only breaking the connection tells the
-		// caller that the body is not whole.
+		// The status has been sent, so only closing the connection shows the
+		// caller that the body is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	return err
 }
 
-// head makes the head of the call as the service will see it.
-func head(r *http.Request, service string, c caller) *wire.ServiceHead {
+// serviceHead returns the head of the call as the service will receive it.
+func serviceHead(r *http.Request, service string, c caller) *wire.ServiceHead {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), ServicesPath+service)
 	if !strings.HasPrefix(p, "/") {
 		p = "/" + p
@@ -61,7 +60,7 @@
 	}
 	h := &wire.ServiceHead{Method: r.Method, Path: p}
 	for n, vs := range hollowgrade.EndToEnd(r.Header) {
-		if slices.Contains(ownHeaders, n) || slices.Contains(setHeaders, n) {
+		if slices.Contains(droppedHeaders, n) || slices.Contains(reservedHeaders, n) {
 			continue
 		}
 		for _, v := range vs {
@@ -74,25 +73,25 @@
 	return h
 }
 
-// passage is the sink of a plain service's answer.
-type passage struct {
+// serviceAnswer is the sink of a plain service's answer.
+type serviceAnswer struct {
 	w     http.ResponseWriter
 	began bool
 }
 
 // Token implements [sink].
-func (p *passage) Token(int, string) error {
+func (p *serviceAnswer) Token(int, string) error {
 	return nil
 }
 
 // Head implements [sink].
-func (p *passage) Head(h *wire.ServiceHead) error {
+func (p *serviceAnswer) Head(h *wire.ServiceHead) error {
 	from := http.Header{}
 	for _, v := range h.Headers {
 		from.Add(v.Name, v.Value)
 	}
 	for n, vs := range hollowgrade.EndToEnd(from) {
-		if !slices.Contains(setHeaders, n) {
+		if !slices.Contains(reservedHeaders, n) {
 			p.w.Header()[n] = vs
 		}
 	}
@@ -102,7 +101,7 @@
 }
 
 // Data implements [sink].
-func (p *passage) Data(b []byte) error {
+func (p *serviceAnswer) Data(b []byte) error {
 	if _, err := p.w.Write(b); err != nil {
 		return err
 	}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -163,7 +163,7 @@
 	}
 	front := platform.NewHandler(n.Core, n.limits, n.clock, g)
 	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), front,
-		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithOpening(n.awaitStartup))
+		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithAcceptGate(n.awaitStartup))
 	l, err = listen(c.Readiness)
 	if err != nil {
 		return err
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -66,7 +66,7 @@
 	})
 	t.Run("a ledger that began after a crash knows nothing of older keys", func(t *testing.T) {
 		k := NewKeys(time.Hour, 10)
-		k.BlindUntil(t0.Add(time.Hour))
+		k.SetUnknownUntil(t0.Add(time.Hour))
 		requireVerdict(t, NotKnown, k, claim("k", "r1", 1), t0)
 		requireVerdict(t, Granted, k, claim("k", "r1", 1), t0.Add(time.Hour))
 	})
@@ -84,8 +84,9 @@
 	})
 }
 
-// Whatever happens, a key is granted to a second request only after the first
-// one was settled as not run, or after the window.
+// A key must be granted to a second request only after the first one was settled as not run, or
+// after the window since its end. The test checks this over random sequences of claims, settlements
+// and delays.
 func TestKeysGrantOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k, now := NewKeys(time.Hour, 100), t0
@@ -157,7 +158,7 @@
 	m.Grant(Lease{ID: "answer-1", Tokens: 600})
 	fmt.Println(m.Fits(500), m.Used())
 	held := []hollowgrade.Holding{{ID: "answer-1", Tokens: 600}, {ID: "left-behind", Tokens: 50}}
-	fmt.Println(m.Lost(held))
+	fmt.Println(m.OrphanTokens(held))
 	// Output:
 	// false 600
 	// 50
--- a/standalone/directory.go
+++ b/standalone/directory.go
@@ -11,19 +11,18 @@
 
 const listTimeout = 2 * time.Second
 
-// Directory answers who the agents are, from the platform's list and from
-// addresses in the settings. While the list cannot be read, the last one that
-// was read stands: it is a hint, and an old hint beats none.
+// Directory lists the boxes from the platform's list and from addresses in the settings. While the
+// platform's list cannot be read, the last one that was read is used: a stale list is better than
+// none.
 type Directory struct {
 	boxes  hollowgrade.Boxes
 	static []hollowgrade.Box
 
-	mu   sync.Mutex
-	last []hollowgrade.Box
+	mu         sync.Mutex
+	lastListed []hollowgrade.Box
 }
 
-// NewDirectory returns a directory. Boxes may be nil; static holds the agents
-// that the settings name.
+// NewDirectory returns a directory. Boxes may be nil; static has the agents that the settings name.
 func NewDirectory(boxes hollowgrade.Boxes, static []hollowgrade.Box) *Directory {
 	return &Directory{boxes: boxes, static: static}
 }
@@ -54,7 +53,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.last = bs
+		d.lastListed = bs
 	}
-	return d.last
+	return d.lastListed
 }
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -1,10 +1,9 @@
-// Package upstream implements the interfaces to model engines and to plain
-// services over their HTTP protocols.
+// Package upstream implements the interfaces to model engines and to plain services over their HTTP
+// protocols.
 //
-// The engine's protocol is the completions interface that engines commonly
-// offer, with server-sent events, and beside it plain JSON calls for what
-// engines differ in: cancel, holdings, reservations, export, orders and load.
-// docs/operators/agent.md lists them.
+// The engine's protocol is the completions interface that engines commonly offer, with server-sent
+// events, and plain JSON calls for operations that engines offer in different ways: cancel,
+// holdings, reservations, export, orders and load. docs/operators/agent.md lists them.
 package upstream
 
 import (
@@ -61,12 +60,12 @@
 	TTLMillis int64  `json:"ttl_ms,omitempty"`
 }
 
-// HandleReply is the answer to a call of [PathExport].
+// HandleReply is the reply to a call of [PathExport].
 type HandleReply struct {
 	Handle string `json:"handle"`
 }
 
-// LoadReply is the answer to a call of [PathLoad].
+// LoadReply is the reply to a call of [PathLoad].
 type LoadReply struct {
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
@@ -76,22 +75,22 @@
 	Models      []string  `json:"models"`
 }
 
-// Done is the data of the event after the last token of a whole answer.
+// Done is the data of the event that ends a complete answer.
 const Done = "[DONE]"
 
 const (
 	maxEventBytes = 1 << 20
 	maxReplyBytes = 16 << 20
-	idleConns     = 512
+	maxIdleConns  = 512
 )
 
-// Transport returns an HTTP transport that keeps enough idle connections to
-// one upstream. Dial may be nil.
+// Transport returns an HTTP transport that keeps enough idle connections to one upstream. A nil
+// dial function stands for the default one.
 func Transport(d DialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:         d,
-		MaxIdleConns:        idleConns,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}
 }
@@ -130,7 +129,7 @@
 	}
 	b := bufio.NewScanner(res.Body)
 	b.Buffer(nil, maxEventBytes)
-	return &events{body: res.Body, lines: b, cancel: cancel}, nil
+	return &eventStream{body: res.Body, lines: b, cancel: cancel}, nil
 }
 
 // Cancel implements [hollowgrade.Engine].
@@ -208,7 +207,7 @@
 	return res, nil
 }
 
-// RefusedError says that the engine answered, and did not take the call.
+// RefusedError reports that the engine replied with a status other than 200.
 type RefusedError struct {
 	Status  int
 	Message string
@@ -229,15 +228,15 @@
 	return &RefusedError{Status: res.StatusCode, Message: string(bytes.TrimSpace(b))}
 }
 
-type events struct {
+type eventStream struct {
 	body   io.ReadCloser
 	lines  *bufio.Scanner
 	cancel context.CancelFunc
 }
 
-// Next implements [hollowgrade.TokenStream]. An answer without its closing
-// event is cut, whatever the transport says.
-func (e *events) Next() (t hollowgrade.Token, err error) {
+// Next implements [hollowgrade.TokenStream]. An answer without its closing event is incomplete,
+// even if the transport reports no error.
+func (e *eventStream) Next() (t hollowgrade.Token, err error) {
 	for e.lines.Scan() {
 		d, ok := bytes.CutPrefix(e.lines.Bytes(), []byte("data: "))
 		if !ok {
@@ -262,7 +261,7 @@
 }
 
 // Close implements [hollowgrade.TokenStream].
-func (e *events) Close() error {
+func (e *eventStream) Close() error {
 	e.cancel()
 	return e.body.Close()
 }
