--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -45,7 +45,7 @@
 	run("are those that this process placed, until no more come", func(t *testing.T, f *Fleet) {
 		p := f.pick("e", long(210_000), nil)
 		require.False(t, p.Refused)
-		requireExpectedPrompts(t, expected(f), 0.5, p.request.Engine.Reading(210_000, 1))
+		requireExpectedPrompts(t, expected(f), 0.5, p.request.Engine.PrefillTime(210_000, 1))
 		time.Sleep(20 * time.Second)
 		require.Empty(t, expected(f).Prompts)
 		require.Greater(t, expected(f).KnownShare, 0.99)
--- a/core/flow.go
+++ b/core/flow.go
@@ -190,7 +190,7 @@
 	f.core.log.Info("not sent", "request", f.call.ID, "prompt_tokens", f.call.PromptTokens, "predicted_ms", p.FirstEvent.Milliseconds(),
 		"goal_ms", f.route.Goal.Milliseconds(), "engines", 1+len(p.helpers), "waited_ms", p.request.Waited.Milliseconds(),
 		"again", p.request.RefusedBefore, "worth", round(p.request.Worth()), "cost", round(p.Cost), "displaced", round(p.Displaced), "asked", round(p.DemandShare), "asked_known", round(p.DemandKnown),
-		"work_ms", f.service.Engine.Reading(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.MeanBacklog.Milliseconds(),
+		"work_ms", f.service.Engine.PrefillTime(f.call.PromptTokens, 1).Milliseconds(), "backlog_ms", p.MeanBacklog.Milliseconds(),
 		"slots_taken", round(p.SlotShare), "full", p.OutOfMemory, "come_back_ms", p.RetryAfter.Milliseconds(), "peers_heard", f.core.fleet.SyncedPeers())
 	if p.OutOfMemory {
 		return fault.New(fault.CannotMakeIt, "no engine has memory for %d tokens now", f.call.PromptTokens).WithRetryAfter(p.RetryAfter)
--- a/core/place.go
+++ b/core/place.go
@@ -79,7 +79,7 @@
 		return p
 	}
 	if r.Engine != nil {
-		f.demandOf(service).add(now, r.Engine.Reading(r.PromptTokens, 1))
+		f.demandOf(service).add(now, r.Engine.PrefillTime(r.PromptTokens, 1))
 	}
 	p.entries = map[*member]hollowgrade.Upstream{p.member: p.member.Upstream}
 	for _, m := range p.helpers {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -30,17 +30,17 @@
 	contextPerFigure = 1000 // the unit of [Figures.StepPerContext]
 )
 
-// Reading returns how long engines take to read a prompt of n tokens, split
+// PrefillTime returns how long engines take to read a prompt of n tokens, split
 // evenly over a number of them: the tokens themselves, and the pairs of each
 // with those before it.
-func (f *Figures) Reading(n, engines int) time.Duration {
+func (f *Figures) PrefillTime(n, engines int) time.Duration {
 	t := float64(n)
 	tokens := t / f.ReadRate * float64(time.Second)
 	pairs := t * t / 2 / pairsPerMillion * float64(f.PerMillion)
 	return time.Duration((tokens + pairs) / float64(max(engines, 1)))
 }
 
-// Prompt returns how many tokens one engine reads in a time: the inverse of [Figures.Reading].
+// Prompt returns how many tokens one engine reads in a time: the inverse of [Figures.PrefillTime].
 func (f *Figures) Prompt(d time.Duration) int {
 	perToken := 1 / f.ReadRate
 	perPair := f.PerMillion.Seconds() / 2 / pairsPerMillion
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -18,11 +18,11 @@
 }
 
 func TestReading(t *testing.T) {
-	requireMillis(t, 0, some.Reading(0, 1))
-	requireMillis(t, 20.7, some.Reading(5_000, 1)) // 19.5 + 1.1
-	requireMillis(t, 268.6, some.Reading(45_000, 1))
-	requireMillis(t, 2842.3, some.Reading(210_000, 1))
-	requireMillis(t, 167.2, some.Reading(210_000, 17))
+	requireMillis(t, 0, some.PrefillTime(0, 1))
+	requireMillis(t, 20.7, some.PrefillTime(5_000, 1)) // 19.5 + 1.1
+	requireMillis(t, 268.6, some.PrefillTime(45_000, 1))
+	requireMillis(t, 2842.3, some.PrefillTime(210_000, 1))
+	requireMillis(t, 167.2, some.PrefillTime(210_000, 17))
 }
 
 func TestHops(t *testing.T) {
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -9,7 +9,7 @@
 
 func TestSlowEngine(t *testing.T) {
 	f := Figures{Step: time.Millisecond, Stride: 10, ReadRate: 1000}
-	read := f.Reading(100, 1)
+	read := f.PrefillTime(100, 1)
 	t.Run("makes passes and reading longer, and not what was counted in its own time", func(t *testing.T) {
 		s := State{Reading: time.Second, Pace: 3}
 		require.Equal(t, 30*time.Millisecond, f.Pass(s))
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 	rs := Play(f, Variant{Name: "one engine", Decisions: RoundRobin})
 	require.NotEmpty(t, rs)
 	for _, r := range rs {
-		want := e.Reading(r.Prompt, 1) + pass
+		want := e.PrefillTime(r.Prompt, 1) + pass
 		require.InDelta(t, want.Seconds(), r.First.Seconds(), 2*pass.Seconds(), r.Prompt)
 	}
 }
--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -45,7 +45,7 @@
 			d.Helpers = ids[1:min(1+naiveHelpers, len(ids))]
 		}
 	}
-	d.PredictedFirst = n.figures.Reading(j.prompt, 1+len(d.Helpers))
+	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
 	n.open[d.Upstream]++
 	n.account(d, d.PredictedFirst)
 	return d, true
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -329,7 +329,7 @@
 func (p *play) read(j *job, d core.Plan, home *pool) {
 	j.parts = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := home.figures.Reading(j.prompt, j.parts)
+	work := home.figures.PrefillTime(j.prompt, j.parts)
 	home.read(part{j, work, home})
 	for _, h := range d.Helpers {
 		p.engines[h].read(part{j, work, home})
--- a/placement/long.go
+++ b/placement/long.go
@@ -153,7 +153,7 @@
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
 func worthPerSecond(e *engine.Figures) float64 {
 	r := Request{Engine: e, PromptTokens: referencePromptTokens}
-	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
+	return r.Worth() / e.PrefillTime(r.PromptTokens, 1).Seconds()
 }
 
 // worthwhile reports whether a long prompt is worth at least what it costs other calls.
@@ -194,7 +194,7 @@
 	least := 0.0
 	is := p.sampleEngines(cs, r)
 	for n := keeperCount(r, e); n <= min(len(is), 1+maxHelpers); n++ {
-		t := e.Reading(r.PromptTokens, n)
+		t := e.PrefillTime(r.PromptTokens, n)
 		sortByPrefillEnd(cs, is, t)
 		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
@@ -225,7 +225,7 @@
 		is[i] = i
 	}
 	if len(is) > maxSampledEngines {
-		hs := p.engineLosses(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
+		hs := p.engineLosses(cs, is, r, r.Engine.PrefillTime(r.PromptTokens, 1+maxHelpers))
 		for i, h := range hs[:maxSampledEngines] {
 			is[i] = h.engine
 		}
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -26,7 +26,7 @@
 // withDemand returns the snapshot with an expected rate, a second, of prompts of one length.
 func withDemand(s Snapshot, rate float64, tokens int) Snapshot {
 	s.Demand = Demand{
-		Prompts:    []ExpectedPrompts{{Rate: rate, PrefillTime: slowFigures().Reading(tokens, 1)}},
+		Prompts:    []ExpectedPrompts{{Rate: rate, PrefillTime: slowFigures().PrefillTime(tokens, 1)}},
 		MeanAge:    2 * time.Second,
 		KnownShare: 1,
 	}
@@ -89,7 +89,7 @@
 func TestDisplacedWorth(t *testing.T) {
 	p := New()
 	e := slowFigures()
-	short, long := ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(45_000, 1)}, ExpectedPrompts{Rate: 1, PrefillTime: e.Reading(260_000, 1)}
+	short, long := ExpectedPrompts{Rate: 1, PrefillTime: e.PrefillTime(45_000, 1)}, ExpectedPrompts{Rate: 1, PrefillTime: e.PrefillTime(260_000, 1)}
 	ds := demandByDensity(Demand{Prompts: []ExpectedPrompts{long, short}, MeanAge: time.Second}, e, time.Second)
 	t.Run("counts what earns the most a second first", func(t *testing.T) {
 		require.Len(t, ds, 2)
@@ -106,7 +106,7 @@
 		require.Zero(t, priceByDisplacement(p, s, s.Candidates, []int{0, 1}, longestCall(200_000), Plan{PrefillTime: time.Second, FirstEvent: 3 * time.Second}))
 	})
 	t.Run("leaves out prompts that one engine reads", func(t *testing.T) {
-		require.Empty(t, demandByDensity(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.Reading(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
+		require.Empty(t, demandByDensity(Demand{Prompts: []ExpectedPrompts{{Rate: 100, PrefillTime: e.PrefillTime(5_000, 1)}}, MeanAge: time.Second}, e, time.Second))
 	})
 }
 
--- a/placement/short.go
+++ b/placement/short.go
@@ -23,7 +23,7 @@
 // prompts.
 func (p *Policy) placeShort(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
-	l.PrefillTime = e.Reading(r.PromptTokens, 1)
+	l.PrefillTime = e.PrefillTime(r.PromptTokens, 1)
 	l.CallsAhead = p.callsAhead(s)
 	cs, target := cheapestAfter(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.addCall(r, l.PrefillTime) })
 	if target < 0 {
