--- a/engine/engine.go
+++ b/engine/engine.go
@@ -62,9 +62,9 @@
 
 // State is what an engine has to do.
 type State struct {
-	Writers int           // requests that write, or will once they are read
-	Context int           // tokens of context of those
-	Reading time.Duration // of prompts, still to be done
+	Writers        int           // requests that write, or will once they are read
+	Context        int           // tokens of context of those
+	PrefillBacklog time.Duration // of prompts, still to be done
 	// Pace is how many times as long as published the engine takes for what it does; 0 counts
 	// as 1. Reading is in its own time already.
 	Pace float64
@@ -90,11 +90,11 @@
 // to the engine: what is being read, its own, half a pass until it is let in,
 // and the pass that writes it.
 func (f *Figures) First(s State, reading time.Duration) time.Duration {
-	return s.Reading + s.slowed(reading) + f.Pass(s)*3/2
+	return s.PrefillBacklog + s.slowed(reading) + f.Pass(s)*3/2
 }
 
 // Pause returns the longest pause that a request that writes there sees when
 // reading is added: a pass reads all that waits.
 func (f *Figures) Pause(s State, reading time.Duration) time.Duration {
-	return f.Pass(s) + s.Reading + s.slowed(reading)
+	return f.Pass(s) + s.PrefillBacklog + s.slowed(reading)
 }
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -11,7 +11,7 @@
 	f := Figures{Step: time.Millisecond, Stride: 10, ReadRate: 1000}
 	read := f.PrefillTime(100, 1)
 	t.Run("makes passes and reading longer, and not what was counted in its own time", func(t *testing.T) {
-		s := State{Reading: time.Second, Pace: 3}
+		s := State{PrefillBacklog: time.Second, Pace: 3}
 		require.Equal(t, 30*time.Millisecond, f.Pass(s))
 		require.Equal(t, time.Second+3*read+45*time.Millisecond, f.First(s, read))
 		require.Equal(t, time.Second+3*read+30*time.Millisecond, f.Pause(s, read))
