--- a/engine/engine.go
+++ b/engine/engine.go
@@ -78,9 +78,9 @@
 	return time.Duration(s.Pace * float64(d))
 }
 
-// Pass returns how long one pass takes without any reading: while requests
+// PassTime returns how long one pass takes without any reading: while requests
 // write, events come that far apart.
-func (f *Figures) Pass(s State) time.Duration {
+func (f *Figures) PassTime(s State) time.Duration {
 	step := f.Step + time.Duration(s.Writers)*f.StepPerWriter +
 		time.Duration(float64(s.Context)/contextPerFigure*float64(f.StepPerContext))
 	return s.slowed(time.Duration(max(f.Stride, 1)) * step)
@@ -90,11 +90,11 @@
 // to the engine: what is being read, its own, half a pass until it is let in,
 // and the pass that writes it.
 func (f *Figures) First(s State, reading time.Duration) time.Duration {
-	return s.PrefillBacklog + s.slowed(reading) + f.Pass(s)*3/2
+	return s.PrefillBacklog + s.slowed(reading) + f.PassTime(s)*3/2
 }
 
 // Pause returns the longest pause that a request that writes there sees when
 // reading is added: a pass reads all that waits.
 func (f *Figures) Pause(s State, reading time.Duration) time.Duration {
-	return f.Pass(s) + s.PrefillBacklog + s.slowed(reading)
+	return f.PassTime(s) + s.PrefillBacklog + s.slowed(reading)
 }
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -12,7 +12,7 @@
 	read := f.PrefillTime(100, 1)
 	t.Run("makes passes and reading longer, and not what was counted in its own time", func(t *testing.T) {
 		s := State{PrefillBacklog: time.Second, Pace: 3}
-		require.Equal(t, 30*time.Millisecond, f.Pass(s))
+		require.Equal(t, 30*time.Millisecond, f.PassTime(s))
 		require.Equal(t, time.Second+3*read+45*time.Millisecond, f.First(s, read))
 		require.Equal(t, time.Second+3*read+30*time.Millisecond, f.Pause(s, read))
 	})
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -158,7 +158,7 @@
 				d += p.figures.Hops(p.figures.Stride)
 			}
 		}
-		d += p.figures.Pass(s)
+		d += p.figures.PassTime(s)
 	}
 	return p.time(reading) + time.Duration(p.slow*float64(d))
 }
--- a/placement/short.go
+++ b/placement/short.go
@@ -94,7 +94,7 @@
 		return 0
 	}
 	passes := max(e.UsualAnswer/max(e.Stride, 1), 1)
-	return time.Duration(ahead) * time.Duration(passes) * e.Pass(c.state(r)) / time.Duration(max(e.Slots, 1))
+	return time.Duration(ahead) * time.Duration(passes) * e.PassTime(c.state(r)) / time.Duration(max(e.Slots, 1))
 }
 
 // The start of a burst isn't visible in the reported load. So the first engines of the common order
