--- a/engine/engine.go
+++ b/engine/engine.go
@@ -86,10 +86,10 @@
 	return s.slowed(time.Duration(max(f.Stride, 1)) * step)
 }
 
-// First returns when the first event of a request would come that adds reading
+// TimeToFirstEvent returns when the first event of a request would come that adds reading
 // to the engine: what is being read, its own, half a pass until it is let in,
 // and the pass that writes it.
-func (f *Figures) First(s State, reading time.Duration) time.Duration {
+func (f *Figures) TimeToFirstEvent(s State, reading time.Duration) time.Duration {
 	return s.PrefillBacklog + s.slowed(reading) + f.PassTime(s)*3/2
 }
 
--- a/placement/long.go
+++ b/placement/long.go
@@ -82,7 +82,7 @@
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
-		l.FirstEvent = max(l.FirstEvent, e.First(cs[i].state(r), l.PrefillTime))
+		l.FirstEvent = max(l.FirstEvent, e.TimeToFirstEvent(cs[i].state(r), l.PrefillTime))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
 		}
@@ -198,7 +198,7 @@
 		sortByPrefillEnd(cs, is, t)
 		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
-			first := e.First(cs[is[within-1]].state(r), t)
+			first := e.TimeToFirstEvent(cs[is[within-1]].state(r), t)
 			late := r.Worth() * lateLossShare * r.lateness(first)
 			if best != nil && late >= least {
 				break // engines with more backlog only make it later
--- a/placement/short.go
+++ b/placement/short.go
@@ -31,7 +31,7 @@
 	}
 	c := &cs[target]
 	l.Target = target
-	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
+	l.FirstEvent = e.TimeToFirstEvent(c.state(r), l.PrefillTime) + slotWait(c, r)
 	l.Refused = p.has(Shedding) && !r.StreamStarted && r.missesGoal(l.FirstEvent) && allSlotsTaken(cs, e)
 	l.RetryAfter = defaultRetryAfter(l.FirstEvent)
 	return l, true
@@ -60,7 +60,7 @@
 	order /= float64(max(len(s.Candidates), 1))
 	return func(i int, c *Candidate) float64 {
 		t := c.state(r)
-		x := r.lateness(e.First(t, prefill))
+		x := r.lateness(e.TimeToFirstEvent(t, prefill))
 		if r.PauseGoal > 0 {
 			x += pauseMissChance(e.Pause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
--- a/placement/target.go
+++ b/placement/target.go
@@ -55,7 +55,7 @@
 		if !hasMemory(i) {
 			continue
 		}
-		late := r.Worth() * lateLossShare * r.lateness(r.Engine.First(cs[i].state(r), part))
+		late := r.Worth() * lateLossShare * r.lateness(r.Engine.TimeToFirstEvent(cs[i].state(r), part))
 		if x := p.pauseLoss(&cs[i], r, part)*lateLossShare + late; best < 0 || x < least {
 			best, least = i, x
 		}
