--- a/engine/engine.go
+++ b/engine/engine.go
@@ -93,8 +93,8 @@
 	return s.PrefillBacklog + s.slowed(reading) + f.PassTime(s)*3/2
 }
 
-// Pause returns the longest pause that a request that writes there sees when
+// LongestPause returns the longest pause that a request that writes there sees when
 // reading is added: a pass reads all that waits.
-func (f *Figures) Pause(s State, reading time.Duration) time.Duration {
+func (f *Figures) LongestPause(s State, reading time.Duration) time.Duration {
 	return f.PassTime(s) + s.PrefillBacklog + s.slowed(reading)
 }
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -14,7 +14,7 @@
 		s := State{PrefillBacklog: time.Second, Pace: 3}
 		require.Equal(t, 30*time.Millisecond, f.PassTime(s))
 		require.Equal(t, time.Second+3*read+45*time.Millisecond, f.TimeToFirstEvent(s, read))
-		require.Equal(t, time.Second+3*read+30*time.Millisecond, f.Pause(s, read))
+		require.Equal(t, time.Second+3*read+30*time.Millisecond, f.LongestPause(s, read))
 	})
 	t.Run("counts as published where it is not known", func(t *testing.T) {
 		require.Equal(t, f.TimeToFirstEvent(State{Pace: 1}, read), f.TimeToFirstEvent(State{}, read))
--- a/placement/long.go
+++ b/placement/long.go
@@ -265,7 +265,7 @@
 		return 0
 	}
 	s := c.state(r)
-	return c.Stakes.Loss(r.Engine.Pause(s, 0), r.Engine.Pause(s, part))
+	return c.Stakes.Loss(r.Engine.LongestPause(s, 0), r.Engine.LongestPause(s, part))
 }
 
 // leastLossSet returns the n engines with the least loss among the first `within` by the end of
--- a/placement/short.go
+++ b/placement/short.go
@@ -62,7 +62,7 @@
 		t := c.state(r)
 		x := r.lateness(e.TimeToFirstEvent(t, prefill))
 		if r.PauseGoal > 0 {
-			x += pauseMissChance(e.Pause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
+			x += pauseMissChance(e.LongestPause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
