--- a/engine/engine.go
+++ b/engine/engine.go
@@ -40,8 +40,8 @@
 	return time.Duration((tokens + pairs) / float64(max(engines, 1)))
 }
 
-// Prompt returns how many tokens one engine reads in a time: the inverse of [Figures.PrefillTime].
-func (f *Figures) Prompt(d time.Duration) int {
+// PrefillTokens returns how many tokens one engine reads in a time: the inverse of [Figures.PrefillTime].
+func (f *Figures) PrefillTokens(d time.Duration) int {
 	perToken := 1 / f.ReadRate
 	perPair := f.PerMillion.Seconds() / 2 / pairsPerMillion
 	if perPair <= 0 {
--- a/placement/pricing.go
+++ b/placement/pricing.go
@@ -139,7 +139,7 @@
 		}
 		one := x.PrefillTime.Seconds()
 		n := x.Rate * h
-		ds = append(ds, expectedDemand{Request{PromptTokens: e.Prompt(x.PrefillTime)}.Worth() / one, n * one, n * one * one * spread})
+		ds = append(ds, expectedDemand{Request{PromptTokens: e.PrefillTokens(x.PrefillTime)}.Worth() / one, n * one, n * one * one * spread})
 	}
 	slices.SortFunc(ds, func(a, b expectedDemand) int { return cmp.Compare(b.density, a.density) })
 	return ds
