--- a/engine/engine.go
+++ b/engine/engine.go
@@ -50,10 +50,10 @@
 	return int((math.Sqrt(perToken*perToken+4*perPair*d.Seconds()) - perToken) / (2 * perPair))
 }
 
-// Hops returns by how much steps of an engine are longer, all in all, for an
+// HopTime returns by how much steps of an engine are longer, all in all, for an
 // answer of n tokens whose prompt several engines have read. N is the most that
 // was asked for; answers are rarely longer than usual.
-func (f *Figures) Hops(n int) time.Duration {
+func (f *Figures) HopTime(n int) time.Duration {
 	if f.UsualAnswer > 0 {
 		n = min(n, f.UsualAnswer)
 	}
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -28,8 +28,8 @@
 func TestHops(t *testing.T) {
 	f := some
 	f.Hop, f.UsualAnswer = 100*time.Microsecond, 1540
-	requireMillis(t, 154, f.Hops(4000))
-	requireMillis(t, 10, f.Hops(100))
+	requireMillis(t, 154, f.HopTime(4000))
+	requireMillis(t, 10, f.HopTime(100))
 }
 
 func TestPass(t *testing.T) {
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -155,7 +155,7 @@
 		for _, j := range writing {
 			s.Context += j.prompt + j.written
 			if j.split {
-				d += p.figures.Hops(p.figures.Stride)
+				d += p.figures.HopTime(p.figures.Stride)
 			}
 		}
 		d += p.figures.PassTime(s)
--- a/placement/long.go
+++ b/placement/long.go
@@ -28,7 +28,7 @@
 		return l, true
 	}
 	alone := p.pauseLoss(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
-	split := l.Cost + pricePerSecond(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
+	split := l.Cost + pricePerSecond(s.Candidates, e)*e.HopTime(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
 	}
