--- a/experiment/file.go
+++ b/experiment/file.go
@@ -49,17 +49,17 @@
 // figures returns the same as package engine has it.
 func (e Engines) figures() *engine.Figures {
 	return &engine.Figures{
-		Slots:          e.Slots,
-		Capacity:       e.Capacity,
-		Step:           e.Step.Std(),
-		StepPerWriter:  e.StepPerWriter.Std(),
-		StepPerContext: e.StepPerContext.Std(),
-		ReadRate:       e.ReadRate,
-		PerMillion:     e.PerMillion.Std(),
-		Stride:         e.Stride,
-		Hop:            e.Hop.Std(),
-		UsualPrompt:    e.UsualPrompt,
-		UsualAnswer:    e.UsualAnswer,
+		Slots:           e.Slots,
+		Capacity:        e.Capacity,
+		Step:            e.Step.Std(),
+		StepPerWriter:   e.StepPerWriter.Std(),
+		StepPerContext:  e.StepPerContext.Std(),
+		ReadRate:        e.ReadRate,
+		PerMillionPairs: e.PerMillion.Std(),
+		Stride:          e.Stride,
+		Hop:             e.Hop.Std(),
+		UsualPrompt:     e.UsualPrompt,
+		UsualAnswer:     e.UsualAnswer,
 	}
 }
 
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,7 +11,7 @@
 
 func figures() *engine.Figures {
 	return &engine.Figures{
-		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, ReadRate: 256_000, PerMillion: 91700 * time.Nanosecond,
+		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, ReadRate: 256_000, PerMillionPairs: 91700 * time.Nanosecond,
 		Chunk: 2048, Stride: 46, UsualAnswer: 1540,
 	}
 }
@@ -83,7 +83,7 @@
 func TestPriceFollowsFromHowFastEnginesRead(t *testing.T) {
 	half := *figures()
 	half.ReadRate /= 2
-	half.PerMillion *= 2
+	half.PerMillionPairs *= 2
 	require.InDelta(t, worthPerSecond(figures())/2, worthPerSecond(&half), 0.01)
 	t.Run("and is next to nothing while nothing waits", func(t *testing.T) {
 		require.InDelta(t, minBusyShare*worthPerSecond(figures()), pricePerSecond(snapshot(9, Candidate{}).Candidates, figures()), 1e-9)
