--- a/engine/engine.go
+++ b/engine/engine.go
@@ -62,7 +62,7 @@
 
 // State is what an engine has to do.
 type State struct {
-	Writers        int           // requests that write, or will once they are read
+	Decoding       int           // requests that write, or will once they are read
 	Context        int           // tokens of context of those
 	PrefillBacklog time.Duration // of prompts, still to be done
 	// Pace is how many times as long as published the engine takes for what it does; 0 counts
@@ -81,7 +81,7 @@
 // PassTime returns how long one pass takes without any reading: while requests
 // write, events come that far apart.
 func (f *Figures) PassTime(s State) time.Duration {
-	step := f.Step + time.Duration(s.Writers)*f.StepPerWriter +
+	step := f.Step + time.Duration(s.Decoding)*f.StepPerWriter +
 		time.Duration(float64(s.Context)/contextPerFigure*float64(f.StepPerContext))
 	return s.slowed(time.Duration(max(f.Stride, 1)) * step)
 }
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -151,7 +151,7 @@
 // pass returns how long a pass takes.
 func (p *pool) pass(reading []part, writing []*job) (d time.Duration) {
 	if len(writing) > 0 {
-		s := engine.State{Writers: len(writing)}
+		s := engine.State{Decoding: len(writing)}
 		for _, j := range writing {
 			s.Context += j.prompt + j.written
 			if j.split {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -44,7 +44,7 @@
 	f.Kinds[0].PromptMax = 250_000 // so that no engine has two at once
 	f.Duration = config.Duration(200 * time.Second)
 	e := f.Engines.figures()
-	pass := e.PassTime(engine.State{Writers: 1})
+	pass := e.PassTime(engine.State{Decoding: 1})
 	rs := Play(f, Variant{Name: "one engine", Decisions: RoundRobin})
 	require.NotEmpty(t, rs)
 	for _, r := range rs {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -53,7 +53,7 @@
 
 // state returns the state of the engine with the call added.
 func (c *Candidate) state(r Request) engine.State {
-	return engine.State{Writers: c.Open + 1, Context: c.Tokens + r.PromptTokens, PrefillBacklog: c.PrefillBacklog, Pace: c.Pace}
+	return engine.State{Decoding: c.Open + 1, Context: c.Tokens + r.PromptTokens, PrefillBacklog: c.PrefillBacklog, Pace: c.Pace}
 }
 
 // extraTime returns the time beyond the published one that the candidate takes for a prefill.
