--- a/engine/engine.go
+++ b/engine/engine.go
@@ -70,8 +70,8 @@
 	Pace float64
 }
 
-// slowed returns how long something takes that takes d by the published figures.
-func (s State) slowed(d time.Duration) time.Duration {
+// scale returns how long something takes that takes d by the published figures.
+func (s State) scale(d time.Duration) time.Duration {
 	if s.Pace == 0 {
 		return d
 	}
@@ -83,18 +83,18 @@
 func (f *Figures) PassTime(s State) time.Duration {
 	step := f.Step + time.Duration(s.Decoding)*f.StepPerWriter +
 		time.Duration(float64(s.Context)/contextPerFigure*float64(f.StepPerContext))
-	return s.slowed(time.Duration(max(f.Stride, 1)) * step)
+	return s.scale(time.Duration(max(f.Stride, 1)) * step)
 }
 
 // TimeToFirstEvent returns when the first event of a request would come that adds reading
 // to the engine: what is being read, its own, half a pass until it is let in,
 // and the pass that writes it.
 func (f *Figures) TimeToFirstEvent(s State, reading time.Duration) time.Duration {
-	return s.PrefillBacklog + s.slowed(reading) + f.PassTime(s)*3/2
+	return s.PrefillBacklog + s.scale(reading) + f.PassTime(s)*3/2
 }
 
 // LongestPause returns the longest pause that a request that writes there sees when
 // reading is added: a pass reads all that waits.
 func (f *Figures) LongestPause(s State, reading time.Duration) time.Duration {
-	return f.PassTime(s) + s.PrefillBacklog + s.slowed(reading)
+	return f.PassTime(s) + s.PrefillBacklog + s.scale(reading)
 }
