--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -15,7 +15,7 @@
 	parts   int // of its prompt that are not read yet
 	split   bool
 	kept    int // tokens of its prompt that other engines keep
-	keepers []*pool
+	keepers []*simulatedEngine
 	tries   int // at getting it placed
 	decider int // that placed it last
 	written int
@@ -30,11 +30,11 @@
 type part struct {
 	job  *job
 	work time.Duration
-	home *pool // engine that writes the answer
+	home *simulatedEngine // engine that writes the answer
 }
 
-// pool is one engine: it plays passes, each over all that waits.
-type pool struct {
+// simulatedEngine is one engine: it plays passes, each over all that waits.
+type simulatedEngine struct {
 	id      string
 	figures *engine.Figures
 	play    *play
@@ -55,13 +55,13 @@
 
 // arrive lets a call in once its memory is free. Its prompt is read from then on, by
 // helpers as well.
-func (p *pool) arrive(j *job, read func()) {
+func (p *simulatedEngine) arrive(j *job, read func()) {
 	p.waiting = append(p.waiting, arrival{j, read})
 	p.admit()
 }
 
 // admit lets those in that wait, as far as memory goes.
-func (p *pool) admit() {
+func (p *simulatedEngine) admit() {
 	for len(p.waiting) > 0 && p.fits(p.waiting[0].job.own()) {
 		a := p.waiting[0]
 		p.waiting = p.waiting[1:]
@@ -71,12 +71,12 @@
 }
 
 // fits reports whether the engine has memory for some more tokens.
-func (p *pool) fits(tokens int) bool {
+func (p *simulatedEngine) fits(tokens int) bool {
 	return p.used == 0 || p.figures.Capacity <= 0 || p.used+tokens <= p.figures.Capacity
 }
 
 // free gives memory back.
-func (p *pool) free(tokens int) {
+func (p *simulatedEngine) free(tokens int) {
 	p.used -= tokens
 	p.admit()
 }
@@ -87,13 +87,13 @@
 }
 
 // read gives a part of a prompt to the engine.
-func (p *pool) read(x part) {
+func (p *simulatedEngine) read(x part) {
 	p.reading = append(p.reading, x)
 	p.wake()
 }
 
 // wake begins a pass if none is under way.
-func (p *pool) wake() {
+func (p *simulatedEngine) wake() {
 	if p.busy {
 		return
 	}
@@ -117,7 +117,7 @@
 
 // join lets those write in the pass that begins whose prompts are read by it alone,
 // as far as there are slots, and returns the other parts.
-func (p *pool) join(reading []part) (rest []part) {
+func (p *simulatedEngine) join(reading []part) (rest []part) {
 	for _, x := range reading {
 		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.writing) >= p.figures.Slots {
 			rest = append(rest, x)
@@ -131,7 +131,7 @@
 
 // haveRead notes that parts are read. Who has none left writes from the next pass
 // of its engine on.
-func (p *pool) haveRead(parts []part) {
+func (p *simulatedEngine) haveRead(parts []part) {
 	for _, x := range parts {
 		if x.job.parts--; x.job.parts == 0 {
 			x.home.queue = append(x.home.queue, x.job)
@@ -141,7 +141,7 @@
 }
 
 // time returns how long the reading of parts takes.
-func (p *pool) time(reading []part) (d time.Duration) {
+func (p *simulatedEngine) time(reading []part) (d time.Duration) {
 	for _, x := range reading {
 		d += x.work
 	}
@@ -149,7 +149,7 @@
 }
 
 // pass returns how long a pass takes.
-func (p *pool) pass(reading []part, writing []*job) (d time.Duration) {
+func (p *simulatedEngine) pass(reading []part, writing []*job) (d time.Duration) {
 	if len(writing) > 0 {
 		s := engine.State{Decoding: len(writing)}
 		for _, j := range writing {
@@ -165,7 +165,7 @@
 
 // end ends a pass: each request that writes has an event more. The engine counts
 // as busy until its own lists are in order again.
-func (p *pool) end(writing []*job) {
+func (p *simulatedEngine) end(writing []*job) {
 	now := p.play.now
 	p.writing = nil
 	for _, j := range writing {
@@ -180,7 +180,7 @@
 }
 
 // event notes an event of a request.
-func (p *pool) event(j *job, now time.Duration) {
+func (p *simulatedEngine) event(j *job, now time.Duration) {
 	j.written += p.figures.Stride
 	if j.first == 0 {
 		j.first = now
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -59,7 +59,7 @@
 	events   events
 	spreads  int // words of load so far
 	clock    *clockwork.FakeClock
-	engines  map[string]*pool
+	engines  map[string]*simulatedEngine
 	deciders []decider
 	open     map[*job]bool
 	results  []Result
@@ -92,13 +92,13 @@
 		random:  rand.New(rand.NewPCG(f.Seed, f.Seed)),
 		chance:  rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
 		clock:   clockwork.NewFakeClock(),
-		engines: map[string]*pool{},
+		engines: map[string]*simulatedEngine{},
 		open:    map[*job]bool{},
 	}
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%03d", i)
-		p.engines[ids[i]] = &pool{id: ids[i], figures: f.Engines.figures(), play: p, slow: 1}
+		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), play: p, slow: 1}
 	}
 	for i := range f.gateways(v) {
 		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
@@ -326,7 +326,7 @@
 }
 
 // read lets the engines of a plan read a prompt.
-func (p *play) read(j *job, d core.Plan, home *pool) {
+func (p *play) read(j *job, d core.Plan, home *simulatedEngine) {
 	j.parts = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
 	work := home.figures.PrefillTime(j.prompt, j.parts)
