--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -37,7 +37,7 @@
 type simulatedEngine struct {
 	id      string
 	figures *engine.Figures
-	play    *play
+	play    *simulation
 	reading []part
 	writing []*job
 	queue   []*job    // read, waiting for a slot
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -48,8 +48,8 @@
 	return x
 }
 
-// play is one run of one variant.
-type play struct {
+// simulation is one run of one variant.
+type simulation struct {
 	file     File
 	variant  Variant
 	random   *rand.Rand // draws the load, which is the same for all variants
@@ -79,14 +79,14 @@
 }
 
 // after lets something happen later.
-func (p *play) after(d time.Duration, do func()) {
+func (p *simulation) after(d time.Duration, do func()) {
 	p.seq++
 	heap.Push(&p.events, event{p.now + d, p.seq, do})
 }
 
 // Play plays one variant. The same file gives the same result.
 func Play(f File, v Variant) []Result {
-	p := &play{
+	p := &simulation{
 		file:    f,
 		variant: v,
 		random:  rand.New(rand.NewPCG(f.Seed, f.Seed)),
@@ -123,7 +123,7 @@
 // drainTime is how much longer than the arrivals a run lasts at the most.
 const drainTime = 30 * time.Second
 
-func (p *play) run() {
+func (p *simulation) run() {
 	for len(p.events) > 0 {
 		e := heap.Pop(&p.events).(event)
 		if e.at > p.file.Duration.Std()+drainTime {
@@ -136,7 +136,7 @@
 }
 
 // arrive lets the requests of a kind arrive, one after the other.
-func (p *play) arrive(k *Kind) {
+func (p *simulation) arrive(k *Kind) {
 	rate := k.Rate
 	for _, b := range p.file.Bursts {
 		if b.Kind == k.Name && p.now >= b.At.Std() && p.now < (b.At+b.For).Std() {
@@ -163,7 +163,7 @@
 }
 
 // size draws a size with the given mean and spread.
-func (p *play) size(mean, spread, most float64) int {
+func (p *simulation) size(mean, spread, most float64) int {
 	s2 := math.Log(1 + spread*spread)
 	n := mean * math.Exp(math.Sqrt(s2)*p.random.NormFloat64()-s2/2)
 	if most > 0 {
@@ -176,7 +176,7 @@
 const answerSpread = 0.6
 
 // prompt draws the length of a prompt.
-func (p *play) prompt(k *Kind) int {
+func (p *simulation) prompt(k *Kind) int {
 	mean := k.Prompt
 	if k.Tail > 0 && p.random.Float64() < k.Tail {
 		mean *= max(k.TailX, 1)
@@ -184,7 +184,7 @@
 	return p.size(mean, k.Spread, k.PromptMax)
 }
 
-func (p *play) request(k *Kind) {
+func (p *simulation) request(k *Kind) {
 	j := &job{
 		kind:    k,
 		prompt:  p.prompt(k),
@@ -206,7 +206,7 @@
 
 // comeBack lets the caller of a refused request come back as it was told, if it
 // still means to.
-func (p *play) comeBack(j *job, after time.Duration) {
+func (p *simulation) comeBack(j *job, after time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
 		p.results = append(p.results, j.refused())
@@ -227,7 +227,7 @@
 	return r
 }
 
-func (p *play) place(j *job) {
+func (p *simulation) place(j *job) {
 	j.decider = p.chance.IntN(len(p.deciders))
 	g := p.deciders[j.decider]
 	j.tries++
@@ -257,7 +257,7 @@
 
 // suspect lets a gateway ask the engines of a call whose first event is overdue how fast they
 // are.
-func (p *play) suspect(g decider, d core.Plan) {
+func (p *simulation) suspect(g decider, d core.Plan) {
 	if p.variant.Unasked {
 		return
 	}
@@ -268,7 +268,7 @@
 
 // ask lets a gateway ask an engine how fast it is, tell the others, and ask again while it is
 // slow.
-func (p *play) ask(g decider, id string) {
+func (p *simulation) ask(g decider, id string) {
 	p.after(askTime, func() {
 		pace := p.engines[id].slow
 		if !g.takePace(id, pace, 0, "") {
@@ -284,7 +284,7 @@
 }
 
 // tellPace lets the other gateways hear how fast an engine said that it is.
-func (p *play) tellPace(from decider, id string, pace float64) {
+func (p *simulation) tellPace(from decider, id string, pace float64) {
 	for _, g := range p.deciders {
 		if g != from && !p.variant.Alone {
 			g.takePace(id, pace, p.file.View.Std(), "another")
@@ -294,7 +294,7 @@
 
 // send gives a call to its engine, unless memory that it needs at others is not free:
 // its caller comes back then.
-func (p *play) send(j *job, d core.Plan) {
+func (p *simulation) send(j *job, d core.Plan) {
 	j.kept, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
 		if !p.engines[k].fits(d.Kept) {
@@ -311,14 +311,14 @@
 }
 
 // turnAway ends an attempt of which nothing has run.
-func (p *play) turnAway(j *job, d core.Plan) {
+func (p *simulation) turnAway(j *job, d core.Plan) {
 	delete(p.open, j)
 	p.deciders[j.decider].done(d)
 	p.comeBack(j, time.Second)
 }
 
 // free gives back what a call that has ended held.
-func (p *play) free(j *job, d core.Plan) {
+func (p *simulation) free(j *job, d core.Plan) {
 	p.engines[d.Upstream].free(j.own())
 	for _, k := range j.keepers {
 		k.free(j.kept)
@@ -326,7 +326,7 @@
 }
 
 // read lets the engines of a plan read a prompt.
-func (p *play) read(j *job, d core.Plan, home *simulatedEngine) {
+func (p *simulation) read(j *job, d core.Plan, home *simulatedEngine) {
 	j.parts = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
 	work := home.figures.PrefillTime(j.prompt, j.parts)
@@ -349,7 +349,7 @@
 	return r
 }
 
-func (p *play) slowDown(s Slow, ids []string) {
+func (p *simulation) slowDown(s Slow, ids []string) {
 	set := func(x float64) func() {
 		return func() {
 			for _, id := range ids[:min(s.Engines, len(ids))] {
@@ -367,7 +367,7 @@
 
 // spread lets gateways hear of each other's load: of what changed, and now and
 // then of all.
-func (p *play) spread() {
+func (p *simulation) spread() {
 	whole := p.spreads%wholeEvery == 0
 	p.spreads++
 	for i, a := range p.deciders {
@@ -400,7 +400,7 @@
 	stillSlow(id string) bool
 }
 
-func (p *play) newDecider(number uint64, ids []string) decider {
+func (p *simulation) newDecider(number uint64, ids []string) decider {
 	if p.variant.Decisions != Worth {
 		return &naive{way: p.variant.Decisions, ids: ids, open: map[string]int{}, reading: map[string]time.Duration{}, figures: p.file.Engines.figures()}
 	}
@@ -420,7 +420,7 @@
 }
 
 // policy returns what the variant decides by.
-func (p *play) policy() *placement.Policy {
+func (p *simulation) policy() *placement.Policy {
 	ms := make([]placement.Mechanism, 0, len(p.variant.Without))
 	for _, m := range p.variant.Without {
 		ms = append(ms, placement.Mechanism(m))
