--- a/experiment/burst_test.go
+++ b/experiment/burst_test.go
@@ -16,7 +16,7 @@
 // goals.
 func servedInTime(f File, v Variant, kind string) float64 {
 	all, served := 0, 0
-	for _, r := range Play(f, v) {
+	for _, r := range Simulate(f, v) {
 		if r.Kind != kind {
 			continue
 		}
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -28,7 +28,7 @@
 	f := load(t)
 	f.Duration = config.Duration(5 * time.Second)
 	for _, v := range f.Variants {
-		a, b := Play(f, v), Play(f, v)
+		a, b := Simulate(f, v), Simulate(f, v)
 		require.NotEmpty(t, a)
 		require.True(t, reflect.DeepEqual(a, b), v.Name)
 	}
@@ -45,7 +45,7 @@
 	f.Duration = config.Duration(200 * time.Second)
 	e := f.Engines.figures()
 	pass := e.PassTime(engine.State{Decoding: 1})
-	rs := Play(f, Variant{Name: "one engine", Decisions: RoundRobin})
+	rs := Simulate(f, Variant{Name: "one engine", Decisions: RoundRobin})
 	require.NotEmpty(t, rs)
 	for _, r := range rs {
 		want := e.PrefillTime(r.Prompt, 1) + pass
@@ -57,9 +57,9 @@
 	f := load(t)
 	f.Duration = config.Duration(4 * time.Second)
 	f.Bursts = nil
-	arrived := len(Play(f, f.Variants[0]))
+	arrived := len(Simulate(f, f.Variants[0]))
 	for _, v := range f.Variants {
-		rs := Play(f, v)
+		rs := Simulate(f, v)
 		require.Equal(t, arrived, len(rs), "%s: the load does not depend on the decisions", v.Name)
 		for _, r := range rs {
 			require.LessOrEqual(t, r.Earned, r.Owed)
@@ -73,9 +73,9 @@
 	f.Duration = config.Duration(6 * time.Second)
 	f.Bursts = nil
 	v := Variant{Name: "x", Decisions: LeastRequests}
-	before := share(Play(f, v))
+	before := share(Simulate(f, v))
 	f.Slow = []Slow{{Engines: 9, X: 8, At: config.Duration(time.Second), For: config.Duration(4 * time.Second)}}
-	require.Less(t, share(Play(f, v)), before)
+	require.Less(t, share(Simulate(f, v)), before)
 }
 
 // The order of the variants is that of the users' bench (docs/MEASUREMENTS.md).
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -84,8 +84,8 @@
 	heap.Push(&p.events, event{p.now + d, p.seq, do})
 }
 
-// Play plays one variant. The same file gives the same result.
-func Play(f File, v Variant) []Result {
+// Simulate plays one variant. The same file gives the same result.
+func Simulate(f File, v Variant) []Result {
 	p := &simulation{
 		file:    f,
 		variant: v,
--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -20,7 +20,7 @@
 // outcomesOf plays a file under some seeds, and returns what the callers of a kind got.
 func outcomesOf(f File, v Variant, seeds int, kind string) (o outcomes) {
 	for range seeds {
-		for _, r := range Play(f, v) {
+		for _, r := range Simulate(f, v) {
 			if r.Kind != kind {
 				continue
 			}
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -54,7 +54,7 @@
 func Compare(f File) Report {
 	r := Report{Seed: f.Seed}
 	for _, v := range f.Variants {
-		r.Variants = append(r.Variants, summarise(f, v, Play(f, v)))
+		r.Variants = append(r.Variants, summarise(f, v, Simulate(f, v)))
 	}
 	return r
 }
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -75,9 +75,9 @@
 		require.NoError(t, f.check())
 	}
 	f.Duration = config.Duration(6 * time.Second)
-	split := share(Play(f, Variant{Name: "all", Decisions: Worth}))
+	split := share(Simulate(f, Variant{Name: "all", Decisions: Worth}))
 	f.Variants[0].Without = []string{string(placement.Splitting)}
-	require.Less(t, share(Play(f, f.Variants[0])), split)
+	require.Less(t, share(Simulate(f, f.Variants[0])), split)
 }
 
 // Callers that are refused come back once, and their goal counts from their first
@@ -89,7 +89,7 @@
 		f.Kinds[i].Retries = 1
 	}
 	again := 0
-	for _, r := range Play(f, f.Variants[0]) {
+	for _, r := range Simulate(f, f.Variants[0]) {
 		require.LessOrEqual(t, r.Tries, 2)
 		if r.Tries == 2 {
 			again++
