--- a/experiment/set.go
+++ b/experiment/set.go
@@ -61,10 +61,10 @@
 	Runs []Run `json:"runs"` // by file, variant and seed
 }
 
-// PlaySet plays all variants of all files under some seeds, counted from each
+// SimulateSet plays all variants of all files under some seeds, counted from each
 // file's own, as many at a time as there are workers. Progress is told of each run
 // that has ended, and how many there are.
-func PlaySet(ns []Named, seeds, workers int, progress func(ended, all int)) SetReport {
+func SimulateSet(ns []Named, seeds, workers int, progress func(ended, all int)) SetReport {
 	var r SetReport
 	var todo []func() float64
 	for _, n := range ns {
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -26,7 +26,7 @@
 		f.Duration = min(f.Duration, config.Duration(16*time.Second))
 		f.Variants = []Variant{{Name: "gateway", Decisions: Worth}, {Name: "least requests", Decisions: LeastRequests}}
 	}
-	r := PlaySet(ns, 1, 4, func(int, int) {})
+	r := SimulateSet(ns, 1, 4, func(int, int) {})
 	worth := map[string]float64{}
 	for _, m := range r.Means() {
 		if m.Variant == "gateway" {
@@ -43,7 +43,7 @@
 	f.Variants = []Variant{{Name: "a", Decisions: LeastRequests}, {Name: "b", Decisions: RoundRobin}}
 	ns := []Named{{"x", f}, {"y", f}}
 	told := 0
-	r := PlaySet(ns, 2, 3, func(ended, all int) {
+	r := SimulateSet(ns, 2, 3, func(ended, all int) {
 		told++
 		require.Equal(t, told, ended)
 		require.Equal(t, 8, all)
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -47,7 +47,7 @@
 
 // playSet plays several files or seeds.
 func (c *experimentCommand) playSet(s *streams, ns []experiment.Named) error {
-	r := experiment.PlaySet(ns, max(c.Seeds, 1), c.Workers, func(ended, all int) {
+	r := experiment.SimulateSet(ns, max(c.Seeds, 1), c.Workers, func(ended, all int) {
 		fmt.Fprintf(s.err, "\r%d of %d runs", ended, all)
 	})
 	fmt.Fprintln(s.err)
