--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -37,7 +37,7 @@
 type simulatedEngine struct {
 	id      string
 	figures *engine.Figures
-	play    *simulation
+	sim     *simulation
 	reading []part
 	writing []*job
 	queue   []*job    // read, waiting for a slot
@@ -110,9 +110,9 @@
 	rest := p.join(reading)
 	writing := p.writing
 	if len(rest) > 0 {
-		p.play.after(p.time(reading), func() { p.haveRead(rest) })
+		p.sim.after(p.time(reading), func() { p.haveRead(rest) })
 	}
-	p.play.after(p.pass(reading, writing), func() { p.end(writing) })
+	p.sim.after(p.pass(reading, writing), func() { p.end(writing) })
 }
 
 // join lets those write in the pass that begins whose prompts are read by it alone,
@@ -166,7 +166,7 @@
 // end ends a pass: each request that writes has an event more. The engine counts
 // as busy until its own lists are in order again.
 func (p *simulatedEngine) end(writing []*job) {
-	now := p.play.now
+	now := p.sim.now
 	p.writing = nil
 	for _, j := range writing {
 		if p.event(j, now); j.written < j.answer {
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -98,7 +98,7 @@
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%03d", i)
-		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), play: p, slow: 1}
+		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), sim: p, slow: 1}
 	}
 	for i := range f.gateways(v) {
 		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
