--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -17,8 +17,8 @@
 	naiveHelpers = 16
 )
 
-// naive decides as the baselines do, by what its own gateway has open.
-type naive struct {
+// baseline decides as the baselines do, by what its own gateway has open.
+type baseline struct {
 	way     string
 	ids     []string
 	next    int
@@ -27,7 +27,7 @@
 	figures *engine.Figures
 }
 
-func (n *naive) decide(j *job, _ time.Duration) (core.Plan, bool) {
+func (n *baseline) decide(j *job, _ time.Duration) (core.Plan, bool) {
 	d := core.Plan{}
 	switch n.way {
 	case RoundRobin:
@@ -52,35 +52,35 @@
 }
 
 // account changes the reading that the gateway has given to a plan's engines.
-func (n *naive) account(d core.Plan, work time.Duration) {
+func (n *baseline) account(d core.Plan, work time.Duration) {
 	n.reading[d.Upstream] += work
 	for _, h := range d.Helpers {
 		n.reading[h] += work
 	}
 }
 
-func (n *naive) began(d core.Plan) {
+func (n *baseline) began(d core.Plan) {
 	n.account(d, -d.PredictedFirst)
 }
 
-func (n *naive) done(d core.Plan) {
+func (n *baseline) done(d core.Plan) {
 	n.open[d.Upstream]--
 }
 
-func (n *naive) changes(bool) map[hollowgrade.Life]core.Share {
+func (n *baseline) changes(bool) map[hollowgrade.Life]core.Share {
 	return nil
 }
 
-func (n *naive) hear(string, map[hollowgrade.Life]core.Share, bool) {}
+func (n *baseline) hear(string, map[hollowgrade.Life]core.Share, bool) {}
 
-func (n *naive) suspects(core.Plan) []string {
+func (n *baseline) suspects(core.Plan) []string {
 	return nil
 }
 
-func (n *naive) takePace(string, float64, time.Duration, string) (tell bool) {
+func (n *baseline) takePace(string, float64, time.Duration, string) (tell bool) {
 	return false
 }
 
-func (n *naive) stillSlow(string) bool {
+func (n *baseline) stillSlow(string) bool {
 	return false
 }
