--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (n *baseline) hear(string, map[hollowgrade.Life]core.Share, bool) {}
+func (n *baseline) receiveView(string, map[hollowgrade.Life]core.Share, bool) {}
 
 func (n *baseline) suspects(core.Plan) []string {
 	return nil
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -377,7 +377,7 @@
 		}
 		for j, b := range p.deciders {
 			if i != j {
-				b.hear(fmt.Sprint(i), cs, whole)
+				b.receiveView(fmt.Sprint(i), cs, whole)
 			}
 		}
 	}
@@ -392,7 +392,7 @@
 	began(d core.Plan)
 	done(d core.Plan)
 	changes(whole bool) map[hollowgrade.Life]core.Share
-	hear(from string, cs map[hollowgrade.Life]core.Share, whole bool)
+	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
 	// suspects returns the engines of a plan that are to be asked how fast they are.
 	suspects(d core.Plan) []string
 	// takePace takes an engine's word on that, and reports whether others are to be told.
@@ -472,6 +472,6 @@
 	return g.fleet.StillSlow(hollowgrade.Life(id))
 }
 
-func (g *gateway) hear(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
+func (g *gateway) receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
 	g.fleet.ReceiveView(from, cs, whole)
 }
