--- a/experiment/play.go
+++ b/experiment/play.go
@@ -271,7 +271,7 @@
 func (p *simulation) ask(g decider, id string) {
 	p.after(askTime, func() {
 		pace := p.engines[id].slow
-		if !g.takePace(id, pace, 0, "") {
+		if !g.receivePace(id, pace, 0, "") {
 			return
 		}
 		p.after(p.file.View.Std(), func() { p.tellPace(g, id, pace) })
@@ -287,7 +287,7 @@
 func (p *simulation) tellPace(from decider, id string, pace float64) {
 	for _, g := range p.deciders {
 		if g != from && !p.variant.Alone {
-			g.takePace(id, pace, p.file.View.Std(), "another")
+			g.receivePace(id, pace, p.file.View.Std(), "another")
 		}
 	}
 }
@@ -395,8 +395,8 @@
 	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
 	// suspects returns the engines of a plan that are to be asked how fast they are.
 	suspects(d core.Plan) []string
-	// takePace takes an engine's word on that, and reports whether others are to be told.
-	takePace(id string, pace float64, age time.Duration, box string) (tell bool)
+	// receivePace takes an engine's word on that, and reports whether others are to be told.
+	receivePace(id string, pace float64, age time.Duration, box string) (tell bool)
 	stillSlow(id string) bool
 }
 
@@ -462,7 +462,7 @@
 	return ids
 }
 
-func (g *gateway) takePace(id string, pace float64, age time.Duration, box string) (tell bool) {
+func (g *gateway) receivePace(id string, pace float64, age time.Duration, box string) (tell bool) {
 	was := g.stillSlow(id)
 	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
 	return was || g.stillSlow(id)
