--- a/experiment/play.go
+++ b/experiment/play.go
@@ -50,19 +50,19 @@
 
 // simulation is one run of one variant.
 type simulation struct {
-	file     File
-	variant  Variant
-	random   *rand.Rand // draws the load, which is the same for all variants
-	chance   *rand.Rand // draws what depends on decisions
-	now      time.Duration
-	seq      int
-	events   events
-	spreads  int // words of load so far
-	clock    *clockwork.FakeClock
-	engines  map[string]*simulatedEngine
-	deciders []decider
-	open     map[*job]bool
-	results  []Result
+	file           File
+	variant        Variant
+	random         *rand.Rand // draws the load, which is the same for all variants
+	decisionRandom *rand.Rand // draws what depends on decisions
+	now            time.Duration
+	seq            int
+	events         events
+	spreads        int // words of load so far
+	clock          *clockwork.FakeClock
+	engines        map[string]*simulatedEngine
+	deciders       []decider
+	open           map[*job]bool
+	results        []Result
 }
 
 // Result is one request that has ended.
@@ -87,13 +87,13 @@
 // Simulate plays one variant. The same file gives the same result.
 func Simulate(f File, v Variant) []Result {
 	p := &simulation{
-		file:    f,
-		variant: v,
-		random:  rand.New(rand.NewPCG(f.Seed, f.Seed)),
-		chance:  rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
-		clock:   clockwork.NewFakeClock(),
-		engines: map[string]*simulatedEngine{},
-		open:    map[*job]bool{},
+		file:           f,
+		variant:        v,
+		random:         rand.New(rand.NewPCG(f.Seed, f.Seed)),
+		decisionRandom: rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
+		clock:          clockwork.NewFakeClock(),
+		engines:        map[string]*simulatedEngine{},
+		open:           map[*job]bool{},
 	}
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
@@ -228,7 +228,7 @@
 }
 
 func (p *simulation) place(j *job) {
-	j.decider = p.chance.IntN(len(p.deciders))
+	j.decider = p.decisionRandom.IntN(len(p.deciders))
 	g := p.deciders[j.decider]
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
