--- a/experiment/play.go
+++ b/experiment/play.go
@@ -52,7 +52,7 @@
 type simulation struct {
 	file           File
 	variant        Variant
-	random         *rand.Rand // draws the load, which is the same for all variants
+	loadRandom     *rand.Rand // draws the load, which is the same for all variants
 	decisionRandom *rand.Rand // draws what depends on decisions
 	now            time.Duration
 	seq            int
@@ -89,7 +89,7 @@
 	p := &simulation{
 		file:           f,
 		variant:        v,
-		random:         rand.New(rand.NewPCG(f.Seed, f.Seed)),
+		loadRandom:     rand.New(rand.NewPCG(f.Seed, f.Seed)),
 		decisionRandom: rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
 		clock:          clockwork.NewFakeClock(),
 		engines:        map[string]*simulatedEngine{},
@@ -147,7 +147,7 @@
 		p.after(time.Second, func() { p.arrive(k) })
 		return
 	}
-	gap := time.Duration(p.random.ExpFloat64() / rate * float64(time.Second))
+	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
 	// Rates change with bursts, so a long gap is drawn anew.
 	if gap > time.Second {
 		p.after(time.Second, func() { p.arrive(k) })
@@ -165,7 +165,7 @@
 // size draws a size with the given mean and spread.
 func (p *simulation) size(mean, spread, most float64) int {
 	s2 := math.Log(1 + spread*spread)
-	n := mean * math.Exp(math.Sqrt(s2)*p.random.NormFloat64()-s2/2)
+	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
 	if most > 0 {
 		n = min(n, most)
 	}
@@ -178,7 +178,7 @@
 // prompt draws the length of a prompt.
 func (p *simulation) prompt(k *Kind) int {
 	mean := k.Prompt
-	if k.Tail > 0 && p.random.Float64() < k.Tail {
+	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
 		mean *= max(k.TailX, 1)
 	}
 	return p.size(mean, k.Spread, k.PromptMax)
