--- a/experiment/play.go
+++ b/experiment/play.go
@@ -110,7 +110,7 @@
 		p.slowDown(s, ids)
 	}
 	if f.View > 0 && !v.Alone {
-		p.after(f.View.Std(), p.spread)
+		p.after(f.View.Std(), p.sendUpdates)
 	}
 	p.run()
 	for j := range p.open {
@@ -365,9 +365,9 @@
 // what it said does not expire.
 const wholeEvery = 20
 
-// spread lets gateways hear of each other's load: of what changed, and now and
+// sendUpdates lets gateways hear of each other's load: of what changed, and now and
 // then of all.
-func (p *simulation) spread() {
+func (p *simulation) sendUpdates() {
 	whole := p.spreads%wholeEvery == 0
 	p.spreads++
 	for i, a := range p.deciders {
@@ -382,7 +382,7 @@
 		}
 	}
 	if p.now < p.file.Duration.Std()+drainTime {
-		p.after(p.file.View.Std(), p.spread)
+		p.after(p.file.View.Std(), p.sendUpdates)
 	}
 }
 
