--- a/experiment/play.go
+++ b/experiment/play.go
@@ -57,7 +57,7 @@
 	now            time.Duration
 	seq            int
 	events         events
-	spreads        int // words of load so far
+	updates        int // words of load so far
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
 	deciders       []decider
@@ -368,8 +368,8 @@
 // sendUpdates lets gateways hear of each other's load: of what changed, and now and
 // then of all.
 func (p *simulation) sendUpdates() {
-	whole := p.spreads%wholeEvery == 0
-	p.spreads++
+	whole := p.updates%wholeEvery == 0
+	p.updates++
 	for i, a := range p.deciders {
 		cs := a.changes(whole)
 		if len(cs) == 0 && !whole {
