--- a/experiment/play.go
+++ b/experiment/play.go
@@ -361,14 +361,14 @@
 	p.after((s.At + s.For).Std(), set(1))
 }
 
-// wholeEvery is how many words of a gateway tell all that it has given, so that
+// completeUpdateEvery is how many words of a gateway tell all that it has given, so that
 // what it said does not expire.
-const wholeEvery = 20
+const completeUpdateEvery = 20
 
 // sendUpdates lets gateways hear of each other's load: of what changed, and now and
 // then of all.
 func (p *simulation) sendUpdates() {
-	whole := p.updates%wholeEvery == 0
+	whole := p.updates%completeUpdateEvery == 0
 	p.updates++
 	for i, a := range p.deciders {
 		cs := a.changes(whole)
