--- a/experiment/play.go
+++ b/experiment/play.go
@@ -204,9 +204,9 @@
 // the most before it comes back.
 const heedShare = 1.0 / 3
 
-// comeBack lets the caller of a refused request come back as it was told, if it
+// retry lets the caller of a refused request come back as it was told, if it
 // still means to.
-func (p *simulation) comeBack(j *job, after time.Duration) {
+func (p *simulation) retry(j *job, after time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
 		p.results = append(p.results, j.refused())
@@ -233,7 +233,7 @@
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
-		p.comeBack(j, d.RetryAfter)
+		p.retry(j, d.RetryAfter)
 		return
 	}
 	p.open[j] = true
@@ -314,7 +314,7 @@
 func (p *simulation) turnAway(j *job, d core.Plan) {
 	delete(p.open, j)
 	p.deciders[j.decider].done(d)
-	p.comeBack(j, time.Second)
+	p.retry(j, time.Second)
 }
 
 // free gives back what a call that has ended held.
