--- a/experiment/play.go
+++ b/experiment/play.go
@@ -200,9 +200,9 @@
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
-// heedShare is the part of the time that a caller has left for which it waits at
+// maxRetryDelayShare is the part of the time that a caller has left for which it waits at
 // the most before it comes back.
-const heedShare = 1.0 / 3
+const maxRetryDelayShare = 1.0 / 3
 
 // retry lets the caller of a refused request come back as it was told, if it
 // still means to.
@@ -212,7 +212,7 @@
 		p.results = append(p.results, j.refused())
 		return
 	}
-	p.after(min(after, time.Duration(heedShare*float64(left))), func() { p.place(j) })
+	p.after(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
 // refusedAgain is the part of its worth that a request costs whose caller came back for nothing.
