--- a/experiment/play.go
+++ b/experiment/play.go
@@ -215,14 +215,14 @@
 	p.after(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
-// refusedAgain is the part of its worth that a request costs whose caller came back for nothing.
-const refusedAgain = 0.3
+// refusedRetryPenalty is the part of its worth that a request costs whose caller came back for nothing.
+const refusedRetryPenalty = 0.3
 
 // refused returns what a request came to that was refused for good.
 func (j *job) refused() Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
 	if j.tries > 1 {
-		r.Earned = -refusedAgain * r.Owed
+		r.Earned = -refusedRetryPenalty * r.Owed
 	}
 	return r
 }
