--- a/experiment/play.go
+++ b/experiment/play.go
@@ -298,7 +298,7 @@
 	j.kept, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
 		if !p.engines[k].fits(d.Kept) {
-			p.turnAway(j, d)
+			p.rejectAttempt(j, d)
 			return
 		}
 	}
@@ -310,8 +310,8 @@
 	home.arrive(j, func() { p.read(j, d, home) })
 }
 
-// turnAway ends an attempt of which nothing has run.
-func (p *simulation) turnAway(j *job, d core.Plan) {
+// rejectAttempt ends an attempt of which nothing has run.
+func (p *simulation) rejectAttempt(j *job, d core.Plan) {
 	delete(p.open, j)
 	p.deciders[j.decider].done(d)
 	p.retry(j, time.Second)
