--- a/experiment/play.go
+++ b/experiment/play.go
@@ -274,7 +274,7 @@
 		if !g.receivePace(id, pace, 0, "") {
 			return
 		}
-		p.after(p.file.View.Std(), func() { p.tellPace(g, id, pace) })
+		p.after(p.file.View.Std(), func() { p.sendPace(g, id, pace) })
 		p.after(core.PaceRecheckInterval, func() {
 			if g.stillSlow(id) {
 				p.ask(g, id)
@@ -283,8 +283,8 @@
 	})
 }
 
-// tellPace lets the other gateways hear how fast an engine said that it is.
-func (p *simulation) tellPace(from decider, id string, pace float64) {
+// sendPace lets the other gateways hear how fast an engine said that it is.
+func (p *simulation) sendPace(from decider, id string, pace float64) {
 	for _, g := range p.deciders {
 		if g != from && !p.variant.Alone {
 			g.receivePace(id, pace, p.file.View.Std(), "another")
