--- a/experiment/play.go
+++ b/experiment/play.go
@@ -262,13 +262,13 @@
 		return
 	}
 	for _, id := range g.suspects(d) {
-		p.ask(g, id)
+		p.requestPace(g, id)
 	}
 }
 
-// ask lets a gateway ask an engine how fast it is, tell the others, and ask again while it is
+// requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
 // slow.
-func (p *simulation) ask(g decider, id string) {
+func (p *simulation) requestPace(g decider, id string) {
 	p.after(askTime, func() {
 		pace := p.engines[id].slow
 		if !g.receivePace(id, pace, 0, "") {
@@ -277,7 +277,7 @@
 		p.after(p.file.View.Std(), func() { p.sendPace(g, id, pace) })
 		p.after(core.PaceRecheckInterval, func() {
 			if g.stillSlow(id) {
-				p.ask(g, id)
+				p.requestPace(g, id)
 			}
 		})
 	})
@@ -413,7 +413,7 @@
 	g := &gateway{fleet: f, service: core.Service{Name: service, Engine: p.file.Engines.figures()}}
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) {
 		for _, u := range us {
-			p.ask(g, u.ID)
+			p.requestPace(g, u.ID)
 		}
 	})
 	return g
