--- a/experiment/play.go
+++ b/experiment/play.go
@@ -247,7 +247,7 @@
 	p.after(d.Hold, func() { p.send(j, d) })
 	p.after(d.Hold+core.Overdue(d.PredictedFirst), func() {
 		if p.open[j] && j.first == 0 {
-			p.suspect(g, d)
+			p.requestOverduePaces(g, d)
 		}
 	})
 }
@@ -255,9 +255,9 @@
 // askTime is how long an engine takes to say how fast it is.
 const askTime = 5 * time.Millisecond
 
-// suspect lets a gateway ask the engines of a call whose first event is overdue how fast they
+// requestOverduePaces lets a gateway ask the engines of a call whose first event is overdue how fast they
 // are.
-func (p *simulation) suspect(g decider, d core.Plan) {
+func (p *simulation) requestOverduePaces(g decider, d core.Plan) {
 	if p.variant.Unasked {
 		return
 	}
