--- a/experiment/play.go
+++ b/experiment/play.go
@@ -252,8 +252,8 @@
 	})
 }
 
-// askTime is how long an engine takes to say how fast it is.
-const askTime = 5 * time.Millisecond
+// paceRequestTime is how long an engine takes to say how fast it is.
+const paceRequestTime = 5 * time.Millisecond
 
 // requestOverduePaces lets a gateway ask the engines of a call whose first event is overdue how fast they
 // are.
@@ -269,7 +269,7 @@
 // requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
 // slow.
 func (p *simulation) requestPace(g decider, id string) {
-	p.after(askTime, func() {
+	p.after(paceRequestTime, func() {
 		pace := p.engines[id].slow
 		if !g.receivePace(id, pace, 0, "") {
 			return
