--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -110,9 +110,9 @@
 	rest := p.join(reading)
 	writing := p.writing
 	if len(rest) > 0 {
-		p.sim.after(p.time(reading), func() { p.haveRead(rest) })
+		p.sim.schedule(p.time(reading), func() { p.haveRead(rest) })
 	}
-	p.sim.after(p.pass(reading, writing), func() { p.end(writing) })
+	p.sim.schedule(p.pass(reading, writing), func() { p.end(writing) })
 }
 
 // join lets those write in the pass that begins whose prompts are read by it alone,
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -78,8 +78,8 @@
 	Earned  float64       `json:"earned"`
 }
 
-// after lets something happen later.
-func (p *simulation) after(d time.Duration, do func()) {
+// schedule lets something happen later.
+func (p *simulation) schedule(d time.Duration, do func()) {
 	p.seq++
 	heap.Push(&p.events, event{p.now + d, p.seq, do})
 }
@@ -110,7 +110,7 @@
 		p.slowDown(s, ids)
 	}
 	if f.View > 0 && !v.Alone {
-		p.after(f.View.Std(), p.sendUpdates)
+		p.schedule(f.View.Std(), p.sendUpdates)
 	}
 	p.run()
 	for j := range p.open {
@@ -144,16 +144,16 @@
 		}
 	}
 	if rate <= 0 {
-		p.after(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.arrive(k) })
 		return
 	}
 	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
 	// Rates change with bursts, so a long gap is drawn anew.
 	if gap > time.Second {
-		p.after(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.arrive(k) })
 		return
 	}
-	p.after(gap, func() {
+	p.schedule(gap, func() {
 		if p.now > p.file.Duration.Std() {
 			return
 		}
@@ -212,7 +212,7 @@
 		p.results = append(p.results, j.refused())
 		return
 	}
-	p.after(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
+	p.schedule(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
 // refusedRetryPenalty is the part of its worth that a request costs whose caller came back for nothing.
@@ -244,8 +244,8 @@
 		p.free(j, d)
 		p.results = append(p.results, j.result(now))
 	}
-	p.after(d.Hold, func() { p.send(j, d) })
-	p.after(d.Hold+core.Overdue(d.PredictedFirst), func() {
+	p.schedule(d.Hold, func() { p.send(j, d) })
+	p.schedule(d.Hold+core.Overdue(d.PredictedFirst), func() {
 		if p.open[j] && j.first == 0 {
 			p.requestOverduePaces(g, d)
 		}
@@ -269,13 +269,13 @@
 // requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
 // slow.
 func (p *simulation) requestPace(g decider, id string) {
-	p.after(paceRequestTime, func() {
+	p.schedule(paceRequestTime, func() {
 		pace := p.engines[id].slow
 		if !g.receivePace(id, pace, 0, "") {
 			return
 		}
-		p.after(p.file.View.Std(), func() { p.sendPace(g, id, pace) })
-		p.after(core.PaceRecheckInterval, func() {
+		p.schedule(p.file.View.Std(), func() { p.sendPace(g, id, pace) })
+		p.schedule(core.PaceRecheckInterval, func() {
 			if g.stillSlow(id) {
 				p.requestPace(g, id)
 			}
@@ -357,8 +357,8 @@
 			}
 		}
 	}
-	p.after(s.At.Std(), set(s.X))
-	p.after((s.At + s.For).Std(), set(1))
+	p.schedule(s.At.Std(), set(s.X))
+	p.schedule((s.At + s.For).Std(), set(1))
 }
 
 // completeUpdateEvery is how many words of a gateway tell all that it has given, so that
@@ -382,7 +382,7 @@
 		}
 	}
 	if p.now < p.file.Duration.Std()+drainTime {
-		p.after(p.file.View.Std(), p.sendUpdates)
+		p.schedule(p.file.View.Std(), p.sendUpdates)
 	}
 }
 
