--- a/experiment/play.go
+++ b/experiment/play.go
@@ -104,7 +104,7 @@
 		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
 	}
 	for i := range f.Kinds {
-		p.arrive(&f.Kinds[i])
+		p.scheduleArrivals(&f.Kinds[i])
 	}
 	for _, s := range f.Slow {
 		p.slowDown(s, ids)
@@ -135,8 +135,8 @@
 	}
 }
 
-// arrive lets the requests of a kind arrive, one after the other.
-func (p *simulation) arrive(k *Kind) {
+// scheduleArrivals lets the requests of a kind scheduleArrivals, one after the other.
+func (p *simulation) scheduleArrivals(k *Kind) {
 	rate := k.Rate
 	for _, b := range p.file.Bursts {
 		if b.Kind == k.Name && p.now >= b.At.Std() && p.now < (b.At+b.For).Std() {
@@ -144,13 +144,13 @@
 		}
 	}
 	if rate <= 0 {
-		p.schedule(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
 	}
 	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
 	// Rates change with bursts, so a long gap is drawn anew.
 	if gap > time.Second {
-		p.schedule(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
 	}
 	p.schedule(gap, func() {
@@ -158,7 +158,7 @@
 			return
 		}
 		p.request(k)
-		p.arrive(k)
+		p.scheduleArrivals(k)
 	})
 }
 
