--- a/experiment/play.go
+++ b/experiment/play.go
@@ -307,7 +307,7 @@
 		j.keepers = append(j.keepers, p.engines[k])
 	}
 	home := p.engines[d.Upstream]
-	home.arrive(j, func() { p.read(j, d, home) })
+	home.arrive(j, func() { p.prefill(j, d, home) })
 }
 
 // rejectAttempt ends an attempt of which nothing has run.
@@ -325,8 +325,8 @@
 	}
 }
 
-// read lets the engines of a plan read a prompt.
-func (p *simulation) read(j *job, d core.Plan, home *simulatedEngine) {
+// prefill lets the engines of a plan prefill a prompt.
+func (p *simulation) prefill(j *job, d core.Plan, home *simulatedEngine) {
 	j.parts = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
 	work := home.figures.PrefillTime(j.prompt, j.parts)
