--- a/experiment/play.go
+++ b/experiment/play.go
@@ -241,7 +241,7 @@
 	j.done = func(now time.Duration) {
 		delete(p.open, j)
 		g.done(d)
-		p.free(j, d)
+		p.releaseMemory(j, d)
 		p.results = append(p.results, j.result(now))
 	}
 	p.schedule(d.Hold, func() { p.send(j, d) })
@@ -317,8 +317,8 @@
 	p.retry(j, time.Second)
 }
 
-// free gives back what a call that has ended held.
-func (p *simulation) free(j *job, d core.Plan) {
+// releaseMemory gives back what a call that has ended held.
+func (p *simulation) releaseMemory(j *job, d core.Plan) {
 	p.engines[d.Upstream].free(j.own())
 	for _, k := range j.keepers {
 		k.free(j.kept)
