--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -75,8 +75,8 @@
 	return p.used == 0 || p.figures.Capacity <= 0 || p.used+tokens <= p.figures.Capacity
 }
 
-// free gives memory back.
-func (p *simulatedEngine) free(tokens int) {
+// releaseMemory gives memory back.
+func (p *simulatedEngine) releaseMemory(tokens int) {
 	p.used -= tokens
 	p.admit()
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -319,9 +319,9 @@
 
 // releaseMemory gives back what a call that has ended held.
 func (p *simulation) releaseMemory(j *job, d core.Plan) {
-	p.engines[d.Upstream].free(j.own())
+	p.engines[d.Upstream].releaseMemory(j.own())
 	for _, k := range j.keepers {
-		k.free(j.kept)
+		k.releaseMemory(j.kept)
 	}
 }
 
