--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -62,7 +62,7 @@
 
 // admit lets those in that wait, as far as memory goes.
 func (p *simulatedEngine) admit() {
-	for len(p.waiting) > 0 && p.fits(p.waiting[0].job.own()) {
+	for len(p.waiting) > 0 && p.hasMemory(p.waiting[0].job.own()) {
 		a := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		p.used += a.job.own()
@@ -70,8 +70,8 @@
 	}
 }
 
-// fits reports whether the engine has memory for some more tokens.
-func (p *simulatedEngine) fits(tokens int) bool {
+// hasMemory reports whether the engine has memory for some more tokens.
+func (p *simulatedEngine) hasMemory(tokens int) bool {
 	return p.used == 0 || p.figures.Capacity <= 0 || p.used+tokens <= p.figures.Capacity
 }
 
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -297,7 +297,7 @@
 func (p *simulation) send(j *job, d core.Plan) {
 	j.kept, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
-		if !p.engines[k].fits(d.Kept) {
+		if !p.engines[k].hasMemory(d.Kept) {
 			p.rejectAttempt(j, d)
 			return
 		}
