--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -110,7 +110,7 @@
 	rest := p.join(reading)
 	writing := p.writing
 	if len(rest) > 0 {
-		p.sim.schedule(p.time(reading), func() { p.haveRead(rest) })
+		p.sim.schedule(p.time(reading), func() { p.finishPrefill(rest) })
 	}
 	p.sim.schedule(p.pass(reading, writing), func() { p.end(writing) })
 }
@@ -129,9 +129,9 @@
 	return rest
 }
 
-// haveRead notes that parts are read. Who has none left writes from the next pass
+// finishPrefill notes that parts are read. Who has none left writes from the next pass
 // of its engine on.
-func (p *simulatedEngine) haveRead(parts []part) {
+func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
 		if x.job.parts--; x.job.parts == 0 {
 			x.home.queue = append(x.home.queue, x.job)
