--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -107,7 +107,7 @@
 	p.busy = true
 	reading := p.reading
 	p.reading = nil
-	rest := p.join(reading)
+	rest := p.startDecoding(reading)
 	writing := p.writing
 	if len(rest) > 0 {
 		p.sim.schedule(p.time(reading), func() { p.finishPrefill(rest) })
@@ -115,9 +115,9 @@
 	p.sim.schedule(p.pass(reading, writing), func() { p.end(writing) })
 }
 
-// join lets those write in the pass that begins whose prompts are read by it alone,
+// startDecoding lets those write in the pass that begins whose prompts are read by it alone,
 // as far as there are slots, and returns the other parts.
-func (p *simulatedEngine) join(reading []part) (rest []part) {
+func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
 	for _, x := range reading {
 		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.writing) >= p.figures.Slots {
 			rest = append(rest, x)
