--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -89,11 +89,11 @@
 // read gives a part of a prompt to the engine.
 func (p *simulatedEngine) read(x part) {
 	p.reading = append(p.reading, x)
-	p.wake()
+	p.startPass()
 }
 
-// wake begins a pass if none is under way.
-func (p *simulatedEngine) wake() {
+// startPass begins a pass if none is under way.
+func (p *simulatedEngine) startPass() {
 	if p.busy {
 		return
 	}
@@ -135,7 +135,7 @@
 	for _, x := range parts {
 		if x.job.parts--; x.job.parts == 0 {
 			x.home.queue = append(x.home.queue, x.job)
-			x.home.wake()
+			x.home.startPass()
 		}
 	}
 }
@@ -176,7 +176,7 @@
 		}
 	}
 	p.busy = false
-	p.wake()
+	p.startPass()
 }
 
 // event notes an event of a request.
