--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -112,7 +112,7 @@
 	if len(rest) > 0 {
 		p.sim.schedule(p.time(reading), func() { p.finishPrefill(rest) })
 	}
-	p.sim.schedule(p.pass(reading, writing), func() { p.end(writing) })
+	p.sim.schedule(p.pass(reading, writing), func() { p.endPass(writing) })
 }
 
 // startDecoding lets those write in the pass that begins whose prompts are read by it alone,
@@ -163,9 +163,9 @@
 	return p.time(reading) + time.Duration(p.slow*float64(d))
 }
 
-// end ends a pass: each request that writes has an event more. The engine counts
+// endPass ends a pass: each request that writes has an event more. The engine counts
 // as busy until its own lists are in order again.
-func (p *simulatedEngine) end(writing []*job) {
+func (p *simulatedEngine) endPass(writing []*job) {
 	now := p.sim.now
 	p.writing = nil
 	for _, j := range writing {
