--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -169,7 +169,7 @@
 	now := p.sim.now
 	p.writing = nil
 	for _, j := range writing {
-		if p.event(j, now); j.written < j.answer {
+		if p.recordEvent(j, now); j.written < j.answer {
 			p.writing = append(p.writing, j)
 		} else {
 			j.done(now)
@@ -179,8 +179,8 @@
 	p.startPass()
 }
 
-// event notes an event of a request.
-func (p *simulatedEngine) event(j *job, now time.Duration) {
+// recordEvent notes an recordEvent of a request.
+func (p *simulatedEngine) recordEvent(j *job, now time.Duration) {
 	j.written += p.figures.Stride
 	if j.first == 0 {
 		j.first = now
