--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -110,7 +110,7 @@
 	rest := p.startDecoding(reading)
 	writing := p.writing
 	if len(rest) > 0 {
-		p.sim.schedule(p.time(reading), func() { p.finishPrefill(rest) })
+		p.sim.schedule(p.prefillTime(reading), func() { p.finishPrefill(rest) })
 	}
 	p.sim.schedule(p.pass(reading, writing), func() { p.endPass(writing) })
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// time returns how long the reading of parts takes.
-func (p *simulatedEngine) time(reading []part) (d time.Duration) {
+// prefillTime returns how long the reading of parts takes.
+func (p *simulatedEngine) prefillTime(reading []part) (d time.Duration) {
 	for _, x := range reading {
 		d += x.work
 	}
@@ -160,7 +160,7 @@
 		}
 		d += p.figures.PassTime(s)
 	}
-	return p.time(reading) + time.Duration(p.slow*float64(d))
+	return p.prefillTime(reading) + time.Duration(p.slow*float64(d))
 }
 
 // endPass ends a pass: each request that writes has an event more. The engine counts
