--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -112,7 +112,7 @@
 	if len(rest) > 0 {
 		p.sim.schedule(p.prefillTime(reading), func() { p.finishPrefill(rest) })
 	}
-	p.sim.schedule(p.pass(reading, writing), func() { p.endPass(writing) })
+	p.sim.schedule(p.passTime(reading, writing), func() { p.endPass(writing) })
 }
 
 // startDecoding lets those write in the pass that begins whose prompts are read by it alone,
@@ -148,8 +148,8 @@
 	return time.Duration(p.slow * float64(d))
 }
 
-// pass returns how long a pass takes.
-func (p *simulatedEngine) pass(reading []part, writing []*job) (d time.Duration) {
+// passTime returns how long a passTime takes.
+func (p *simulatedEngine) passTime(reading []part, writing []*job) (d time.Duration) {
 	if len(writing) > 0 {
 		s := engine.State{Decoding: len(writing)}
 		for _, j := range writing {
