--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -86,8 +86,8 @@
 	return j.prompt - j.kept*len(j.keepers) + j.answer
 }
 
-// read gives a part of a prompt to the engine.
-func (p *simulatedEngine) read(x part) {
+// addPrefill gives a part of a prompt to the engine.
+func (p *simulatedEngine) addPrefill(x part) {
 	p.reading = append(p.reading, x)
 	p.startPass()
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -330,9 +330,9 @@
 	j.parts = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
 	work := home.figures.PrefillTime(j.prompt, j.parts)
-	home.read(part{j, work, home})
+	home.addPrefill(part{j, work, home})
 	for _, h := range d.Helpers {
-		p.engines[h].read(part{j, work, home})
+		p.engines[h].addPrefill(part{j, work, home})
 	}
 }
 
