--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -53,9 +53,9 @@
 	read func()
 }
 
-// arrive lets a call in once its memory is free. Its prompt is read from then on, by
+// enqueue lets a call in once its memory is free. Its prompt is read from then on, by
 // helpers as well.
-func (p *simulatedEngine) arrive(j *job, read func()) {
+func (p *simulatedEngine) enqueue(j *job, read func()) {
 	p.waiting = append(p.waiting, arrival{j, read})
 	p.admit()
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -307,7 +307,7 @@
 		j.keepers = append(j.keepers, p.engines[k])
 	}
 	home := p.engines[d.Upstream]
-	home.arrive(j, func() { p.prefill(j, d, home) })
+	home.enqueue(j, func() { p.prefill(j, d, home) })
 }
 
 // rejectAttempt ends an attempt of which nothing has run.
