--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -35,16 +35,16 @@
 
 // simulatedEngine is one engine: it plays passes, each over all that waits.
 type simulatedEngine struct {
-	id      string
-	figures *engine.Figures
-	sim     *simulation
-	reading []part
-	writing []*job
-	queue   []*job    // read, waiting for a slot
-	waiting []arrival // that wait for memory
-	used    int       // tokens of memory that calls hold
-	busy    bool
-	slow    float64
+	id       string
+	figures  *engine.Figures
+	sim      *simulation
+	prefills []part
+	writing  []*job
+	queue    []*job    // read, waiting for a slot
+	waiting  []arrival // that wait for memory
+	used     int       // tokens of memory that calls hold
+	busy     bool
+	slow     float64
 }
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
@@ -88,7 +88,7 @@
 
 // addPrefill gives a part of a prompt to the engine.
 func (p *simulatedEngine) addPrefill(x part) {
-	p.reading = append(p.reading, x)
+	p.prefills = append(p.prefills, x)
 	p.startPass()
 }
 
@@ -101,12 +101,12 @@
 		p.writing = append(p.writing, p.queue[0])
 		p.queue = p.queue[1:]
 	}
-	if len(p.reading) == 0 && len(p.writing) == 0 {
+	if len(p.prefills) == 0 && len(p.writing) == 0 {
 		return
 	}
 	p.busy = true
-	reading := p.reading
-	p.reading = nil
+	reading := p.prefills
+	p.prefills = nil
 	rest := p.startDecoding(reading)
 	writing := p.writing
 	if len(rest) > 0 {
