--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -39,7 +39,7 @@
 	figures  *engine.Figures
 	sim      *simulation
 	prefills []part
-	writing  []*job
+	decoding []*job
 	queue    []*job    // read, waiting for a slot
 	waiting  []arrival // that wait for memory
 	used     int       // tokens of memory that calls hold
@@ -97,18 +97,18 @@
 	if p.busy {
 		return
 	}
-	for len(p.queue) > 0 && len(p.writing) < p.figures.Slots {
-		p.writing = append(p.writing, p.queue[0])
+	for len(p.queue) > 0 && len(p.decoding) < p.figures.Slots {
+		p.decoding = append(p.decoding, p.queue[0])
 		p.queue = p.queue[1:]
 	}
-	if len(p.prefills) == 0 && len(p.writing) == 0 {
+	if len(p.prefills) == 0 && len(p.decoding) == 0 {
 		return
 	}
 	p.busy = true
 	reading := p.prefills
 	p.prefills = nil
 	rest := p.startDecoding(reading)
-	writing := p.writing
+	writing := p.decoding
 	if len(rest) > 0 {
 		p.sim.schedule(p.prefillTime(reading), func() { p.finishPrefill(rest) })
 	}
@@ -119,12 +119,12 @@
 // as far as there are slots, and returns the other parts.
 func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
 	for _, x := range reading {
-		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.writing) >= p.figures.Slots {
+		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
 		}
 		x.job.parts = 0
-		p.writing = append(p.writing, x.job)
+		p.decoding = append(p.decoding, x.job)
 	}
 	return rest
 }
@@ -167,10 +167,10 @@
 // as busy until its own lists are in order again.
 func (p *simulatedEngine) endPass(writing []*job) {
 	now := p.sim.now
-	p.writing = nil
+	p.decoding = nil
 	for _, j := range writing {
 		if p.recordEvent(j, now); j.written < j.answer {
-			p.writing = append(p.writing, j)
+			p.decoding = append(p.decoding, j)
 		} else {
 			j.done(now)
 		}
