--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -35,16 +35,16 @@
 
 // simulatedEngine is one engine: it plays passes, each over all that waits.
 type simulatedEngine struct {
-	id       string
-	figures  *engine.Figures
-	sim      *simulation
-	prefills []part
-	decoding []*job
-	queue    []*job    // read, waiting for a slot
-	waiting  []arrival // that wait for memory
-	used     int       // tokens of memory that calls hold
-	busy     bool
-	slow     float64
+	id        string
+	figures   *engine.Figures
+	sim       *simulation
+	prefills  []part
+	decoding  []*job
+	slotQueue []*job    // read, waiting for a slot
+	waiting   []arrival // that wait for memory
+	used      int       // tokens of memory that calls hold
+	busy      bool
+	slow      float64
 }
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
@@ -97,9 +97,9 @@
 	if p.busy {
 		return
 	}
-	for len(p.queue) > 0 && len(p.decoding) < p.figures.Slots {
-		p.decoding = append(p.decoding, p.queue[0])
-		p.queue = p.queue[1:]
+	for len(p.slotQueue) > 0 && len(p.decoding) < p.figures.Slots {
+		p.decoding = append(p.decoding, p.slotQueue[0])
+		p.slotQueue = p.slotQueue[1:]
 	}
 	if len(p.prefills) == 0 && len(p.decoding) == 0 {
 		return
@@ -119,7 +119,7 @@
 // as far as there are slots, and returns the other parts.
 func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
 	for _, x := range reading {
-		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.decoding) >= p.figures.Slots {
+		if x.home != p || x.job.parts > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
 		}
@@ -134,7 +134,7 @@
 func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
 		if x.job.parts--; x.job.parts == 0 {
-			x.home.queue = append(x.home.queue, x.job)
+			x.home.slotQueue = append(x.home.slotQueue, x.job)
 			x.home.startPass()
 		}
 	}
