--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -35,16 +35,16 @@
 
 // simulatedEngine is one engine: it plays passes, each over all that waits.
 type simulatedEngine struct {
-	id        string
-	figures   *engine.Figures
-	sim       *simulation
-	prefills  []part
-	decoding  []*job
-	slotQueue []*job    // read, waiting for a slot
-	waiting   []arrival // that wait for memory
-	used      int       // tokens of memory that calls hold
-	busy      bool
-	slow      float64
+	id          string
+	figures     *engine.Figures
+	sim         *simulation
+	prefills    []part
+	decoding    []*job
+	slotQueue   []*job    // read, waiting for a slot
+	memoryQueue []arrival // that wait for memory
+	used        int       // tokens of memory that calls hold
+	busy        bool
+	slow        float64
 }
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
@@ -56,15 +56,15 @@
 // enqueue lets a call in once its memory is free. Its prompt is read from then on, by
 // helpers as well.
 func (p *simulatedEngine) enqueue(j *job, read func()) {
-	p.waiting = append(p.waiting, arrival{j, read})
+	p.memoryQueue = append(p.memoryQueue, arrival{j, read})
 	p.admit()
 }
 
 // admit lets those in that wait, as far as memory goes.
 func (p *simulatedEngine) admit() {
-	for len(p.waiting) > 0 && p.hasMemory(p.waiting[0].job.own()) {
-		a := p.waiting[0]
-		p.waiting = p.waiting[1:]
+	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.own()) {
+		a := p.memoryQueue[0]
+		p.memoryQueue = p.memoryQueue[1:]
 		p.used += a.job.own()
 		a.read()
 	}
