--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -42,7 +42,7 @@
 	decoding    []*job
 	slotQueue   []*job    // read, waiting for a slot
 	memoryQueue []arrival // that wait for memory
-	used        int       // tokens of memory that calls hold
+	usedTokens  int       // tokens of memory that calls hold
 	busy        bool
 	slow        float64
 }
@@ -65,19 +65,19 @@
 	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.own()) {
 		a := p.memoryQueue[0]
 		p.memoryQueue = p.memoryQueue[1:]
-		p.used += a.job.own()
+		p.usedTokens += a.job.own()
 		a.read()
 	}
 }
 
 // hasMemory reports whether the engine has memory for some more tokens.
 func (p *simulatedEngine) hasMemory(tokens int) bool {
-	return p.used == 0 || p.figures.Capacity <= 0 || p.used+tokens <= p.figures.Capacity
+	return p.usedTokens == 0 || p.figures.Capacity <= 0 || p.usedTokens+tokens <= p.figures.Capacity
 }
 
 // releaseMemory gives memory back.
 func (p *simulatedEngine) releaseMemory(tokens int) {
-	p.used -= tokens
+	p.usedTokens -= tokens
 	p.admit()
 }
 
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -303,7 +303,7 @@
 		}
 	}
 	for _, k := range d.Keepers {
-		p.engines[k].used += d.Kept
+		p.engines[k].usedTokens += d.Kept
 		j.keepers = append(j.keepers, p.engines[k])
 	}
 	home := p.engines[d.Upstream]
