--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -44,7 +44,7 @@
 	memoryQueue []arrival // that wait for memory
 	usedTokens  int       // tokens of memory that calls hold
 	busy        bool
-	slow        float64
+	pace        float64
 }
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
@@ -145,7 +145,7 @@
 	for _, x := range reading {
 		d += x.work
 	}
-	return time.Duration(p.slow * float64(d))
+	return time.Duration(p.pace * float64(d))
 }
 
 // passTime returns how long a passTime takes.
@@ -160,7 +160,7 @@
 		}
 		d += p.figures.PassTime(s)
 	}
-	return p.prefillTime(reading) + time.Duration(p.slow*float64(d))
+	return p.prefillTime(reading) + time.Duration(p.pace*float64(d))
 }
 
 // endPass ends a pass: each request that writes has an event more. The engine counts
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -98,7 +98,7 @@
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%03d", i)
-		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), sim: p, slow: 1}
+		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), sim: p, pace: 1}
 	}
 	for i := range f.gateways(v) {
 		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
@@ -270,7 +270,7 @@
 // slow.
 func (p *simulation) requestPace(g decider, id string) {
 	p.schedule(paceRequestTime, func() {
-		pace := p.engines[id].slow
+		pace := p.engines[id].pace
 		if !g.receivePace(id, pace, 0, "") {
 			return
 		}
@@ -353,7 +353,7 @@
 	set := func(x float64) func() {
 		return func() {
 			for _, id := range ids[:min(s.Engines, len(ids))] {
-				p.engines[id].slow = x
+				p.engines[id].pace = x
 			}
 		}
 	}
