--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -62,10 +62,10 @@
 
 // admit lets those in that wait, as far as memory goes.
 func (p *simulatedEngine) admit() {
-	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.own()) {
+	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.ownTokens()) {
 		a := p.memoryQueue[0]
 		p.memoryQueue = p.memoryQueue[1:]
-		p.usedTokens += a.job.own()
+		p.usedTokens += a.job.ownTokens()
 		a.read()
 	}
 }
@@ -81,8 +81,8 @@
 	p.admit()
 }
 
-// own returns how many tokens of a call are kept at the engine that answers it.
-func (j *job) own() int {
+// ownTokens returns how many tokens of a call are kept at the engine that answers it.
+func (j *job) ownTokens() int {
 	return j.prompt - j.kept*len(j.keepers) + j.answer
 }
 
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -319,7 +319,7 @@
 
 // releaseMemory gives back what a call that has ended held.
 func (p *simulation) releaseMemory(j *job, d core.Plan) {
-	p.engines[d.Upstream].releaseMemory(j.own())
+	p.engines[d.Upstream].releaseMemory(j.ownTokens())
 	for _, k := range j.keepers {
 		k.releaseMemory(j.kept)
 	}
