--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -8,22 +8,22 @@
 
 // job is one request on its way.
 type job struct {
-	kind    *Kind
-	prompt  int
-	answer  int // tokens
-	arrived time.Duration
-	parts   int // of its prompt that are not read yet
-	split   bool
-	kept    int // tokens of its prompt that other engines keep
-	keepers []*simulatedEngine
-	tries   int // at getting it placed
-	decider int // that placed it last
-	written int
-	first   time.Duration // when its first event came
-	last    time.Duration // when its last event came
-	pause   time.Duration // longest between two events
-	began   func()
-	done    func(now time.Duration)
+	kind      *Kind
+	prompt    int
+	answer    int // tokens
+	arrived   time.Duration
+	partsLeft int // of its prompt that are not read yet
+	split     bool
+	kept      int // tokens of its prompt that other engines keep
+	keepers   []*simulatedEngine
+	tries     int // at getting it placed
+	decider   int // that placed it last
+	written   int
+	first     time.Duration // when its first event came
+	last      time.Duration // when its last event came
+	pause     time.Duration // longest between two events
+	began     func()
+	done      func(now time.Duration)
 }
 
 // part is a piece of a prompt that an engine has to read.
@@ -119,11 +119,11 @@
 // as far as there are slots, and returns the other parts.
 func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
 	for _, x := range reading {
-		if x.home != p || x.job.parts > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
+		if x.home != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
 		}
-		x.job.parts = 0
+		x.job.partsLeft = 0
 		p.decoding = append(p.decoding, x.job)
 	}
 	return rest
@@ -133,7 +133,7 @@
 // of its engine on.
 func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
-		if x.job.parts--; x.job.parts == 0 {
+		if x.job.partsLeft--; x.job.partsLeft == 0 {
 			x.home.slotQueue = append(x.home.slotQueue, x.job)
 			x.home.startPass()
 		}
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -327,9 +327,9 @@
 
 // prefill lets the engines of a plan prefill a prompt.
 func (p *simulation) prefill(j *job, d core.Plan, home *simulatedEngine) {
-	j.parts = 1 + len(d.Helpers)
+	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := home.figures.PrefillTime(j.prompt, j.parts)
+	work := home.figures.PrefillTime(j.prompt, j.partsLeft)
 	home.addPrefill(part{j, work, home})
 	for _, h := range d.Helpers {
 		p.engines[h].addPrefill(part{j, work, home})
