--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -8,22 +8,22 @@
 
 // job is one request on its way.
 type job struct {
-	kind      *Kind
-	prompt    int
-	answer    int // tokens
-	arrived   time.Duration
-	partsLeft int // of its prompt that are not read yet
-	split     bool
-	kept      int // tokens of its prompt that other engines keep
-	keepers   []*simulatedEngine
-	tries     int // at getting it placed
-	decider   int // that placed it last
-	written   int
-	first     time.Duration // when its first event came
-	last      time.Duration // when its last event came
-	pause     time.Duration // longest between two events
-	began     func()
-	done      func(now time.Duration)
+	kind       *Kind
+	prompt     int
+	answer     int // tokens
+	arrived    time.Duration
+	partsLeft  int // of its prompt that are not read yet
+	split      bool
+	keptTokens int // tokens of its prompt that other engines keep
+	keepers    []*simulatedEngine
+	tries      int // at getting it placed
+	decider    int // that placed it last
+	written    int
+	first      time.Duration // when its first event came
+	last       time.Duration // when its last event came
+	pause      time.Duration // longest between two events
+	began      func()
+	done       func(now time.Duration)
 }
 
 // part is a piece of a prompt that an engine has to read.
@@ -83,7 +83,7 @@
 
 // ownTokens returns how many tokens of a call are kept at the engine that answers it.
 func (j *job) ownTokens() int {
-	return j.prompt - j.kept*len(j.keepers) + j.answer
+	return j.prompt - j.keptTokens*len(j.keepers) + j.answer
 }
 
 // addPrefill gives a part of a prompt to the engine.
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -295,7 +295,7 @@
 // send gives a call to its engine, unless memory that it needs at others is not free:
 // its caller comes back then.
 func (p *simulation) send(j *job, d core.Plan) {
-	j.kept, j.keepers = d.Kept, nil
+	j.keptTokens, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
 		if !p.engines[k].hasMemory(d.Kept) {
 			p.rejectAttempt(j, d)
@@ -321,7 +321,7 @@
 func (p *simulation) releaseMemory(j *job, d core.Plan) {
 	p.engines[d.Upstream].releaseMemory(j.ownTokens())
 	for _, k := range j.keepers {
-		k.releaseMemory(j.kept)
+		k.releaseMemory(j.keptTokens)
 	}
 }
 
