--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -28,9 +28,9 @@
 
 // part is a piece of a prompt that an engine has to read.
 type part struct {
-	job  *job
-	work time.Duration
-	home *simulatedEngine // engine that writes the answer
+	job      *job
+	work     time.Duration
+	upstream *simulatedEngine // engine that writes the answer
 }
 
 // simulatedEngine is one engine: it plays passes, each over all that waits.
@@ -119,7 +119,7 @@
 // as far as there are slots, and returns the other parts.
 func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
 	for _, x := range reading {
-		if x.home != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
+		if x.upstream != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
 		}
@@ -134,8 +134,8 @@
 func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
 		if x.job.partsLeft--; x.job.partsLeft == 0 {
-			x.home.slotQueue = append(x.home.slotQueue, x.job)
-			x.home.startPass()
+			x.upstream.slotQueue = append(x.upstream.slotQueue, x.job)
+			x.upstream.startPass()
 		}
 	}
 }
