--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -49,8 +49,8 @@
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
 type arrival struct {
-	job  *job
-	read func()
+	job          *job
+	startPrefill func()
 }
 
 // enqueue lets a call in once its memory is free. Its prompt is read from then on, by
@@ -66,7 +66,7 @@
 		a := p.memoryQueue[0]
 		p.memoryQueue = p.memoryQueue[1:]
 		p.usedTokens += a.job.ownTokens()
-		a.read()
+		a.startPrefill()
 	}
 }
 
