--- a/experiment/file.go
+++ b/experiment/file.go
@@ -101,7 +101,7 @@
 const (
 	Worth         = "worth"          // as gateways do
 	LeastRequests = "least_requests" // fewest open requests of this gateway
-	LeastReading  = "least_reading"  // least reading given by this gateway; 16 helpers for long prompts
+	LeastPrefill  = "least_reading"  // least reading given by this gateway; 16 helpers for long prompts
 	RoundRobin    = "round_robin"
 )
 
@@ -171,9 +171,9 @@
 		return fmt.Errorf("pricing is %q, allowed: %v", v.Pricing, placement.Pricings())
 	}
 	switch v.Decisions {
-	case Worth, LeastRequests, LeastReading, RoundRobin:
+	case Worth, LeastRequests, LeastPrefill, RoundRobin:
 		return nil
 	default:
-		return fmt.Errorf("decisions is %q, allowed: %s, %s, %s, %s", v.Decisions, Worth, LeastRequests, LeastReading, RoundRobin)
+		return fmt.Errorf("decisions is %q, allowed: %s, %s, %s, %s", v.Decisions, Worth, LeastRequests, LeastPrefill, RoundRobin)
 	}
 }
