--- a/experiment/set.go
+++ b/experiment/set.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// Named is a file of a set.
-type Named struct {
+// NamedFile is a file of a set.
+type NamedFile struct {
 	Name string // the file's, without its ending
 	File File
 }
@@ -25,7 +25,7 @@
 const fileEnding = ".toml"
 
 // ReadSet reads and checks a file, or all experiments of a folder.
-func ReadSet(path string) (ns []Named, err error) {
+func ReadSet(path string) (ns []NamedFile, err error) {
 	defer errs.Annotate(&err, "read experiments")
 	paths := []string{path}
 	if i, err := os.Stat(path); err != nil {
@@ -43,7 +43,7 @@
 		if err != nil {
 			return nil, err
 		}
-		ns = append(ns, Named{strings.TrimSuffix(filepath.Base(p), fileEnding), f})
+		ns = append(ns, NamedFile{strings.TrimSuffix(filepath.Base(p), fileEnding), f})
 	}
 	return ns, nil
 }
@@ -64,7 +64,7 @@
 // SimulateSet plays all variants of all files under some seeds, counted from each
 // file's own, as many at a time as there are workers. Progress is told of each run
 // that has ended, and how many there are.
-func SimulateSet(ns []Named, seeds, workers int, progress func(ended, all int)) SetReport {
+func SimulateSet(ns []NamedFile, seeds, workers int, progress func(ended, all int)) SetReport {
 	var r SetReport
 	var todo []func() float64
 	for _, n := range ns {
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -41,7 +41,7 @@
 	f := load(t)
 	f.Duration = config.Duration(2 * time.Second)
 	f.Variants = []Variant{{Name: "a", Decisions: LeastRequests}, {Name: "b", Decisions: RoundRobin}}
-	ns := []Named{{"x", f}, {"y", f}}
+	ns := []NamedFile{{"x", f}, {"y", f}}
 	told := 0
 	r := SimulateSet(ns, 2, 3, func(ended, all int) {
 		told++
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -46,7 +46,7 @@
 }
 
 // playSet plays several files or seeds.
-func (c *experimentCommand) playSet(s *streams, ns []experiment.Named) error {
+func (c *experimentCommand) playSet(s *streams, ns []experiment.NamedFile) error {
 	r := experiment.SimulateSet(ns, max(c.Seeds, 1), c.Workers, func(ended, all int) {
 		fmt.Fprintf(s.err, "\r%d of %d runs", ended, all)
 	})
