--- a/experiment/report.go
+++ b/experiment/report.go
@@ -23,15 +23,15 @@
 
 // Summary is what a variant came to.
 type Summary struct {
-	Name    string      `json:"name"`
-	Worth   float64     `json:"worth"` // earned over owed
-	Kinds   []KindSum   `json:"kinds"`
-	Lengths []LengthSum `json:"lengths"`
-	Times   []float64   `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
+	Name    string        `json:"name"`
+	Worth   float64       `json:"worth"` // earned over owed
+	Kinds   []KindSummary `json:"kinds"`
+	Lengths []LengthSum   `json:"lengths"`
+	Times   []float64     `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
 }
 
-// KindSum is a part of a [Summary].
-type KindSum struct {
+// KindSummary is a part of a [Summary].
+type KindSummary struct {
 	Kind     string  `json:"kind"`
 	Requests int     `json:"requests"`
 	Worth    float64 `json:"worth"`
@@ -77,10 +77,10 @@
 	return s
 }
 
-func kindSum(name string, rs []Result) KindSum {
+func kindSum(name string, rs []Result) KindSummary {
 	began := only(rs, func(r Result) bool { return r.First > 0 })
 	first := func(r Result) time.Duration { return r.First }
-	return KindSum{
+	return KindSummary{
 		Kind:     name,
 		Requests: len(rs),
 		Worth:    share(rs),
