--- a/experiment/report.go
+++ b/experiment/report.go
@@ -23,11 +23,11 @@
 
 // Summary is what a variant came to.
 type Summary struct {
-	Name    string        `json:"name"`
-	Worth   float64       `json:"worth"` // earned over owed
-	Kinds   []KindSummary `json:"kinds"`
-	Lengths []LengthSum   `json:"lengths"`
-	Times   []float64     `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
+	Name    string          `json:"name"`
+	Worth   float64         `json:"worth"` // earned over owed
+	Kinds   []KindSummary   `json:"kinds"`
+	Lengths []LengthSummary `json:"lengths"`
+	Times   []float64       `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
 }
 
 // KindSummary is a part of a [Summary].
@@ -41,8 +41,8 @@
 	PauseP95 float64 `json:"pause_p95_ms"`
 }
 
-// LengthSum is a part of a [Summary].
-type LengthSum struct {
+// LengthSummary is a part of a [Summary].
+type LengthSummary struct {
 	Length   string  `json:"length"`
 	FirstP95 float64 `json:"first_p95_ms"`
 }
@@ -67,7 +67,7 @@
 	for _, b := range measure.BucketNames() {
 		x := only(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
 		if len(x) > 0 {
-			s.Lengths = append(s.Lengths, LengthSum{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
+			s.Lengths = append(s.Lengths, LengthSummary{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
 		}
 	}
 	for at := time.Duration(0); at < f.Duration.Std(); at += step {
@@ -219,7 +219,7 @@
 	leastPlot = 10.0 // ms
 )
 
-func firstPoints(ls []LengthSum) string {
+func firstPoints(ls []LengthSummary) string {
 	var b strings.Builder
 	for _, l := range ls {
 		y := (math.Log10(max(l.FirstP95, leastPlot)) - axisLow) / axisTens
