--- a/experiment/report.go
+++ b/experiment/report.go
@@ -62,7 +62,7 @@
 func summarise(f File, v Variant, rs []Result) Summary {
 	s := Summary{Name: v.Name, Worth: share(rs)}
 	for _, k := range f.Kinds {
-		s.Kinds = append(s.Kinds, kindSum(k.Name, only(rs, func(r Result) bool { return r.Kind == k.Name })))
+		s.Kinds = append(s.Kinds, summariseKind(k.Name, only(rs, func(r Result) bool { return r.Kind == k.Name })))
 	}
 	for _, b := range measure.BucketNames() {
 		x := only(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
@@ -77,7 +77,7 @@
 	return s
 }
 
-func kindSum(name string, rs []Result) KindSummary {
+func summariseKind(name string, rs []Result) KindSummary {
 	began := only(rs, func(r Result) bool { return r.First > 0 })
 	first := func(r Result) time.Duration { return r.First }
 	return KindSummary{
