--- a/experiment/report.go
+++ b/experiment/report.go
@@ -62,36 +62,36 @@
 func summarise(f File, v Variant, rs []Result) Summary {
 	s := Summary{Name: v.Name, Worth: share(rs)}
 	for _, k := range f.Kinds {
-		s.Kinds = append(s.Kinds, summariseKind(k.Name, only(rs, func(r Result) bool { return r.Kind == k.Name })))
+		s.Kinds = append(s.Kinds, summariseKind(k.Name, filter(rs, func(r Result) bool { return r.Kind == k.Name })))
 	}
 	for _, b := range measure.BucketNames() {
-		x := only(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
+		x := filter(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
 		if len(x) > 0 {
 			s.Lengths = append(s.Lengths, LengthSummary{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
 		}
 	}
 	for at := time.Duration(0); at < f.Duration.Std(); at += step {
-		x := only(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+step })
+		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+step })
 		s.Times = append(s.Times, share(x))
 	}
 	return s
 }
 
 func summariseKind(name string, rs []Result) KindSummary {
-	began := only(rs, func(r Result) bool { return r.First > 0 })
+	began := filter(rs, func(r Result) bool { return r.First > 0 })
 	first := func(r Result) time.Duration { return r.First }
 	return KindSummary{
 		Kind:     name,
 		Requests: len(rs),
 		Worth:    share(rs),
-		Refused:  len(only(rs, func(r Result) bool { return r.Refused })),
+		Refused:  len(filter(rs, func(r Result) bool { return r.Refused })),
 		FirstP50: quantile(began, 0.5, first),
 		FirstP95: quantile(began, 0.95, first),
 		PauseP95: quantile(began, 0.95, func(r Result) time.Duration { return r.Pause }),
 	}
 }
 
-func only(rs []Result, keep func(Result) bool) (x []Result) {
+func filter(rs []Result, keep func(Result) bool) (x []Result) {
 	for _, r := range rs {
 		if keep(r) {
 			x = append(x, r)
