--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -73,9 +73,9 @@
 	f.Duration = config.Duration(6 * time.Second)
 	f.Bursts = nil
 	v := Variant{Name: "x", Decisions: LeastRequests}
-	before := share(Simulate(f, v))
+	before := worthShare(Simulate(f, v))
 	f.Slow = []Slow{{Engines: 9, X: 8, At: config.Duration(time.Second), For: config.Duration(4 * time.Second)}}
-	require.Less(t, share(Simulate(f, v)), before)
+	require.Less(t, worthShare(Simulate(f, v)), before)
 }
 
 // The order of the variants is that of the users' bench (docs/MEASUREMENTS.md).
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -60,7 +60,7 @@
 }
 
 func summarise(f File, v Variant, rs []Result) Summary {
-	s := Summary{Name: v.Name, Worth: share(rs)}
+	s := Summary{Name: v.Name, Worth: worthShare(rs)}
 	for _, k := range f.Kinds {
 		s.Kinds = append(s.Kinds, summariseKind(k.Name, filter(rs, func(r Result) bool { return r.Kind == k.Name })))
 	}
@@ -72,7 +72,7 @@
 	}
 	for at := time.Duration(0); at < f.Duration.Std(); at += step {
 		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+step })
-		s.Times = append(s.Times, share(x))
+		s.Times = append(s.Times, worthShare(x))
 	}
 	return s
 }
@@ -83,7 +83,7 @@
 	return KindSummary{
 		Kind:     name,
 		Requests: len(rs),
-		Worth:    share(rs),
+		Worth:    worthShare(rs),
 		Refused:  len(filter(rs, func(r Result) bool { return r.Refused })),
 		FirstP50: quantile(began, 0.5, first),
 		FirstP95: quantile(began, 0.95, first),
@@ -100,8 +100,8 @@
 	return x
 }
 
-// share returns earned over owed, -1 if nothing was owed.
-func share(rs []Result) float64 {
+// worthShare returns earned over owed, -1 if nothing was owed.
+func worthShare(rs []Result) float64 {
 	owed, earned := 0.0, 0.0
 	for _, r := range rs {
 		owed += r.Owed
--- a/experiment/set.go
+++ b/experiment/set.go
@@ -73,7 +73,7 @@
 				f := n.File
 				f.Seed += uint64(i)
 				r.Runs = append(r.Runs, Run{File: n.Name, Variant: v.Name, Seed: f.Seed})
-				todo = append(todo, func() float64 { return share(Simulate(f, v)) })
+				todo = append(todo, func() float64 { return worthShare(Simulate(f, v)) })
 			}
 		}
 	}
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -75,9 +75,9 @@
 		require.NoError(t, f.check())
 	}
 	f.Duration = config.Duration(6 * time.Second)
-	split := share(Simulate(f, Variant{Name: "all", Decisions: Worth}))
+	split := worthShare(Simulate(f, Variant{Name: "all", Decisions: Worth}))
 	f.Variants[0].Without = []string{string(placement.Splitting)}
-	require.Less(t, share(Simulate(f, f.Variants[0])), split)
+	require.Less(t, worthShare(Simulate(f, f.Variants[0])), split)
 }
 
 // Callers that are refused come back once, and their goal counts from their first
