--- a/experiment/report.go
+++ b/experiment/report.go
@@ -47,8 +47,8 @@
 	FirstP95 float64 `json:"first_p95_ms"`
 }
 
-// step is the width of a point of worth over time.
-const step = 2 * time.Second
+// worthStep is the width of a point of worth over time.
+const worthStep = 2 * time.Second
 
 // Compare plays all variants.
 func Compare(f File) Report {
@@ -70,8 +70,8 @@
 			s.Lengths = append(s.Lengths, LengthSummary{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
 		}
 	}
-	for at := time.Duration(0); at < f.Duration.Std(); at += step {
-		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+step })
+	for at := time.Duration(0); at < f.Duration.Std(); at += worthStep {
+		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+worthStep })
 		s.Times = append(s.Times, worthShare(x))
 	}
 	return s
