--- a/experiment/report.go
+++ b/experiment/report.go
@@ -214,15 +214,15 @@
 
 // The axis of first events is logarithmic, from 10 ms to 100 s.
 const (
-	axisLow   = 1.0
-	axisTens  = 4.0
-	leastPlot = 10.0 // ms
+	axisLow          = 1.0
+	axisTens         = 4.0
+	minPlottedMillis = 10.0 // ms
 )
 
 func firstPoints(ls []LengthSummary) string {
 	var b strings.Builder
 	for _, l := range ls {
-		y := (math.Log10(max(l.FirstP95, leastPlot)) - axisLow) / axisTens
+		y := (math.Log10(max(l.FirstP95, minPlottedMillis)) - axisLow) / axisTens
 		fmt.Fprintf(&b, "%.1f,%.1f ", lengthX(l.Length), plotHeight*(1-y))
 	}
 	return b.String()
