--- a/experiment/set.go
+++ b/experiment/set.go
@@ -141,7 +141,7 @@
 	var files, variants []string
 	cells := map[[2]string]string{}
 	for _, m := range ms {
-		files, variants = addNew(files, m.File), addNew(variants, m.Variant)
+		files, variants = appendUnique(files, m.File), appendUnique(variants, m.Variant)
 		cells[[2]string{m.File, m.Variant}] = fmt.Sprintf("%.3f ±%.3f", m.Worth, m.Spread)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -156,8 +156,8 @@
 	return t.Flush()
 }
 
-// addNew adds a word to a list unless it is there.
-func addNew(l []string, s string) []string {
+// appendUnique adds a word to a list unless it is there.
+func appendUnique(l []string, s string) []string {
 	if slices.Contains(l, s) {
 		return l
 	}
