--- a/experiment/set.go
+++ b/experiment/set.go
@@ -21,8 +21,8 @@
 	File File
 }
 
-// fileEnding is that of experiments.
-const fileEnding = ".toml"
+// fileExtension is that of experiments.
+const fileExtension = ".toml"
 
 // ReadSet reads and checks a file, or all experiments of a folder.
 func ReadSet(path string) (ns []NamedFile, err error) {
@@ -31,19 +31,19 @@
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
 	} else if i.IsDir() {
-		if paths, err = filepath.Glob(filepath.Join(path, "*"+fileEnding)); err != nil {
+		if paths, err = filepath.Glob(filepath.Join(path, "*"+fileExtension)); err != nil {
 			return nil, err
 		}
 	}
 	if len(paths) == 0 {
-		return nil, fmt.Errorf("%s has no file that ends in %s", path, fileEnding)
+		return nil, fmt.Errorf("%s has no file that ends in %s", path, fileExtension)
 	}
 	for _, p := range paths {
 		f, err := Read(p)
 		if err != nil {
 			return nil, err
 		}
-		ns = append(ns, NamedFile{strings.TrimSuffix(filepath.Base(p), fileEnding), f})
+		ns = append(ns, NamedFile{strings.TrimSuffix(filepath.Base(p), fileExtension), f})
 	}
 	return ns, nil
 }
