--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -13,8 +13,8 @@
 // What the baseline with helpers does: the best of the trials before there was
 // a shared view.
 const (
-	naiveSplit   = 9_000
-	naiveHelpers = 16
+	baselineSplitTokens = 9_000
+	naiveHelpers        = 16
 )
 
 // baseline decides as the baselines do, by what its own gateway has open.
@@ -41,7 +41,7 @@
 			return cmp.Or(cmp.Compare(n.reading[a], n.reading[b]), cmp.Compare(n.open[a], n.open[b]))
 		})
 		d.Upstream = ids[0]
-		if j.prompt >= naiveSplit {
+		if j.prompt >= baselineSplitTokens {
 			d.Helpers = ids[1:min(1+naiveHelpers, len(ids))]
 		}
 	}
