--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -14,7 +14,7 @@
 // a shared view.
 const (
 	baselineSplitTokens = 9_000
-	naiveHelpers        = 16
+	baselineHelpers     = 16
 )
 
 // baseline decides as the baselines do, by what its own gateway has open.
@@ -42,7 +42,7 @@
 		})
 		d.Upstream = ids[0]
 		if j.prompt >= baselineSplitTokens {
-			d.Helpers = ids[1:min(1+naiveHelpers, len(ids))]
+			d.Helpers = ids[1:min(1+baselineHelpers, len(ids))]
 		}
 	}
 	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
