--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -47,12 +47,12 @@
 	}
 	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
 	n.open[d.Upstream]++
-	n.account(d, d.PredictedFirst)
+	n.addPrefill(d, d.PredictedFirst)
 	return d, true
 }
 
-// account changes the reading that the gateway has given to a plan's engines.
-func (n *baseline) account(d core.Plan, work time.Duration) {
+// addPrefill changes the reading that the gateway has given to a plan's engines.
+func (n *baseline) addPrefill(d core.Plan, work time.Duration) {
 	n.reading[d.Upstream] += work
 	for _, h := range d.Helpers {
 		n.reading[h] += work
@@ -60,7 +60,7 @@
 }
 
 func (n *baseline) began(d core.Plan) {
-	n.account(d, -d.PredictedFirst)
+	n.addPrefill(d, -d.PredictedFirst)
 }
 
 func (n *baseline) done(d core.Plan) {
