--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -23,7 +23,7 @@
 	ids     []string
 	next    int
 	open    map[string]int
-	reading map[string]time.Duration
+	prefill map[string]time.Duration
 	figures *engine.Figures
 }
 
@@ -38,7 +38,7 @@
 	default:
 		ids := slices.Clone(n.ids)
 		slices.SortStableFunc(ids, func(a, b string) int {
-			return cmp.Or(cmp.Compare(n.reading[a], n.reading[b]), cmp.Compare(n.open[a], n.open[b]))
+			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.open[a], n.open[b]))
 		})
 		d.Upstream = ids[0]
 		if j.prompt >= baselineSplitTokens {
@@ -53,9 +53,9 @@
 
 // addPrefill changes the reading that the gateway has given to a plan's engines.
 func (n *baseline) addPrefill(d core.Plan, work time.Duration) {
-	n.reading[d.Upstream] += work
+	n.prefill[d.Upstream] += work
 	for _, h := range d.Helpers {
-		n.reading[h] += work
+		n.prefill[h] += work
 	}
 }
 
