--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -19,17 +19,17 @@
 
 // baseline decides as the baselines do, by what its own gateway has open.
 type baseline struct {
-	way     string
-	ids     []string
-	next    int
-	open    map[string]int
-	prefill map[string]time.Duration
-	figures *engine.Figures
+	decisions string
+	ids       []string
+	next      int
+	open      map[string]int
+	prefill   map[string]time.Duration
+	figures   *engine.Figures
 }
 
 func (n *baseline) decide(j *job, _ time.Duration) (core.Plan, bool) {
 	d := core.Plan{}
-	switch n.way {
+	switch n.decisions {
 	case RoundRobin:
 		d.Upstream = n.ids[n.next%len(n.ids)]
 		n.next++
