--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,7 +18,7 @@
 
 func publish(t *testing.T, l hollowgrade.Log, kind, name string, body any) {
 	t.Helper()
-	_, err := Publish(context.Background(), l, kind, name, body, Current)
+	_, err := Publish(context.Background(), l, kind, name, body, CurrentRevision)
 	require.NoError(t, err)
 }
 
@@ -46,7 +46,7 @@
 		require.False(t, ok)
 	})
 	t.Run("a policy that does not compile is not published", func(t *testing.T) {
-		_, err := Publish(context.Background(), l, PolicyKind, DefaultPolicy, Policy{Text: "nonsense ="}, Current)
+		_, err := Publish(context.Background(), l, PolicyKind, DefaultPolicy, Policy{Text: "nonsense ="}, CurrentRevision)
 		require.Error(t, err)
 	})
 	t.Run("a box that cannot compile a policy keeps the former", func(t *testing.T) {
--- a/config/publish.go
+++ b/config/publish.go
@@ -17,7 +17,7 @@
 // Publish checks an item, appends it to the log and reads it back. A nil body
 // removes the item. It returns the revision at which the item is in force.
 //
-// Replaces is the revision that the operator has seen, or [Current] for
+// Replaces is the revision that the operator has seen, or [CurrentRevision] for
 // whatever is in the log now.
 func Publish(ctx context.Context, l hollowgrade.Log, kind, name string, body any, replaces int64) (revision int64, err error) {
 	defer errs.Annotate(&err, "publish %s %s", kind, name)
@@ -29,7 +29,7 @@
 		return 0, fault.New(fault.LogAway, "nothing was published: %v", err)
 	}
 	i, _ := s.Item(kind, name)
-	if replaces == Current {
+	if replaces == CurrentRevision {
 		replaces = i.Revision
 	}
 	if replaces != i.Revision {
@@ -42,8 +42,8 @@
 	return fold.Publish(ctx, l, s, c)
 }
 
-// Current stands for the revision that is in the log when a change is made.
-const Current = -1
+// CurrentRevision stands for the revision that is in the log when a change is made.
+const CurrentRevision = -1
 
 func author() string {
 	u, err := user.Current()
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -84,25 +84,25 @@
 	}
 	for n, v := range f.Model {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ModelKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ModelKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Service {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ServiceKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ServiceKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Objective {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ObjectiveKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ObjectiveKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Organisation {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.OrganisationKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.OrganisationKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
@@ -133,7 +133,7 @@
 
 // Run runs the command.
 func (c *configRemove) Run(ctx context.Context, s *streams) error {
-	return c.publish(ctx, s.out, c.Kind, c.Name, nil, config.Current)
+	return c.publish(ctx, s.out, c.Kind, c.Name, nil, config.CurrentRevision)
 }
 
 // boxes says which boxes an operators' command asks.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -93,7 +93,7 @@
 	defer errs.Annotate(&err, "prepare")
 	var last int64
 	for _, i := range items(m, s, f.clock.Now()) {
-		if last, err = config.Publish(ctx, f.Log, i.kind, i.name, i.body, config.Current); err != nil {
+		if last, err = config.Publish(ctx, f.Log, i.kind, i.name, i.body, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
--- a/internal/fleettest/event_test.go
+++ b/internal/fleettest/event_test.go
@@ -20,7 +20,7 @@
 		Name: "final", Starts: time.Now().Add(in), Ends: time.Now().Add(in + time.Hour),
 		Models: []string{"other"}, Prepares: config.Duration(30 * time.Second),
 	}
-	_, err := config.Publish(context.Background(), f.Log, config.EventKind, e.Name, e, config.Current)
+	_, err := config.Publish(context.Background(), f.Log, config.EventKind, e.Name, e, config.CurrentRevision)
 	require.NoError(t, err)
 	return e
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -374,7 +374,7 @@
 		is = append(is, item{config.OrganisationKind, o, config.Organisation{Name: o, Keys: []string{config.KeyDigest(Bearer + o)}}})
 	}
 	for _, i := range is {
-		if _, err := config.Publish(ctx, f.Log, i.kind, i.name, i.body, config.Current); err != nil {
+		if _, err := config.Publish(ctx, f.Log, i.kind, i.name, i.body, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
--- a/internal/fleettest/outage_test.go
+++ b/internal/fleettest/outage_test.go
@@ -45,7 +45,7 @@
 		f.Log.SetOutage(false)
 		time.Sleep(10 * time.Second) // key ranges of the dead are taken
 		o := config.Organisation{Name: "c", Keys: []string{config.KeyDigest("c")}}
-		r, err := config.Publish(ctx, f.Log, config.OrganisationKind, "c", o, config.Current)
+		r, err := config.Publish(ctx, f.Log, config.OrganisationKind, "c", o, config.CurrentRevision)
 		require.NoError(t, err)
 		time.Sleep(inForceWithin)
 		for n, v := range f.revisions() {
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -64,7 +64,7 @@
 		f.Log.LoseAnswers(1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		o := config.Organisation{Name: "raced", Keys: []string{config.KeyDigest(fmt.Sprint(i))}}
-		go func() { _, _ = config.Publish(ctx, f.Log, config.OrganisationKind, "raced", o, config.Current) }()
+		go func() { _, _ = config.Publish(ctx, f.Log, config.OrganisationKind, "raced", o, config.CurrentRevision) }()
 		return cancel
 	}},
 }
