--- a/config/publish.go
+++ b/config/publish.go
@@ -72,15 +72,15 @@
 	return c.checkItem(kind, name)
 }
 
-const digestLength = 64 // hex digits of a SHA-256
+const digestHexDigits = 64 // hex digits of a SHA-256
 
 // checkItem checks what the types cannot say.
 func (c *Config) checkItem(kind, name string) error {
 	switch kind {
 	case OrganisationKind:
 		for _, k := range c.Organisations[name].Keys {
-			if len(k) != digestLength {
-				return fmt.Errorf("keys must be hex SHA-256 digests of %d digits, see 'hollowgrade config digest'", digestLength)
+			if len(k) != digestHexDigits {
+				return fmt.Errorf("keys must be hex SHA-256 digests of %d digits, see 'hollowgrade config digest'", digestHexDigits)
 			}
 		}
 	case EventKind:
