--- a/config/config.go
+++ b/config/config.go
@@ -140,7 +140,7 @@
 // left as they were in former, if they stood there, and are returned as
 // errors: a box that cannot compile a policy goes on with the one before.
 func Compile(s fold.State, former *Config) (c *Config, errs []error) {
-	c = empty(s.Revision())
+	c = newConfig(s.Revision())
 	for _, i := range s.Items("") {
 		if err := c.add(i, former); err != nil {
 			errs = append(errs, fmt.Errorf("%s %s at revision %d: %w", i.Kind, i.Name, i.Revision, err))
@@ -149,7 +149,7 @@
 	return c, errs
 }
 
-func empty(revision int64) *Config {
+func newConfig(revision int64) *Config {
 	return &Config{
 		Revision:      revision,
 		Organisations: map[string]Organisation{},
--- a/config/publish.go
+++ b/config/publish.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	c := empty(0)
+	c := newConfig(0)
 	if err = c.add(fold.Item{Kind: kind, Name: name, Body: b}, nil); err != nil {
 		return err
 	}
