--- a/config/config.go
+++ b/config/config.go
@@ -139,10 +139,10 @@
 // Compile makes a configuration from a state. Items that cannot be used are
 // left as they were in former, if they stood there, and are returned as
 // errors: a box that cannot compile a policy goes on with the one before.
-func Compile(s fold.State, former *Config) (c *Config, errs []error) {
+func Compile(s fold.State, previous *Config) (c *Config, errs []error) {
 	c = newConfig(s.Revision())
 	for _, i := range s.Items("") {
-		if err := c.add(i, former); err != nil {
+		if err := c.add(i, previous); err != nil {
 			errs = append(errs, fmt.Errorf("%s %s at revision %d: %w", i.Kind, i.Name, i.Revision, err))
 		}
 	}
