--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -183,11 +183,11 @@
 		return 0, nil, err
 	}
 	defer res.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, body, err
 }
 
-const maxAnswer = 64 << 20
+const maxResponseBytes = 64 << 20
 
 type configStatus struct {
 	boxes
