--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -142,7 +142,7 @@
 	Box          []string `help:"Operators' addresses of boxes, beside those on the list."`
 }
 
-const askTimeout = 3 * time.Second
+const boxTimeout = 3 * time.Second
 
 // addresses returns the operators' addresses of the boxes.
 func (b boxes) addresses(ctx context.Context) (as []string, err error) {
@@ -172,7 +172,7 @@
 
 // ask makes a request without a body and reads its answer.
 func ask(ctx context.Context, method, address string) (status int, body []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, boxTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, address, nil)
 	if err != nil {
