--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -163,15 +163,15 @@
 // fetch asks one box.
 func fetch(ctx context.Context, address, path string, v any) (err error) {
 	defer errs.Annotate(&err, "box at %s", address)
-	_, b, err := ask(ctx, http.MethodGet, "http://"+address+path)
+	_, b, err := doRequest(ctx, http.MethodGet, "http://"+address+path)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(b, v)
 }
 
-// ask makes a request without a body and reads its answer.
-func ask(ctx context.Context, method, address string) (status int, body []byte, err error) {
+// doRequest makes a request without a body and reads its answer.
+func doRequest(ctx context.Context, method, address string) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, boxTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, address, nil)
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -89,7 +89,7 @@
 // lift asks one box to end a hold.
 func lift(ctx context.Context, address, fingerprint string) (err error) {
 	defer errs.Annotate(&err, "box at %s", address)
-	status, b, err := ask(ctx, http.MethodDelete, "http://"+address+node.QuarantinePath+"/"+fingerprint)
+	status, b, err := doRequest(ctx, http.MethodDelete, "http://"+address+node.QuarantinePath+"/"+fingerprint)
 	switch {
 	case err != nil:
 		return err
