--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -80,7 +80,7 @@
 	}
 	var f fleetFile
 	if err = toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(&f); err != nil {
-		return fault.New(fault.BadSetting, "%s: %s", c.File, detail(err))
+		return fault.New(fault.BadSetting, "%s: %s", c.File, tomlErrorDetail(err))
 	}
 	for n, v := range f.Model {
 		v.Name = n
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// detail gives the line of a mistake in TOML, where the library knows it.
-func detail(err error) string {
+// tomlErrorDetail gives the line of a mistake in TOML, where the library knows it.
+func tomlErrorDetail(err error) string {
 	var d *toml.DecodeError
 	var m *toml.StrictMissingError
 	switch {
