--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -59,9 +59,9 @@
 	setting.Gateway
 }
 
-// reloadEvery is how often the settings file is looked at for a change that no
+// reloadInterval is how often the settings file is looked at for a change that no
 // signal told of. Changes have to be in force within seconds.
-const reloadEvery = time.Second
+const reloadInterval = time.Second
 
 // Run runs the command.
 func (c *gatewayCommand) Run(ctx context.Context, s *streams) error {
@@ -93,7 +93,7 @@
 	h := make(chan os.Signal, 1)
 	signal.Notify(h, syscall.SIGHUP)
 	defer signal.Stop(h)
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	last := fileMark(path)
 	for {
