--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -111,18 +111,18 @@
 	}
 }
 
-// mark tells one state of a file from another.
-type mark struct {
+// fileVersion tells one state of a file from another.
+type fileVersion struct {
 	size    int64
 	changed time.Time
 }
 
-func fileMark(path string) (m mark) {
+func fileMark(path string) (m fileVersion) {
 	i, err := os.Stat(path)
 	if err != nil {
 		return m // a file that is being replaced: it is looked at again
 	}
-	return mark{size: i.Size(), changed: i.ModTime()}
+	return fileVersion{size: i.Size(), changed: i.ModTime()}
 }
 
 // runUntil runs a process until ctx ends, as by SIGTERM, and then drains it.
