--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -95,18 +95,18 @@
 	defer signal.Stop(h)
 	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
-	last := fileMark(path)
+	last := readFileVersion(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-h:
 		case <-t.C:
-			if fileMark(path) == last {
+			if readFileVersion(path) == last {
 				continue
 			}
 		}
-		last = fileMark(path)
+		last = readFileVersion(path)
 		reload()
 	}
 }
@@ -117,7 +117,7 @@
 	changed time.Time
 }
 
-func fileMark(path string) (m fileVersion) {
+func readFileVersion(path string) (m fileVersion) {
 	i, err := os.Stat(path)
 	if err != nil {
 		return m // a file that is being replaced: it is looked at again
