--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	old, err := published(i)
+	old, err := compilePublished(i)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	return diffSamples(s.out, old, n)
 }
 
-func published(i fold.Item) (p *policy.Program, err error) {
+func compilePublished(i fold.Item) (p *policy.Program, err error) {
 	var v config.Policy
 	if err = json.Unmarshal(i.Body, &v); err != nil {
 		return nil, err
