--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -148,14 +148,14 @@
 		}
 		if a != b {
 			changed++
-			fmt.Fprintf(w, "%s\n- %s\n+ %s\n", strings.TrimSpace(s.Title), decision(a), decision(b))
+			fmt.Fprintf(w, "%s\n- %s\n+ %s\n", strings.TrimSpace(s.Title), formatDecision(a), formatDecision(b))
 		}
 	}
 	fmt.Fprintf(w, "%d of %d sample requests change\n", changed, len(policy.Samples()))
 	return nil
 }
 
-func decision(d hollowgrade.Decision) string {
+func formatDecision(d hollowgrade.Decision) string {
 	return fmt.Sprintf("class %s, priority %d, allowed %s, may wait %t, repeatable %t, share %v",
 		d.Class, d.Priority, d.Allowed, d.MayWait, d.Repeatable, d.Share)
 }
