--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -184,7 +184,7 @@
 // Run runs the command.
 func (c *policyShow) Run(ctx context.Context, s *streams) error {
 	if c.Name == "" {
-		return list(ctx, c.target, s.out, config.PolicyKind)
+		return listItems(ctx, c.target, s.out, config.PolicyKind)
 	}
 	i, err := c.item(ctx, config.PolicyKind, c.Name)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-func list(ctx context.Context, t target, w io.Writer, kind string) error {
+func listItems(ctx context.Context, t target, w io.Writer, kind string) error {
 	is, err := t.items(ctx, kind)
 	if err != nil {
 		return err
