--- a/setting/file.go
+++ b/setting/file.go
@@ -48,7 +48,7 @@
 	r, _ := f.values[RoleKey].(string)
 	f.Role = hollowgrade.Role(r)
 	if _, ok := Roles()[f.Role]; !ok {
-		return nil, f.fail(RoleKey, "must be entry, agent or gateway, it is %q", r)
+		return nil, f.errorf(RoleKey, "must be entry, agent or gateway, it is %q", r)
 	}
 	ds := Docs(f.Role)
 	for _, k := range f.keys() {
@@ -70,7 +70,7 @@
 		return err
 	}
 	if err := g.CheckFreshness(); err != nil {
-		return f.fail(freshnessKey, "%s", strings.TrimPrefix(err.Error(), freshnessKey+" "))
+		return f.errorf(freshnessKey, "%s", strings.TrimPrefix(err.Error(), freshnessKey+" "))
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	return ks
 }
 
-func (f *File) fail(key, format string, args ...any) error {
+func (f *File) errorf(key, format string, args ...any) error {
 	return fault.New(fault.BadSetting, "%s:%d: %s %s", f.Path, max(f.lines[key], 1), key, fmt.Sprintf(format, args...))
 }
 
@@ -121,14 +121,14 @@
 func (f *File) checkKey(k string, ds []Doc) error {
 	i := slices.IndexFunc(ds, func(d Doc) bool { return d.Key == k })
 	if i < 0 {
-		return f.fail(k, "is no setting of the role %s%s", f.Role, suggestion(k, ds))
+		return f.errorf(k, "is no setting of the role %s%s", f.Role, suggestion(k, ds))
 	}
 	v, err := ds[i].convert(f.values[k])
 	if err != nil {
-		return f.fail(k, "%v", err)
+		return f.errorf(k, "%v", err)
 	}
 	if err = ds[i].checkValue(v); err != nil {
-		return f.fail(k, "%s", strings.TrimPrefix(err.Error(), k+" "))
+		return f.errorf(k, "%s", strings.TrimPrefix(err.Error(), k+" "))
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		}
 		c, err := d.convert(x)
 		if err != nil {
-			return f.fail(d.Key, "%v", err)
+			return f.errorf(d.Key, "%v", err)
 		}
 		v.FieldByIndex(d.field).Set(c)
 	}
@@ -226,7 +226,7 @@
 		return err
 	}
 	if c := ctx.Selected(); c != nil && c.Name != string(f.Role) {
-		return f.fail(RoleKey, "is %s, but the command is %s", f.Role, c.Name)
+		return f.errorf(RoleKey, "is %s, but the command is %s", f.Role, c.Name)
 	}
 	ctx.AddResolver(resolver{f})
 	return nil
