--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -10,7 +10,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-func requireMistake(t *testing.T, text, want string) {
+func requireParseError(t *testing.T, text, want string) {
 	t.Helper()
 	_, err := Parse("f.toml", []byte(text))
 	require.ErrorContains(t, err, want)
@@ -23,28 +23,28 @@
 		require.NoError(t, err)
 	})
 	t.Run("a mistake in the TOML", func(t *testing.T) {
-		requireMistake(t, "role = \"entry\"\nbox = \n", "f.toml:2:")
+		requireParseError(t, "role = \"entry\"\nbox = \n", "f.toml:2:")
 	})
 	t.Run("no role", func(t *testing.T) {
-		requireMistake(t, "box = \"b\"\n", "role must be entry, agent or gateway")
+		requireParseError(t, "box = \"b\"\n", "role must be entry, agent or gateway")
 	})
 	t.Run("an unknown key, with the like one", func(t *testing.T) {
-		requireMistake(t, "role = \"entry\"\nmaxRequests = 1\n", "f.toml:2: maxRequests is no setting of the role entry, max_requests is")
+		requireParseError(t, "role = \"entry\"\nmaxRequests = 1\n", "f.toml:2: maxRequests is no setting of the role entry, max_requests is")
 	})
 	t.Run("a key of the other role", func(t *testing.T) {
-		requireMistake(t, "role = \"entry\"\npiece = 1\n", "f.toml:2: piece is no setting of the role entry")
+		requireParseError(t, "role = \"entry\"\npiece = 1\n", "f.toml:2: piece is no setting of the role entry")
 	})
 	t.Run("a wrong type", func(t *testing.T) {
-		requireMistake(t, "role = \"agent\"\n\npiece = \"big\"\n", "f.toml:3: piece must be a whole number")
+		requireParseError(t, "role = \"agent\"\n\npiece = \"big\"\n", "f.toml:3: piece must be a whole number")
 	})
 	t.Run("a value out of range", func(t *testing.T) {
-		requireMistake(t, "role = \"agent\"\nlong_share = 3.5\n", "f.toml:2: long_share is 3.5, allowed: 0.05 to 1")
+		requireParseError(t, "role = \"agent\"\nlong_share = 3.5\n", "f.toml:2: long_share is 3.5, allowed: 0.05 to 1")
 	})
 	t.Run("a value that is not in the list", func(t *testing.T) {
-		requireMistake(t, "role = \"agent\"\norder = \"lifo\"\n", "allowed: fair, fifo")
+		requireParseError(t, "role = \"agent\"\norder = \"lifo\"\n", "allowed: fair, fifo")
 	})
 	t.Run("a duration that is none", func(t *testing.T) {
-		requireMistake(t, "role = \"agent\"\nsweep = \"soon\"\n", "sweep must be a duration")
+		requireParseError(t, "role = \"agent\"\nsweep = \"soon\"\n", "sweep must be a duration")
 	})
 }
 
