--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -13,13 +13,13 @@
 
 // noisy tells when it is started and stopped.
 type noisy struct {
-	name string
-	fail bool
-	said *[]string
+	name  string
+	fail  bool
+	calls *[]string
 }
 
 func (n noisy) Start(context.Context, *kernel.Kernel) error {
-	*n.said = append(*n.said, "start "+n.name)
+	*n.calls = append(*n.calls, "start "+n.name)
 	if n.fail {
 		return errors.New("broken")
 	}
@@ -27,7 +27,7 @@
 }
 
 func (n noisy) Stop(context.Context) error {
-	*n.said = append(*n.said, "stop "+n.name)
+	*n.calls = append(*n.calls, "stop "+n.name)
 	return nil
 }
 
@@ -36,8 +36,8 @@
 	t.Run("what was started is stopped when a later service fails", func(t *testing.T) {
 		var said []string
 		k := kernel.New()
-		k.Register("a", noisy{name: "a", said: &said})
-		k.Register("b", noisy{name: "b", fail: true, said: &said})
+		k.Register("a", noisy{name: "a", calls: &said})
+		k.Register("b", noisy{name: "b", fail: true, calls: &said})
 		require.ErrorContains(t, k.Start(ctx), "start service b: broken")
 		require.Equal(t, []string{"start a", "start b", "stop a"}, said)
 	})
@@ -57,8 +57,8 @@
 func ExampleKernel() {
 	var said []string
 	k := kernel.New()
-	k.Register("log", noisy{name: "log", said: &said})
-	k.Register("server", noisy{name: "server", said: &said})
+	k.Register("log", noisy{name: "log", calls: &said})
+	k.Register("server", noisy{name: "server", calls: &said})
 	ctx := context.Background()
 	if err := k.Start(ctx); err != nil {
 		fmt.Println(err)
