--- a/experiment/play.go
+++ b/experiment/play.go
@@ -157,7 +157,7 @@
 		if p.now > p.file.Duration.Std() {
 			return
 		}
-		p.request(k)
+		p.startRequest(k)
 		p.scheduleArrivals(k)
 	})
 }
@@ -184,7 +184,7 @@
 	return p.size(mean, k.Spread, k.PromptMax)
 }
 
-func (p *simulation) request(k *Kind) {
+func (p *simulation) startRequest(k *Kind) {
 	j := &job{
 		kind:    k,
 		prompt:  p.prompt(k),
