--- a/experiment/play.go
+++ b/experiment/play.go
@@ -162,8 +162,8 @@
 	})
 }
 
-// size draws a size with the given mean and spread.
-func (p *simulation) size(mean, spread, most float64) int {
+// drawSize draws a drawSize with the given mean and spread.
+func (p *simulation) drawSize(mean, spread, most float64) int {
 	s2 := math.Log(1 + spread*spread)
 	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
 	if most > 0 {
@@ -181,14 +181,14 @@
 	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
 		mean *= max(k.TailX, 1)
 	}
-	return p.size(mean, k.Spread, k.PromptMax)
+	return p.drawSize(mean, k.Spread, k.PromptMax)
 }
 
 func (p *simulation) startRequest(k *Kind) {
 	j := &job{
 		kind:    k,
 		prompt:  p.prompt(k),
-		answer:  p.size(k.Answer, answerSpread, 0),
+		answer:  p.drawSize(k.Answer, answerSpread, 0),
 		arrived: p.now,
 	}
 	p.place(j)
