--- a/experiment/play.go
+++ b/experiment/play.go
@@ -175,8 +175,8 @@
 // answerSpread is the spread of the length of answers.
 const answerSpread = 0.6
 
-// prompt draws the length of a prompt.
-func (p *simulation) prompt(k *Kind) int {
+// drawPrompt draws the length of a drawPrompt.
+func (p *simulation) drawPrompt(k *Kind) int {
 	mean := k.Prompt
 	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
 		mean *= max(k.TailX, 1)
@@ -187,7 +187,7 @@
 func (p *simulation) startRequest(k *Kind) {
 	j := &job{
 		kind:    k,
-		prompt:  p.prompt(k),
+		prompt:  p.drawPrompt(k),
 		answer:  p.drawSize(k.Answer, answerSpread, 0),
 		arrived: p.now,
 	}
