--- a/experiment/play.go
+++ b/experiment/play.go
@@ -107,7 +107,7 @@
 		p.scheduleArrivals(&f.Kinds[i])
 	}
 	for _, s := range f.Slow {
-		p.slowDown(s, ids)
+		p.scheduleSlowdown(s, ids)
 	}
 	if f.View > 0 && !v.Alone {
 		p.schedule(f.View.Std(), p.sendUpdates)
@@ -349,7 +349,7 @@
 	return r
 }
 
-func (p *simulation) slowDown(s Slow, ids []string) {
+func (p *simulation) scheduleSlowdown(s Slow, ids []string) {
 	set := func(x float64) func() {
 		return func() {
 			for _, id := range ids[:min(s.Engines, len(ids))] {
