--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 
 const example = "../examples/experiments/alternating.toml"
 
-func load(t *testing.T) File {
+func loadExample(t *testing.T) File {
 	t.Helper()
 	f, err := Read(example)
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 }
 
 func TestPlayRepeats(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(5 * time.Second)
 	for _, v := range f.Variants {
 		a, b := Simulate(f, v), Simulate(f, v)
@@ -36,7 +36,7 @@
 
 // A request alone takes what the model predicts, within a pass.
 func TestEnginesPlayTheModel(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Bursts = nil
 	f.Gateways = 1
 	f.Kinds = f.Kinds[2:3]
@@ -54,7 +54,7 @@
 }
 
 func TestEachRequestIsCountedOnce(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(4 * time.Second)
 	f.Bursts = nil
 	arrived := len(Simulate(f, f.Variants[0]))
@@ -69,7 +69,7 @@
 }
 
 func TestSlowEnginesCost(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(6 * time.Second)
 	f.Bursts = nil
 	v := Variant{Name: "x", Decisions: LeastRequests}
@@ -80,7 +80,7 @@
 
 // The order of the variants is that of the users' bench (docs/MEASUREMENTS.md).
 func TestRanking(t *testing.T) {
-	r := Compare(load(t))
+	r := Compare(loadExample(t))
 	w := map[string]float64{}
 	for _, v := range r.Variants {
 		w[v.Name] = v.Worth
@@ -91,7 +91,7 @@
 }
 
 func TestReports(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(3 * time.Second)
 	f.Variants = f.Variants[3:]
 	r := Compare(f)
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestSets(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(2 * time.Second)
 	f.Variants = []Variant{{Name: "a", Decisions: LeastRequests}, {Name: "b", Decisions: RoundRobin}}
 	ns := []NamedFile{{"x", f}, {"y", f}}
@@ -67,7 +67,7 @@
 }
 
 func TestVariantsWithoutMechanisms(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Variants = []Variant{{Name: "x", Decisions: Worth, Without: []string{"guessing"}}}
 	require.ErrorContains(t, f.check(), `variant x: without names "guessing"`)
 	for _, m := range placement.Mechanisms() {
@@ -83,7 +83,7 @@
 // Callers that are refused come back once, and their goal counts from their first
 // try.
 func TestRefusedCallersComeBack(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(12 * time.Second)
 	for i := range f.Kinds {
 		f.Kinds[i].Retries = 1
