--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -15,11 +15,11 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-const example = "../examples/experiments/alternating.toml"
+const exampleFile = "../examples/experiments/alternating.toml"
 
 func loadExample(t *testing.T) File {
 	t.Helper()
-	f, err := Read(example)
+	f, err := Read(exampleFile)
 	require.NoError(t, err)
 	return f
 }
@@ -107,7 +107,7 @@
 }
 
 func TestFilesThatCannotBePlayed(t *testing.T) {
-	good, err := os.ReadFile(example)
+	good, err := os.ReadFile(exampleFile)
 	require.NoError(t, err)
 	for name, c := range map[string][2]string{
 		"an unknown key":      {"gateways = 5", "gateway = 5"},
