--- a/experiment/burst_test.go
+++ b/experiment/burst_test.go
@@ -32,7 +32,7 @@
 // heard of the others up to 25 ms before. A third of the calls were late where gateways
 // did not allow for what they had not heard yet.
 func TestManyGatewaysServeABurstOfShortCalls(t *testing.T) {
-	f, err := Read(filepath.Join(examples, "sixty-gateways.toml"))
+	f, err := Read(filepath.Join(examplesDir, "sixty-gateways.toml"))
 	require.NoError(t, err)
 	f.Duration = config.Duration(4 * time.Second)
 	f.Bursts = []Burst{{Kind: "brief", X: 2.8, For: f.Duration}, {Kind: "season", X: 0.05, For: f.Duration}}
--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -40,7 +40,7 @@
 // 30 gateways before 60 engines, 4.4 archives a second, of which some take as long to read as twenty others.
 // Once one of those was placed, the mean of what engines had to read refused the others, twice.
 func TestCallersBesideTheLongestPromptsAreServed(t *testing.T) {
-	f, err := Read(filepath.Join(examples, "long-archives.toml"))
+	f, err := Read(filepath.Join(examplesDir, "long-archives.toml"))
 	require.NoError(t, err)
 	f.Duration = config.Duration(8 * time.Second)
 	f.Kinds = f.Kinds[1:] // short prompts are placed by other rules, and take most of the time that a play takes
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -13,12 +13,12 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-const examples = "../examples/experiments"
+const examplesDir = "../examples/experiments"
 
 // Deployments of every kind of the set: what gateways decide earns more than the
 // fewest requests do, on each of them.
 func TestNoDeploymentIsWorseThanLeastRequests(t *testing.T) {
-	ns, err := ReadSet(examples)
+	ns, err := ReadSet(examplesDir)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(ns), 10)
 	for i := range ns {
--- a/experiment/slow_test.go
+++ b/experiment/slow_test.go
@@ -37,7 +37,7 @@
 // the account of gateways that do not ask they look idle, and nearly each long prompt has a
 // part at one of them.
 func TestSlowEnginesAreAllowedFor(t *testing.T) {
-	f, err := Read(filepath.Join(examples, "some-slow.toml"))
+	f, err := Read(filepath.Join(examplesDir, "some-slow.toml"))
 	require.NoError(t, err)
 	f.Duration = config.Duration(11 * time.Second)
 	f.Slow = []Slow{{Engines: 3, X: 5, At: config.Duration(3 * time.Second), For: f.Duration}}
