--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -17,8 +17,8 @@
 	all, inTime, refusedAgain int
 }
 
-// outcomesOf plays a file under some seeds, and returns what the callers of a kind got.
-func outcomesOf(f File, v Variant, seeds int, kind string) (o outcomes) {
+// countOutcomes plays a file under some seeds, and returns what the callers of a kind got.
+func countOutcomes(f File, v Variant, seeds int, kind string) (o outcomes) {
 	for range seeds {
 		for _, r := range Simulate(f, v) {
 			if r.Kind != kind {
@@ -49,9 +49,9 @@
 	var before, after outcomes
 	var g sync.WaitGroup
 	g.Go(func() {
-		before = outcomesOf(f, Variant{Name: "mean", Decisions: Worth, Pricing: placement.MeanBacklog, Without: []string{string(placement.Forecasting)}}, seeds, "archive")
+		before = countOutcomes(f, Variant{Name: "mean", Decisions: Worth, Pricing: placement.MeanBacklog, Without: []string{string(placement.Forecasting)}}, seeds, "archive")
 	})
-	g.Go(func() { after = outcomesOf(f, Variant{Name: "gateway", Decisions: Worth}, seeds, "archive") })
+	g.Go(func() { after = countOutcomes(f, Variant{Name: "gateway", Decisions: Worth}, seeds, "archive") })
 	g.Wait()
 	t.Logf("before %+v, after %+v", before, after)
 	require.Less(t, after.refusedAgain, before.refusedAgain)
