--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -8,22 +8,22 @@
 
 // job is one request on its way.
 type job struct {
-	kind       *Kind
-	prompt     int
-	answer     int // tokens
-	arrived    time.Duration
-	partsLeft  int // of its prompt that are not read yet
-	split      bool
-	keptTokens int // tokens of its prompt that other engines keep
-	keepers    []*simulatedEngine
-	tries      int // at getting it placed
-	decider    int // that placed it last
-	written    int
-	first      time.Duration // when its first event came
-	last       time.Duration // when its last event came
-	pause      time.Duration // longest between two events
-	began      func()
-	done       func(now time.Duration)
+	kind         *Kind
+	prompt       int
+	answer       int // tokens
+	arrived      time.Duration
+	partsLeft    int // of its prompt that are not read yet
+	split        bool
+	keptTokens   int // tokens of its prompt that other engines keep
+	keepers      []*simulatedEngine
+	tries        int // at getting it placed
+	decider      int // that placed it last
+	written      int
+	first        time.Duration // when its first event came
+	last         time.Duration // when its last event came
+	pause        time.Duration // longest between two events
+	onFirstEvent func()
+	done         func(now time.Duration)
 }
 
 // part is a piece of a prompt that an engine has to read.
@@ -184,7 +184,7 @@
 	j.written += p.figures.Stride
 	if j.first == 0 {
 		j.first = now
-		j.began()
+		j.onFirstEvent()
 	} else {
 		j.pause = max(j.pause, now-j.last)
 	}
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -237,7 +237,7 @@
 		return
 	}
 	p.open[j] = true
-	j.began = func() { g.began(d) }
+	j.onFirstEvent = func() { g.began(d) }
 	j.done = func(now time.Duration) {
 		delete(p.open, j)
 		g.done(d)
