--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -23,7 +23,7 @@
 	last         time.Duration // when its last event came
 	pause        time.Duration // longest between two events
 	onFirstEvent func()
-	done         func(now time.Duration)
+	onDone       func(now time.Duration)
 }
 
 // part is a piece of a prompt that an engine has to read.
@@ -172,7 +172,7 @@
 		if p.recordEvent(j, now); j.written < j.answer {
 			p.decoding = append(p.decoding, j)
 		} else {
-			j.done(now)
+			j.onDone(now)
 		}
 	}
 	p.busy = false
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -238,7 +238,7 @@
 	}
 	p.open[j] = true
 	j.onFirstEvent = func() { g.began(d) }
-	j.done = func(now time.Duration) {
+	j.onDone = func(now time.Duration) {
 		delete(p.open, j)
 		g.done(d)
 		p.releaseMemory(j, d)
