--- a/experiment/play.go
+++ b/experiment/play.go
@@ -368,16 +368,16 @@
 // sendUpdates lets gateways hear of each other's load: of what changed, and now and
 // then of all.
 func (p *simulation) sendUpdates() {
-	whole := p.updates%completeUpdateEvery == 0
+	complete := p.updates%completeUpdateEvery == 0
 	p.updates++
 	for i, a := range p.deciders {
-		cs := a.changes(whole)
-		if len(cs) == 0 && !whole {
+		cs := a.changes(complete)
+		if len(cs) == 0 && !complete {
 			continue
 		}
 		for j, b := range p.deciders {
 			if i != j {
-				b.receiveView(fmt.Sprint(i), cs, whole)
+				b.receiveView(fmt.Sprint(i), cs, complete)
 			}
 		}
 	}
