--- a/experiment/play.go
+++ b/experiment/play.go
@@ -450,8 +450,8 @@
 	g.fleet.Done(d, true)
 }
 
-func (g *gateway) changes(whole bool) map[hollowgrade.Life]core.Share {
-	return g.fleet.Changes(whole)
+func (g *gateway) changes(complete bool) map[hollowgrade.Life]core.Share {
+	return g.fleet.Changes(complete)
 }
 
 func (g *gateway) suspects(d core.Plan) (ids []string) {
