--- a/experiment/play.go
+++ b/experiment/play.go
@@ -472,6 +472,6 @@
 	return g.fleet.StillSlow(hollowgrade.Life(id))
 }
 
-func (g *gateway) receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
-	g.fleet.ReceiveView(from, cs, whole)
+func (g *gateway) receiveView(from string, cs map[hollowgrade.Life]core.Share, complete bool) {
+	g.fleet.ReceiveView(from, cs, complete)
 }
