--- a/experiment/play.go
+++ b/experiment/play.go
@@ -462,7 +462,7 @@
 	return ids
 }
 
-func (g *gateway) receivePace(id string, pace float64, age time.Duration, box string) (tell bool) {
+func (g *gateway) receivePace(id string, pace float64, age time.Duration, box string) (report bool) {
 	was := g.stillSlow(id)
 	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
 	return was || g.stillSlow(id)
