--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (n *baseline) receivePace(string, float64, time.Duration, string) (tell bool) {
+func (n *baseline) receivePace(string, float64, time.Duration, string) (report bool) {
 	return false
 }
 
