--- a/experiment/play.go
+++ b/experiment/play.go
@@ -306,8 +306,8 @@
 		p.engines[k].usedTokens += d.Kept
 		j.keepers = append(j.keepers, p.engines[k])
 	}
-	home := p.engines[d.Upstream]
-	home.enqueue(j, func() { p.prefill(j, d, home) })
+	upstream := p.engines[d.Upstream]
+	upstream.enqueue(j, func() { p.prefill(j, d, upstream) })
 }
 
 // rejectAttempt ends an attempt of which nothing has run.
