--- a/experiment/play.go
+++ b/experiment/play.go
@@ -326,13 +326,13 @@
 }
 
 // prefill lets the engines of a plan prefill a prompt.
-func (p *simulation) prefill(j *job, d core.Plan, home *simulatedEngine) {
+func (p *simulation) prefill(j *job, d core.Plan, upstream *simulatedEngine) {
 	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := home.figures.PrefillTime(j.prompt, j.partsLeft)
-	home.addPrefill(part{j, work, home})
+	work := upstream.figures.PrefillTime(j.prompt, j.partsLeft)
+	upstream.addPrefill(part{j, work, upstream})
 	for _, h := range d.Helpers {
-		p.engines[h].addPrefill(part{j, work, home})
+		p.engines[h].addPrefill(part{j, work, upstream})
 	}
 }
 
