--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -105,14 +105,14 @@
 		return
 	}
 	p.busy = true
-	reading := p.prefills
+	prefills := p.prefills
 	p.prefills = nil
-	rest := p.startDecoding(reading)
+	rest := p.startDecoding(prefills)
 	writing := p.decoding
 	if len(rest) > 0 {
-		p.sim.schedule(p.prefillTime(reading), func() { p.finishPrefill(rest) })
+		p.sim.schedule(p.prefillTime(prefills), func() { p.finishPrefill(rest) })
 	}
-	p.sim.schedule(p.passTime(reading, writing), func() { p.endPass(writing) })
+	p.sim.schedule(p.passTime(prefills, writing), func() { p.endPass(writing) })
 }
 
 // startDecoding lets those write in the pass that begins whose prompts are read by it alone,
