--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -108,11 +108,11 @@
 	prefills := p.prefills
 	p.prefills = nil
 	rest := p.startDecoding(prefills)
-	writing := p.decoding
+	decoding := p.decoding
 	if len(rest) > 0 {
 		p.sim.schedule(p.prefillTime(prefills), func() { p.finishPrefill(rest) })
 	}
-	p.sim.schedule(p.passTime(prefills, writing), func() { p.endPass(writing) })
+	p.sim.schedule(p.passTime(prefills, decoding), func() { p.endPass(decoding) })
 }
 
 // startDecoding lets those write in the pass that begins whose prompts are read by it alone,
