--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -117,8 +117,8 @@
 
 // startDecoding lets those write in the pass that begins whose prompts are read by it alone,
 // as far as there are slots, and returns the other parts.
-func (p *simulatedEngine) startDecoding(reading []part) (rest []part) {
-	for _, x := range reading {
+func (p *simulatedEngine) startDecoding(prefills []part) (rest []part) {
+	for _, x := range prefills {
 		if x.upstream != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
