--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -141,8 +141,8 @@
 }
 
 // prefillTime returns how long the reading of parts takes.
-func (p *simulatedEngine) prefillTime(reading []part) (d time.Duration) {
-	for _, x := range reading {
+func (p *simulatedEngine) prefillTime(prefills []part) (d time.Duration) {
+	for _, x := range prefills {
 		d += x.work
 	}
 	return time.Duration(p.pace * float64(d))
