--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -149,7 +149,7 @@
 }
 
 // passTime returns how long a passTime takes.
-func (p *simulatedEngine) passTime(reading []part, writing []*job) (d time.Duration) {
+func (p *simulatedEngine) passTime(prefills []part, writing []*job) (d time.Duration) {
 	if len(writing) > 0 {
 		s := engine.State{Decoding: len(writing)}
 		for _, j := range writing {
@@ -160,7 +160,7 @@
 		}
 		d += p.figures.PassTime(s)
 	}
-	return p.prefillTime(reading) + time.Duration(p.pace*float64(d))
+	return p.prefillTime(prefills) + time.Duration(p.pace*float64(d))
 }
 
 // endPass ends a pass: each request that writes has an event more. The engine counts
