--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -149,10 +149,10 @@
 }
 
 // passTime returns how long a passTime takes.
-func (p *simulatedEngine) passTime(prefills []part, writing []*job) (d time.Duration) {
-	if len(writing) > 0 {
-		s := engine.State{Decoding: len(writing)}
-		for _, j := range writing {
+func (p *simulatedEngine) passTime(prefills []part, decoding []*job) (d time.Duration) {
+	if len(decoding) > 0 {
+		s := engine.State{Decoding: len(decoding)}
+		for _, j := range decoding {
 			s.Context += j.prompt + j.written
 			if j.split {
 				d += p.figures.HopTime(p.figures.Stride)
