--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -165,10 +165,10 @@
 
 // endPass ends a pass: each request that writes has an event more. The engine counts
 // as busy until its own lists are in order again.
-func (p *simulatedEngine) endPass(writing []*job) {
+func (p *simulatedEngine) endPass(decoding []*job) {
 	now := p.sim.now
 	p.decoding = nil
-	for _, j := range writing {
+	for _, j := range decoding {
 		if p.recordEvent(j, now); j.written < j.answer {
 			p.decoding = append(p.decoding, j)
 		} else {
