--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -55,8 +55,8 @@
 
 // enqueue lets a call in once its memory is free. Its prompt is read from then on, by
 // helpers as well.
-func (p *simulatedEngine) enqueue(j *job, read func()) {
-	p.memoryQueue = append(p.memoryQueue, arrival{j, read})
+func (p *simulatedEngine) enqueue(j *job, startPrefill func()) {
+	p.memoryQueue = append(p.memoryQueue, arrival{j, startPrefill})
 	p.admit()
 }
 
