--- a/experiment/report.go
+++ b/experiment/report.go
@@ -23,11 +23,11 @@
 
 // Summary is what a variant came to.
 type Summary struct {
-	Name    string          `json:"name"`
-	Worth   float64         `json:"worth"` // earned over owed
-	Kinds   []KindSummary   `json:"kinds"`
-	Lengths []LengthSummary `json:"lengths"`
-	Times   []float64       `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
+	Name          string          `json:"name"`
+	Worth         float64         `json:"worth"` // earned over owed
+	Kinds         []KindSummary   `json:"kinds"`
+	Lengths       []LengthSummary `json:"lengths"`
+	WorthOverTime []float64       `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
 }
 
 // KindSummary is a part of a [Summary].
@@ -72,7 +72,7 @@
 	}
 	for at := time.Duration(0); at < f.Duration.Std(); at += worthStep {
 		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+worthStep })
-		s.Times = append(s.Times, worthShare(x))
+		s.WorthOverTime = append(s.WorthOverTime, worthShare(x))
 	}
 	return s
 }
@@ -185,7 +185,7 @@
 	for i, v := range r.Variants {
 		c := colours[i%len(colours)]
 		y := 20 + 16*float64(i)
-		d.Worth = append(d.Worth, curve{v.Name, c, worthPoints(v.Times), y})
+		d.Worth = append(d.Worth, curve{v.Name, c, worthPoints(v.WorthOverTime), y})
 		d.First = append(d.First, curve{v.Name, c, firstPoints(v.Lengths), y})
 	}
 	return plot.Execute(w, d)
