--- a/experiment/slow_test.go
+++ b/experiment/slow_test.go
@@ -14,9 +14,9 @@
 // seeds is how many loads of one kind are played where chance weighs.
 const seeds = 4
 
-// meanInTime returns the part of the calls of a kind that were served within their goals, over
+// meanServedInTime returns the part of the calls of a kind that were served within their goals, over
 // some seeds.
-func meanInTime(f File, v Variant, kind string) (mean float64) {
+func meanServedInTime(f File, v Variant, kind string) (mean float64) {
 	part := make([]float64, seeds)
 	var g sync.WaitGroup
 	for i := range part {
@@ -46,8 +46,8 @@
 		gains float64
 	}{{"brief", 0.03}, {"plan", 0.2}, {"season", -0.05}} {
 		t.Run(x.kind, func(t *testing.T) {
-			asked := meanInTime(f, Variant{Name: "gateway", Decisions: Worth}, x.kind)
-			not := meanInTime(f, Variant{Name: "not asked", Decisions: Worth, Unasked: true}, x.kind)
+			asked := meanServedInTime(f, Variant{Name: "gateway", Decisions: Worth}, x.kind)
+			not := meanServedInTime(f, Variant{Name: "not asked", Decisions: Worth, Unasked: true}, x.kind)
 			t.Logf("served in time: %.3f, and %.3f where engines are not asked how fast they are", asked, not)
 			require.Greater(t, asked, not+x.gains)
 		})
