--- a/experiment/set.go
+++ b/experiment/set.go
@@ -66,14 +66,14 @@
 // that has ended, and how many there are.
 func SimulateSet(ns []NamedFile, seeds, workers int, progress func(ended, all int)) SetReport {
 	var r SetReport
-	var todo []func() float64
+	var tasks []func() float64
 	for _, n := range ns {
 		for _, v := range n.File.Variants {
 			for i := range seeds {
 				f := n.File
 				f.Seed += uint64(i)
 				r.Runs = append(r.Runs, Run{File: n.Name, Variant: v.Name, Seed: f.Seed})
-				todo = append(todo, func() float64 { return worthShare(Simulate(f, v)) })
+				tasks = append(tasks, func() float64 { return worthShare(Simulate(f, v)) })
 			}
 		}
 	}
@@ -84,16 +84,16 @@
 	for range max(workers, 1) {
 		g.Go(func() {
 			for i := range next {
-				w := todo[i]()
+				w := tasks[i]()
 				mu.Lock()
 				r.Runs[i].Worth = w
 				ended++
-				progress(ended, len(todo))
+				progress(ended, len(tasks))
 				mu.Unlock()
 			}
 		})
 	}
-	for i := range todo {
+	for i := range tasks {
 		next <- i
 	}
 	close(next)
