--- a/experiment/set.go
+++ b/experiment/set.go
@@ -64,7 +64,7 @@
 // SimulateSet plays all variants of all files under some seeds, counted from each
 // file's own, as many at a time as there are workers. Progress is told of each run
 // that has ended, and how many there are.
-func SimulateSet(ns []NamedFile, seeds, workers int, progress func(ended, all int)) SetReport {
+func SimulateSet(ns []NamedFile, seeds, workers int, progress func(completed, all int)) SetReport {
 	var r SetReport
 	var tasks []func() float64
 	for _, n := range ns {
