--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -42,10 +42,10 @@
 	f.Duration = config.Duration(2 * time.Second)
 	f.Variants = []Variant{{Name: "a", Decisions: LeastRequests}, {Name: "b", Decisions: RoundRobin}}
 	ns := []NamedFile{{"x", f}, {"y", f}}
-	told := 0
+	calls := 0
 	r := SimulateSet(ns, 2, 3, func(ended, all int) {
-		told++
-		require.Equal(t, told, ended)
+		calls++
+		require.Equal(t, calls, ended)
 		require.Equal(t, 8, all)
 	})
 	require.Len(t, r.Runs, 8)
