--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -34,12 +34,12 @@
 func TestKernel(t *testing.T) {
 	ctx := context.Background()
 	t.Run("what was started is stopped when a later service fails", func(t *testing.T) {
-		var said []string
+		var calls []string
 		k := kernel.New()
-		k.Register("a", noisy{name: "a", calls: &said})
-		k.Register("b", noisy{name: "b", fail: true, calls: &said})
+		k.Register("a", noisy{name: "a", calls: &calls})
+		k.Register("b", noisy{name: "b", fail: true, calls: &calls})
 		require.ErrorContains(t, k.Start(ctx), "start service b: broken")
-		require.Equal(t, []string{"start a", "start b", "stop a"}, said)
+		require.Equal(t, []string{"start a", "start b", "stop a"}, calls)
 	})
 	t.Run("a service is found by name and type", func(t *testing.T) {
 		k := kernel.New()
