--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -55,10 +55,10 @@
 }
 
 func ExampleKernel() {
-	var said []string
+	var calls []string
 	k := kernel.New()
-	k.Register("log", noisy{name: "log", calls: &said})
-	k.Register("server", noisy{name: "server", calls: &said})
+	k.Register("log", noisy{name: "log", calls: &calls})
+	k.Register("server", noisy{name: "server", calls: &calls})
 	ctx := context.Background()
 	if err := k.Start(ctx); err != nil {
 		fmt.Println(err)
@@ -66,7 +66,7 @@
 	if err := k.Stop(ctx); err != nil {
 		fmt.Println(err)
 	}
-	fmt.Println(said)
+	fmt.Println(calls)
 	// Output:
 	// [start log start server stop server stop log]
 }
