--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -11,14 +11,14 @@
 	"github.com/hollowgrade/hollowgrade/kernel"
 )
 
-// noisy tells when it is started and stopped.
-type noisy struct {
+// recordingService tells when it is started and stopped.
+type recordingService struct {
 	name  string
 	fail  bool
 	calls *[]string
 }
 
-func (n noisy) Start(context.Context, *kernel.Kernel) error {
+func (n recordingService) Start(context.Context, *kernel.Kernel) error {
 	*n.calls = append(*n.calls, "start "+n.name)
 	if n.fail {
 		return errors.New("broken")
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func (n noisy) Stop(context.Context) error {
+func (n recordingService) Stop(context.Context) error {
 	*n.calls = append(*n.calls, "stop "+n.name)
 	return nil
 }
@@ -36,20 +36,20 @@
 	t.Run("what was started is stopped when a later service fails", func(t *testing.T) {
 		var calls []string
 		k := kernel.New()
-		k.Register("a", noisy{name: "a", calls: &calls})
-		k.Register("b", noisy{name: "b", fail: true, calls: &calls})
+		k.Register("a", recordingService{name: "a", calls: &calls})
+		k.Register("b", recordingService{name: "b", fail: true, calls: &calls})
 		require.ErrorContains(t, k.Start(ctx), "start service b: broken")
 		require.Equal(t, []string{"start a", "start b", "stop a"}, calls)
 	})
 	t.Run("a service is found by name and type", func(t *testing.T) {
 		k := kernel.New()
-		k.Register("a", noisy{name: "a"})
-		n, err := kernel.Find[noisy](k, "a")
+		k.Register("a", recordingService{name: "a"})
+		n, err := kernel.Find[recordingService](k, "a")
 		require.NoError(t, err)
 		require.Equal(t, "a", n.name)
-		_, err = kernel.Find[noisy](k, "b")
+		_, err = kernel.Find[recordingService](k, "b")
 		require.Error(t, err)
-		_, err = kernel.Find[*noisy](k, "a")
+		_, err = kernel.Find[*recordingService](k, "a")
 		require.Error(t, err)
 	})
 }
@@ -57,8 +57,8 @@
 func ExampleKernel() {
 	var calls []string
 	k := kernel.New()
-	k.Register("log", noisy{name: "log", calls: &calls})
-	k.Register("server", noisy{name: "server", calls: &calls})
+	k.Register("log", recordingService{name: "log", calls: &calls})
+	k.Register("server", recordingService{name: "server", calls: &calls})
 	ctx := context.Background()
 	if err := k.Start(ctx); err != nil {
 		fmt.Println(err)
