--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -183,9 +183,9 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// serving returns the number of the engine that holds a sequence now. Each look
+// servingEngine returns the number of the engine that holds a sequence now. Each look
 // is an answer awaited.
-func (f *fleet) serving(t testing.TB) int {
+func (f *fleet) servingEngine(t testing.TB) int {
 	t.Helper()
 	for {
 		for i, u := range f.urls {
@@ -274,7 +274,7 @@
 	t.Run("SIGTERM of an agent cuts off no stream", func(t *testing.T) {
 		f := startFleet(t, 1, 2, step)
 		res := f.complete(t, 0, "Second half", long)
-		n := f.serving(t)
+		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGTERM))
 		requireAnswer(t, "Second half", long, res)
 		f.agents[n].await(t, "stopped")
@@ -287,7 +287,7 @@
 				res := f.complete(t, 0, prompt, long)
 				require.Equal(t, http.StatusOK, res.StatusCode)
 				b := firstEvent(t, res)
-				n := f.serving(t)
+				n := f.servingEngine(t)
 				p := f.agents[n]
 				if victim == "engine" {
 					p = f.engines[n]
@@ -303,7 +303,7 @@
 		f := startFleet(t, 1, 2, step)
 		res := f.complete(t, 0, "Half time", long)
 		b := firstEvent(t, res)
-		n := f.serving(t)
+		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGSTOP))
 		// The stream goes on elsewhere, or waits for the agent: either way it
 		// is whole. A new one is answered meanwhile.
