--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -254,9 +254,9 @@
 }
 
 const (
-	step   = "8ms"
-	long   = 300 // tokens of an answer that is still running when a signal arrives
-	rounds = 3
+	step             = "8ms"
+	longAnswerTokens = 300 // tokens of an answer that is still running when a signal arrives
+	rounds           = 3
 )
 
 func TestProcesses(t *testing.T) {
@@ -266,17 +266,17 @@
 	})
 	t.Run("SIGTERM of an entry cuts off no stream", func(t *testing.T) {
 		f := startFleet(t, 1, 1, step)
-		res := f.complete(t, 0, "Final whistle", long)
+		res := f.complete(t, 0, "Final whistle", longAnswerTokens)
 		require.NoError(t, f.entries[0].Process.Signal(syscall.SIGTERM))
-		requireAnswer(t, "Final whistle", long, res)
+		requireAnswer(t, "Final whistle", longAnswerTokens, res)
 		f.entries[0].await(t, "stopped")
 	})
 	t.Run("SIGTERM of an agent cuts off no stream", func(t *testing.T) {
 		f := startFleet(t, 1, 2, step)
-		res := f.complete(t, 0, "Second half", long)
+		res := f.complete(t, 0, "Second half", longAnswerTokens)
 		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGTERM))
-		requireAnswer(t, "Second half", long, res)
+		requireAnswer(t, "Second half", longAnswerTokens, res)
 		f.agents[n].await(t, "stopped")
 	})
 	for _, victim := range []string{"agent", "engine"} {
@@ -284,7 +284,7 @@
 			f := startFleet(t, 1, rounds+1, step)
 			for i := range rounds {
 				prompt := fmt.Sprint("Round ", i)
-				res := f.complete(t, 0, prompt, long)
+				res := f.complete(t, 0, prompt, longAnswerTokens)
 				require.Equal(t, http.StatusOK, res.StatusCode)
 				b := firstEvent(t, res)
 				n := f.servingEngine(t)
@@ -294,14 +294,14 @@
 				}
 				require.NoError(t, p.Process.Kill())
 				f.dead[n] = true
-				require.Equal(t, standin.Answer(prompt, long), text(t, b))
+				require.Equal(t, standin.Answer(prompt, longAnswerTokens), text(t, b))
 				require.NoError(t, res.Body.Close())
 			}
 		})
 	}
 	t.Run("SIGSTOP of an agent, and SIGCONT", func(t *testing.T) {
 		f := startFleet(t, 1, 2, step)
-		res := f.complete(t, 0, "Half time", long)
+		res := f.complete(t, 0, "Half time", longAnswerTokens)
 		b := firstEvent(t, res)
 		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGSTOP))
@@ -309,12 +309,12 @@
 		// is whole. A new one is answered meanwhile.
 		requireAnswer(t, "Meanwhile", 12, f.complete(t, 0, "Meanwhile", 12))
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGCONT))
-		require.Equal(t, standin.Answer("Half time", long), text(t, b))
+		require.Equal(t, standin.Answer("Half time", longAnswerTokens), text(t, b))
 		require.NoError(t, res.Body.Close())
 	})
 	t.Run("SIGKILL of an entry loses its streams, and the other entry serves on", func(t *testing.T) {
 		f := startFleet(t, 2, 1, step)
-		res := f.complete(t, 0, "Kick-off", long)
+		res := f.complete(t, 0, "Kick-off", longAnswerTokens)
 		b := firstEvent(t, res)
 		require.NoError(t, f.entries[0].Process.Kill())
 		all, _ := io.ReadAll(b)
