--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -256,7 +256,7 @@
 const (
 	step             = "8ms"
 	longAnswerTokens = 300 // tokens of an answer that is still running when a signal arrives
-	rounds           = 3
+	killRounds       = 3
 )
 
 func TestProcesses(t *testing.T) {
@@ -281,8 +281,8 @@
 	})
 	for _, victim := range []string{"agent", "engine"} {
 		t.Run("SIGKILL of the "+victim+" that serves, three times, in the middle of a stream", func(t *testing.T) {
-			f := startFleet(t, 1, rounds+1, step)
-			for i := range rounds {
+			f := startFleet(t, 1, killRounds+1, step)
+			for i := range killRounds {
 				prompt := fmt.Sprint("Round ", i)
 				res := f.complete(t, 0, prompt, longAnswerTokens)
 				require.Equal(t, http.StatusOK, res.StatusCode)
