--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -102,13 +102,13 @@
 	engines  []*process
 	urls     []string // of engines
 	callers  []string // base URLs of entries
-	dead     map[int]bool
+	killed   map[int]bool
 }
 
 // startFleet starts entries, and engines each with its agent.
 func startFleet(t testing.TB, entries, engines int, step string) *fleet {
 	t.Helper()
-	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), dead: map[int]bool{}}
+	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), killed: map[int]bool{}}
 	for i := range engines {
 		f.addEngine(t, i, step)
 	}
@@ -189,7 +189,7 @@
 	t.Helper()
 	for {
 		for i, u := range f.urls {
-			if f.dead[i] {
+			if f.killed[i] {
 				continue
 			}
 			hs, err := upstream.NewEngine(u, http.DefaultTransport).Holdings(context.Background())
@@ -293,7 +293,7 @@
 					p = f.engines[n]
 				}
 				require.NoError(t, p.Process.Kill())
-				f.dead[n] = true
+				f.killed[n] = true
 				require.Equal(t, standin.Answer(prompt, longAnswerTokens), text(t, b))
 				require.NoError(t, res.Body.Close())
 			}
