--- a/config/config_test.go
+++ b/config/config_test.go
@@ -71,8 +71,8 @@
 	require.Equal(t, policy.After, e.Phase(at.Add(time.Hour)))
 }
 
-// stateOf returns a state with that many organisations.
-func stateOf(b *testing.B, n int) fold.State {
+// stateWithOrganisations returns a state with that many organisations.
+func stateWithOrganisations(b *testing.B, n int) fold.State {
 	b.Helper()
 	s := fold.Snapshot{Next: int64(n)}
 	for i := range n {
@@ -95,7 +95,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 4000, 8000, 13000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := stateOf(b, n)
+			s := stateWithOrganisations(b, n)
 			c, err := fold.NewChange(OrganisationKind, "o0", 1, Organisation{Name: "o0"}, "n", "a")
 			require.NoError(b, err)
 			e, err := c.Encode()
