--- a/config/config_test.go
+++ b/config/config_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 }
 
-func compiled(t *testing.T, l hollowgrade.Log, former *Config) (*Config, []error) {
+func loadAndCompile(t *testing.T, l hollowgrade.Log, former *Config) (*Config, []error) {
 	t.Helper()
 	s, err := fold.Load(context.Background(), l)
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	l := standin.NewLog(0, hollowgrade.SystemClock())
 	publish(t, l, OrganisationKind, "a", Organisation{Name: "a", Keys: []string{KeyDigest("secret")}})
 	publish(t, l, PolicyKind, DefaultPolicy, Policy{Name: DefaultPolicy, Text: examples.Policy("korrigan")})
-	c, es := compiled(t, l, nil)
+	c, es := loadAndCompile(t, l, nil)
 	require.Empty(t, es)
 
 	t.Run("a key leads to its organisation", func(t *testing.T) {
@@ -57,7 +57,7 @@
 		require.NoError(t, err)
 		_, err = fold.Publish(context.Background(), l, s, r)
 		require.NoError(t, err)
-		n, es := compiled(t, l, c)
+		n, es := loadAndCompile(t, l, c)
 		require.Len(t, es, 1)
 		require.Equal(t, c.Policies[DefaultPolicy], n.Policies[DefaultPolicy])
 	})
