--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -16,8 +16,8 @@
 
 const someFingerprint = "14d3233db8aeb9edd5e73e5f4b553f9a"
 
-// operatorsOf plays the operators' listener of a gateway that holds one request.
-func operatorsOf(t *testing.T, held bool) (address string, lifted *int) {
+// startOperatorsServer plays the operators' listener of a gateway that holds one request.
+func startOperatorsServer(t *testing.T, held bool) (address string, lifted *int) {
 	t.Helper()
 	lifted = new(int)
 	m := http.NewServeMux()
@@ -49,8 +49,8 @@
 }
 
 func TestQuarantineCommand(t *testing.T) {
-	knows, lifted := operatorsOf(t, true)
-	empty, _ := operatorsOf(t, false)
+	knows, lifted := startOperatorsServer(t, true)
+	empty, _ := startOperatorsServer(t, false)
 	t.Run("lists what any box knows, once", func(t *testing.T) {
 		code, out, _ := run("quarantine", "list", "--box", knows, "--box", empty, "--box", knows)
 		require.Equal(t, exitOK, code)
