--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -34,10 +34,10 @@
 	MemoryMB       int           `name:"memory-mb" help:"Memory that the process may use, in MB; 0 to leave it unbounded." default:"0" min:"0" group:"limits"`
 }
 
-// freshnessSlack is what has to be left of key_freshness when a view is at its oldest: 300 ms
+// freshnessMargin is what has to be left of key_freshness when a view is at its oldest: 300 ms
 // that the core keeps for clocks which differ, and half a second for the way of answers and for
 // what a gateway that is short of processor time leaves of it.
-const freshnessSlack = 800 * time.Millisecond
+const freshnessMargin = 800 * time.Millisecond
 
 // freshnessKey is the key of the setting that it is left of.
 const freshnessKey = "key_freshness"
@@ -45,7 +45,7 @@
 // Timing returns the times by which the configuration is read and told on: all of them follow
 // from key_freshness.
 func (g Gateway) Timing() feed.Timing {
-	return feed.NewTiming(g.KeyFreshness - freshnessSlack)
+	return feed.NewTiming(g.KeyFreshness - freshnessMargin)
 }
 
 // ReadWait returns how long one read of the configuration waits: config_wait,
@@ -57,7 +57,7 @@
 // CheckFreshness returns an error with the smallest key_freshness that holds, if this one does not:
 // keys would end now and then while the store turns some gateways away. A gateway runs with it all the same.
 func (g Gateway) CheckFreshness() error {
-	if least := feed.MinViewAge + freshnessSlack; g.KeyFreshness < least {
+	if least := feed.MinViewAge + freshnessMargin; g.KeyFreshness < least {
 		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, least)
 	}
 	return nil
