--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -21,7 +21,7 @@
 )
 
 func figures() *engine.Figures {
-	return &engine.Figures{Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, ReadRate: 256_000, PerMillionPairs: 91700 * time.Nanosecond, Chunk: 2048, Stride: 46}
+	return &engine.Figures{Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, PrefillRate: 256_000, PerMillionPairs: 91700 * time.Nanosecond, Chunk: 2048, Stride: 46}
 }
 
 func newFleet(service string, n int) *Fleet {
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -28,11 +28,11 @@
 func randomFigures(r *rand.Rand) *engine.Figures {
 	f := &engine.Figures{
 		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerWriter: 5 * time.Microsecond,
-		StepPerContext: 2540 * time.Nanosecond, ReadRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Chunk: 2048,
+		StepPerContext: 2540 * time.Nanosecond, PrefillRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Chunk: 2048,
 		Stride: 46, Hop: 100 * time.Microsecond, UsualPrompt: 13_000, UsualAnswer: 1540,
 	}
 	if r.IntN(2) == 0 {
-		f.Slots, f.Capacity, f.Step, f.ReadRate, f.PerMillionPairs, f.Stride = 12, 405_000, 1310*time.Microsecond, 154_000, 162*time.Microsecond, 34
+		f.Slots, f.Capacity, f.Step, f.PrefillRate, f.PerMillionPairs, f.Stride = 12, 405_000, 1310*time.Microsecond, 154_000, 162*time.Microsecond, 34
 	}
 	return f
 }
--- a/core/harm_test.go
+++ b/core/harm_test.go
@@ -201,7 +201,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeUpstreams{replies: []reply{delayed(broken)}}
 		c := newCore(f)
-		e := &engine.Figures{Slots: 16, Capacity: 450_000, Step: time.Millisecond, ReadRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Stride: 46}
+		e := &engine.Figures{Slots: 16, Capacity: 450_000, Step: time.Millisecond, PrefillRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Stride: 46}
 		rs := []Route{{Name: "long", Host: "h", Prefix: "/", Repeat: Resume, Stream: true, Timeout: 20 * time.Second, Goal: 3 * time.Second, PauseGoal: time.Second, Targets: []Target{{"s", 1}}, MaxAttempts: 2}}
 		c.SetCatalog(NewCatalog(2, rs, []Service{{Name: "s", Engine: e}}, []Organisation{{Name: "o", Keys: []string{"k"}}}, Limits{}))
 		helpers := 0
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -16,7 +16,7 @@
 	Step            time.Duration // of one token step with nobody writing
 	StepPerWriter   time.Duration // more for each request that writes
 	StepPerContext  time.Duration // more for each 1,000 tokens of context of those that write
-	ReadRate        float64       // prompt tokens a second
+	PrefillRate     float64       // prompt tokens a second
 	PerMillionPairs time.Duration // for a million pairs of a prompt token and one before it
 	Chunk           int           // prompt tokens read in one step at the most
 	Stride          int           // steps of one pass while requests write
@@ -35,14 +35,14 @@
 // with those before it.
 func (f *Figures) PrefillTime(n, engines int) time.Duration {
 	t := float64(n)
-	tokens := t / f.ReadRate * float64(time.Second)
+	tokens := t / f.PrefillRate * float64(time.Second)
 	pairs := t * t / 2 / pairsPerMillion * float64(f.PerMillionPairs)
 	return time.Duration((tokens + pairs) / float64(max(engines, 1)))
 }
 
 // PrefillTokens returns how many tokens one engine reads in a time: the inverse of [Figures.PrefillTime].
 func (f *Figures) PrefillTokens(d time.Duration) int {
-	perToken := 1 / f.ReadRate
+	perToken := 1 / f.PrefillRate
 	perPair := f.PerMillionPairs.Seconds() / 2 / pairsPerMillion
 	if perPair <= 0 {
 		return int(d.Seconds() / perToken)
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSlowEngine(t *testing.T) {
-	f := Figures{Step: time.Millisecond, Stride: 10, ReadRate: 1000}
+	f := Figures{Step: time.Millisecond, Stride: 10, PrefillRate: 1000}
 	read := f.PrefillTime(100, 1)
 	t.Run("makes passes and reading longer, and not what was counted in its own time", func(t *testing.T) {
 		s := State{PrefillBacklog: time.Second, Pace: 3}
--- a/experiment/file.go
+++ b/experiment/file.go
@@ -54,7 +54,7 @@
 		Step:            e.Step.Std(),
 		StepPerWriter:   e.StepPerWriter.Std(),
 		StepPerContext:  e.StepPerContext.Std(),
-		ReadRate:        e.ReadRate,
+		PrefillRate:     e.ReadRate,
 		PerMillionPairs: e.PerMillion.Std(),
 		Stride:          e.Stride,
 		Hop:             e.Hop.Std(),
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -80,7 +80,7 @@
 }
 
 var (
-	service = core.Service{Name: "s", Engine: &engine.Figures{Slots: 4, Stride: 1, Step: time.Millisecond, ReadRate: 1000, Capacity: 1_000_000}}
+	service = core.Service{Name: "s", Engine: &engine.Figures{Slots: 4, Stride: 1, Step: time.Millisecond, PrefillRate: 1000, Capacity: 1_000_000}}
 	route   = core.Route{Goal: time.Minute, PauseGoal: 300 * time.Millisecond}
 )
 
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,7 +11,7 @@
 
 func figures() *engine.Figures {
 	return &engine.Figures{
-		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, ReadRate: 256_000, PerMillionPairs: 91700 * time.Nanosecond,
+		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, PrefillRate: 256_000, PerMillionPairs: 91700 * time.Nanosecond,
 		Chunk: 2048, Stride: 46, UsualAnswer: 1540,
 	}
 }
@@ -82,7 +82,7 @@
 
 func TestPriceFollowsFromHowFastEnginesRead(t *testing.T) {
 	half := *figures()
-	half.ReadRate /= 2
+	half.PrefillRate /= 2
 	half.PerMillionPairs *= 2
 	require.InDelta(t, worthPerSecond(figures())/2, worthPerSecond(&half), 0.01)
 	t.Run("and is next to nothing while nothing waits", func(t *testing.T) {
