--- a/engine/engine.go
+++ b/engine/engine.go
@@ -14,7 +14,7 @@
 	Slots           int
 	Capacity        int           // tokens that its memory holds
 	Step            time.Duration // of one token step with nobody writing
-	StepPerWriter   time.Duration // more for each request that writes
+	StepPerDecoding time.Duration // more for each request that writes
 	StepPerContext  time.Duration // more for each 1,000 tokens of context of those that write
 	PrefillRate     float64       // prompt tokens a second
 	PerMillionPairs time.Duration // for a million pairs of a prompt token and one before it
@@ -81,7 +81,7 @@
 // PassTime returns how long one pass takes without any reading: while requests
 // write, events come that far apart.
 func (f *Figures) PassTime(s State) time.Duration {
-	step := f.Step + time.Duration(s.Decoding)*f.StepPerWriter +
+	step := f.Step + time.Duration(s.Decoding)*f.StepPerDecoding +
 		time.Duration(float64(s.Context)/contextPerFigure*float64(f.StepPerContext))
 	return s.scale(time.Duration(max(f.Stride, 1)) * step)
 }
--- a/experiment/file.go
+++ b/experiment/file.go
@@ -52,7 +52,7 @@
 		Slots:           e.Slots,
 		Capacity:        e.Capacity,
 		Step:            e.Step.Std(),
-		StepPerWriter:   e.StepPerWriter.Std(),
+		StepPerDecoding: e.StepPerWriter.Std(),
 		StepPerContext:  e.StepPerContext.Std(),
 		PrefillRate:     e.ReadRate,
 		PerMillionPairs: e.PerMillion.Std(),
