--- a/engine/engine.go
+++ b/engine/engine.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	pairsPerMillion  = 1e6  // the unit of [Figures.PerMillion]
-	contextPerFigure = 1000 // the unit of [Figures.StepPerContext]
+	pairsPerMillion        = 1e6  // the unit of [Figures.PerMillion]
+	contextTokensPerFigure = 1000 // the unit of [Figures.StepPerContext]
 )
 
 // PrefillTime returns how long engines take to read a prompt of n tokens, split
@@ -82,7 +82,7 @@
 // write, events come that far apart.
 func (f *Figures) PassTime(s State) time.Duration {
 	step := f.Step + time.Duration(s.Decoding)*f.StepPerDecoding +
-		time.Duration(float64(s.Context)/contextPerFigure*float64(f.StepPerContext))
+		time.Duration(float64(s.Context)/contextTokensPerFigure*float64(f.StepPerContext))
 	return s.scale(time.Duration(max(f.Stride, 1)) * step)
 }
 
