--- a/experiment/play.go
+++ b/experiment/play.go
@@ -60,7 +60,7 @@
 	updates        int // words of load so far
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
-	deciders       []decider
+	gateways       []decider
 	open           map[*job]bool
 	results        []Result
 }
@@ -101,7 +101,7 @@
 		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), sim: p, pace: 1}
 	}
 	for i := range f.gateways(v) {
-		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
+		p.gateways = append(p.gateways, p.newDecider(uint64(i), ids))
 	}
 	for i := range f.Kinds {
 		p.scheduleArrivals(&f.Kinds[i])
@@ -228,8 +228,8 @@
 }
 
 func (p *simulation) place(j *job) {
-	j.decider = p.decisionRandom.IntN(len(p.deciders))
-	g := p.deciders[j.decider]
+	j.decider = p.decisionRandom.IntN(len(p.gateways))
+	g := p.gateways[j.decider]
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
@@ -285,7 +285,7 @@
 
 // sendPace lets the other gateways hear how fast an engine said that it is.
 func (p *simulation) sendPace(from decider, id string, pace float64) {
-	for _, g := range p.deciders {
+	for _, g := range p.gateways {
 		if g != from && !p.variant.Alone {
 			g.receivePace(id, pace, p.file.View.Std(), "another")
 		}
@@ -313,7 +313,7 @@
 // rejectAttempt ends an attempt of which nothing has run.
 func (p *simulation) rejectAttempt(j *job, d core.Plan) {
 	delete(p.open, j)
-	p.deciders[j.decider].done(d)
+	p.gateways[j.decider].done(d)
 	p.retry(j, time.Second)
 }
 
@@ -370,12 +370,12 @@
 func (p *simulation) sendUpdates() {
 	complete := p.updates%completeUpdateEvery == 0
 	p.updates++
-	for i, a := range p.deciders {
+	for i, a := range p.gateways {
 		cs := a.changes(complete)
 		if len(cs) == 0 && !complete {
 			continue
 		}
-		for j, b := range p.deciders {
+		for j, b := range p.gateways {
 			if i != j {
 				b.receiveView(fmt.Sprint(i), cs, complete)
 			}
