--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,7 +1,6 @@
-// Package engine is a model of a model engine that batches continuously. From
-// the engine's published figures it works out how long a prompt takes to read,
-// how long a pass takes while requests write, and when a new request would get
-// its first tokens. It is pure: no clock, no I/O.
+// Package engine models an engine with continuous batching. From the engine's published figures it
+// predicts how long the prefill of a prompt takes, how long a pass takes while requests decode, and
+// when a new request would get its first tokens. It is pure: no clock, no I/O.
 package engine
 
 import (
@@ -12,17 +11,17 @@
 // Figures are the published figures of an engine.
 type Figures struct {
 	Slots           int
-	Capacity        int           // tokens that its memory holds
-	Step            time.Duration // of one token step with nobody writing
-	StepPerDecoding time.Duration // more for each request that writes
-	StepPerContext  time.Duration // more for each 1,000 tokens of context of those that write
-	PrefillRate     float64       // prompt tokens a second
-	PerMillionPairs time.Duration // for a million pairs of a prompt token and one before it
-	Chunk           int           // prompt tokens read in one step at the most
-	Stride          int           // steps of one pass while requests write
-	Hop             time.Duration // more for each step of a request whose prompt several engines read
-	UsualPrompt     int           // mean tokens of a prompt
-	UsualAnswer     int           // mean tokens of an answer
+	Capacity        int           // tokens that fit into its memory
+	Step            time.Duration // duration of a decode step without requests
+	StepPerDecoding time.Duration // added by each request that decodes
+	StepPerContext  time.Duration // added by each 1,000 tokens of their context
+	PrefillRate     float64       // prompt tokens per second
+	PerMillionPairs time.Duration // prefill time of a million pairs of a prompt token and an earlier one
+	Chunk           int           // maximum prompt tokens prefilled in one step
+	Stride          int           // decode steps per pass
+	Hop             time.Duration // added to each step of a request whose prompt was split between engines
+	UsualPrompt     int           // mean prompt length in tokens
+	UsualAnswer     int           // mean answer length in tokens
 }
 
 const (
@@ -30,9 +29,9 @@
 	contextTokensPerFigure = 1000 // the unit of [Figures.StepPerContext]
 )
 
-// PrefillTime returns how long engines take to read a prompt of n tokens, split
-// evenly over a number of them: the tokens themselves, and the pairs of each
-// with those before it.
+// PrefillTime returns how long the prefill of a prompt of n tokens takes if it is split evenly
+// between the given number of engines: a part per token, and a part per pair of a token and an
+// earlier one.
 func (f *Figures) PrefillTime(n, engines int) time.Duration {
 	t := float64(n)
 	tokens := t / f.PrefillRate * float64(time.Second)
@@ -40,7 +39,8 @@
 	return time.Duration((tokens + pairs) / float64(max(engines, 1)))
 }
 
-// PrefillTokens returns how many tokens one engine reads in a time: the inverse of [Figures.PrefillTime].
+// PrefillTokens returns how many prompt tokens one engine prefills in the given time. It is the
+// inverse of [Figures.PrefillTime].
 func (f *Figures) PrefillTokens(d time.Duration) int {
 	perToken := 1 / f.PrefillRate
 	perPair := f.PerMillionPairs.Seconds() / 2 / pairsPerMillion
@@ -50,9 +50,9 @@
 	return int((math.Sqrt(perToken*perToken+4*perPair*d.Seconds()) - perToken) / (2 * perPair))
 }
 
-// HopTime returns by how much steps of an engine are longer, all in all, for an
-// answer of n tokens whose prompt several engines have read. N is the most that
-// was asked for; answers are rarely longer than usual.
+// HopTime returns the time added to all steps of an answer whose prompt was split between several
+// engines. n is the requested maximum of tokens; it is capped at the usual length, which answers
+// rarely exceed.
 func (f *Figures) HopTime(n int) time.Duration {
 	if f.UsualAnswer > 0 {
 		n = min(n, f.UsualAnswer)
@@ -60,17 +60,17 @@
 	return time.Duration(n) * f.Hop
 }
 
-// State is what an engine has to do.
+// State is the load of an engine.
 type State struct {
-	Decoding       int           // requests that write, or will once they are read
-	Context        int           // tokens of context of those
-	PrefillBacklog time.Duration // of prompts, still to be done
-	// Pace is how many times as long as published the engine takes for what it does; 0 counts
-	// as 1. Reading is in its own time already.
+	Decoding       int           // requests that decode, or will after their prefill
+	Context        int           // tokens of their context
+	PrefillBacklog time.Duration // prefill still to be done
+	// Pace is the engine's time for its work as a multiple of the published one; 0 counts as 1.
+	// PrefillBacklog already includes it.
 	Pace float64
 }
 
-// scale returns how long something takes that takes d by the published figures.
+// scale converts a published duration to the engine's pace.
 func (s State) scale(d time.Duration) time.Duration {
 	if s.Pace == 0 {
 		return d
@@ -78,23 +78,23 @@
 	return time.Duration(s.Pace * float64(d))
 }
 
-// PassTime returns how long one pass takes without any reading: while requests
-// write, events come that far apart.
+// PassTime returns the duration of a pass without prefill, which is the interval between events
+// while requests decode.
 func (f *Figures) PassTime(s State) time.Duration {
 	step := f.Step + time.Duration(s.Decoding)*f.StepPerDecoding +
 		time.Duration(float64(s.Context)/contextTokensPerFigure*float64(f.StepPerContext))
 	return s.scale(time.Duration(max(f.Stride, 1)) * step)
 }
 
-// TimeToFirstEvent returns when the first event of a request would come that adds reading
-// to the engine: what is being read, its own, half a pass until it is let in,
-// and the pass that writes it.
+// TimeToFirstEvent returns the predicted time to the first event of a request that adds prefill to
+// the engine: the backlog, its own prefill, half a pass until it is admitted, and the pass that
+// writes the event.
 func (f *Figures) TimeToFirstEvent(s State, reading time.Duration) time.Duration {
 	return s.PrefillBacklog + s.scale(reading) + f.PassTime(s)*3/2
 }
 
-// LongestPause returns the longest pause that a request that writes there sees when
-// reading is added: a pass reads all that waits.
+// LongestPause returns the longest pause between events of a request that decodes there when
+// prefill is added: one pass does the whole backlog.
 func (f *Figures) LongestPause(s State, reading time.Duration) time.Duration {
 	return f.PassTime(s) + s.PrefillBacklog + s.scale(reading)
 }
