--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the policies and the loads that the demo uses and
-// that the pages speak of.
+// Package examples embeds the policies and the loads that the demo uses and the documentation
+// refers to.
 package examples
 
 import "embed"
@@ -19,7 +19,7 @@
 	return read("mixes/" + name + ".toml")
 }
 
-// read panics if the file is missing: it is part of the program.
+// read panics if the file is missing, because the files are embedded in the program.
 func read(path string) string {
 	b, err := Files.ReadFile(path)
 	if err != nil {
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,6 +1,5 @@
-// Package kernel is the micro-kernel of a process: services are registered by
-// name, started in the order in which they were registered, find each other by
-// name, and are stopped in the reverse order.
+// Package kernel manages the services of a process: they are registered by name, started in the
+// order of registration, find each other by name, and are stopped in the reverse order.
 package kernel
 
 import (
@@ -11,15 +10,15 @@
 
 // Service is one part of a process.
 type Service interface {
-	// Start brings the service up. It returns once others may use it; long
-	// work goes on in goroutines of the service's own until Stop.
+	// Start starts the service and returns once others may use it. Long work runs in the service's
+	// own goroutines until Stop.
 	Start(ctx context.Context, k *Kernel) error
-	// Stop finishes what the service holds, and returns by the end of ctx.
+	// Stop finishes the service's work and returns by the end of ctx.
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the services of one process. Registration is not safe for
-// concurrent use; it is done before [Kernel.Start].
+// Kernel holds the services of one process. Registration is not safe for concurrent use and must be
+// done before [Kernel.Start].
 type Kernel struct {
 	names    []string
 	services map[string]Service
@@ -31,8 +30,8 @@
 	return &Kernel{services: map[string]Service{}}
 }
 
-// Register adds a service under a name. It panics if the name is taken, which
-// is a mistake in the program.
+// Register adds a service under a name. It panics if the name is already registered, which is a
+// programming error.
 func (k *Kernel) Register(name string, s Service) {
 	if _, ok := k.services[name]; ok {
 		panic("kernel: service " + name + " is registered twice")
@@ -41,8 +40,8 @@
 	k.services[name] = s
 }
 
-// Start starts the services in order. If one fails, those before it are
-// stopped again and the error says which it was.
+// Start starts the services in order. If one fails, those started before it are stopped, and the
+// error names the failed one.
 func (k *Kernel) Start(ctx context.Context) (err error) {
 	for _, n := range k.names {
 		if err = k.services[n].Start(ctx, k); err != nil {
@@ -54,8 +53,8 @@
 	return nil
 }
 
-// Stop stops the started services in reverse order. It goes on when one fails,
-// and returns all errors.
+// Stop stops the started services in reverse order. It continues after a failure and returns all
+// errors.
 func (k *Kernel) Stop(ctx context.Context) (err error) {
 	for ; k.started > 0; k.started-- {
 		n := k.names[k.started-1]
@@ -66,13 +65,13 @@
 	return err
 }
 
-// Names returns the names of all services in their order of start.
+// Names returns the names of all services in the order in which they are started.
 func (k *Kernel) Names() []string {
 	return append([]string(nil), k.names...)
 }
 
-// Find returns the service with the given name as a T. Its error says whether
-// there is none or whether it is of another type.
+// Find returns the service with the given name as a T. Its error says whether there is none or
+// whether it has another type.
 func Find[T any](k *Kernel, name string) (t T, err error) {
 	s, ok := k.services[name]
 	if !ok {
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -11,7 +11,7 @@
 	"github.com/hollowgrade/hollowgrade/kernel"
 )
 
-// recordingService tells when it is started and stopped.
+// recordingService records when it is started and stopped.
 type recordingService struct {
 	name  string
 	fail  bool
