--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config gives types to the items of the published configuration and
-// compiles a fold's state into the form that entries and agents use.
+// Package config defines the types of the items of the published configuration and compiles the
+// state of a fold into the form that entries and agents use.
 package config
 
 import (
@@ -24,13 +24,13 @@
 	KeyRangeKind     = "key_range"
 )
 
-// DefaultPolicy is the name of the policy for organisations that name none.
+// DefaultPolicy is the name of the policy of organisations that name none.
 const DefaultPolicy = "default"
 
-// Duration is a length of time that is written as "1m30s".
+// Duration is a duration that is written as in "1m30s".
 type Duration time.Duration
 
-// Std returns the duration as the standard type.
+// Std returns d as a [time.Duration].
 func (d Duration) Std() time.Duration {
 	return time.Duration(d)
 }
@@ -62,7 +62,7 @@
 // Model is a model that callers may name.
 type Model struct {
 	Name     string `json:"name" toml:"-"`
-	MaxGroup int    `json:"max_group,omitempty" toml:"max_group"` // engines that one prompt may span, 0 for 1
+	MaxGroup int    `json:"max_group,omitempty" toml:"max_group"` // maximum engines that a prompt is split between; 0 for 1
 }
 
 // Service is a plain service that callers may call.
@@ -71,17 +71,17 @@
 	ChecksFence bool   `json:"checks_fence,omitempty" toml:"checks_fence"` // whether it refuses a stale epoch
 }
 
-// Event is a time with a fixed start for which the fleet is made ready.
+// Event is a period with a fixed start for which the fleet is prepared.
 type Event struct {
 	Name     string    `json:"name" toml:"-"`
 	Starts   time.Time `json:"starts" toml:"starts"`
 	Ends     time.Time `json:"ends" toml:"ends"`
 	Models   []string  `json:"models,omitempty" toml:"models"`
-	Prepares Duration  `json:"prepares,omitempty" toml:"prepares"` // how long before the start loading begins
-	Revision int64     `json:"-" toml:"-"`                         // of its item; fences orders to engines
+	Prepares Duration  `json:"prepares,omitempty" toml:"prepares"` // how long before the start the loading of models begins
+	Revision int64     `json:"-" toml:"-"`                         // of its item; the fencing token of commands to engines
 }
 
-// Phase returns where the event stands at now.
+// Phase returns whether now is before, during or after the event.
 func (e Event) Phase(now time.Time) policy.Phase {
 	switch {
 	case now.Before(e.Starts):
@@ -93,13 +93,13 @@
 	}
 }
 
-// Objective is a service level that the report measures against.
+// Objective is a service level objective that the report measures against.
 type Objective struct {
 	Name       string   `json:"name" toml:"-"`
-	Kind       string   `json:"kind" toml:"kind"`               // kind of request, empty for all
-	MaxPrompt  int      `json:"max_prompt" toml:"max_prompt"`   // tokens up to which it holds, 0 for all
-	FirstToken Duration `json:"first_token" toml:"first_token"` // allowed time to first token, 0 for none
-	Share      float64  `json:"share" toml:"share"`             // part of the requests that must meet it
+	Kind       string   `json:"kind" toml:"kind"`               // kind of request; empty for all
+	MaxPrompt  int      `json:"max_prompt" toml:"max_prompt"`   // longest prompt that it applies to, in tokens; 0 for all
+	FirstToken Duration `json:"first_token" toml:"first_token"` // maximum time to the first token; 0 for none
+	Share      float64  `json:"share" toml:"share"`             // share of the requests that must meet it
 }
 
 // Policy is a published policy.
@@ -108,12 +108,12 @@
 	Text string `json:"text"`
 }
 
-// KeyRange says which agent keeps the ledger for one range of idempotency keys.
+// KeyRange names the agent that keeps the ledger of one range of idempotency keys.
 type KeyRange struct {
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
 	First       bool   `json:"first,omitempty"`  // the range had no owner before
-	Former      int64  `json:"former,omitempty"` // epoch of the owner that has sent its ledger, 0 if none has
+	Former      int64  `json:"former,omitempty"` // epoch of the previous owner that has sent its ledger; 0 if none has
 }
 
 // Config is the configuration at one revision. It is immutable.
@@ -126,19 +126,18 @@
 	Objectives    map[string]Objective
 	Policies      map[string]*policy.Program
 	KeyRanges     map[string]Range
-	byKey         map[string]string // digest of a bearer key to organisation
+	byKey         map[string]string // name of the organisation by digest of a bearer key
 }
 
-// Range is a [KeyRange] with the revision of its item, which is the epoch that
-// fences its owner.
+// Range is a [KeyRange] with the revision of its item, which is the epoch that fences its owner.
 type Range struct {
 	KeyRange
 	Epoch int64
 }
 
-// Compile makes a configuration from a state. Items that cannot be used are
-// left as they were in former, if they stood there, and are returned as
-// errors: a box that cannot compile a policy goes on with the one before.
+// Compile makes a configuration from a state. Items that can't be used are returned as errors. A
+// policy that doesn't compile keeps its version in previous, so that a box with an older release
+// continues with the policy before.
 func Compile(s fold.State, previous *Config) (c *Config, errs []error) {
 	c = newConfig(s.Revision())
 	for _, i := range s.Items("") {
@@ -230,8 +229,8 @@
 	return c.Organisations[n], true
 }
 
-// PolicyFor returns the policy that binds an organisation, or nil if neither
-// its own nor the default one is published.
+// PolicyFor returns the policy of an organisation, or nil if neither its own nor the default one is
+// published.
 func (c *Config) PolicyFor(o Organisation) *policy.Program {
 	if p := c.Policies[o.Policy]; p != nil {
 		return p
@@ -239,8 +238,7 @@
 	return c.Policies[DefaultPolicy]
 }
 
-// KeyDigest returns the digest of a bearer key as it stands in the published
-// configuration.
+// KeyDigest returns the digest of a bearer key as it is written in the published configuration.
 func KeyDigest(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:])
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -71,7 +71,7 @@
 	require.Equal(t, policy.After, e.Phase(at.Add(time.Hour)))
 }
 
-// stateWithOrganisations returns a state with that many organisations.
+// stateWithOrganisations returns a state with n organisations.
 func stateWithOrganisations(b *testing.B, n int) fold.State {
 	b.Helper()
 	s := fold.Snapshot{Next: int64(n)}
@@ -90,8 +90,8 @@
 	return r
 }
 
-// BenchmarkChange measures one change of the configuration at a box: applying
-// the record and compiling all of it anew, by the number of organisations.
+// BenchmarkChange measures one change of the configuration at a box, by the number of
+// organisations: applying the record and compiling the whole configuration again.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 4000, 8000, 13000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/config/publish.go
+++ b/config/publish.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// Publish checks an item, appends it to the log and reads it back. A nil body
-// removes the item. It returns the revision at which the item is in force.
+// Publish checks an item, appends it to the log and reads it back. A nil body removes the item. It
+// returns the revision at which the item is in force.
 //
-// Replaces is the revision that the operator has seen, or [CurrentRevision] for
-// whatever is in the log now.
+// Replaces is the revision that the operator has seen, or [CurrentRevision] for the one that is in
+// the log now.
 func Publish(ctx context.Context, l hollowgrade.Log, kind, name string, body any, replaces int64) (revision int64, err error) {
 	defer errs.Annotate(&err, "publish %s %s", kind, name)
 	if err = check(kind, name, body); err != nil {
@@ -53,7 +53,7 @@
 	return u.Username
 }
 
-// check refuses what no box could use, before it is in the log.
+// check rejects an item that no box could use, before it is appended to the log.
 func check(kind, name string, body any) error {
 	if name == "" {
 		return fmt.Errorf("a name is needed")
@@ -74,7 +74,7 @@
 
 const digestHexDigits = 64 // hex digits of a SHA-256
 
-// checkItem checks what the types cannot say.
+// checkItem checks the constraints that the types don't express.
 func (c *Config) checkItem(kind, name string) error {
 	switch kind {
 	case OrganisationKind:
