--- a/setting/doc.go
+++ b/setting/doc.go
@@ -13,7 +13,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Doc documents a setting. It is made from the tags of the settings structs.
+// Doc documents a setting. It is built from the tags of the settings structs.
 type Doc struct {
 	Role    hollowgrade.Role
 	Key     string // in the TOML file
@@ -31,12 +31,12 @@
 	kind  reflect.Type
 }
 
-// EnvPrefix begins the names of environment variables.
+// EnvPrefix is the prefix of the environment variables' names.
 const EnvPrefix = "HOLLOWGRADE"
 
 const firstRelease = "0.1"
 
-// Docs returns the documentation of a role's settings, by group and key.
+// Docs returns the documentation of a role's settings, ordered by group and key.
 func Docs(r hollowgrade.Role) []Doc {
 	ds := docs(r, reflect.TypeOf(Roles()[r]).Elem(), nil)
 	slices.SortStableFunc(ds, func(a, b Doc) int {
@@ -77,7 +77,7 @@
 	return ds
 }
 
-// kebab turns a Go name into that of a flag, as kong does.
+// kebab converts a Go name to a flag's name, as kong does.
 func kebab(s string) string {
 	var b strings.Builder
 	for i, r := range s {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// setDefaults gives each setting its default.
+// setDefaults sets each setting to its default.
 func setDefaults(s any) {
 	v := reflect.ValueOf(s).Elem()
 	for _, d := range docs("", v.Type(), nil) {
--- a/setting/file.go
+++ b/setting/file.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// RoleKey is the key of a settings file that says which role it is for.
+// RoleKey is the key of a settings file that names its role.
 const RoleKey = "role"
 
 // File is a settings file that has been read and checked.
@@ -29,8 +29,8 @@
 	lines  map[string]int
 }
 
-// Read reads and checks a settings file. Its error has the code
-// [fault.BadSetting] and names file, line and key and what is allowed.
+// Read reads and checks a settings file. Its error has the code [fault.BadSetting] and names the
+// file, the line, the key and the allowed values.
 func Read(path string) (f *File, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return f, nil
 }
 
-// Check checks what a file says as a whole. A process starts all the same with what it refuses.
-// Its error is that of [Read].
+// Check checks the constraints between settings. They are advisory: a process also starts with a
+// file that violates them. Its error is like that of [Read].
 func (f *File) Check() error {
 	if f.Role != hollowgrade.GatewayRole {
 		return nil
@@ -99,7 +99,7 @@
 	return fault.New(fault.BadSetting, "%s:%d:%d: %s", path, row, column, strings.TrimPrefix(d.Error(), "toml: "))
 }
 
-// keyLines finds the line of each top-level key.
+// keyLines returns the line number of each top-level key.
 func keyLines(b []byte) map[string]int {
 	ls := map[string]int{}
 	p := unstable.Parser{}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// apply gives a settings struct the values of the file.
+// apply sets the fields of a settings struct to the values of the file.
 func (f *File) apply(to any) error {
 	v := reflect.ValueOf(to).Elem()
 	for _, d := range Docs(f.Role) {
@@ -150,7 +150,8 @@
 	return nil
 }
 
-// suggestion names the setting that the unknown key is most like.
+// suggestion names the setting that differs from the unknown key only in case and separators, or
+// else the command that lists the settings.
 func suggestion(k string, ds []Doc) string {
 	for _, d := range ds {
 		if strings.ReplaceAll(d.Key, "_", "") == strings.ToLower(strings.NewReplacer("_", "", "-", "").Replace(k)) {
@@ -160,7 +161,7 @@
 	return ", see 'hollowgrade explain " + string(ds[0].Role) + "'"
 }
 
-// convert turns a value of the file into the setting's type.
+// convert converts a value of the file to the setting's type.
 func (d Doc) convert(v any) (reflect.Value, error) {
 	switch x := v.(type) {
 	case string:
@@ -211,8 +212,8 @@
 	return reflect.ValueOf(ss), nil
 }
 
-// Flag is the type of the flag that names the settings file. Kong reads the
-// file before it resolves the other flags.
+// Flag is the type of the flag that names the settings file. Kong reads the file before it resolves
+// the other flags.
 type Flag string
 
 // BeforeResolve implements a hook of kong.
@@ -232,8 +233,8 @@
 	return nil
 }
 
-// resolver gives kong the values of the file. What the command line or the
-// environment sets goes before it.
+// resolver passes the values of the file to kong. The command line and the environment take
+// precedence over it.
 type resolver struct {
 	file *File
 }
@@ -260,7 +261,7 @@
 	return fmt.Sprint(v), nil
 }
 
-// join writes a list as kong reads one from the command line.
+// join formats a list as kong parses one from the command line.
 func join(l []any) string {
 	ss := make([]string, 0, len(l))
 	for _, v := range l {
--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -34,28 +34,29 @@
 	MemoryMB       int           `name:"memory-mb" help:"Memory that the process may use, in MB; 0 to leave it unbounded." default:"0" min:"0" group:"limits"`
 }
 
-// freshnessMargin is what has to be left of key_freshness when a view is at its oldest: 300 ms
-// that the core keeps for clocks which differ, and half a second for the way of answers and for
-// what a gateway that is short of processor time leaves of it.
+// freshnessMargin is the part of key_freshness that a view at its maximum age leaves: 300 ms that
+// the core reserves for clock differences, and 500 ms for network delay and for gateways that are
+// short of processor time.
 const freshnessMargin = 800 * time.Millisecond
 
-// freshnessKey is the key of the setting that it is left of.
+// freshnessKey is the key of the setting that freshnessMargin is subtracted from.
 const freshnessKey = "key_freshness"
 
-// Timing returns the times by which the configuration is read and told on: all of them follow
-// from key_freshness.
+// Timing returns the timing of reading and forwarding the configuration, which is derived from
+// key_freshness.
 func (g Gateway) Timing() feed.Timing {
 	return feed.NewTiming(g.KeyFreshness - freshnessMargin)
 }
 
-// ReadWait returns how long one read of the configuration waits: config_wait,
-// or less where key_freshness asks for it.
+// ReadWait returns how long one read of the configuration waits: config_wait, or less where
+// key_freshness requires it.
 func (g Gateway) ReadWait() time.Duration {
 	return min(g.ConfigWait, g.Timing().ReadWait)
 }
 
-// CheckFreshness returns an error with the smallest key_freshness that holds, if this one does not:
-// keys would end now and then while the store turns some gateways away. A gateway runs with it all the same.
+// CheckFreshness returns an error with the smallest supported key_freshness if this one is smaller:
+// keys would expire now and then while the store rejects some gateways. A gateway runs with it all
+// the same.
 func (g Gateway) CheckFreshness() error {
 	if least := feed.MinViewAge + freshnessMargin; g.KeyFreshness < least {
 		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, least)
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// PeerAddress returns the address at which other gateways reach this one, empty if
-// they do not.
+// PeerAddress returns the address at which other gateways reach this one; empty if it serves no
+// peers.
 func (g Gateway) PeerAddress() string {
 	if g.Peers == "" {
 		return ""
@@ -72,12 +73,12 @@
 	return cmp.Or(g.Announce, g.Peers)
 }
 
-// KeyAge returns the age of the configuration up to which its keys are good.
+// KeyAge returns the maximum age of the configuration at which its keys are accepted.
 func (g Gateway) KeyAge() time.Duration {
 	return g.KeyFreshness + g.KeyOutage
 }
 
-// Validate checks what the tags cannot say.
+// Validate checks the constraints that the tags don't express. Kong calls it.
 func (g *Gateway) Validate() error {
 	if g.Linger >= g.Grace {
 		return fmt.Errorf("linger is %s, it must be shorter than grace (%s)", g.Linger, g.Grace)
@@ -85,7 +86,8 @@
 	return checkBounds(g)
 }
 
-// Reread returns the settings as the file now says, with the others kept.
+// Reread returns the settings with the current values of the file; those that the file doesn't set
+// keep their values.
 func (g Gateway) Reread(path string) (n Gateway, err error) {
 	f, err := Read(path)
 	if err != nil {
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -1,7 +1,6 @@
-// Package setting defines the settings of the long-running roles: what can be
-// set, what is allowed, and how a file of them is checked. One struct for each
-// role serves the TOML file, the flags and the environment; its tags are the
-// documentation that the command line and the pages print.
+// Package setting defines the settings of the long-running roles, their allowed values, and the
+// checks of a settings file. One struct for each role serves the TOML file, the flags and the
+// environment; its tags are the documentation that the command line and the pages print.
 package setting
 
 import (
@@ -77,7 +76,7 @@
 	KeyGrace      time.Duration `help:"How long a keeper of keys must be off the list before another takes its place." default:"10s" min:"100ms" group:"keys"`
 }
 
-// Validate checks what the tags cannot say. Kong calls it.
+// validate checks the constraints that the tags don't express.
 func (c Common) validate() error {
 	if (c.TLSCert == "") != (c.TLSKey == "") || (c.TLSCert == "") != (c.TLSCA == "") {
 		return fmt.Errorf("tls_cert, tls_key and tls_ca must be set together")
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// Validate checks what the tags cannot say.
+// Validate checks the constraints that the tags don't express. Kong calls it.
 func (e *Entry) Validate() error {
 	if err := e.validate(); err != nil {
 		return err
@@ -96,11 +95,11 @@
 	return checkBounds(e)
 }
 
-// pollsPerLease is how many reads of the log a keeper of keys must be able to
-// miss before its lease lapses.
+// pollsPerLease is the minimum number of log reads in the lease of a keeper of keys, so that a few
+// missed reads don't let it expire.
 const pollsPerLease = 4
 
-// Validate checks what the tags cannot say.
+// Validate checks the constraints that the tags don't express. Kong calls it.
 func (a *Agent) Validate() error {
 	if err := a.validate(); err != nil {
 		return err
@@ -120,7 +119,7 @@
 	return checkBounds(a)
 }
 
-// Secure reports whether peers speak TLS.
+// Secure reports whether connections to peers use TLS.
 func (c Common) Secure() bool {
 	return c.TLSCert != ""
 }
