--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of hollowgrade.
+// Package cli implements the command line of hollowgrade.
 package cli
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/hollowgrade/hollowgrade/setting"
 )
 
-// The exit codes. docs/operators/command-line.md lists them.
+// Exit codes, documented in docs/operators/command-line.md.
 const (
 	exitOK      = 0
 	exitFailure = 1 // the command ran and failed
 	exitUsage   = 2 // arguments, settings or a published item are wrong
-	exitLost    = 3 // somebody else published first
+	exitLost    = 3 // another change was published first
 	exitUnknown = 4 // it is not known whether the change was published
 )
 
@@ -41,7 +41,7 @@
 	Demo       demoCommand       `cmd:"" help:"Run one event with all roles and stand-ins in one process."`
 }
 
-// streams is where a command writes.
+// streams holds the writers for a command's output and messages.
 type streams struct {
 	out, err io.Writer
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// fleetFile is the form of the file that 'config publish' reads.
+// fleetFile is the content of the file that 'config publish' reads.
 type fleetFile struct {
 	Organisation map[string]config.Organisation `toml:"organisation"`
 	Model        map[string]config.Model        `toml:"model"`
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// tomlErrorDetail gives the line of a mistake in TOML, where the library knows it.
+// tomlErrorDetail describes a TOML error, with its line if the library reports one.
 func tomlErrorDetail(err error) string {
 	var d *toml.DecodeError
 	var m *toml.StrictMissingError
@@ -136,7 +136,7 @@
 	return c.publish(ctx, s.out, c.Kind, c.Name, nil, config.CurrentRevision)
 }
 
-// boxes says which boxes an operators' command asks.
+// boxes selects the boxes that an operators' command queries.
 type boxes struct {
 	PlatformList string   `help:"Base URL of the platform's list of boxes."`
 	Box          []string `help:"Operators' addresses of boxes, beside those on the list."`
@@ -160,7 +160,7 @@
 	return as, nil
 }
 
-// fetch asks one box.
+// fetch reads a JSON document from one box.
 func fetch(ctx context.Context, address, path string, v any) (err error) {
 	defer errs.Annotate(&err, "box at %s", address)
 	_, b, err := doRequest(ctx, http.MethodGet, "http://"+address+path)
@@ -170,7 +170,7 @@
 	return json.Unmarshal(b, v)
 }
 
-// doRequest makes a request without a body and reads its answer.
+// doRequest sends a request without a body and reads the response.
 func doRequest(ctx context.Context, method, address string) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, boxTimeout)
 	defer cancel()
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -9,7 +9,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// experimentCommand plays an experiment.
+// experimentCommand runs experiments.
 type experimentCommand struct {
 	File    string `arg:"" help:"Experiment, in TOML, or a folder of them; see examples/experiments."`
 	JSON    bool   `help:"Print one JSON document."`
@@ -45,7 +45,7 @@
 	return r.WriteText(s.out)
 }
 
-// playSet plays several files or seeds.
+// playSet simulates several files or seeds.
 func (c *experimentCommand) playSet(s *streams, ns []experiment.NamedFile) error {
 	r := experiment.SimulateSet(ns, max(c.Seeds, 1), c.Workers, func(ended, all int) {
 		fmt.Fprintf(s.err, "\r%d of %d runs", ended, all)
@@ -63,7 +63,7 @@
 		return err
 	}
 	if err = r.WriteSVG(w); err != nil {
-		_ = w.Close() // the first error tells more
+		_ = w.Close() // the write error matters more
 		return err
 	}
 	return w.Close()
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -9,7 +9,7 @@
 	"github.com/hollowgrade/hollowgrade/losses"
 )
 
-// lossesCommand tells what was lost, from logs.
+// lossesCommand reports lost and late calls from logs.
 type lossesCommand struct {
 	Logs []string `arg:"" optional:"" help:"Files with the log lines of gateways; standard input if there is none."`
 	JSON bool     `name:"json" help:"Print JSON."`
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/standalone"
 )
 
-// target is the log that operators' commands work on.
+// target selects the log that operators' commands work on.
 type target struct {
 	PlatformLog string        `help:"Base URL of the platform's log." required:""`
 	Timeout     time.Duration `help:"How long to wait for the log." default:"10s"`
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -14,7 +14,8 @@
 	"github.com/hollowgrade/hollowgrade/internal/node"
 )
 
-// quarantineCommand looks at requests that are held since upstreams ended under them.
+// quarantineCommand lists and lifts the blocks of requests that are suspected of crashing
+// upstreams.
 type quarantineCommand struct {
 	List quarantineList `cmd:"" help:"List the requests that are held, why and since when."`
 	Lift quarantineLift `cmd:"" help:"End the hold of a request, at all gateways."`
@@ -25,7 +26,8 @@
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run runs the command. Gateways know the same; what one of them doesn't know yet another may.
+// Run runs the command. Gateways share their blocked requests, but one may know some before the
+// others do.
 func (c *quarantineList) Run(ctx context.Context, s *streams) error {
 	as, err := c.addresses(ctx)
 	if err != nil {
@@ -70,7 +72,7 @@
 	Fingerprint string `arg:"" help:"The request, as 'quarantine list' and the logs have it."`
 }
 
-// Run runs the command. One gateway is enough: it tells the others and the store.
+// Run runs the command. One gateway is enough: it informs the others and the store.
 func (c *quarantineLift) Run(ctx context.Context, s *streams) error {
 	as, err := c.addresses(ctx)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return err
 }
 
-// lift asks one box to end a hold.
+// lift asks one box to lift a block.
 func lift(ctx context.Context, address, fingerprint string) (err error) {
 	defer errs.Annotate(&err, "box at %s", address)
 	status, b, err := doRequest(ctx, http.MethodDelete, "http://"+address+node.QuarantinePath+"/"+fingerprint)
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -16,7 +16,8 @@
 
 const someFingerprint = "14d3233db8aeb9edd5e73e5f4b553f9a"
 
-// startOperatorsServer plays the operators' listener of a gateway that holds one request.
+// startOperatorsServer starts a fake of a gateway's operators' listener, which has one blocked
+// request if held is set, and counts the requests to lift it.
 func startOperatorsServer(t *testing.T, held bool) (address string, lifted *int) {
 	t.Helper()
 	lifted = new(int)
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -59,8 +59,8 @@
 	setting.Gateway
 }
 
-// reloadInterval is how often the settings file is looked at for a change that no
-// signal told of. Changes have to be in force within seconds.
+// reloadInterval is how often the settings file is checked for changes without a signal. Changes
+// must be in force within seconds.
 const reloadInterval = time.Second
 
 // Run runs the command.
@@ -111,7 +111,7 @@
 	}
 }
 
-// fileVersion tells one state of a file from another.
+// fileVersion identifies a version of a file by its size and modification time.
 type fileVersion struct {
 	size    int64
 	changed time.Time
@@ -120,12 +120,12 @@
 func readFileVersion(path string) (m fileVersion) {
 	i, err := os.Stat(path)
 	if err != nil {
-		return m // a file that is being replaced: it is looked at again
+		return m // the file is being replaced; the next check sees the new one
 	}
 	return fileVersion{size: i.Size(), changed: i.ModTime()}
 }
 
-// runUntil runs a process until ctx ends, as by SIGTERM, and then drains it.
+// runUntil runs a process until ctx ends, such as by SIGTERM, and then drains it.
 func runUntil(ctx context.Context, n *node.Node, drain time.Duration, g *log.Logger) error {
 	if err := n.Start(ctx); err != nil {
 		return err
