--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -102,13 +102,13 @@
 	engines  []*process
 	urls     []string // of engines
 	callers  []string // base URLs of entries
-	dead     map[int]bool
+	killed   map[int]bool
 }
 
 // startFleet starts entries, and engines each with its agent.
 func startFleet(t testing.TB, entries, engines int, step string) *fleet {
 	t.Helper()
-	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), dead: map[int]bool{}}
+	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), killed: map[int]bool{}}
 	for i := range engines {
 		f.addEngine(t, i, step)
 	}
@@ -183,13 +183,13 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// serving returns the number of the engine that holds a sequence now. Each look
+// servingEngine returns the number of the engine that holds a sequence now. Each look
 // is an answer awaited.
-func (f *fleet) serving(t testing.TB) int {
+func (f *fleet) servingEngine(t testing.TB) int {
 	t.Helper()
 	for {
 		for i, u := range f.urls {
-			if f.dead[i] {
+			if f.killed[i] {
 				continue
 			}
 			hs, err := upstream.NewEngine(u, http.DefaultTransport).Holdings(context.Background())
@@ -254,9 +254,9 @@
 }
 
 const (
-	step   = "8ms"
-	long   = 300 // tokens of an answer that is still running when a signal arrives
-	rounds = 3
+	step             = "8ms"
+	longAnswerTokens = 300 // tokens of an answer that is still running when a signal arrives
+	killRounds       = 3
 )
 
 func TestProcesses(t *testing.T) {
@@ -266,55 +266,55 @@
 	})
 	t.Run("SIGTERM of an entry cuts off no stream", func(t *testing.T) {
 		f := startFleet(t, 1, 1, step)
-		res := f.complete(t, 0, "Final whistle", long)
+		res := f.complete(t, 0, "Final whistle", longAnswerTokens)
 		require.NoError(t, f.entries[0].Process.Signal(syscall.SIGTERM))
-		requireAnswer(t, "Final whistle", long, res)
+		requireAnswer(t, "Final whistle", longAnswerTokens, res)
 		f.entries[0].await(t, "stopped")
 	})
 	t.Run("SIGTERM of an agent cuts off no stream", func(t *testing.T) {
 		f := startFleet(t, 1, 2, step)
-		res := f.complete(t, 0, "Second half", long)
-		n := f.serving(t)
+		res := f.complete(t, 0, "Second half", longAnswerTokens)
+		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGTERM))
-		requireAnswer(t, "Second half", long, res)
+		requireAnswer(t, "Second half", longAnswerTokens, res)
 		f.agents[n].await(t, "stopped")
 	})
 	for _, victim := range []string{"agent", "engine"} {
 		t.Run("SIGKILL of the "+victim+" that serves, three times, in the middle of a stream", func(t *testing.T) {
-			f := startFleet(t, 1, rounds+1, step)
-			for i := range rounds {
+			f := startFleet(t, 1, killRounds+1, step)
+			for i := range killRounds {
 				prompt := fmt.Sprint("Round ", i)
-				res := f.complete(t, 0, prompt, long)
+				res := f.complete(t, 0, prompt, longAnswerTokens)
 				require.Equal(t, http.StatusOK, res.StatusCode)
 				b := firstEvent(t, res)
-				n := f.serving(t)
+				n := f.servingEngine(t)
 				p := f.agents[n]
 				if victim == "engine" {
 					p = f.engines[n]
 				}
 				require.NoError(t, p.Process.Kill())
-				f.dead[n] = true
-				require.Equal(t, standin.Answer(prompt, long), text(t, b))
+				f.killed[n] = true
+				require.Equal(t, standin.Answer(prompt, longAnswerTokens), text(t, b))
 				require.NoError(t, res.Body.Close())
 			}
 		})
 	}
 	t.Run("SIGSTOP of an agent, and SIGCONT", func(t *testing.T) {
 		f := startFleet(t, 1, 2, step)
-		res := f.complete(t, 0, "Half time", long)
+		res := f.complete(t, 0, "Half time", longAnswerTokens)
 		b := firstEvent(t, res)
-		n := f.serving(t)
+		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGSTOP))
 		// The stream goes on elsewhere, or waits for the agent: either way it
 		// is whole. A new one is answered meanwhile.
 		requireAnswer(t, "Meanwhile", 12, f.complete(t, 0, "Meanwhile", 12))
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGCONT))
-		require.Equal(t, standin.Answer("Half time", long), text(t, b))
+		require.Equal(t, standin.Answer("Half time", longAnswerTokens), text(t, b))
 		require.NoError(t, res.Body.Close())
 	})
 	t.Run("SIGKILL of an entry loses its streams, and the other entry serves on", func(t *testing.T) {
 		f := startFleet(t, 2, 1, step)
-		res := f.complete(t, 0, "Kick-off", long)
+		res := f.complete(t, 0, "Kick-off", longAnswerTokens)
 		b := firstEvent(t, res)
 		require.NoError(t, f.entries[0].Process.Kill())
 		all, _ := io.ReadAll(b)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,11 +18,11 @@
 
 func publish(t *testing.T, l hollowgrade.Log, kind, name string, body any) {
 	t.Helper()
-	_, err := Publish(context.Background(), l, kind, name, body, Current)
+	_, err := Publish(context.Background(), l, kind, name, body, CurrentRevision)
 	require.NoError(t, err)
 }
 
-func compiled(t *testing.T, l hollowgrade.Log, former *Config) (*Config, []error) {
+func loadAndCompile(t *testing.T, l hollowgrade.Log, former *Config) (*Config, []error) {
 	t.Helper()
 	s, err := fold.Load(context.Background(), l)
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	l := standin.NewLog(0, hollowgrade.SystemClock())
 	publish(t, l, OrganisationKind, "a", Organisation{Name: "a", Keys: []string{KeyDigest("secret")}})
 	publish(t, l, PolicyKind, DefaultPolicy, Policy{Name: DefaultPolicy, Text: examples.Policy("korrigan")})
-	c, es := compiled(t, l, nil)
+	c, es := loadAndCompile(t, l, nil)
 	require.Empty(t, es)
 
 	t.Run("a key leads to its organisation", func(t *testing.T) {
@@ -46,7 +46,7 @@
 		require.False(t, ok)
 	})
 	t.Run("a policy that does not compile is not published", func(t *testing.T) {
-		_, err := Publish(context.Background(), l, PolicyKind, DefaultPolicy, Policy{Text: "nonsense ="}, Current)
+		_, err := Publish(context.Background(), l, PolicyKind, DefaultPolicy, Policy{Text: "nonsense ="}, CurrentRevision)
 		require.Error(t, err)
 	})
 	t.Run("a box that cannot compile a policy keeps the former", func(t *testing.T) {
@@ -57,7 +57,7 @@
 		require.NoError(t, err)
 		_, err = fold.Publish(context.Background(), l, s, r)
 		require.NoError(t, err)
-		n, es := compiled(t, l, c)
+		n, es := loadAndCompile(t, l, c)
 		require.Len(t, es, 1)
 		require.Equal(t, c.Policies[DefaultPolicy], n.Policies[DefaultPolicy])
 	})
@@ -71,8 +71,8 @@
 	require.Equal(t, policy.After, e.Phase(at.Add(time.Hour)))
 }
 
-// stateOf returns a state with that many organisations.
-func stateOf(b *testing.B, n int) fold.State {
+// stateWithOrganisations returns a state with n organisations.
+func stateWithOrganisations(b *testing.B, n int) fold.State {
 	b.Helper()
 	s := fold.Snapshot{Next: int64(n)}
 	for i := range n {
@@ -90,12 +90,12 @@
 	return r
 }
 
-// BenchmarkChange measures one change of the configuration at a box: applying
-// the record and compiling all of it anew, by the number of organisations.
+// BenchmarkChange measures one change of the configuration at a box, by the number of
+// organisations: applying the record and compiling the whole configuration again.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 4000, 8000, 13000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := stateOf(b, n)
+			s := stateWithOrganisations(b, n)
 			c, err := fold.NewChange(OrganisationKind, "o0", 1, Organisation{Name: "o0"}, "n", "a")
 			require.NoError(b, err)
 			e, err := c.Encode()
--- a/config/publish.go
+++ b/config/publish.go
@@ -14,11 +14,11 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// Publish checks an item, appends it to the log and reads it back. A nil body
-// removes the item. It returns the revision at which the item is in force.
+// Publish checks an item, appends it to the log and reads it back. A nil body removes the item. It
+// returns the revision at which the item is in force.
 //
-// Replaces is the revision that the operator has seen, or [Current] for
-// whatever is in the log now.
+// Replaces is the revision that the operator has seen, or [CurrentRevision] for the one that is in
+// the log now.
 func Publish(ctx context.Context, l hollowgrade.Log, kind, name string, body any, replaces int64) (revision int64, err error) {
 	defer errs.Annotate(&err, "publish %s %s", kind, name)
 	if err = check(kind, name, body); err != nil {
@@ -29,7 +29,7 @@
 		return 0, fault.New(fault.LogAway, "nothing was published: %v", err)
 	}
 	i, _ := s.Item(kind, name)
-	if replaces == Current {
+	if replaces == CurrentRevision {
 		replaces = i.Revision
 	}
 	if replaces != i.Revision {
@@ -42,8 +42,8 @@
 	return fold.Publish(ctx, l, s, c)
 }
 
-// Current stands for the revision that is in the log when a change is made.
-const Current = -1
+// CurrentRevision stands for the revision that is in the log when a change is made.
+const CurrentRevision = -1
 
 func author() string {
 	u, err := user.Current()
@@ -53,7 +53,7 @@
 	return u.Username
 }
 
-// check refuses what no box could use, before it is in the log.
+// check rejects an item that no box could use, before it is appended to the log.
 func check(kind, name string, body any) error {
 	if name == "" {
 		return fmt.Errorf("a name is needed")
@@ -65,22 +65,22 @@
 	if err != nil {
 		return err
 	}
-	c := empty(0)
+	c := newConfig(0)
 	if err = c.add(fold.Item{Kind: kind, Name: name, Body: b}, nil); err != nil {
 		return err
 	}
 	return c.checkItem(kind, name)
 }
 
-const digestLength = 64 // hex digits of a SHA-256
+const digestHexDigits = 64 // hex digits of a SHA-256
 
-// checkItem checks what the types cannot say.
+// checkItem checks the constraints that the types don't express.
 func (c *Config) checkItem(kind, name string) error {
 	switch kind {
 	case OrganisationKind:
 		for _, k := range c.Organisations[name].Keys {
-			if len(k) != digestLength {
-				return fmt.Errorf("keys must be hex SHA-256 digests of %d digits, see 'hollowgrade config digest'", digestLength)
+			if len(k) != digestHexDigits {
+				return fmt.Errorf("keys must be hex SHA-256 digests of %d digits, see 'hollowgrade config digest'", digestHexDigits)
 			}
 		}
 	case EventKind:
--- /dev/null
+++ b/experiment/baseline.go
@@ -0,0 +1,86 @@
+package experiment
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/hollowgrade/hollowgrade"
+	"github.com/hollowgrade/hollowgrade/core"
+	"github.com/hollowgrade/hollowgrade/engine"
+)
+
+// What the baseline with helpers does: the best of the trials before there was
+// a shared view.
+const (
+	baselineSplitTokens = 9_000
+	baselineHelpers     = 16
+)
+
+// baseline decides as the baselines do, by what its own gateway has open.
+type baseline struct {
+	decisions string
+	ids       []string
+	next      int
+	open      map[string]int
+	prefill   map[string]time.Duration
+	figures   *engine.Figures
+}
+
+func (n *baseline) decide(j *job, _ time.Duration) (core.Plan, bool) {
+	d := core.Plan{}
+	switch n.decisions {
+	case RoundRobin:
+		d.Upstream = n.ids[n.next%len(n.ids)]
+		n.next++
+	case LeastRequests:
+		d.Upstream = slices.MinFunc(n.ids, func(a, b string) int { return cmp.Compare(n.open[a], n.open[b]) })
+	default:
+		ids := slices.Clone(n.ids)
+		slices.SortStableFunc(ids, func(a, b string) int {
+			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.open[a], n.open[b]))
+		})
+		d.Upstream = ids[0]
+		if j.prompt >= baselineSplitTokens {
+			d.Helpers = ids[1:min(1+baselineHelpers, len(ids))]
+		}
+	}
+	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
+	n.open[d.Upstream]++
+	n.addPrefill(d, d.PredictedFirst)
+	return d, true
+}
+
+// addPrefill changes the reading that the gateway has given to a plan's engines.
+func (n *baseline) addPrefill(d core.Plan, work time.Duration) {
+	n.prefill[d.Upstream] += work
+	for _, h := range d.Helpers {
+		n.prefill[h] += work
+	}
+}
+
+func (n *baseline) began(d core.Plan) {
+	n.addPrefill(d, -d.PredictedFirst)
+}
+
+func (n *baseline) done(d core.Plan) {
+	n.open[d.Upstream]--
+}
+
+func (n *baseline) changes(bool) map[hollowgrade.Life]core.Share {
+	return nil
+}
+
+func (n *baseline) receiveView(string, map[hollowgrade.Life]core.Share, bool) {}
+
+func (n *baseline) suspects(core.Plan) []string {
+	return nil
+}
+
+func (n *baseline) receivePace(string, float64, time.Duration, string) (report bool) {
+	return false
+}
+
+func (n *baseline) stillSlow(string) bool {
+	return false
+}
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -8,183 +8,183 @@
 
 // job is one request on its way.
 type job struct {
-	kind    *Kind
-	prompt  int
-	answer  int // tokens
-	arrived time.Duration
-	parts   int // of its prompt that are not read yet
-	split   bool
-	kept    int // tokens of its prompt that other engines keep
-	keepers []*pool
-	tries   int // at getting it placed
-	decider int // that placed it last
-	written int
-	first   time.Duration // when its first event came
-	last    time.Duration // when its last event came
-	pause   time.Duration // longest between two events
-	began   func()
-	done    func(now time.Duration)
+	kind         *Kind
+	prompt       int
+	answer       int // tokens
+	arrived      time.Duration
+	partsLeft    int // of its prompt that are not read yet
+	split        bool
+	keptTokens   int // tokens of its prompt that other engines keep
+	keepers      []*simulatedEngine
+	tries        int // at getting it placed
+	decider      int // that placed it last
+	written      int
+	first        time.Duration // when its first event came
+	last         time.Duration // when its last event came
+	pause        time.Duration // longest between two events
+	onFirstEvent func()
+	onDone       func(now time.Duration)
 }
 
 // part is a piece of a prompt that an engine has to read.
 type part struct {
-	job  *job
-	work time.Duration
-	home *pool // engine that writes the answer
+	job      *job
+	work     time.Duration
+	upstream *simulatedEngine // engine that writes the answer
 }
 
-// pool is one engine: it plays passes, each over all that waits.
-type pool struct {
-	id      string
-	figures *engine.Figures
-	play    *play
-	reading []part
-	writing []*job
-	queue   []*job    // read, waiting for a slot
-	waiting []arrival // that wait for memory
-	used    int       // tokens of memory that calls hold
-	busy    bool
-	slow    float64
+// simulatedEngine is one engine: it plays passes, each over all that waits.
+type simulatedEngine struct {
+	id          string
+	figures     *engine.Figures
+	sim         *simulation
+	prefills    []part
+	decoding    []*job
+	slotQueue   []*job    // read, waiting for a slot
+	memoryQueue []arrival // that wait for memory
+	usedTokens  int       // tokens of memory that calls hold
+	busy        bool
+	pace        float64
 }
 
 // arrival is a call that waits to be let in, and what lets its prompt be read.
 type arrival struct {
-	job  *job
-	read func()
+	job          *job
+	startPrefill func()
 }
 
-// arrive lets a call in once its memory is free. Its prompt is read from then on, by
+// enqueue lets a call in once its memory is free. Its prompt is read from then on, by
 // helpers as well.
-func (p *pool) arrive(j *job, read func()) {
-	p.waiting = append(p.waiting, arrival{j, read})
+func (p *simulatedEngine) enqueue(j *job, startPrefill func()) {
+	p.memoryQueue = append(p.memoryQueue, arrival{j, startPrefill})
 	p.admit()
 }
 
 // admit lets those in that wait, as far as memory goes.
-func (p *pool) admit() {
-	for len(p.waiting) > 0 && p.fits(p.waiting[0].job.own()) {
-		a := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		p.used += a.job.own()
-		a.read()
+func (p *simulatedEngine) admit() {
+	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.ownTokens()) {
+		a := p.memoryQueue[0]
+		p.memoryQueue = p.memoryQueue[1:]
+		p.usedTokens += a.job.ownTokens()
+		a.startPrefill()
 	}
 }
 
-// fits reports whether the engine has memory for some more tokens.
-func (p *pool) fits(tokens int) bool {
-	return p.used == 0 || p.figures.Capacity <= 0 || p.used+tokens <= p.figures.Capacity
+// hasMemory reports whether the engine has memory for some more tokens.
+func (p *simulatedEngine) hasMemory(tokens int) bool {
+	return p.usedTokens == 0 || p.figures.Capacity <= 0 || p.usedTokens+tokens <= p.figures.Capacity
 }
 
-// free gives memory back.
-func (p *pool) free(tokens int) {
-	p.used -= tokens
+// releaseMemory gives memory back.
+func (p *simulatedEngine) releaseMemory(tokens int) {
+	p.usedTokens -= tokens
 	p.admit()
 }
 
-// own returns how many tokens of a call are kept at the engine that answers it.
-func (j *job) own() int {
-	return j.prompt - j.kept*len(j.keepers) + j.answer
+// ownTokens returns how many tokens of a call are kept at the engine that answers it.
+func (j *job) ownTokens() int {
+	return j.prompt - j.keptTokens*len(j.keepers) + j.answer
 }
 
-// read gives a part of a prompt to the engine.
-func (p *pool) read(x part) {
-	p.reading = append(p.reading, x)
-	p.wake()
+// addPrefill gives a part of a prompt to the engine.
+func (p *simulatedEngine) addPrefill(x part) {
+	p.prefills = append(p.prefills, x)
+	p.startPass()
 }
 
-// wake begins a pass if none is under way.
-func (p *pool) wake() {
+// startPass begins a pass if none is under way.
+func (p *simulatedEngine) startPass() {
 	if p.busy {
 		return
 	}
-	for len(p.queue) > 0 && len(p.writing) < p.figures.Slots {
-		p.writing = append(p.writing, p.queue[0])
-		p.queue = p.queue[1:]
+	for len(p.slotQueue) > 0 && len(p.decoding) < p.figures.Slots {
+		p.decoding = append(p.decoding, p.slotQueue[0])
+		p.slotQueue = p.slotQueue[1:]
 	}
-	if len(p.reading) == 0 && len(p.writing) == 0 {
+	if len(p.prefills) == 0 && len(p.decoding) == 0 {
 		return
 	}
 	p.busy = true
-	reading := p.reading
-	p.reading = nil
-	rest := p.join(reading)
-	writing := p.writing
+	prefills := p.prefills
+	p.prefills = nil
+	rest := p.startDecoding(prefills)
+	decoding := p.decoding
 	if len(rest) > 0 {
-		p.play.after(p.time(reading), func() { p.haveRead(rest) })
+		p.sim.schedule(p.prefillTime(prefills), func() { p.finishPrefill(rest) })
 	}
-	p.play.after(p.pass(reading, writing), func() { p.end(writing) })
+	p.sim.schedule(p.passTime(prefills, decoding), func() { p.endPass(decoding) })
 }
 
-// join lets those write in the pass that begins whose prompts are read by it alone,
+// startDecoding lets those write in the pass that begins whose prompts are read by it alone,
 // as far as there are slots, and returns the other parts.
-func (p *pool) join(reading []part) (rest []part) {
-	for _, x := range reading {
-		if x.home != p || x.job.parts > 1 || len(p.queue) > 0 || len(p.writing) >= p.figures.Slots {
+func (p *simulatedEngine) startDecoding(prefills []part) (rest []part) {
+	for _, x := range prefills {
+		if x.upstream != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
 			rest = append(rest, x)
 			continue
 		}
-		x.job.parts = 0
-		p.writing = append(p.writing, x.job)
+		x.job.partsLeft = 0
+		p.decoding = append(p.decoding, x.job)
 	}
 	return rest
 }
 
-// haveRead notes that parts are read. Who has none left writes from the next pass
+// finishPrefill notes that parts are read. Who has none left writes from the next pass
 // of its engine on.
-func (p *pool) haveRead(parts []part) {
+func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
-		if x.job.parts--; x.job.parts == 0 {
-			x.home.queue = append(x.home.queue, x.job)
-			x.home.wake()
+		if x.job.partsLeft--; x.job.partsLeft == 0 {
+			x.upstream.slotQueue = append(x.upstream.slotQueue, x.job)
+			x.upstream.startPass()
 		}
 	}
 }
 
-// time returns how long the reading of parts takes.
-func (p *pool) time(reading []part) (d time.Duration) {
-	for _, x := range reading {
+// prefillTime returns how long the reading of parts takes.
+func (p *simulatedEngine) prefillTime(prefills []part) (d time.Duration) {
+	for _, x := range prefills {
 		d += x.work
 	}
-	return time.Duration(p.slow * float64(d))
+	return time.Duration(p.pace * float64(d))
 }
 
-// pass returns how long a pass takes.
-func (p *pool) pass(reading []part, writing []*job) (d time.Duration) {
-	if len(writing) > 0 {
-		s := engine.State{Writers: len(writing)}
-		for _, j := range writing {
+// passTime returns how long a passTime takes.
+func (p *simulatedEngine) passTime(prefills []part, decoding []*job) (d time.Duration) {
+	if len(decoding) > 0 {
+		s := engine.State{Decoding: len(decoding)}
+		for _, j := range decoding {
 			s.Context += j.prompt + j.written
 			if j.split {
-				d += p.figures.Hops(p.figures.Stride)
+				d += p.figures.HopTime(p.figures.Stride)
 			}
 		}
-		d += p.figures.Pass(s)
+		d += p.figures.PassTime(s)
 	}
-	return p.time(reading) + time.Duration(p.slow*float64(d))
+	return p.prefillTime(prefills) + time.Duration(p.pace*float64(d))
 }
 
-// end ends a pass: each request that writes has an event more. The engine counts
+// endPass ends a pass: each request that writes has an event more. The engine counts
 // as busy until its own lists are in order again.
-func (p *pool) end(writing []*job) {
-	now := p.play.now
-	p.writing = nil
-	for _, j := range writing {
-		if p.event(j, now); j.written < j.answer {
-			p.writing = append(p.writing, j)
+func (p *simulatedEngine) endPass(decoding []*job) {
+	now := p.sim.now
+	p.decoding = nil
+	for _, j := range decoding {
+		if p.recordEvent(j, now); j.written < j.answer {
+			p.decoding = append(p.decoding, j)
 		} else {
-			j.done(now)
+			j.onDone(now)
 		}
 	}
 	p.busy = false
-	p.wake()
+	p.startPass()
 }
 
-// event notes an event of a request.
-func (p *pool) event(j *job, now time.Duration) {
+// recordEvent notes an recordEvent of a request.
+func (p *simulatedEngine) recordEvent(j *job, now time.Duration) {
 	j.written += p.figures.Stride
 	if j.first == 0 {
 		j.first = now
-		j.began()
+		j.onFirstEvent()
 	} else {
 		j.pause = max(j.pause, now-j.last)
 	}
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -15,20 +15,20 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-const example = "../examples/experiments/alternating.toml"
+const exampleFile = "../examples/experiments/alternating.toml"
 
-func load(t *testing.T) File {
+func loadExample(t *testing.T) File {
 	t.Helper()
-	f, err := Read(example)
+	f, err := Read(exampleFile)
 	require.NoError(t, err)
 	return f
 }
 
 func TestPlayRepeats(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(5 * time.Second)
 	for _, v := range f.Variants {
-		a, b := Play(f, v), Play(f, v)
+		a, b := Simulate(f, v), Simulate(f, v)
 		require.NotEmpty(t, a)
 		require.True(t, reflect.DeepEqual(a, b), v.Name)
 	}
@@ -36,7 +36,7 @@
 
 // A request alone takes what the model predicts, within a pass.
 func TestEnginesPlayTheModel(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Bursts = nil
 	f.Gateways = 1
 	f.Kinds = f.Kinds[2:3]
@@ -44,22 +44,22 @@
 	f.Kinds[0].PromptMax = 250_000 // so that no engine has two at once
 	f.Duration = config.Duration(200 * time.Second)
 	e := f.Engines.figures()
-	pass := e.Pass(engine.State{Writers: 1})
-	rs := Play(f, Variant{Name: "one engine", Decisions: RoundRobin})
+	pass := e.PassTime(engine.State{Decoding: 1})
+	rs := Simulate(f, Variant{Name: "one engine", Decisions: RoundRobin})
 	require.NotEmpty(t, rs)
 	for _, r := range rs {
-		want := e.Reading(r.Prompt, 1) + pass
+		want := e.PrefillTime(r.Prompt, 1) + pass
 		require.InDelta(t, want.Seconds(), r.First.Seconds(), 2*pass.Seconds(), r.Prompt)
 	}
 }
 
 func TestEachRequestIsCountedOnce(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(4 * time.Second)
 	f.Bursts = nil
-	arrived := len(Play(f, f.Variants[0]))
+	arrived := len(Simulate(f, f.Variants[0]))
 	for _, v := range f.Variants {
-		rs := Play(f, v)
+		rs := Simulate(f, v)
 		require.Equal(t, arrived, len(rs), "%s: the load does not depend on the decisions", v.Name)
 		for _, r := range rs {
 			require.LessOrEqual(t, r.Earned, r.Owed)
@@ -69,18 +69,18 @@
 }
 
 func TestSlowEnginesCost(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(6 * time.Second)
 	f.Bursts = nil
 	v := Variant{Name: "x", Decisions: LeastRequests}
-	before := share(Play(f, v))
+	before := worthShare(Simulate(f, v))
 	f.Slow = []Slow{{Engines: 9, X: 8, At: config.Duration(time.Second), For: config.Duration(4 * time.Second)}}
-	require.Less(t, share(Play(f, v)), before)
+	require.Less(t, worthShare(Simulate(f, v)), before)
 }
 
 // The order of the variants is that of the users' bench (docs/MEASUREMENTS.md).
 func TestRanking(t *testing.T) {
-	r := Compare(load(t))
+	r := Compare(loadExample(t))
 	w := map[string]float64{}
 	for _, v := range r.Variants {
 		w[v.Name] = v.Worth
@@ -91,7 +91,7 @@
 }
 
 func TestReports(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(3 * time.Second)
 	f.Variants = f.Variants[3:]
 	r := Compare(f)
@@ -107,7 +107,7 @@
 }
 
 func TestFilesThatCannotBePlayed(t *testing.T) {
-	good, err := os.ReadFile(example)
+	good, err := os.ReadFile(exampleFile)
 	require.NoError(t, err)
 	for name, c := range map[string][2]string{
 		"an unknown key":      {"gateways = 5", "gateway = 5"},
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -23,15 +23,15 @@
 
 // Summary is what a variant came to.
 type Summary struct {
-	Name    string      `json:"name"`
-	Worth   float64     `json:"worth"` // earned over owed
-	Kinds   []KindSum   `json:"kinds"`
-	Lengths []LengthSum `json:"lengths"`
-	Times   []float64   `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
+	Name          string          `json:"name"`
+	Worth         float64         `json:"worth"` // earned over owed
+	Kinds         []KindSummary   `json:"kinds"`
+	Lengths       []LengthSummary `json:"lengths"`
+	WorthOverTime []float64       `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
 }
 
-// KindSum is a part of a [Summary].
-type KindSum struct {
+// KindSummary is a part of a [Summary].
+type KindSummary struct {
 	Kind     string  `json:"kind"`
 	Requests int     `json:"requests"`
 	Worth    float64 `json:"worth"`
@@ -41,57 +41,57 @@
 	PauseP95 float64 `json:"pause_p95_ms"`
 }
 
-// LengthSum is a part of a [Summary].
-type LengthSum struct {
+// LengthSummary is a part of a [Summary].
+type LengthSummary struct {
 	Length   string  `json:"length"`
 	FirstP95 float64 `json:"first_p95_ms"`
 }
 
-// step is the width of a point of worth over time.
-const step = 2 * time.Second
+// worthStep is the width of a point of worth over time.
+const worthStep = 2 * time.Second
 
 // Compare plays all variants.
 func Compare(f File) Report {
 	r := Report{Seed: f.Seed}
 	for _, v := range f.Variants {
-		r.Variants = append(r.Variants, summarise(f, v, Play(f, v)))
+		r.Variants = append(r.Variants, summarise(f, v, Simulate(f, v)))
 	}
 	return r
 }
 
 func summarise(f File, v Variant, rs []Result) Summary {
-	s := Summary{Name: v.Name, Worth: share(rs)}
+	s := Summary{Name: v.Name, Worth: worthShare(rs)}
 	for _, k := range f.Kinds {
-		s.Kinds = append(s.Kinds, kindSum(k.Name, only(rs, func(r Result) bool { return r.Kind == k.Name })))
+		s.Kinds = append(s.Kinds, summariseKind(k.Name, filter(rs, func(r Result) bool { return r.Kind == k.Name })))
 	}
 	for _, b := range measure.BucketNames() {
-		x := only(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
+		x := filter(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
 		if len(x) > 0 {
-			s.Lengths = append(s.Lengths, LengthSum{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
+			s.Lengths = append(s.Lengths, LengthSummary{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
 		}
 	}
-	for at := time.Duration(0); at < f.Duration.Std(); at += step {
-		x := only(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+step })
-		s.Times = append(s.Times, share(x))
+	for at := time.Duration(0); at < f.Duration.Std(); at += worthStep {
+		x := filter(rs, func(r Result) bool { return r.Arrived >= at && r.Arrived < at+worthStep })
+		s.WorthOverTime = append(s.WorthOverTime, worthShare(x))
 	}
 	return s
 }
 
-func kindSum(name string, rs []Result) KindSum {
-	began := only(rs, func(r Result) bool { return r.First > 0 })
+func summariseKind(name string, rs []Result) KindSummary {
+	began := filter(rs, func(r Result) bool { return r.First > 0 })
 	first := func(r Result) time.Duration { return r.First }
-	return KindSum{
+	return KindSummary{
 		Kind:     name,
 		Requests: len(rs),
-		Worth:    share(rs),
-		Refused:  len(only(rs, func(r Result) bool { return r.Refused })),
+		Worth:    worthShare(rs),
+		Refused:  len(filter(rs, func(r Result) bool { return r.Refused })),
 		FirstP50: quantile(began, 0.5, first),
 		FirstP95: quantile(began, 0.95, first),
 		PauseP95: quantile(began, 0.95, func(r Result) time.Duration { return r.Pause }),
 	}
 }
 
-func only(rs []Result, keep func(Result) bool) (x []Result) {
+func filter(rs []Result, keep func(Result) bool) (x []Result) {
 	for _, r := range rs {
 		if keep(r) {
 			x = append(x, r)
@@ -100,8 +100,8 @@
 	return x
 }
 
-// share returns earned over owed, -1 if nothing was owed.
-func share(rs []Result) float64 {
+// worthShare returns earned over owed, -1 if nothing was owed.
+func worthShare(rs []Result) float64 {
 	owed, earned := 0.0, 0.0
 	for _, r := range rs {
 		owed += r.Owed
@@ -185,7 +185,7 @@
 	for i, v := range r.Variants {
 		c := colours[i%len(colours)]
 		y := 20 + 16*float64(i)
-		d.Worth = append(d.Worth, curve{v.Name, c, worthPoints(v.Times), y})
+		d.Worth = append(d.Worth, curve{v.Name, c, worthPoints(v.WorthOverTime), y})
 		d.First = append(d.First, curve{v.Name, c, firstPoints(v.Lengths), y})
 	}
 	return plot.Execute(w, d)
@@ -214,15 +214,15 @@
 
 // The axis of first events is logarithmic, from 10 ms to 100 s.
 const (
-	axisLow   = 1.0
-	axisTens  = 4.0
-	leastPlot = 10.0 // ms
+	axisLow          = 1.0
+	axisTens         = 4.0
+	minPlottedMillis = 10.0 // ms
 )
 
-func firstPoints(ls []LengthSum) string {
+func firstPoints(ls []LengthSummary) string {
 	var b strings.Builder
 	for _, l := range ls {
-		y := (math.Log10(max(l.FirstP95, leastPlot)) - axisLow) / axisTens
+		y := (math.Log10(max(l.FirstP95, minPlottedMillis)) - axisLow) / axisTens
 		fmt.Fprintf(&b, "%.1f,%.1f ", lengthX(l.Length), plotHeight*(1-y))
 	}
 	return b.String()
--- a/experiment/set.go
+++ b/experiment/set.go
@@ -15,35 +15,35 @@
 	"github.com/hollowgrade/hollowgrade/internal/errs"
 )
 
-// Named is a file of a set.
-type Named struct {
+// NamedFile is a file of a set.
+type NamedFile struct {
 	Name string // the file's, without its ending
 	File File
 }
 
-// fileEnding is that of experiments.
-const fileEnding = ".toml"
+// fileExtension is that of experiments.
+const fileExtension = ".toml"
 
 // ReadSet reads and checks a file, or all experiments of a folder.
-func ReadSet(path string) (ns []Named, err error) {
+func ReadSet(path string) (ns []NamedFile, err error) {
 	defer errs.Annotate(&err, "read experiments")
 	paths := []string{path}
 	if i, err := os.Stat(path); err != nil {
 		return nil, err
 	} else if i.IsDir() {
-		if paths, err = filepath.Glob(filepath.Join(path, "*"+fileEnding)); err != nil {
+		if paths, err = filepath.Glob(filepath.Join(path, "*"+fileExtension)); err != nil {
 			return nil, err
 		}
 	}
 	if len(paths) == 0 {
-		return nil, fmt.Errorf("%s has no file that ends in %s", path, fileEnding)
+		return nil, fmt.Errorf("%s has no file that ends in %s", path, fileExtension)
 	}
 	for _, p := range paths {
 		f, err := Read(p)
 		if err != nil {
 			return nil, err
 		}
-		ns = append(ns, Named{strings.TrimSuffix(filepath.Base(p), fileEnding), f})
+		ns = append(ns, NamedFile{strings.TrimSuffix(filepath.Base(p), fileExtension), f})
 	}
 	return ns, nil
 }
@@ -61,19 +61,19 @@
 	Runs []Run `json:"runs"` // by file, variant and seed
 }
 
-// PlaySet plays all variants of all files under some seeds, counted from each
+// SimulateSet plays all variants of all files under some seeds, counted from each
 // file's own, as many at a time as there are workers. Progress is told of each run
 // that has ended, and how many there are.
-func PlaySet(ns []Named, seeds, workers int, progress func(ended, all int)) SetReport {
+func SimulateSet(ns []NamedFile, seeds, workers int, progress func(completed, all int)) SetReport {
 	var r SetReport
-	var todo []func() float64
+	var tasks []func() float64
 	for _, n := range ns {
 		for _, v := range n.File.Variants {
 			for i := range seeds {
 				f := n.File
 				f.Seed += uint64(i)
 				r.Runs = append(r.Runs, Run{File: n.Name, Variant: v.Name, Seed: f.Seed})
-				todo = append(todo, func() float64 { return share(Play(f, v)) })
+				tasks = append(tasks, func() float64 { return worthShare(Simulate(f, v)) })
 			}
 		}
 	}
@@ -84,16 +84,16 @@
 	for range max(workers, 1) {
 		g.Go(func() {
 			for i := range next {
-				w := todo[i]()
+				w := tasks[i]()
 				mu.Lock()
 				r.Runs[i].Worth = w
 				ended++
-				progress(ended, len(todo))
+				progress(ended, len(tasks))
 				mu.Unlock()
 			}
 		})
 	}
-	for i := range todo {
+	for i := range tasks {
 		next <- i
 	}
 	close(next)
@@ -141,7 +141,7 @@
 	var files, variants []string
 	cells := map[[2]string]string{}
 	for _, m := range ms {
-		files, variants = addNew(files, m.File), addNew(variants, m.Variant)
+		files, variants = appendUnique(files, m.File), appendUnique(variants, m.Variant)
 		cells[[2]string{m.File, m.Variant}] = fmt.Sprintf("%.3f ±%.3f", m.Worth, m.Spread)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -156,8 +156,8 @@
 	return t.Flush()
 }
 
-// addNew adds a word to a list unless it is there.
-func addNew(l []string, s string) []string {
+// appendUnique adds a word to a list unless it is there.
+func appendUnique(l []string, s string) []string {
 	if slices.Contains(l, s) {
 		return l
 	}
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -13,12 +13,12 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-const examples = "../examples/experiments"
+const examplesDir = "../examples/experiments"
 
 // Deployments of every kind of the set: what gateways decide earns more than the
 // fewest requests do, on each of them.
 func TestNoDeploymentIsWorseThanLeastRequests(t *testing.T) {
-	ns, err := ReadSet(examples)
+	ns, err := ReadSet(examplesDir)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(ns), 10)
 	for i := range ns {
@@ -26,7 +26,7 @@
 		f.Duration = min(f.Duration, config.Duration(16*time.Second))
 		f.Variants = []Variant{{Name: "gateway", Decisions: Worth}, {Name: "least requests", Decisions: LeastRequests}}
 	}
-	r := PlaySet(ns, 1, 4, func(int, int) {})
+	r := SimulateSet(ns, 1, 4, func(int, int) {})
 	worth := map[string]float64{}
 	for _, m := range r.Means() {
 		if m.Variant == "gateway" {
@@ -38,14 +38,14 @@
 }
 
 func TestSets(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(2 * time.Second)
 	f.Variants = []Variant{{Name: "a", Decisions: LeastRequests}, {Name: "b", Decisions: RoundRobin}}
-	ns := []Named{{"x", f}, {"y", f}}
-	told := 0
-	r := PlaySet(ns, 2, 3, func(ended, all int) {
-		told++
-		require.Equal(t, told, ended)
+	ns := []NamedFile{{"x", f}, {"y", f}}
+	calls := 0
+	r := SimulateSet(ns, 2, 3, func(ended, all int) {
+		calls++
+		require.Equal(t, calls, ended)
 		require.Equal(t, 8, all)
 	})
 	require.Len(t, r.Runs, 8)
@@ -67,7 +67,7 @@
 }
 
 func TestVariantsWithoutMechanisms(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Variants = []Variant{{Name: "x", Decisions: Worth, Without: []string{"guessing"}}}
 	require.ErrorContains(t, f.check(), `variant x: without names "guessing"`)
 	for _, m := range placement.Mechanisms() {
@@ -75,21 +75,21 @@
 		require.NoError(t, f.check())
 	}
 	f.Duration = config.Duration(6 * time.Second)
-	split := share(Play(f, Variant{Name: "all", Decisions: Worth}))
+	split := worthShare(Simulate(f, Variant{Name: "all", Decisions: Worth}))
 	f.Variants[0].Without = []string{string(placement.Splitting)}
-	require.Less(t, share(Play(f, f.Variants[0])), split)
+	require.Less(t, worthShare(Simulate(f, f.Variants[0])), split)
 }
 
 // Callers that are refused come back once, and their goal counts from their first
 // try.
 func TestRefusedCallersComeBack(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Duration = config.Duration(12 * time.Second)
 	for i := range f.Kinds {
 		f.Kinds[i].Retries = 1
 	}
 	again := 0
-	for _, r := range Play(f, f.Variants[0]) {
+	for _, r := range Simulate(f, f.Variants[0]) {
 		require.LessOrEqual(t, r.Tries, 2)
 		if r.Tries == 2 {
 			again++
--- a/experiment/play.go
+++ b/experiment/simulation.go
@@ -48,21 +48,21 @@
 	return x
 }
 
-// play is one run of one variant.
-type play struct {
-	file     File
-	variant  Variant
-	random   *rand.Rand // draws the load, which is the same for all variants
-	chance   *rand.Rand // draws what depends on decisions
-	now      time.Duration
-	seq      int
-	events   events
-	spreads  int // words of load so far
-	clock    *clockwork.FakeClock
-	engines  map[string]*pool
-	deciders []decider
-	open     map[*job]bool
-	results  []Result
+// simulation is one run of one variant.
+type simulation struct {
+	file           File
+	variant        Variant
+	loadRandom     *rand.Rand // draws the load, which is the same for all variants
+	decisionRandom *rand.Rand // draws what depends on decisions
+	now            time.Duration
+	seq            int
+	events         events
+	updates        int // words of load so far
+	clock          *clockwork.FakeClock
+	engines        map[string]*simulatedEngine
+	gateways       []decider
+	open           map[*job]bool
+	results        []Result
 }
 
 // Result is one request that has ended.
@@ -78,39 +78,39 @@
 	Earned  float64       `json:"earned"`
 }
 
-// after lets something happen later.
-func (p *play) after(d time.Duration, do func()) {
+// schedule lets something happen later.
+func (p *simulation) schedule(d time.Duration, do func()) {
 	p.seq++
 	heap.Push(&p.events, event{p.now + d, p.seq, do})
 }
 
-// Play plays one variant. The same file gives the same result.
-func Play(f File, v Variant) []Result {
-	p := &play{
-		file:    f,
-		variant: v,
-		random:  rand.New(rand.NewPCG(f.Seed, f.Seed)),
-		chance:  rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
-		clock:   clockwork.NewFakeClock(),
-		engines: map[string]*pool{},
-		open:    map[*job]bool{},
+// Simulate plays one variant. The same file gives the same result.
+func Simulate(f File, v Variant) []Result {
+	p := &simulation{
+		file:           f,
+		variant:        v,
+		loadRandom:     rand.New(rand.NewPCG(f.Seed, f.Seed)),
+		decisionRandom: rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
+		clock:          clockwork.NewFakeClock(),
+		engines:        map[string]*simulatedEngine{},
+		open:           map[*job]bool{},
 	}
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%03d", i)
-		p.engines[ids[i]] = &pool{id: ids[i], figures: f.Engines.figures(), play: p, slow: 1}
+		p.engines[ids[i]] = &simulatedEngine{id: ids[i], figures: f.Engines.figures(), sim: p, pace: 1}
 	}
 	for i := range f.gateways(v) {
-		p.deciders = append(p.deciders, p.newDecider(uint64(i), ids))
+		p.gateways = append(p.gateways, p.newDecider(uint64(i), ids))
 	}
 	for i := range f.Kinds {
-		p.arrive(&f.Kinds[i])
+		p.scheduleArrivals(&f.Kinds[i])
 	}
 	for _, s := range f.Slow {
-		p.slowDown(s, ids)
+		p.scheduleSlowdown(s, ids)
 	}
 	if f.View > 0 && !v.Alone {
-		p.after(f.View.Std(), p.spread)
+		p.schedule(f.View.Std(), p.sendUpdates)
 	}
 	p.run()
 	for j := range p.open {
@@ -123,7 +123,7 @@
 // drainTime is how much longer than the arrivals a run lasts at the most.
 const drainTime = 30 * time.Second
 
-func (p *play) run() {
+func (p *simulation) run() {
 	for len(p.events) > 0 {
 		e := heap.Pop(&p.events).(event)
 		if e.at > p.file.Duration.Std()+drainTime {
@@ -135,8 +135,8 @@
 	}
 }
 
-// arrive lets the requests of a kind arrive, one after the other.
-func (p *play) arrive(k *Kind) {
+// scheduleArrivals lets the requests of a kind scheduleArrivals, one after the other.
+func (p *simulation) scheduleArrivals(k *Kind) {
 	rate := k.Rate
 	for _, b := range p.file.Bursts {
 		if b.Kind == k.Name && p.now >= b.At.Std() && p.now < (b.At+b.For).Std() {
@@ -144,28 +144,28 @@
 		}
 	}
 	if rate <= 0 {
-		p.after(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
 	}
-	gap := time.Duration(p.random.ExpFloat64() / rate * float64(time.Second))
+	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
 	// Rates change with bursts, so a long gap is drawn anew.
 	if gap > time.Second {
-		p.after(time.Second, func() { p.arrive(k) })
+		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
 	}
-	p.after(gap, func() {
+	p.schedule(gap, func() {
 		if p.now > p.file.Duration.Std() {
 			return
 		}
-		p.request(k)
-		p.arrive(k)
+		p.startRequest(k)
+		p.scheduleArrivals(k)
 	})
 }
 
-// size draws a size with the given mean and spread.
-func (p *play) size(mean, spread, most float64) int {
+// drawSize draws a drawSize with the given mean and spread.
+func (p *simulation) drawSize(mean, spread, most float64) int {
 	s2 := math.Log(1 + spread*spread)
-	n := mean * math.Exp(math.Sqrt(s2)*p.random.NormFloat64()-s2/2)
+	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
 	if most > 0 {
 		n = min(n, most)
 	}
@@ -175,20 +175,20 @@
 // answerSpread is the spread of the length of answers.
 const answerSpread = 0.6
 
-// prompt draws the length of a prompt.
-func (p *play) prompt(k *Kind) int {
+// drawPrompt draws the length of a drawPrompt.
+func (p *simulation) drawPrompt(k *Kind) int {
 	mean := k.Prompt
-	if k.Tail > 0 && p.random.Float64() < k.Tail {
+	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
 		mean *= max(k.TailX, 1)
 	}
-	return p.size(mean, k.Spread, k.PromptMax)
+	return p.drawSize(mean, k.Spread, k.PromptMax)
 }
 
-func (p *play) request(k *Kind) {
+func (p *simulation) startRequest(k *Kind) {
 	j := &job{
 		kind:    k,
-		prompt:  p.prompt(k),
-		answer:  p.size(k.Answer, answerSpread, 0),
+		prompt:  p.drawPrompt(k),
+		answer:  p.drawSize(k.Answer, answerSpread, 0),
 		arrived: p.now,
 	}
 	p.place(j)
@@ -200,139 +200,139 @@
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
-// heedShare is the part of the time that a caller has left for which it waits at
+// maxRetryDelayShare is the part of the time that a caller has left for which it waits at
 // the most before it comes back.
-const heedShare = 1.0 / 3
+const maxRetryDelayShare = 1.0 / 3
 
-// comeBack lets the caller of a refused request come back as it was told, if it
+// retry lets the caller of a refused request come back as it was told, if it
 // still means to.
-func (p *play) comeBack(j *job, after time.Duration) {
+func (p *simulation) retry(j *job, after time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
 		p.results = append(p.results, j.refused())
 		return
 	}
-	p.after(min(after, time.Duration(heedShare*float64(left))), func() { p.place(j) })
+	p.schedule(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
-// refusedAgain is the part of its worth that a request costs whose caller came back for nothing.
-const refusedAgain = 0.3
+// refusedRetryPenalty is the part of its worth that a request costs whose caller came back for nothing.
+const refusedRetryPenalty = 0.3
 
 // refused returns what a request came to that was refused for good.
 func (j *job) refused() Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
 	if j.tries > 1 {
-		r.Earned = -refusedAgain * r.Owed
+		r.Earned = -refusedRetryPenalty * r.Owed
 	}
 	return r
 }
 
-func (p *play) place(j *job) {
-	j.decider = p.chance.IntN(len(p.deciders))
-	g := p.deciders[j.decider]
+func (p *simulation) place(j *job) {
+	j.decider = p.decisionRandom.IntN(len(p.gateways))
+	g := p.gateways[j.decider]
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
-		p.comeBack(j, d.RetryAfter)
+		p.retry(j, d.RetryAfter)
 		return
 	}
 	p.open[j] = true
-	j.began = func() { g.began(d) }
-	j.done = func(now time.Duration) {
+	j.onFirstEvent = func() { g.began(d) }
+	j.onDone = func(now time.Duration) {
 		delete(p.open, j)
 		g.done(d)
-		p.free(j, d)
+		p.releaseMemory(j, d)
 		p.results = append(p.results, j.result(now))
 	}
-	p.after(d.Hold, func() { p.send(j, d) })
-	p.after(d.Hold+core.Overdue(d.PredictedFirst), func() {
+	p.schedule(d.Hold, func() { p.send(j, d) })
+	p.schedule(d.Hold+core.Overdue(d.PredictedFirst), func() {
 		if p.open[j] && j.first == 0 {
-			p.suspect(g, d)
+			p.requestOverduePaces(g, d)
 		}
 	})
 }
 
-// askTime is how long an engine takes to say how fast it is.
-const askTime = 5 * time.Millisecond
+// paceRequestTime is how long an engine takes to say how fast it is.
+const paceRequestTime = 5 * time.Millisecond
 
-// suspect lets a gateway ask the engines of a call whose first event is overdue how fast they
+// requestOverduePaces lets a gateway ask the engines of a call whose first event is overdue how fast they
 // are.
-func (p *play) suspect(g decider, d core.Plan) {
+func (p *simulation) requestOverduePaces(g decider, d core.Plan) {
 	if p.variant.Unasked {
 		return
 	}
 	for _, id := range g.suspects(d) {
-		p.ask(g, id)
+		p.requestPace(g, id)
 	}
 }
 
-// ask lets a gateway ask an engine how fast it is, tell the others, and ask again while it is
+// requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
 // slow.
-func (p *play) ask(g decider, id string) {
-	p.after(askTime, func() {
-		pace := p.engines[id].slow
-		if !g.takePace(id, pace, 0, "") {
+func (p *simulation) requestPace(g decider, id string) {
+	p.schedule(paceRequestTime, func() {
+		pace := p.engines[id].pace
+		if !g.receivePace(id, pace, 0, "") {
 			return
 		}
-		p.after(p.file.View.Std(), func() { p.tellPace(g, id, pace) })
-		p.after(core.PaceRecheckInterval, func() {
+		p.schedule(p.file.View.Std(), func() { p.sendPace(g, id, pace) })
+		p.schedule(core.PaceRecheckInterval, func() {
 			if g.stillSlow(id) {
-				p.ask(g, id)
+				p.requestPace(g, id)
 			}
 		})
 	})
 }
 
-// tellPace lets the other gateways hear how fast an engine said that it is.
-func (p *play) tellPace(from decider, id string, pace float64) {
-	for _, g := range p.deciders {
+// sendPace lets the other gateways hear how fast an engine said that it is.
+func (p *simulation) sendPace(from decider, id string, pace float64) {
+	for _, g := range p.gateways {
 		if g != from && !p.variant.Alone {
-			g.takePace(id, pace, p.file.View.Std(), "another")
+			g.receivePace(id, pace, p.file.View.Std(), "another")
 		}
 	}
 }
 
 // send gives a call to its engine, unless memory that it needs at others is not free:
 // its caller comes back then.
-func (p *play) send(j *job, d core.Plan) {
-	j.kept, j.keepers = d.Kept, nil
+func (p *simulation) send(j *job, d core.Plan) {
+	j.keptTokens, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
-		if !p.engines[k].fits(d.Kept) {
-			p.turnAway(j, d)
+		if !p.engines[k].hasMemory(d.Kept) {
+			p.rejectAttempt(j, d)
 			return
 		}
 	}
 	for _, k := range d.Keepers {
-		p.engines[k].used += d.Kept
+		p.engines[k].usedTokens += d.Kept
 		j.keepers = append(j.keepers, p.engines[k])
 	}
-	home := p.engines[d.Upstream]
-	home.arrive(j, func() { p.read(j, d, home) })
+	upstream := p.engines[d.Upstream]
+	upstream.enqueue(j, func() { p.prefill(j, d, upstream) })
 }
 
-// turnAway ends an attempt of which nothing has run.
-func (p *play) turnAway(j *job, d core.Plan) {
+// rejectAttempt ends an attempt of which nothing has run.
+func (p *simulation) rejectAttempt(j *job, d core.Plan) {
 	delete(p.open, j)
-	p.deciders[j.decider].done(d)
-	p.comeBack(j, time.Second)
+	p.gateways[j.decider].done(d)
+	p.retry(j, time.Second)
 }
 
-// free gives back what a call that has ended held.
-func (p *play) free(j *job, d core.Plan) {
-	p.engines[d.Upstream].free(j.own())
+// releaseMemory gives back what a call that has ended held.
+func (p *simulation) releaseMemory(j *job, d core.Plan) {
+	p.engines[d.Upstream].releaseMemory(j.ownTokens())
 	for _, k := range j.keepers {
-		k.free(j.kept)
+		k.releaseMemory(j.keptTokens)
 	}
 }
 
-// read lets the engines of a plan read a prompt.
-func (p *play) read(j *job, d core.Plan, home *pool) {
-	j.parts = 1 + len(d.Helpers)
+// prefill lets the engines of a plan prefill a prompt.
+func (p *simulation) prefill(j *job, d core.Plan, upstream *simulatedEngine) {
+	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := home.figures.Reading(j.prompt, j.parts)
-	home.read(part{j, work, home})
+	work := upstream.figures.PrefillTime(j.prompt, j.partsLeft)
+	upstream.addPrefill(part{j, work, upstream})
 	for _, h := range d.Helpers {
-		p.engines[h].read(part{j, work, home})
+		p.engines[h].addPrefill(part{j, work, upstream})
 	}
 }
 
@@ -349,40 +349,40 @@
 	return r
 }
 
-func (p *play) slowDown(s Slow, ids []string) {
+func (p *simulation) scheduleSlowdown(s Slow, ids []string) {
 	set := func(x float64) func() {
 		return func() {
 			for _, id := range ids[:min(s.Engines, len(ids))] {
-				p.engines[id].slow = x
+				p.engines[id].pace = x
 			}
 		}
 	}
-	p.after(s.At.Std(), set(s.X))
-	p.after((s.At + s.For).Std(), set(1))
+	p.schedule(s.At.Std(), set(s.X))
+	p.schedule((s.At + s.For).Std(), set(1))
 }
 
-// wholeEvery is how many words of a gateway tell all that it has given, so that
+// completeUpdateEvery is how many words of a gateway tell all that it has given, so that
 // what it said does not expire.
-const wholeEvery = 20
+const completeUpdateEvery = 20
 
-// spread lets gateways hear of each other's load: of what changed, and now and
+// sendUpdates lets gateways hear of each other's load: of what changed, and now and
 // then of all.
-func (p *play) spread() {
-	whole := p.spreads%wholeEvery == 0
-	p.spreads++
-	for i, a := range p.deciders {
-		cs := a.changes(whole)
-		if len(cs) == 0 && !whole {
+func (p *simulation) sendUpdates() {
+	complete := p.updates%completeUpdateEvery == 0
+	p.updates++
+	for i, a := range p.gateways {
+		cs := a.changes(complete)
+		if len(cs) == 0 && !complete {
 			continue
 		}
-		for j, b := range p.deciders {
+		for j, b := range p.gateways {
 			if i != j {
-				b.hear(fmt.Sprint(i), cs, whole)
+				b.receiveView(fmt.Sprint(i), cs, complete)
 			}
 		}
 	}
 	if p.now < p.file.Duration.Std()+drainTime {
-		p.after(p.file.View.Std(), p.spread)
+		p.schedule(p.file.View.Std(), p.sendUpdates)
 	}
 }
 
@@ -392,17 +392,17 @@
 	began(d core.Plan)
 	done(d core.Plan)
 	changes(whole bool) map[hollowgrade.Life]core.Share
-	hear(from string, cs map[hollowgrade.Life]core.Share, whole bool)
+	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
 	// suspects returns the engines of a plan that are to be asked how fast they are.
 	suspects(d core.Plan) []string
-	// takePace takes an engine's word on that, and reports whether others are to be told.
-	takePace(id string, pace float64, age time.Duration, box string) (tell bool)
+	// receivePace takes an engine's word on that, and reports whether others are to be told.
+	receivePace(id string, pace float64, age time.Duration, box string) (tell bool)
 	stillSlow(id string) bool
 }
 
-func (p *play) newDecider(number uint64, ids []string) decider {
+func (p *simulation) newDecider(number uint64, ids []string) decider {
 	if p.variant.Decisions != Worth {
-		return &naive{way: p.variant.Decisions, ids: ids, open: map[string]int{}, reading: map[string]time.Duration{}, figures: p.file.Engines.figures()}
+		return &baseline{decisions: p.variant.Decisions, ids: ids, open: map[string]int{}, prefill: map[string]time.Duration{}, figures: p.file.Engines.figures()}
 	}
 	f := core.NewFleet(p.clock, log.New(io.Discard), core.WithPolicy(p.policy()))
 	f.SetRandom(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
@@ -413,14 +413,14 @@
 	g := &gateway{fleet: f, service: core.Service{Name: service, Engine: p.file.Engines.figures()}}
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) {
 		for _, u := range us {
-			p.ask(g, u.ID)
+			p.requestPace(g, u.ID)
 		}
 	})
 	return g
 }
 
 // policy returns what the variant decides by.
-func (p *play) policy() *placement.Policy {
+func (p *simulation) policy() *placement.Policy {
 	ms := make([]placement.Mechanism, 0, len(p.variant.Without))
 	for _, m := range p.variant.Without {
 		ms = append(ms, placement.Mechanism(m))
@@ -450,8 +450,8 @@
 	g.fleet.Done(d, true)
 }
 
-func (g *gateway) changes(whole bool) map[hollowgrade.Life]core.Share {
-	return g.fleet.Changes(whole)
+func (g *gateway) changes(complete bool) map[hollowgrade.Life]core.Share {
+	return g.fleet.Changes(complete)
 }
 
 func (g *gateway) suspects(d core.Plan) (ids []string) {
@@ -462,7 +462,7 @@
 	return ids
 }
 
-func (g *gateway) takePace(id string, pace float64, age time.Duration, box string) (tell bool) {
+func (g *gateway) receivePace(id string, pace float64, age time.Duration, box string) (report bool) {
 	was := g.stillSlow(id)
 	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
 	return was || g.stillSlow(id)
@@ -472,6 +472,6 @@
 	return g.fleet.StillSlow(hollowgrade.Life(id))
 }
 
-func (g *gateway) hear(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
-	g.fleet.ReceiveView(from, cs, whole)
+func (g *gateway) receiveView(from string, cs map[hollowgrade.Life]core.Share, complete bool) {
+	g.fleet.ReceiveView(from, cs, complete)
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// fleetFile is the form of the file that 'config publish' reads.
+// fleetFile is the content of the file that 'config publish' reads.
 type fleetFile struct {
 	Organisation map[string]config.Organisation `toml:"organisation"`
 	Model        map[string]config.Model        `toml:"model"`
@@ -80,37 +80,37 @@
 	}
 	var f fleetFile
 	if err = toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(&f); err != nil {
-		return fault.New(fault.BadSetting, "%s: %s", c.File, detail(err))
+		return fault.New(fault.BadSetting, "%s: %s", c.File, tomlErrorDetail(err))
 	}
 	for n, v := range f.Model {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ModelKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ModelKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Service {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ServiceKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ServiceKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Objective {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.ObjectiveKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.ObjectiveKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	for n, v := range f.Organisation {
 		v.Name = n
-		if err = c.publish(ctx, s.out, config.OrganisationKind, n, v, config.Current); err != nil {
+		if err = c.publish(ctx, s.out, config.OrganisationKind, n, v, config.CurrentRevision); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// detail gives the line of a mistake in TOML, where the library knows it.
-func detail(err error) string {
+// tomlErrorDetail describes a TOML error, with its line if the library reports one.
+func tomlErrorDetail(err error) string {
 	var d *toml.DecodeError
 	var m *toml.StrictMissingError
 	switch {
@@ -133,16 +133,16 @@
 
 // Run runs the command.
 func (c *configRemove) Run(ctx context.Context, s *streams) error {
-	return c.publish(ctx, s.out, c.Kind, c.Name, nil, config.Current)
+	return c.publish(ctx, s.out, c.Kind, c.Name, nil, config.CurrentRevision)
 }
 
-// boxes says which boxes an operators' command asks.
+// boxes selects the boxes that an operators' command queries.
 type boxes struct {
 	PlatformList string   `help:"Base URL of the platform's list of boxes."`
 	Box          []string `help:"Operators' addresses of boxes, beside those on the list."`
 }
 
-const askTimeout = 3 * time.Second
+const boxTimeout = 3 * time.Second
 
 // addresses returns the operators' addresses of the boxes.
 func (b boxes) addresses(ctx context.Context) (as []string, err error) {
@@ -160,19 +160,19 @@
 	return as, nil
 }
 
-// fetch asks one box.
+// fetch reads a JSON document from one box.
 func fetch(ctx context.Context, address, path string, v any) (err error) {
 	defer errs.Annotate(&err, "box at %s", address)
-	_, b, err := ask(ctx, http.MethodGet, "http://"+address+path)
+	_, b, err := doRequest(ctx, http.MethodGet, "http://"+address+path)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(b, v)
 }
 
-// ask makes a request without a body and reads its answer.
-func ask(ctx context.Context, method, address string) (status int, body []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// doRequest sends a request without a body and reads the response.
+func doRequest(ctx context.Context, method, address string) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, boxTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, address, nil)
 	if err != nil {
@@ -183,11 +183,11 @@
 		return 0, nil, err
 	}
 	defer res.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, body, err
 }
 
-const maxAnswer = 64 << 20
+const maxResponseBytes = 64 << 20
 
 type configStatus struct {
 	boxes
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/standalone"
 )
 
-// target is the log that operators' commands work on.
+// target selects the log that operators' commands work on.
 type target struct {
 	PlatformLog string        `help:"Base URL of the platform's log." required:""`
 	Timeout     time.Duration `help:"How long to wait for the log." default:"10s"`
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	old, err := published(i)
+	old, err := compilePublished(i)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	return diffSamples(s.out, old, n)
 }
 
-func published(i fold.Item) (p *policy.Program, err error) {
+func compilePublished(i fold.Item) (p *policy.Program, err error) {
 	var v config.Policy
 	if err = json.Unmarshal(i.Body, &v); err != nil {
 		return nil, err
@@ -148,14 +148,14 @@
 		}
 		if a != b {
 			changed++
-			fmt.Fprintf(w, "%s\n- %s\n+ %s\n", strings.TrimSpace(s.Title), decision(a), decision(b))
+			fmt.Fprintf(w, "%s\n- %s\n+ %s\n", strings.TrimSpace(s.Title), formatDecision(a), formatDecision(b))
 		}
 	}
 	fmt.Fprintf(w, "%d of %d sample requests change\n", changed, len(policy.Samples()))
 	return nil
 }
 
-func decision(d hollowgrade.Decision) string {
+func formatDecision(d hollowgrade.Decision) string {
 	return fmt.Sprintf("class %s, priority %d, allowed %s, may wait %t, repeatable %t, share %v",
 		d.Class, d.Priority, d.Allowed, d.MayWait, d.Repeatable, d.Share)
 }
@@ -184,7 +184,7 @@
 // Run runs the command.
 func (c *policyShow) Run(ctx context.Context, s *streams) error {
 	if c.Name == "" {
-		return list(ctx, c.target, s.out, config.PolicyKind)
+		return listItems(ctx, c.target, s.out, config.PolicyKind)
 	}
 	i, err := c.item(ctx, config.PolicyKind, c.Name)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-func list(ctx context.Context, t target, w io.Writer, kind string) error {
+func listItems(ctx context.Context, t target, w io.Writer, kind string) error {
 	is, err := t.items(ctx, kind)
 	if err != nil {
 		return err
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -59,9 +59,9 @@
 	setting.Gateway
 }
 
-// reloadEvery is how often the settings file is looked at for a change that no
-// signal told of. Changes have to be in force within seconds.
-const reloadEvery = time.Second
+// reloadInterval is how often the settings file is checked for changes without a signal. Changes
+// must be in force within seconds.
+const reloadInterval = time.Second
 
 // Run runs the command.
 func (c *gatewayCommand) Run(ctx context.Context, s *streams) error {
@@ -93,39 +93,39 @@
 	h := make(chan os.Signal, 1)
 	signal.Notify(h, syscall.SIGHUP)
 	defer signal.Stop(h)
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
-	last := fileMark(path)
+	last := readFileVersion(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-h:
 		case <-t.C:
-			if fileMark(path) == last {
+			if readFileVersion(path) == last {
 				continue
 			}
 		}
-		last = fileMark(path)
+		last = readFileVersion(path)
 		reload()
 	}
 }
 
-// mark tells one state of a file from another.
-type mark struct {
+// fileVersion identifies a version of a file by its size and modification time.
+type fileVersion struct {
 	size    int64
 	changed time.Time
 }
 
-func fileMark(path string) (m mark) {
+func readFileVersion(path string) (m fileVersion) {
 	i, err := os.Stat(path)
 	if err != nil {
-		return m // a file that is being replaced: it is looked at again
+		return m // the file is being replaced; the next check sees the new one
 	}
-	return mark{size: i.Size(), changed: i.ModTime()}
+	return fileVersion{size: i.Size(), changed: i.ModTime()}
 }
 
-// runUntil runs a process until ctx ends, as by SIGTERM, and then drains it.
+// runUntil runs a process until ctx ends, such as by SIGTERM, and then drains it.
 func runUntil(ctx context.Context, n *node.Node, drain time.Duration, g *log.Logger) error {
 	if err := n.Start(ctx); err != nil {
 		return err
--- a/placement/long.go
+++ b/placement/long.go
@@ -28,7 +28,7 @@
 		return l, true
 	}
 	alone := p.pauseLoss(&s.Candidates[a.Target], r, a.PrefillTime)*lateLossShare + r.Worth()*lateLossShare*r.lateness(a.FirstEvent)
-	split := l.Cost + pricePerSecond(s.Candidates, e)*e.Hops(r.MaxTokens).Seconds()
+	split := l.Cost + pricePerSecond(s.Candidates, e)*e.HopTime(r.MaxTokens).Seconds()
 	if alone <= split {
 		return a, true
 	}
@@ -82,7 +82,7 @@
 	l.OutOfMemory = memoryCost(&cs[target], r) > 0
 	for _, i := range set {
 		l.Wait = max(l.Wait, cs[i].PrefillBacklog)
-		l.FirstEvent = max(l.FirstEvent, e.First(cs[i].state(r), l.PrefillTime))
+		l.FirstEvent = max(l.FirstEvent, e.TimeToFirstEvent(cs[i].state(r), l.PrefillTime))
 		if i != target {
 			l.Helpers = append(l.Helpers, i)
 		}
@@ -153,7 +153,7 @@
 // worthPerSecond returns the worth of a second of prefill when every engine has a backlog.
 func worthPerSecond(e *engine.Figures) float64 {
 	r := Request{Engine: e, PromptTokens: referencePromptTokens}
-	return r.Worth() / e.Reading(r.PromptTokens, 1).Seconds()
+	return r.Worth() / e.PrefillTime(r.PromptTokens, 1).Seconds()
 }
 
 // worthwhile reports whether a long prompt is worth at least what it costs other calls.
@@ -194,11 +194,11 @@
 	least := 0.0
 	is := p.sampleEngines(cs, r)
 	for n := keeperCount(r, e); n <= min(len(is), 1+maxHelpers); n++ {
-		t := e.Reading(r.PromptTokens, n)
+		t := e.PrefillTime(r.PromptTokens, n)
 		sortByPrefillEnd(cs, is, t)
 		hs := p.engineLosses(cs, is, r, t)
 		for within := n; within <= len(is); within++ {
-			first := e.First(cs[is[within-1]].state(r), t)
+			first := e.TimeToFirstEvent(cs[is[within-1]].state(r), t)
 			late := r.Worth() * lateLossShare * r.lateness(first)
 			if best != nil && late >= least {
 				break // engines with more backlog only make it later
@@ -225,7 +225,7 @@
 		is[i] = i
 	}
 	if len(is) > maxSampledEngines {
-		hs := p.engineLosses(cs, is, r, r.Engine.Reading(r.PromptTokens, 1+maxHelpers))
+		hs := p.engineLosses(cs, is, r, r.Engine.PrefillTime(r.PromptTokens, 1+maxHelpers))
 		for i, h := range hs[:maxSampledEngines] {
 			is[i] = h.engine
 		}
@@ -265,7 +265,7 @@
 		return 0
 	}
 	s := c.state(r)
-	return c.Stakes.Loss(r.Engine.Pause(s, 0), r.Engine.Pause(s, part))
+	return c.Stakes.Loss(r.Engine.LongestPause(s, 0), r.Engine.LongestPause(s, part))
 }
 
 // leastLossSet returns the n engines with the least loss among the first `within` by the end of
--- a/placement/short.go
+++ b/placement/short.go
@@ -23,7 +23,7 @@
 // prompts.
 func (p *Policy) placeShort(s Snapshot, r Request) (l Plan, ok bool) {
 	e := r.Engine
-	l.PrefillTime = e.Reading(r.PromptTokens, 1)
+	l.PrefillTime = e.PrefillTime(r.PromptTokens, 1)
 	l.CallsAhead = p.callsAhead(s)
 	cs, target := cheapestAfter(s.Candidates, l.CallsAhead, p.shortCost(s, r, l.PrefillTime), func(c *Candidate) { c.addCall(r, l.PrefillTime) })
 	if target < 0 {
@@ -31,7 +31,7 @@
 	}
 	c := &cs[target]
 	l.Target = target
-	l.FirstEvent = e.First(c.state(r), l.PrefillTime) + slotWait(c, r)
+	l.FirstEvent = e.TimeToFirstEvent(c.state(r), l.PrefillTime) + slotWait(c, r)
 	l.Refused = p.has(Shedding) && !r.StreamStarted && r.missesGoal(l.FirstEvent) && allSlotsTaken(cs, e)
 	l.RetryAfter = defaultRetryAfter(l.FirstEvent)
 	return l, true
@@ -60,9 +60,9 @@
 	order /= float64(max(len(s.Candidates), 1))
 	return func(i int, c *Candidate) float64 {
 		t := c.state(r)
-		x := r.lateness(e.First(t, prefill))
+		x := r.lateness(e.TimeToFirstEvent(t, prefill))
 		if r.PauseGoal > 0 {
-			x += pauseMissChance(e.Pause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
+			x += pauseMissChance(e.LongestPause(t, prefill), r.PauseGoal) // its answer would start within a pass that is too long for it
 		}
 		x += crowding(c.Open, pack, e.Slots)
 		x += memoryCost(c, r)
@@ -94,7 +94,7 @@
 		return 0
 	}
 	passes := max(e.UsualAnswer/max(e.Stride, 1), 1)
-	return time.Duration(ahead) * time.Duration(passes) * e.Pass(c.state(r)) / time.Duration(max(e.Slots, 1))
+	return time.Duration(ahead) * time.Duration(passes) * e.PassTime(c.state(r)) / time.Duration(max(e.Slots, 1))
 }
 
 // The start of a burst isn't visible in the reported load. So the first engines of the common order
