--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -10,7 +10,7 @@
 )
 
 // setDown lets the store refuse every call, or serve again.
-func (f *fleetOf) setDown(down bool) {
+func (f *testFleet) setDown(down bool) {
 	for _, t := range []*memTopic{f.config, f.fleet, f.members} {
 		t.mu.Lock()
 		t.down = down
@@ -22,7 +22,7 @@
 
 // callsIn returns how many calls a second reach the store while some time passes, and
 // the most of them in one second.
-func (f *fleetOf) callsIn(d time.Duration) (perSecond float64, most int) {
+func (f *testFleet) callsIn(d time.Duration) (perSecond float64, most int) {
 	f.calls.begin()
 	time.Sleep(d)
 	all, most := f.calls.count()
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprintf("gateways=%d", n), func(b *testing.B) {
 			for range b.N {
 				inTest(b, func(t *testing.T) {
-					inNetwork(t, grown(n), answer, func(_ *testing.T, f *fleetOf) {
+					inNetwork(t, grown(n), answer, func(_ *testing.T, f *testFleet) {
 						all, most := f.calls.count()
 						b.ReportMetric(float64(all), "start")
 						b.ReportMetric(float64(most), "start-most/s")
@@ -63,7 +63,7 @@
 }
 
 // thirdOf returns every third gateway.
-func thirdOf(f *fleetOf) (boxes []string) {
+func thirdOf(f *testFleet) (boxes []string) {
 	for i := 0; i < len(f.gateways); i += 3 {
 		boxes = append(boxes, f.gateways[i].box)
 	}
@@ -77,7 +77,7 @@
 // Evidence: of 21 gateways, five read at rest; while the store was away each of the 21 read
 // each of three topics about once a second, 436 calls in four seconds.
 func TestCallsToTheStoreDoNotGrowWithTheGateways(t *testing.T) {
-	inNetwork(t, grown(many), answer, func(t *testing.T, f *fleetOf) {
+	inNetwork(t, grown(many), answer, func(t *testing.T, f *testFleet) {
 		rest, _ := f.callsIn(30 * time.Second)
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
@@ -95,7 +95,7 @@
 // The store turns away all gateways that read it for the others.
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
 	const keysGood = 4200 * time.Millisecond
-	inNetwork(t, grown(many), answer, func(t *testing.T, f *fleetOf) {
+	inNetwork(t, grown(many), answer, func(t *testing.T, f *testFleet) {
 		turned := f.reading()
 		require.Less(t, len(turned), len(f.gateways)/3)
 		f.silent = func(box string) bool { return slices.Contains(turned, box) }
@@ -113,7 +113,7 @@
 }
 
 // reading returns the gateways that read the store now.
-func (f *fleetOf) reading() (boxes []string) {
+func (f *testFleet) reading() (boxes []string) {
 	for _, w := range f.gateways {
 		if w.relay.Reads() {
 			boxes = append(boxes, w.box)
--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -24,7 +24,7 @@
 }
 
 // drawn draws a phase. At least one gateway is served.
-func (f *fleetOf) drawn(r *rand.Rand) phase {
+func (f *testFleet) drawn(r *rand.Rand) phase {
 	p := phase{turned: map[string]bool{}, refuse: r.IntN(2) == 0, group: map[string]int{}}
 	share, groups := r.Float64(), 1+r.IntN(3)
 	if r.IntN(2) == 0 {
@@ -44,13 +44,13 @@
 }
 
 // begins puts a phase in force.
-func (f *fleetOf) begins(p phase) {
+func (f *testFleet) begins(p phase) {
 	f.turnBy(turned{refuse: p.refuse}, func(box string) bool { return p.turned[box] })
 	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
 // hasServed reports whether a gateway reaches one that the store serves, itself among them.
-func (f *fleetOf) hasServed(p phase, box string) bool {
+func (f *testFleet) hasServed(p phase, box string) bool {
 	for _, g := range f.gateways {
 		if p.group[g.box] == p.group[box] && !p.turned[g.box] {
 			return true
@@ -67,13 +67,13 @@
 	for _, n := range []int{5, some, 2 * some} {
 		for seed := range uint64(courses) {
 			t.Run(fmt.Sprintf("gateways=%d/seed=%d", n, seed), func(t *testing.T) {
-				inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) { f.requireSoundCourse(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
+				inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) { f.requireSoundCourse(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
 			})
 		}
 	}
 }
 
-func (f *fleetOf) requireSoundCourse(t *testing.T, r *rand.Rand) {
+func (f *testFleet) requireSoundCourse(t *testing.T, r *rand.Rand) {
 	t.Helper()
 	readers := len(f.reading())
 	next, fresh, hadServed := map[string]int64{}, map[string]time.Time{}, map[string]bool{}
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -199,8 +199,8 @@
 	stop                   func() // ends the process, and waits for that
 }
 
-// fleetOf is gateways before one store in one network.
-type fleetOf struct {
+// testFleet is gateways before one store in one network.
+type testFleet struct {
 	net                    *network
 	turnedMu               sync.Mutex
 	silent                 func(box string) bool // whether the store says nothing to a box
@@ -237,7 +237,7 @@
 }
 
 // inNetwork runs gateways at the places in virtual time until test returns.
-func inNetwork(t *testing.T, ps []place, answer time.Duration, test func(t *testing.T, f *fleetOf), prepare ...func(f *fleetOf)) {
+func inNetwork(t *testing.T, ps []place, answer time.Duration, test func(t *testing.T, f *testFleet), prepare ...func(f *testFleet)) {
 	t.Helper()
 	// Two collections empty the pool that yamux keeps timers of an earlier bubble in.
 	runtime.GC()
@@ -250,7 +250,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := &fleetOf{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(keysGood), config: newTopic(), fleet: newTopic(), members: newTopic()}
+		f := &testFleet{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(keysGood), config: newTopic(), fleet: newTopic(), members: newTopic()}
 		f.calls.begin()
 		addresses := make([]string, len(ps))
 		for i := range ps {
@@ -281,24 +281,24 @@
 func nobody(string) bool { return false }
 
 // turn sets which boxes the store says nothing to, and which it refuses.
-func (f *fleetOf) turn(silent, refused func(box string) bool) {
+func (f *testFleet) turn(silent, refused func(box string) bool) {
 	f.turnedMu.Lock()
 	defer f.turnedMu.Unlock()
 	f.silent, f.refused = silent, refused
 }
 
-func (f *fleetOf) isTurned(how *func(box string) bool, box string) bool {
+func (f *testFleet) isTurned(how *func(box string) bool, box string) bool {
 	f.turnedMu.Lock()
 	defer f.turnedMu.Unlock()
 	return (*how)(box)
 }
 
 // far returns a topic as a box sees it.
-func (f *fleetOf) far(t *memTopic, box string, answer time.Duration) *farTopic {
+func (f *testFleet) far(t *memTopic, box string, answer time.Duration) *farTopic {
 	return &farTopic{t, f.net, box, answer, func(box string) bool { return f.isTurned(&f.silent, box) }, func(box string) bool { return f.isTurned(&f.refused, box) }, &f.calls}
 }
 
-func (f *fleetOf) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, answer time.Duration) *gateway {
+func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, answer time.Duration) *gateway {
 	quiet := log.New(io.Discard)
 	w := &gateway{box: box}
 	w.relay = feed.NewRelay(box, func() []string { return append([]string(nil), all...) }, feed.WithRelayLogger(quiet), feed.WithDialer(f.net.dialer(box)), feed.WithPlaces(f.net.place), feed.WithRelayTiming(f.timing))
@@ -333,7 +333,7 @@
 }
 
 // lose ends gateways at one moment.
-func (f *fleetOf) lose(which func(i int) bool) {
+func (f *testFleet) lose(which func(i int) bool) {
 	var g sync.WaitGroup
 	for i, w := range f.gateways {
 		if which(i) {
@@ -344,7 +344,7 @@
 }
 
 // comeBack starts gateways that were lost, at one moment.
-func (f *fleetOf) comeBack(which func(i int) bool) {
+func (f *testFleet) comeBack(which func(i int) bool) {
 	for i := range f.gateways {
 		if which(i) {
 			f.gateways[i] = f.begin(i)
@@ -353,7 +353,7 @@
 }
 
 // known returns how many gateways know the topics up to an offset.
-func (f *fleetOf) known(of func(*gateway) *feed.Feed, next int64) (n int) {
+func (f *testFleet) known(of func(*gateway) *feed.Feed, next int64) (n int) {
 	for _, w := range f.gateways {
 		if of(w).Next() >= next {
 			n++
@@ -364,7 +364,7 @@
 
 // until waits until all gateways know a topic up to an offset, and returns how
 // long that took, or bound.
-func (f *fleetOf) until(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
+func (f *testFleet) until(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
 	began := time.Now()
 	for f.known(of, next) < len(f.gateways) && time.Since(began) < bound {
 		time.Sleep(aMoment)
@@ -415,7 +415,7 @@
 // of them after exactly the 256 KB of one stream's window; reads of the store were cut
 // after 655 to 770 of 794 KB.
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
-	inNetwork(t, grown(28), answer, func(t *testing.T, f *fleetOf) {
+	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
 		c := configuration(seeded(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -16,7 +16,7 @@
 }
 
 // fill writes a configuration and a registry of upstreams.
-func (f *fleetOf) fill(t *testing.T, upstreams int) {
+func (f *testFleet) fill(t *testing.T, upstreams int) {
 	t.Helper()
 	putConfig(t, f, configuration(seeded(), 350_000))
 	for i := range upstreams {
@@ -26,7 +26,7 @@
 
 // returned starts gateways that were lost, and returns how long it takes until each gateway knows
 // the configuration and all upstreams, and the calls to the store of two seconds from then on.
-func (f *fleetOf) returned(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
+func (f *testFleet) returned(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
 	f.lose(which)
 	time.Sleep(time.Second)
 	f.net.resetCounts()
@@ -54,7 +54,7 @@
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, name), func(b *testing.B) {
 				for range b.N {
 					inTest(b, func(t *testing.T) {
-						inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
+						inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 							f.fill(t, upstreamsOf(n))
 							f.until(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 							took, calls, most := f.returned(which, upstreamsOf(n))
@@ -78,7 +78,7 @@
 	const n = many
 	for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
 		t.Run(name, func(t *testing.T) {
-			inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
+			inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 				f.fill(t, upstreamsOf(n))
 				f.until(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 				took, calls, _ := f.returned(which, upstreamsOf(n))
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -37,7 +37,7 @@
 
 // turnAway lets the store turn away all readers, and those of the other gateways that with names.
 // It returns how many are served.
-func (f *fleetOf) turnAway(w turned, with func(i, others int) bool) (served int) {
+func (f *testFleet) turnAway(w turned, with func(i, others int) bool) (served int) {
 	boxes := f.reading()
 	others := len(f.gateways) - len(boxes)
 	i := 0
@@ -60,7 +60,7 @@
 }
 
 // turnBy lets the store turn boxes away in this way, and no other.
-func (f *fleetOf) turnBy(w turned, boxes func(box string) bool) {
+func (f *testFleet) turnBy(w turned, boxes func(box string) bool) {
 	if w.refuse {
 		f.turn(nobody, boxes)
 	} else {
@@ -69,7 +69,7 @@
 }
 
 // oldestIn returns the highest age of the gateways' configuration while some time passes.
-func (f *fleetOf) oldestIn(d time.Duration) (oldest time.Duration) {
+func (f *testFleet) oldestIn(d time.Duration) (oldest time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(aMoment) {
 		oldest = max(oldest, f.oldest())
 	}
@@ -98,7 +98,7 @@
 		for _, w := range waysToTurn {
 			for _, s := range turnedShares {
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
-					inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
+					inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 						if f.turnAway(w, s.with) == 0 {
 							t.Skip("none is served")
 						}
@@ -126,13 +126,13 @@
 	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.MinViewAge, some}} {
 		for _, w := range waysToTurn[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
-				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *fleetOf) {
+				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *testFleet) {
 					rest := f.oldestIn(outage)
 					f.turnAway(w, turnedShares[0].with)
 					oldest := f.oldestIn(outage)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
 					require.Less(t, max(rest, oldest), goalOf(b.bound))
-				}, func(f *fleetOf) { f.timing = feed.NewTiming(b.bound) })
+				}, func(f *testFleet) { f.timing = feed.NewTiming(b.bound) })
 			})
 		}
 	}
@@ -144,7 +144,7 @@
 	const slow = 500 * time.Millisecond // 200 ms before a read is given up
 	for _, n := range []int{5, some, many} {
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
-			inNetwork(t, grown(n), slow, func(t *testing.T, f *fleetOf) {
+			inNetwork(t, grown(n), slow, func(t *testing.T, f *testFleet) {
 				readers := len(f.reading())
 				rest, _ := f.callsIn(outage)
 				oldest := f.oldestIn(outage)
@@ -165,7 +165,7 @@
 	for _, n := range []int{some, many} {
 		for _, w := range waysToTurn[:2] {
 			t.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(t *testing.T) {
-				inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
+				inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 					var turned []string
 					for range 4 {
 						if rs := f.reading(); len(turned)+len(rs) < n {
@@ -185,7 +185,7 @@
 
 // A change of 4 MB goes on over links of 20 Mbit/s while the readers are turned away.
 func TestViewsWhileALargeChangeSpreads(t *testing.T) {
-	inNetwork(t, grown(28), answer, func(t *testing.T, f *fleetOf) {
+	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
 		f.turnAway(waysToTurn[0], turnedShares[0].with)
@@ -204,7 +204,7 @@
 				b.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(b *testing.B) {
 					for range b.N {
 						inTest(b, func(t *testing.T) {
-							inNetwork(t, grown(n), answer, func(_ *testing.T, f *fleetOf) {
+							inNetwork(t, grown(n), answer, func(_ *testing.T, f *testFleet) {
 								if f.turnAway(w, s.with) == 0 {
 									return
 								}
@@ -235,7 +235,7 @@
 				var config, registry time.Duration
 				for i := range moments {
 					inTest(b, func(t *testing.T) {
-						inNetwork(t, grown(n), answer, func(t *testing.T, f *fleetOf) {
+						inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
 							f.turnAway(w, turnedShares[0].with)
 							putConfig(t, f, "a change")
