--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -11,14 +11,14 @@
 	"github.com/hollowgrade/hollowgrade/feed"
 )
 
-// turned is how the store turns gateways away.
-type turned struct {
+// storeFault is how the store turns gateways away.
+type storeFault struct {
 	name   string
 	refuse bool          // it fails their calls at once, and else says nothing
 	every  time.Duration // after which it turns them away or serves them by turns; 0 for no turns
 }
 
-var waysToTurn = []turned{
+var waysToTurn = []storeFault{
 	{name: "silent"},
 	{name: "refused", refuse: true},
 	{name: "flapping", refuse: true, every: time.Second},
@@ -37,7 +37,7 @@
 
 // turnAway lets the store turn away all readers, and those of the other gateways that with names.
 // It returns how many are served.
-func (f *testFleet) turnAway(w turned, with func(i, others int) bool) (served int) {
+func (f *testFleet) turnAway(w storeFault, with func(i, others int) bool) (served int) {
 	boxes := f.reading()
 	others := len(f.gateways) - len(boxes)
 	i := 0
@@ -60,7 +60,7 @@
 }
 
 // turnBy lets the store turn boxes away in this way, and no other.
-func (f *testFleet) turnBy(w turned, boxes func(box string) bool) {
+func (f *testFleet) turnBy(w storeFault, boxes func(box string) bool) {
 	if w.refuse {
 		f.turn(nobody, boxes)
 	} else {
