--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -18,7 +18,7 @@
 	every  time.Duration // after which it turns them away or serves them by turns; 0 for no turns
 }
 
-var waysToTurn = []storeFault{
+var storeFaults = []storeFault{
 	{name: "silent"},
 	{name: "refused", refuse: true},
 	{name: "flapping", refuse: true, every: time.Second},
@@ -95,7 +95,7 @@
 // stand in by turns ([feed.Timing] adds up what that takes).
 func TestViewsWhileTheStoreTurnsGatewaysAway(t *testing.T) {
 	for _, n := range []int{5, some, many} {
-		for _, w := range waysToTurn {
+		for _, w := range storeFaults {
 			for _, s := range turnedShares {
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
 					inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
@@ -124,7 +124,7 @@
 		bound    time.Duration
 		gateways int
 	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.MinViewAge, some}} {
-		for _, w := range waysToTurn[:2] {
+		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *testFleet) {
 					rest := f.oldestIn(outage)
@@ -151,7 +151,7 @@
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, goalOf(keysGood))
 				require.Equal(t, readers, len(f.reading()))
-				f.turnAway(waysToTurn[0], turnedShares[0].with)
+				f.turnAway(storeFaults[0], turnedShares[0].with)
 				oldest = f.oldestIn(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
 				require.Less(t, oldest, keysGood)
@@ -163,7 +163,7 @@
 // Whoever stands in is turned away in turn.
 func TestViewsWhileThoseThatStandInAreTurnedAway(t *testing.T) {
 	for _, n := range []int{some, many} {
-		for _, w := range waysToTurn[:2] {
+		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(t *testing.T) {
 				inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 					var turned []string
@@ -188,7 +188,7 @@
 	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
-		f.turnAway(waysToTurn[0], turnedShares[0].with)
+		f.turnAway(storeFaults[0], turnedShares[0].with)
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, goalOf(keysGood))
@@ -199,7 +199,7 @@
 // BenchmarkTurnedAway measures the same: the oldest view, and calls a second to the store. Time is virtual.
 func BenchmarkTurnedAway(b *testing.B) {
 	for _, n := range []int{5, 21, 103, 420} {
-		for _, w := range waysToTurn {
+		for _, w := range storeFaults {
 			for _, s := range turnedShares {
 				b.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(b *testing.B) {
 					for range b.N {
@@ -230,7 +230,7 @@
 func BenchmarkChangeWhileTurnedAway(b *testing.B) {
 	const moments = 10
 	for _, n := range []int{5, 21, 103} {
-		for _, w := range waysToTurn[:2] {
+		for _, w := range storeFaults[:2] {
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(b *testing.B) {
 				var config, registry time.Duration
 				for i := range moments {
