--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -24,8 +24,8 @@
 	{name: "flapping", refuse: true, every: time.Second},
 }
 
-// turnedShares are which gateways are turned away beside the readers, by their place among the others.
-var turnedShares = []struct {
+// failingShares are which gateways are turned away beside the readers, by their place among the others.
+var failingShares = []struct {
 	name string
 	with func(i, others int) bool
 }{
@@ -96,7 +96,7 @@
 func TestViewsWhileTheStoreTurnsGatewaysAway(t *testing.T) {
 	for _, n := range []int{5, some, many} {
 		for _, w := range storeFaults {
-			for _, s := range turnedShares {
+			for _, s := range failingShares {
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
 					inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 						if f.turnAway(w, s.with) == 0 {
@@ -128,7 +128,7 @@
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *testFleet) {
 					rest := f.oldestIn(outage)
-					f.turnAway(w, turnedShares[0].with)
+					f.turnAway(w, failingShares[0].with)
 					oldest := f.oldestIn(outage)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
 					require.Less(t, max(rest, oldest), goalOf(b.bound))
@@ -151,7 +151,7 @@
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, goalOf(keysGood))
 				require.Equal(t, readers, len(f.reading()))
-				f.turnAway(storeFaults[0], turnedShares[0].with)
+				f.turnAway(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestIn(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
 				require.Less(t, oldest, keysGood)
@@ -188,7 +188,7 @@
 	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
-		f.turnAway(storeFaults[0], turnedShares[0].with)
+		f.turnAway(storeFaults[0], failingShares[0].with)
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, goalOf(keysGood))
@@ -200,7 +200,7 @@
 func BenchmarkTurnedAway(b *testing.B) {
 	for _, n := range []int{5, 21, 103, 420} {
 		for _, w := range storeFaults {
-			for _, s := range turnedShares {
+			for _, s := range failingShares {
 				b.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(b *testing.B) {
 					for range b.N {
 						inTest(b, func(t *testing.T) {
@@ -237,7 +237,7 @@
 					inTest(b, func(t *testing.T) {
 						inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
-							f.turnAway(w, turnedShares[0].with)
+							f.turnAway(w, failingShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
 							took := f.until(configOf, 1, outage)
