--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -35,9 +35,9 @@
 	{"all but three", func(i, others int) bool { return i < others-3 }},
 }
 
-// turnAway lets the store turn away all readers, and those of the other gateways that with names.
+// failReaders lets the store turn away all readers, and those of the other gateways that with names.
 // It returns how many are served.
-func (f *testFleet) turnAway(w storeFault, with func(i, others int) bool) (served int) {
+func (f *testFleet) failReaders(w storeFault, with func(i, others int) bool) (served int) {
 	boxes := f.reading()
 	others := len(f.gateways) - len(boxes)
 	i := 0
@@ -99,7 +99,7 @@
 			for _, s := range failingShares {
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
 					inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
-						if f.turnAway(w, s.with) == 0 {
+						if f.failReaders(w, s.with) == 0 {
 							t.Skip("none is served")
 						}
 						oldest := f.oldestIn(outage)
@@ -128,7 +128,7 @@
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), answer, func(t *testing.T, f *testFleet) {
 					rest := f.oldestIn(outage)
-					f.turnAway(w, failingShares[0].with)
+					f.failReaders(w, failingShares[0].with)
 					oldest := f.oldestIn(outage)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
 					require.Less(t, max(rest, oldest), goalOf(b.bound))
@@ -151,7 +151,7 @@
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, goalOf(keysGood))
 				require.Equal(t, readers, len(f.reading()))
-				f.turnAway(storeFaults[0], failingShares[0].with)
+				f.failReaders(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestIn(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
 				require.Less(t, oldest, keysGood)
@@ -188,7 +188,7 @@
 	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
-		f.turnAway(storeFaults[0], failingShares[0].with)
+		f.failReaders(storeFaults[0], failingShares[0].with)
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, goalOf(keysGood))
@@ -205,7 +205,7 @@
 					for range b.N {
 						inTest(b, func(t *testing.T) {
 							inNetwork(t, grown(n), answer, func(_ *testing.T, f *testFleet) {
-								if f.turnAway(w, s.with) == 0 {
+								if f.failReaders(w, s.with) == 0 {
 									return
 								}
 								f.calls.begin()
@@ -237,7 +237,7 @@
 					inTest(b, func(t *testing.T) {
 						inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) {
 							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
-							f.turnAway(w, failingShares[0].with)
+							f.failReaders(w, failingShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
 							took := f.until(configOf, 1, outage)
