--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -45,7 +45,7 @@
 
 // begins puts a phase in force.
 func (f *testFleet) begins(p phase) {
-	f.turnBy(storeFault{refuse: p.refuse}, func(box string) bool { return p.turned[box] })
+	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.turned[box] })
 	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -55,12 +55,12 @@
 		on := w.every == 0 || int(time.Since(began)/w.every)%2 == 0
 		return on && slices.Contains(boxes, box)
 	}
-	f.turnBy(w, turned)
+	f.failBoxes(w, turned)
 	return len(f.gateways) - len(boxes)
 }
 
-// turnBy lets the store turn boxes away in this way, and no other.
-func (f *testFleet) turnBy(w storeFault, boxes func(box string) bool) {
+// failBoxes lets the store turn boxes away in this way, and no other.
+func (f *testFleet) failBoxes(w storeFault, boxes func(box string) bool) {
 	if w.refuse {
 		f.turn(nobody, boxes)
 	} else {
@@ -172,7 +172,7 @@
 							turned = append(slices.Clone(turned), rs...)
 						}
 						now := turned
-						f.turnBy(w, func(box string) bool { return slices.Contains(now, box) })
+						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
 						oldest := f.oldestIn(4 * time.Second)
 						t.Logf("oldest view %s, %d turned away", oldest, len(turned))
 						require.Less(t, oldest, goalOf(keysGood))
