--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -280,8 +280,8 @@
 
 func nobody(string) bool { return false }
 
-// turn sets which boxes the store says nothing to, and which it refuses.
-func (f *testFleet) turn(silent, refused func(box string) bool) {
+// setStoreFaults sets which boxes the store says nothing to, and which it refuses.
+func (f *testFleet) setStoreFaults(silent, refused func(box string) bool) {
 	f.turnedMu.Lock()
 	defer f.turnedMu.Unlock()
 	f.silent, f.refused = silent, refused
