--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -287,7 +287,7 @@
 	f.silent, f.refused = silent, refused
 }
 
-func (f *testFleet) isTurned(how *func(box string) bool, box string) bool {
+func (f *testFleet) hasStoreFault(how *func(box string) bool, box string) bool {
 	f.turnedMu.Lock()
 	defer f.turnedMu.Unlock()
 	return (*how)(box)
@@ -295,7 +295,7 @@
 
 // far returns a topic as a box sees it.
 func (f *testFleet) far(t *memTopic, box string, answer time.Duration) *farTopic {
-	return &farTopic{t, f.net, box, answer, func(box string) bool { return f.isTurned(&f.silent, box) }, func(box string) bool { return f.isTurned(&f.refused, box) }, &f.calls}
+	return &farTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
 
 func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, answer time.Duration) *gateway {
