--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -202,7 +202,7 @@
 // testFleet is gateways before one store in one network.
 type testFleet struct {
 	net                    *network
-	turnedMu               sync.Mutex
+	faultsMu               sync.Mutex
 	silent                 func(box string) bool // whether the store says nothing to a box
 	refused                func(box string) bool // whether it fails the calls of a box at once
 	config, fleet, members *memTopic
@@ -282,14 +282,14 @@
 
 // setStoreFaults sets which boxes the store says nothing to, and which it refuses.
 func (f *testFleet) setStoreFaults(silent, refused func(box string) bool) {
-	f.turnedMu.Lock()
-	defer f.turnedMu.Unlock()
+	f.faultsMu.Lock()
+	defer f.faultsMu.Unlock()
 	f.silent, f.refused = silent, refused
 }
 
 func (f *testFleet) hasStoreFault(how *func(box string) bool, box string) bool {
-	f.turnedMu.Lock()
-	defer f.turnedMu.Unlock()
+	f.faultsMu.Lock()
+	defer f.faultsMu.Unlock()
 	return (*how)(box)
 }
 
