--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -18,41 +18,41 @@
 // phase is what holds for some seconds: which gateways the store turns away, and how, and which of
 // the gateways reach each other.
 type phase struct {
-	turned map[string]bool
-	refuse bool
-	group  map[string]int // gateways of different groups do not reach each other
+	failing map[string]bool
+	refuse  bool
+	group   map[string]int // gateways of different groups do not reach each other
 }
 
 // drawn draws a phase. At least one gateway is served.
 func (f *testFleet) drawn(r *rand.Rand) phase {
-	p := phase{turned: map[string]bool{}, refuse: r.IntN(2) == 0, group: map[string]int{}}
+	p := phase{failing: map[string]bool{}, refuse: r.IntN(2) == 0, group: map[string]int{}}
 	share, groups := r.Float64(), 1+r.IntN(3)
 	if r.IntN(2) == 0 {
 		groups = 1
 	}
 	for _, g := range f.gateways {
-		p.turned[g.box] = r.Float64() < share
+		p.failing[g.box] = r.Float64() < share
 		p.group[g.box] = r.IntN(groups)
 	}
 	if r.IntN(3) == 0 {
 		for _, b := range f.reading() {
-			p.turned[b] = true
+			p.failing[b] = true
 		}
 	}
-	p.turned[f.gateways[r.IntN(len(f.gateways))].box] = false
+	p.failing[f.gateways[r.IntN(len(f.gateways))].box] = false
 	return p
 }
 
 // begins puts a phase in force.
 func (f *testFleet) begins(p phase) {
-	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.turned[box] })
+	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.failing[box] })
 	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
 // hasServed reports whether a gateway reaches one that the store serves, itself among them.
 func (f *testFleet) hasServed(p phase, box string) bool {
 	for _, g := range f.gateways {
-		if p.group[g.box] == p.group[box] && !p.turned[g.box] {
+		if p.group[g.box] == p.group[box] && !p.failing[g.box] {
 			return true
 		}
 	}
@@ -107,7 +107,7 @@
 		}
 		served := 0
 		for _, b := range f.reading() {
-			if !p.turned[b] {
+			if !p.failing[b] {
 				served++
 			}
 		}
