--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -23,8 +23,8 @@
 	group   map[string]int // gateways of different groups do not reach each other
 }
 
-// drawn draws a phase. At least one gateway is served.
-func (f *testFleet) drawn(r *rand.Rand) phase {
+// drawPhase draws a phase. At least one gateway is served.
+func (f *testFleet) drawPhase(r *rand.Rand) phase {
 	p := phase{failing: map[string]bool{}, refuse: r.IntN(2) == 0, group: map[string]int{}}
 	share, groups := r.Float64(), 1+r.IntN(3)
 	if r.IntN(2) == 0 {
@@ -81,7 +81,7 @@
 		hadServed[g.box] = true
 	}
 	for range phases {
-		p := f.drawn(r)
+		p := f.drawPhase(r)
 		f.begins(p)
 		began, lasts := time.Now(), settled+time.Duration(r.IntN(4000))*time.Millisecond
 		for time.Since(began) < lasts {
