--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -43,8 +43,8 @@
 	return p
 }
 
-// begins puts a phase in force.
-func (f *testFleet) begins(p phase) {
+// applyPhase puts a phase in force.
+func (f *testFleet) applyPhase(p phase) {
 	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.failing[box] })
 	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
@@ -82,7 +82,7 @@
 	}
 	for range phases {
 		p := f.drawPhase(r)
-		f.begins(p)
+		f.applyPhase(p)
 		began, lasts := time.Now(), settled+time.Duration(r.IntN(4000))*time.Millisecond
 		for time.Since(began) < lasts {
 			time.Sleep(aMoment)
