--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -49,8 +49,8 @@
 	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
-// hasServed reports whether a gateway reaches one that the store serves, itself among them.
-func (f *testFleet) hasServed(p phase, box string) bool {
+// reachesServed reports whether a gateway reaches one that the store serves, itself among them.
+func (f *testFleet) reachesServed(p phase, box string) bool {
 	for _, g := range f.gateways {
 		if p.group[g.box] == p.group[box] && !p.failing[g.box] {
 			return true
@@ -93,7 +93,7 @@
 				require.GreaterOrEqual(t, g.config.Next(), next[g.box], "%s goes back", g.box)
 				require.False(t, g.config.Fresh().Before(fresh[g.box]), "%s gets older", g.box)
 				next[g.box], fresh[g.box] = g.config.Next(), g.config.Fresh()
-				if !f.hasServed(p, g.box) {
+				if !f.reachesServed(p, g.box) {
 					continue
 				}
 				age, _ := g.config.Age()
@@ -117,7 +117,7 @@
 		}
 		require.LessOrEqual(t, served, 2*readers*len(groups), "gateways that read the store")
 		for _, g := range f.gateways {
-			hadServed[g.box] = f.hasServed(p, g.box)
+			hadServed[g.box] = f.reachesServed(p, g.box)
 		}
 	}
 }
