--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -67,13 +67,13 @@
 	for _, n := range []int{5, some, 2 * some} {
 		for seed := range uint64(courses) {
 			t.Run(fmt.Sprintf("gateways=%d/seed=%d", n, seed), func(t *testing.T) {
-				inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) { f.requireSoundCourse(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
+				inNetwork(t, grown(n), answer, func(t *testing.T, f *testFleet) { f.requireFreshViews(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
 			})
 		}
 	}
 }
 
-func (f *testFleet) requireSoundCourse(t *testing.T, r *rand.Rand) {
+func (f *testFleet) requireFreshViews(t *testing.T, r *rand.Rand) {
 	t.Helper()
 	readers := len(f.reading())
 	next, fresh, hadServed := map[string]int64{}, map[string]time.Time{}, map[string]bool{}
