--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -86,7 +86,7 @@
 		f.setDown(false)
 		returned := time.Now()
 		for f.oldest() > 2*time.Second {
-			time.Sleep(aMoment)
+			time.Sleep(pollInterval)
 		}
 		require.Less(t, time.Since(returned), time.Second, "until each gateway knows again what is fresh")
 	})
@@ -103,7 +103,7 @@
 		putConfig(t, f, "a change")
 		oldest := time.Duration(0)
 		for time.Since(began) < outage {
-			time.Sleep(aMoment)
+			time.Sleep(pollInterval)
 			oldest = max(oldest, f.oldest())
 		}
 		t.Logf("oldest view %s", oldest)
--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -85,7 +85,7 @@
 		f.applyPhase(p)
 		began, lasts := time.Now(), settled+time.Duration(r.IntN(4000))*time.Millisecond
 		for time.Since(began) < lasts {
-			time.Sleep(aMoment)
+			time.Sleep(pollInterval)
 			if r.IntN(200) == 0 {
 				putConfig(t, f, "a change")
 			}
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -29,9 +29,9 @@
 	answer = 4 * time.Millisecond // that the store takes to answer
 	// keysGood is the age of a view up to which keys are good: 5 s after the configuration was last
 	// confirmed, less 0.8 s for the way of answers.
-	keysGood = 4200 * time.Millisecond
-	inForce  = 2 * time.Second       // within which a change has to be known everywhere
-	aMoment  = 10 * time.Millisecond // how often it is looked
+	keysGood     = 4200 * time.Millisecond
+	inForce      = 2 * time.Second       // within which a change has to be known everywhere
+	pollInterval = 10 * time.Millisecond // how often it is looked
 )
 
 var errDown = errors.New("down")
@@ -367,7 +367,7 @@
 func (f *testFleet) until(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
 	began := time.Now()
 	for f.known(of, next) < len(f.gateways) && time.Since(began) < bound {
-		time.Sleep(aMoment)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(began)
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -120,7 +120,7 @@
 	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		for f.known(configOf, 1) == 0 {
-			time.Sleep(aMoment)
+			time.Sleep(pollInterval)
 		}
 		for _, w := range f.gateways {
 			if w.config.Next() > 0 && f.known(configOf, 1) < 4 {
