--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -29,9 +29,9 @@
 	answer = 4 * time.Millisecond // that the store takes to answer
 	// keysGood is the age of a view up to which keys are good: 5 s after the configuration was last
 	// confirmed, less 0.8 s for the way of answers.
-	keysGood     = 4200 * time.Millisecond
-	inForce      = 2 * time.Second       // within which a change has to be known everywhere
-	pollInterval = 10 * time.Millisecond // how often it is looked
+	keysGood      = 4200 * time.Millisecond
+	maxSpreadTime = 2 * time.Second       // within which a change has to be known everywhere
+	pollInterval  = 10 * time.Millisecond // how often it is looked
 )
 
 var errDown = errors.New("down")
@@ -422,7 +422,7 @@
 		took := f.until(configOf, 1, 20*time.Second)
 		narrowest, _ := f.net.counts()
 		require.Equal(t, len(f.gateways), f.known(configOf, 1), "gateways that know the change after %s", took)
-		require.LessOrEqual(t, took, inForce)
+		require.LessOrEqual(t, took, maxSpreadTime)
 		require.Less(t, narrowest, int64(len(c)*3/2), "bytes that a narrow gateway received")
 	})
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -96,7 +96,7 @@
 			putConfig(t, f, strings.Replace(c, `"version":1`, fmt.Sprint(`"version":`, i+2), 1))
 			time.Sleep(330 * time.Millisecond)
 		}
-		require.LessOrEqual(t, f.until(configOf, changes, 20*time.Second), inForce)
+		require.LessOrEqual(t, f.until(configOf, changes, 20*time.Second), maxSpreadTime)
 		narrowest, _ := f.net.counts()
 		require.Less(t, narrowest, int64(800_000), "bytes over a narrow link: the first copy, compressed, and what differs")
 	})
@@ -109,7 +109,7 @@
 		_, _ = rand.NewChaCha8([32]byte{}).Read(b)
 		putConfig(t, f, string(b))
 		// One copy alone takes 1.6 s of a narrow link.
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*inForce)
+		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*maxSpreadTime)
 		narrowest, _ := f.net.counts()
 		require.Less(t, narrowest, int64(len(b)*5/4))
 	})
@@ -127,14 +127,14 @@
 				f.net.cut(w.box)
 			}
 		}
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*inForce)
+		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*maxSpreadTime)
 	})
 }
 
 func TestLargeConfigurationAndASlowStore(t *testing.T) {
 	inNetwork(t, grown(28), 600*time.Millisecond, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), inForce)
+		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), maxSpreadTime)
 	})
 }
 
@@ -170,6 +170,6 @@
 		for i := range records {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", i), []byte(configuration(r, 200))))
 		}
-		require.LessOrEqual(t, f.until(fleetFeedOf, records, 20*time.Second), 2*inForce)
+		require.LessOrEqual(t, f.until(fleetFeedOf, records, 20*time.Second), 2*maxSpreadTime)
 	})
 }
