--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -98,10 +98,10 @@
 				}
 				age, _ := g.config.Age()
 				if hadServed[g.box] {
-					require.Less(t, age, keysGood, "%s, %s after the change", g.box, time.Since(began))
+					require.Less(t, age, maxViewAge, "%s, %s after the change", g.box, time.Since(began))
 				}
 				if time.Since(began) > settled {
-					require.Less(t, age, goalOf(keysGood), "%s, %s after the change", g.box, time.Since(began))
+					require.Less(t, age, goalOf(maxViewAge), "%s, %s after the change", g.box, time.Since(began))
 				}
 			}
 		}
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -27,9 +27,9 @@
 
 const (
 	answer = 4 * time.Millisecond // that the store takes to answer
-	// keysGood is the age of a view up to which keys are good: 5 s after the configuration was last
+	// maxViewAge is the age of a view up to which keys are good: 5 s after the configuration was last
 	// confirmed, less 0.8 s for the way of answers.
-	keysGood      = 4200 * time.Millisecond
+	maxViewAge    = 4200 * time.Millisecond
 	maxSpreadTime = 2 * time.Second       // within which a change has to be known everywhere
 	pollInterval  = 10 * time.Millisecond // how often it is looked
 )
@@ -250,7 +250,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := &testFleet{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(keysGood), config: newTopic(), fleet: newTopic(), members: newTopic()}
+		f := &testFleet{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(maxViewAge), config: newTopic(), fleet: newTopic(), members: newTopic()}
 		f.calls.begin()
 		addresses := make([]string, len(ps))
 		for i := range ps {
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -104,7 +104,7 @@
 						}
 						oldest := f.oldestIn(outage)
 						t.Logf("oldest view %s", oldest)
-						require.Less(t, oldest, goalOf(keysGood))
+						require.Less(t, oldest, goalOf(maxViewAge))
 					})
 				})
 			}
@@ -149,12 +149,12 @@
 				rest, _ := f.callsIn(outage)
 				oldest := f.oldestIn(outage)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
-				require.Less(t, oldest, goalOf(keysGood))
+				require.Less(t, oldest, goalOf(maxViewAge))
 				require.Equal(t, readers, len(f.reading()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestIn(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
-				require.Less(t, oldest, keysGood)
+				require.Less(t, oldest, maxViewAge)
 			})
 		})
 	}
@@ -175,7 +175,7 @@
 						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
 						oldest := f.oldestIn(4 * time.Second)
 						t.Logf("oldest view %s, %d turned away", oldest, len(turned))
-						require.Less(t, oldest, goalOf(keysGood))
+						require.Less(t, oldest, goalOf(maxViewAge))
 					}
 				})
 			})
@@ -191,7 +191,7 @@
 		f.failReaders(storeFaults[0], failingShares[0].with)
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
-		require.Less(t, oldest, goalOf(keysGood))
+		require.Less(t, oldest, goalOf(maxViewAge))
 		require.Equal(t, len(f.gateways), f.known(configOf, 1))
 	})
 }
