--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -11,8 +11,8 @@
 
 const (
 	phases = 6 // of one course
-	// settled is how long after the last change a view may still be what the time before left behind.
-	settled = 3 * time.Second
+	// settleTime is how long after the last change a view may still be what the time before left behind.
+	settleTime = 3 * time.Second
 )
 
 // phase is what holds for some seconds: which gateways the store turns away, and how, and which of
@@ -83,7 +83,7 @@
 	for range phases {
 		p := f.drawPhase(r)
 		f.applyPhase(p)
-		began, lasts := time.Now(), settled+time.Duration(r.IntN(4000))*time.Millisecond
+		began, lasts := time.Now(), settleTime+time.Duration(r.IntN(4000))*time.Millisecond
 		for time.Since(began) < lasts {
 			time.Sleep(pollInterval)
 			if r.IntN(200) == 0 {
@@ -100,7 +100,7 @@
 				if hadServed[g.box] {
 					require.Less(t, age, maxViewAge, "%s, %s after the change", g.box, time.Since(began))
 				}
-				if time.Since(began) > settled {
+				if time.Since(began) > settleTime {
 					require.Less(t, age, goalOf(maxViewAge), "%s, %s after the change", g.box, time.Since(began))
 				}
 			}
