--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -101,7 +101,7 @@
 					require.Less(t, age, maxViewAge, "%s, %s after the change", g.box, time.Since(began))
 				}
 				if time.Since(began) > settleTime {
-					require.Less(t, age, goalOf(maxViewAge), "%s, %s after the change", g.box, time.Since(began))
+					require.Less(t, age, viewAgeGoal(maxViewAge), "%s, %s after the change", g.box, time.Since(began))
 				}
 			}
 		}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -104,7 +104,7 @@
 						}
 						oldest := f.oldestIn(outage)
 						t.Logf("oldest view %s", oldest)
-						require.Less(t, oldest, goalOf(maxViewAge))
+						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					})
 				})
 			}
@@ -112,8 +112,8 @@
 	}
 }
 
-// goalOf is how old views may get where keys are good for so long: the same share of that for all.
-func goalOf(bound time.Duration) time.Duration {
+// viewAgeGoal is how old views may get where keys are good for so long: the same share of that for all.
+func viewAgeGoal(bound time.Duration) time.Duration {
 	return bound * 5 / 7
 }
 
@@ -131,7 +131,7 @@
 					f.failReaders(w, failingShares[0].with)
 					oldest := f.oldestIn(outage)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
-					require.Less(t, max(rest, oldest), goalOf(b.bound))
+					require.Less(t, max(rest, oldest), viewAgeGoal(b.bound))
 				}, func(f *testFleet) { f.timing = feed.NewTiming(b.bound) })
 			})
 		}
@@ -149,7 +149,7 @@
 				rest, _ := f.callsIn(outage)
 				oldest := f.oldestIn(outage)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
-				require.Less(t, oldest, goalOf(maxViewAge))
+				require.Less(t, oldest, viewAgeGoal(maxViewAge))
 				require.Equal(t, readers, len(f.reading()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestIn(outage)
@@ -175,7 +175,7 @@
 						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
 						oldest := f.oldestIn(4 * time.Second)
 						t.Logf("oldest view %s, %d turned away", oldest, len(turned))
-						require.Less(t, oldest, goalOf(maxViewAge))
+						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					}
 				})
 			})
@@ -191,7 +191,7 @@
 		f.failReaders(storeFaults[0], failingShares[0].with)
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
-		require.Less(t, oldest, goalOf(maxViewAge))
+		require.Less(t, oldest, viewAgeGoal(maxViewAge))
 		require.Equal(t, len(f.gateways), f.known(configOf, 1))
 	})
 }
