--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	answer = 4 * time.Millisecond // that the store takes to answer
+	storeDelay = 4 * time.Millisecond // that the store takes to answer
 	// maxViewAge is the age of a view up to which keys are good: 5 s after the configuration was last
 	// confirmed, less 0.8 s for the way of answers.
 	maxViewAge    = 4200 * time.Millisecond
@@ -415,7 +415,7 @@
 // of them after exactly the 256 KB of one stream's window; reads of the store were cut
 // after 655 to 770 of 794 KB.
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
-	inNetwork(t, grown(28), answer, func(t *testing.T, f *testFleet) {
+	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
 		c := configuration(seeded(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
