--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -108,7 +108,7 @@
 		}
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, keysGood)
-		require.Equal(t, len(f.gateways), f.known(configOf, 1))
+		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1))
 	})
 }
 
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -352,8 +352,8 @@
 	}
 }
 
-// known returns how many gateways know the topics up to an offset.
-func (f *testFleet) known(of func(*gateway) *feed.Feed, next int64) (n int) {
+// countKnowing returns how many gateways know the topics up to an offset.
+func (f *testFleet) countKnowing(of func(*gateway) *feed.Feed, next int64) (n int) {
 	for _, w := range f.gateways {
 		if of(w).Next() >= next {
 			n++
@@ -366,7 +366,7 @@
 // long that took, or bound.
 func (f *testFleet) until(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
 	began := time.Now()
-	for f.known(of, next) < len(f.gateways) && time.Since(began) < bound {
+	for f.countKnowing(of, next) < len(f.gateways) && time.Since(began) < bound {
 		time.Sleep(pollInterval)
 	}
 	return time.Since(began)
@@ -421,7 +421,7 @@
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
 		took := f.until(configOf, 1, 20*time.Second)
 		narrowest, _ := f.net.counts()
-		require.Equal(t, len(f.gateways), f.known(configOf, 1), "gateways that know the change after %s", took)
+		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1), "gateways that know the change after %s", took)
 		require.LessOrEqual(t, took, maxSpreadTime)
 		require.Less(t, narrowest, int64(len(c)*3/2), "bytes that a narrow gateway received")
 	})
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -39,7 +39,7 @@
 								took := f.until(configOf, 1, bound)
 								narrowest, crossed := f.net.counts()
 								b.ReportMetric(took.Seconds(), "s/last")
-								b.ReportMetric(float64(f.known(configOf, 1)), "know")
+								b.ReportMetric(float64(f.countKnowing(configOf, 1)), "know")
 								b.ReportMetric(float64(narrowest)/1e3, "KB/narrow")
 								b.ReportMetric(float64(crossed)/1e3, "KB/halls")
 							})
@@ -73,7 +73,7 @@
 		// are kept for the way of answers.
 		const keysGood = 4200 * time.Millisecond
 		putConfig(t, f, configuration(seeded(), 4_000_000))
-		for next := int64(1); f.known(configOf, 1) < len(f.gateways); next++ {
+		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
 			require.LessOrEqual(t, f.until(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
 			require.Less(t, f.oldest(), keysGood)
@@ -119,11 +119,11 @@
 func TestLargeConfigurationWhileReadersAreLost(t *testing.T) {
 	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
-		for f.known(configOf, 1) == 0 {
+		for f.countKnowing(configOf, 1) == 0 {
 			time.Sleep(pollInterval)
 		}
 		for _, w := range f.gateways {
-			if w.config.Next() > 0 && f.known(configOf, 1) < 4 {
+			if w.config.Next() > 0 && f.countKnowing(configOf, 1) < 4 {
 				f.net.cut(w.box)
 			}
 		}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -192,7 +192,7 @@
 		oldest := f.oldestIn(outage)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, viewAgeGoal(maxViewAge))
-		require.Equal(t, len(f.gateways), f.known(configOf, 1))
+		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1))
 	})
 }
 
