--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -362,9 +362,9 @@
 	return n
 }
 
-// until waits until all gateways know a topic up to an offset, and returns how
+// waitKnown waits waitKnown all gateways know a topic up to an offset, and returns how
 // long that took, or bound.
-func (f *testFleet) until(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
+func (f *testFleet) waitKnown(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
 	began := time.Now()
 	for f.countKnowing(of, next) < len(f.gateways) && time.Since(began) < bound {
 		time.Sleep(pollInterval)
@@ -419,7 +419,7 @@
 		f.net.resetCounts()
 		c := configuration(seeded(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
-		took := f.until(configOf, 1, 20*time.Second)
+		took := f.waitKnown(configOf, 1, 20*time.Second)
 		narrowest, _ := f.net.counts()
 		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1), "gateways that know the change after %s", took)
 		require.LessOrEqual(t, took, maxSpreadTime)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -36,7 +36,7 @@
 							inNetwork(t, grown(n), a, func(t *testing.T, f *testFleet) {
 								f.net.resetCounts()
 								require.NoError(t, f.config.Put(context.Background(), "config", []byte(configuration(seeded(), size))))
-								took := f.until(configOf, 1, bound)
+								took := f.waitKnown(configOf, 1, bound)
 								narrowest, crossed := f.net.counts()
 								b.ReportMetric(took.Seconds(), "s/last")
 								b.ReportMetric(float64(f.countKnowing(configOf, 1)), "know")
@@ -75,7 +75,7 @@
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
-			require.LessOrEqual(t, f.until(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
+			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
 			require.Less(t, f.oldest(), keysGood)
 			require.Less(t, next, int64(10))
 		}
@@ -96,7 +96,7 @@
 			putConfig(t, f, strings.Replace(c, `"version":1`, fmt.Sprint(`"version":`, i+2), 1))
 			time.Sleep(330 * time.Millisecond)
 		}
-		require.LessOrEqual(t, f.until(configOf, changes, 20*time.Second), maxSpreadTime)
+		require.LessOrEqual(t, f.waitKnown(configOf, changes, 20*time.Second), maxSpreadTime)
 		narrowest, _ := f.net.counts()
 		require.Less(t, narrowest, int64(800_000), "bytes over a narrow link: the first copy, compressed, and what differs")
 	})
@@ -109,7 +109,7 @@
 		_, _ = rand.NewChaCha8([32]byte{}).Read(b)
 		putConfig(t, f, string(b))
 		// One copy alone takes 1.6 s of a narrow link.
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*maxSpreadTime)
+		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), 2*maxSpreadTime)
 		narrowest, _ := f.net.counts()
 		require.Less(t, narrowest, int64(len(b)*5/4))
 	})
@@ -127,14 +127,14 @@
 				f.net.cut(w.box)
 			}
 		}
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), 2*maxSpreadTime)
+		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), 2*maxSpreadTime)
 	})
 }
 
 func TestLargeConfigurationAndASlowStore(t *testing.T) {
 	inNetwork(t, grown(28), 600*time.Millisecond, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
-		require.LessOrEqual(t, f.until(configOf, 1, 20*time.Second), maxSpreadTime)
+		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), maxSpreadTime)
 	})
 }
 
@@ -153,7 +153,7 @@
 			inNetwork(t, grown(all), storeDelay, func(t *testing.T, f *testFleet) {
 				for n := range int64(5) {
 					putConfig(t, f, fmt.Sprint("version ", n))
-					require.LessOrEqual(t, f.until(configOf, n+1, 20*time.Second), time.Second)
+					require.LessOrEqual(t, f.waitKnown(configOf, n+1, 20*time.Second), time.Second)
 					time.Sleep(700 * time.Millisecond)
 				}
 			}, silent)
@@ -170,6 +170,6 @@
 		for i := range records {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", i), []byte(configuration(r, 200))))
 		}
-		require.LessOrEqual(t, f.until(fleetFeedOf, records, 20*time.Second), 2*maxSpreadTime)
+		require.LessOrEqual(t, f.waitKnown(fleetFeedOf, records, 20*time.Second), 2*maxSpreadTime)
 	})
 }
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -33,8 +33,8 @@
 	f.calls.begin()
 	began := time.Now()
 	f.comeBack(which)
-	f.until(configOf, 1, 20*time.Second)
-	f.until(fleetFeedOf, int64(upstreams), 20*time.Second)
+	f.waitKnown(configOf, 1, 20*time.Second)
+	f.waitKnown(fleetFeedOf, int64(upstreams), 20*time.Second)
 	took = time.Since(began)
 	time.Sleep(2 * time.Second)
 	calls, most = f.calls.count()
@@ -56,7 +56,7 @@
 					inTest(b, func(t *testing.T) {
 						inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
 							f.fill(t, upstreamsOf(n))
-							f.until(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
+							f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 							took, calls, most := f.returned(which, upstreamsOf(n))
 							bytes, open := f.net.busiest()
 							b.ReportMetric(took.Seconds(), "s/last")
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
 				f.fill(t, upstreamsOf(n))
-				f.until(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
+				f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 				took, calls, _ := f.returned(which, upstreamsOf(n))
 				require.Less(t, took, time.Second)
 				require.Less(t, calls, 5*n)
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -240,9 +240,9 @@
 							f.failReaders(w, failingShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
-							took := f.until(configOf, 1, outage)
+							took := f.waitKnown(configOf, 1, outage)
 							config = max(config, took)
-							registry = max(registry, took+f.until(fleetFeedOf, 1, outage))
+							registry = max(registry, took+f.waitKnown(fleetFeedOf, 1, outage))
 						})
 					})
 				}
