--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// callsIn returns how many calls a second reach the store while some time passes, and
+// countCallsDuring returns how many calls a second reach the store while some time passes, and
 // the most of them in one second.
-func (f *testFleet) callsIn(d time.Duration) (perSecond float64, most int) {
+func (f *testFleet) countCallsDuring(d time.Duration) (perSecond float64, most int) {
 	f.calls.begin()
 	time.Sleep(d)
 	all, most := f.calls.count()
@@ -43,17 +43,17 @@
 						all, most := f.calls.count()
 						b.ReportMetric(float64(all), "start")
 						b.ReportMetric(float64(most), "start-most/s")
-						rest, _ := f.callsIn(30 * time.Second)
+						rest, _ := f.countCallsDuring(30 * time.Second)
 						b.ReportMetric(rest, "rest/s")
 						f.setDown(true)
-						away, most := f.callsIn(outage)
+						away, most := f.countCallsDuring(outage)
 						b.ReportMetric(away, "away/s")
 						b.ReportMetric(float64(most), "away-most/s")
 						f.setDown(false)
-						back, _ := f.callsIn(3 * time.Second)
+						back, _ := f.countCallsDuring(3 * time.Second)
 						b.ReportMetric(back, "back/s")
 						f.silent = func(box string) bool { return slices.Contains(thirdOf(f), box) }
-						some, _ := f.callsIn(outage)
+						some, _ := f.countCallsDuring(outage)
 						b.ReportMetric(some, "third-away/s")
 					})
 				})
@@ -78,10 +78,10 @@
 // each of three topics about once a second, 436 calls in four seconds.
 func TestCallsToTheStoreDoNotGrowWithTheGateways(t *testing.T) {
 	inNetwork(t, grown(many), storeDelay, func(t *testing.T, f *testFleet) {
-		rest, _ := f.callsIn(30 * time.Second)
+		rest, _ := f.countCallsDuring(30 * time.Second)
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
-		away, _ := f.callsIn(outage)
+		away, _ := f.countCallsDuring(outage)
 		require.Less(t, away, 60.0, "calls a second while the store is away")
 		f.setDown(false)
 		returned := time.Now()
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -146,7 +146,7 @@
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
 			inNetwork(t, grown(n), slow, func(t *testing.T, f *testFleet) {
 				readers := len(f.reading())
-				rest, _ := f.callsIn(outage)
+				rest, _ := f.countCallsDuring(outage)
 				oldest := f.oldestIn(outage)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, viewAgeGoal(maxViewAge))
