--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -85,7 +85,7 @@
 		require.Less(t, away, 60.0, "calls a second while the store is away")
 		f.setDown(false)
 		returned := time.Now()
-		for f.oldest() > 2*time.Second {
+		for f.oldestView() > 2*time.Second {
 			time.Sleep(pollInterval)
 		}
 		require.Less(t, time.Since(returned), time.Second, "until each gateway knows again what is fresh")
@@ -104,7 +104,7 @@
 		oldest := time.Duration(0)
 		for time.Since(began) < outage {
 			time.Sleep(pollInterval)
-			oldest = max(oldest, f.oldest())
+			oldest = max(oldest, f.oldestView())
 		}
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, keysGood)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -53,8 +53,8 @@
 
 func fleetFeedOf(w *gateway) *feed.Feed { return w.fleet }
 
-// oldest returns the highest age of the gateways' configuration.
-func (f *testFleet) oldest() (d time.Duration) {
+// oldestView returns the highest age of the gateways' configuration.
+func (f *testFleet) oldestView() (d time.Duration) {
 	for _, w := range f.gateways {
 		age, _ := w.config.Age()
 		d = max(d, age)
@@ -76,7 +76,7 @@
 		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
 			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
-			require.Less(t, f.oldest(), keysGood)
+			require.Less(t, f.oldestView(), keysGood)
 			require.Less(t, next, int64(10))
 		}
 		for _, w := range f.gateways {
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -71,7 +71,7 @@
 // oldestIn returns the highest age of the gateways' configuration while some time passes.
 func (f *testFleet) oldestIn(d time.Duration) (oldest time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(pollInterval) {
-		oldest = max(oldest, f.oldest())
+		oldest = max(oldest, f.oldestView())
 	}
 	return oldest
 }
