--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// oldestIn returns the highest age of the gateways' configuration while some time passes.
-func (f *testFleet) oldestIn(d time.Duration) (oldest time.Duration) {
+// oldestViewDuring returns the highest age of the gateways' configuration while some time passes.
+func (f *testFleet) oldestViewDuring(d time.Duration) (oldest time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(pollInterval) {
 		oldest = max(oldest, f.oldestView())
 	}
@@ -102,7 +102,7 @@
 						if f.failReaders(w, s.with) == 0 {
 							t.Skip("none is served")
 						}
-						oldest := f.oldestIn(outage)
+						oldest := f.oldestViewDuring(outage)
 						t.Logf("oldest view %s", oldest)
 						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					})
@@ -127,9 +127,9 @@
 		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, grown(b.gateways), storeDelay, func(t *testing.T, f *testFleet) {
-					rest := f.oldestIn(outage)
+					rest := f.oldestViewDuring(outage)
 					f.failReaders(w, failingShares[0].with)
-					oldest := f.oldestIn(outage)
+					oldest := f.oldestViewDuring(outage)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
 					require.Less(t, max(rest, oldest), viewAgeGoal(b.bound))
 				}, func(f *testFleet) { f.timing = feed.NewTiming(b.bound) })
@@ -147,12 +147,12 @@
 			inNetwork(t, grown(n), slow, func(t *testing.T, f *testFleet) {
 				readers := len(f.reading())
 				rest, _ := f.countCallsDuring(outage)
-				oldest := f.oldestIn(outage)
+				oldest := f.oldestViewDuring(outage)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, viewAgeGoal(maxViewAge))
 				require.Equal(t, readers, len(f.reading()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
-				oldest = f.oldestIn(outage)
+				oldest = f.oldestViewDuring(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
 				require.Less(t, oldest, maxViewAge)
 			})
@@ -173,7 +173,7 @@
 						}
 						now := turned
 						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
-						oldest := f.oldestIn(4 * time.Second)
+						oldest := f.oldestViewDuring(4 * time.Second)
 						t.Logf("oldest view %s, %d turned away", oldest, len(turned))
 						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					}
@@ -189,7 +189,7 @@
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
 		f.failReaders(storeFaults[0], failingShares[0].with)
-		oldest := f.oldestIn(outage)
+		oldest := f.oldestViewDuring(outage)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, viewAgeGoal(maxViewAge))
 		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1))
@@ -209,7 +209,7 @@
 									return
 								}
 								f.calls.begin()
-								oldest := f.oldestIn(outage)
+								oldest := f.oldestViewDuring(outage)
 								all, most := f.calls.count()
 								b.ReportMetric(oldest.Seconds(), "s/oldest")
 								b.ReportMetric(float64(all)/outage.Seconds(), "calls/s")
