--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -96,7 +96,7 @@
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
 	const keysGood = 4200 * time.Millisecond
 	inNetwork(t, grown(many), storeDelay, func(t *testing.T, f *testFleet) {
-		turned := f.reading()
+		turned := f.readers()
 		require.Less(t, len(turned), len(f.gateways)/3)
 		f.silent = func(box string) bool { return slices.Contains(turned, box) }
 		began := time.Now()
@@ -112,8 +112,8 @@
 	})
 }
 
-// reading returns the gateways that read the store now.
-func (f *testFleet) reading() (boxes []string) {
+// readers returns the gateways that read the store now.
+func (f *testFleet) readers() (boxes []string) {
 	for _, w := range f.gateways {
 		if w.relay.Reads() {
 			boxes = append(boxes, w.box)
--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -35,7 +35,7 @@
 		p.group[g.box] = r.IntN(groups)
 	}
 	if r.IntN(3) == 0 {
-		for _, b := range f.reading() {
+		for _, b := range f.readers() {
 			p.failing[b] = true
 		}
 	}
@@ -75,7 +75,7 @@
 
 func (f *testFleet) requireFreshViews(t *testing.T, r *rand.Rand) {
 	t.Helper()
-	readers := len(f.reading())
+	readers := len(f.readers())
 	next, fresh, hadServed := map[string]int64{}, map[string]time.Time{}, map[string]bool{}
 	for _, g := range f.gateways {
 		hadServed[g.box] = true
@@ -106,7 +106,7 @@
 			}
 		}
 		served := 0
-		for _, b := range f.reading() {
+		for _, b := range f.readers() {
 			if !p.failing[b] {
 				served++
 			}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -38,7 +38,7 @@
 // failReaders lets the store turn away all readers, and those of the other gateways that with names.
 // It returns how many are served.
 func (f *testFleet) failReaders(w storeFault, with func(i, others int) bool) (served int) {
-	boxes := f.reading()
+	boxes := f.readers()
 	others := len(f.gateways) - len(boxes)
 	i := 0
 	for _, g := range f.gateways {
@@ -145,12 +145,12 @@
 	for _, n := range []int{5, some, many} {
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
 			inNetwork(t, grown(n), slow, func(t *testing.T, f *testFleet) {
-				readers := len(f.reading())
+				readers := len(f.readers())
 				rest, _ := f.countCallsDuring(outage)
 				oldest := f.oldestViewDuring(outage)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, viewAgeGoal(maxViewAge))
-				require.Equal(t, readers, len(f.reading()))
+				require.Equal(t, readers, len(f.readers()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestViewDuring(outage)
 				t.Logf("oldest view %s with the readers turned away", oldest)
@@ -168,7 +168,7 @@
 				inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
 					var turned []string
 					for range 4 {
-						if rs := f.reading(); len(turned)+len(rs) < n {
+						if rs := f.readers(); len(turned)+len(rs) < n {
 							turned = append(slices.Clone(turned), rs...)
 						}
 						now := turned
@@ -214,7 +214,7 @@
 								b.ReportMetric(oldest.Seconds(), "s/oldest")
 								b.ReportMetric(float64(all)/outage.Seconds(), "calls/s")
 								b.ReportMetric(float64(most), "most/s")
-								b.ReportMetric(float64(len(f.reading())), "read")
+								b.ReportMetric(float64(len(f.readers())), "read")
 							})
 						})
 					}
