--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -332,8 +332,8 @@
 	return w
 }
 
-// lose ends gateways at one moment.
-func (f *testFleet) lose(which func(i int) bool) {
+// stopGateways ends gateways at one moment.
+func (f *testFleet) stopGateways(which func(i int) bool) {
 	var g sync.WaitGroup
 	for i, w := range f.gateways {
 		if which(i) {
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -27,7 +27,7 @@
 // returned starts gateways that were lost, and returns how long it takes until each gateway knows
 // the configuration and all upstreams, and the calls to the store of two seconds from then on.
 func (f *testFleet) returned(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
-	f.lose(which)
+	f.stopGateways(which)
 	time.Sleep(time.Second)
 	f.net.resetCounts()
 	f.calls.begin()
