--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -343,8 +343,8 @@
 	g.Wait()
 }
 
-// comeBack starts gateways that were lost, at one moment.
-func (f *testFleet) comeBack(which func(i int) bool) {
+// restartGateways starts gateways that were lost, at one moment.
+func (f *testFleet) restartGateways(which func(i int) bool) {
 	for i := range f.gateways {
 		if which(i) {
 			f.gateways[i] = f.begin(i)
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -32,7 +32,7 @@
 	f.net.resetCounts()
 	f.calls.begin()
 	began := time.Now()
-	f.comeBack(which)
+	f.restartGateways(which)
 	f.waitKnown(configOf, 1, 20*time.Second)
 	f.waitKnown(fleetFeedOf, int64(upstreams), 20*time.Second)
 	took = time.Since(began)
