--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// returned starts gateways that were lost, and returns how long it takes until each gateway knows
+// measureRestart starts gateways that were lost, and returns how long it takes until each gateway knows
 // the configuration and all upstreams, and the calls to the store of two seconds from then on.
-func (f *testFleet) returned(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
+func (f *testFleet) measureRestart(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
 	f.stopGateways(which)
 	time.Sleep(time.Second)
 	f.net.resetCounts()
@@ -57,7 +57,7 @@
 						inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
 							f.fill(t, upstreamsOf(n))
 							f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
-							took, calls, most := f.returned(which, upstreamsOf(n))
+							took, calls, most := f.measureRestart(which, upstreamsOf(n))
 							bytes, open := f.net.busiest()
 							b.ReportMetric(took.Seconds(), "s/last")
 							b.ReportMetric(float64(calls), "calls")
@@ -81,7 +81,7 @@
 			inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
 				f.fill(t, upstreamsOf(n))
 				f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
-				took, calls, _ := f.returned(which, upstreamsOf(n))
+				took, calls, _ := f.measureRestart(which, upstreamsOf(n))
 				require.Less(t, took, time.Second)
 				require.Less(t, calls, 5*n)
 				for _, w := range f.gateways {
