--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -209,7 +209,7 @@
 	calls                  calls
 	timing                 feed.Timing
 	gateways               []*gateway
-	begin                  func(i int) *gateway // starts a gateway
+	startGateway           func(i int) *gateway // starts a gateway
 }
 
 // place is where a gateway is.
@@ -269,9 +269,9 @@
 		for _, p := range prepare {
 			p(f)
 		}
-		f.begin = func(i int) *gateway { return f.start(ctx, &g, addresses[i], addresses, answer) }
+		f.startGateway = func(i int) *gateway { return f.start(ctx, &g, addresses[i], addresses, answer) }
 		for i := range ps {
-			f.gateways = append(f.gateways, f.begin(i))
+			f.gateways = append(f.gateways, f.startGateway(i))
 		}
 		time.Sleep(5 * time.Second)
 		test(t, f)
@@ -347,7 +347,7 @@
 func (f *testFleet) restartGateways(which func(i int) bool) {
 	for i := range f.gateways {
 		if which(i) {
-			f.gateways[i] = f.begin(i)
+			f.gateways[i] = f.startGateway(i)
 		}
 	}
 }
