--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -293,8 +293,8 @@
 	return (*how)(box)
 }
 
-// far returns a topic as a box sees it.
-func (f *testFleet) far(t *memTopic, box string, answer time.Duration) *farTopic {
+// remoteTopic returns a topic as a box sees it.
+func (f *testFleet) remoteTopic(t *memTopic, box string, answer time.Duration) *farTopic {
 	return &farTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
 
@@ -302,9 +302,9 @@
 	quiet := log.New(io.Discard)
 	w := &gateway{box: box}
 	w.relay = feed.NewRelay(box, func() []string { return append([]string(nil), all...) }, feed.WithRelayLogger(quiet), feed.WithDialer(f.net.dialer(box)), feed.WithPlaces(f.net.place), feed.WithRelayTiming(f.timing))
-	w.config = feed.New("config", f.far(f.config, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.ReadWait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
-	w.fleet = feed.New("fleet", f.far(f.fleet, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(3*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
-	w.members = feed.New("members", f.far(f.members, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(20*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
+	w.config = feed.New("config", f.remoteTopic(f.config, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.ReadWait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
+	w.fleet = feed.New("fleet", f.remoteTopic(f.fleet, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(3*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
+	w.members = feed.New("members", f.remoteTopic(f.members, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(20*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
 	fs := []*feed.Feed{w.config, w.fleet, w.members}
 	w.relay.Add(fs...)
 	v := feed.NewServer(f.net.place(box).Link, fs...)
