--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// farTopic is the store's topic as a box sees it: what it reads goes over the
+// remoteTopic is the store's topic as a box sees it: what it reads goes over the
 // store's link and its own.
-type farTopic struct {
+type remoteTopic struct {
 	*memTopic
 	net    *network
 	box    string
@@ -143,7 +143,7 @@
 	return c.all, most
 }
 
-func (t *farTopic) Newest(ctx context.Context, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
+func (t *remoteTopic) Newest(ctx context.Context, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
 	t.calls.add()
 	if t.fails(t.box) {
 		return p, errDown
@@ -154,7 +154,7 @@
 	return p, err
 }
 
-func (t *farTopic) Wait(ctx context.Context, from int64, d, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
+func (t *remoteTopic) Wait(ctx context.Context, from int64, d, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
 	t.calls.add()
 	if t.fails(t.box) {
 		return p, errDown
@@ -166,7 +166,7 @@
 }
 
 // carry takes the time that an answer needs.
-func (t *farTopic) carry(ctx context.Context, p hollowgrade.KeyedPage, patience time.Duration) error {
+func (t *remoteTopic) carry(ctx context.Context, p hollowgrade.KeyedPage, patience time.Duration) error {
 	left := 0
 	for _, r := range p.Records {
 		left += len(r.Key) + len(r.Value)
@@ -294,8 +294,8 @@
 }
 
 // remoteTopic returns a topic as a box sees it.
-func (f *testFleet) remoteTopic(t *memTopic, box string, answer time.Duration) *farTopic {
-	return &farTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
+func (f *testFleet) remoteTopic(t *memTopic, box string, answer time.Duration) *remoteTopic {
+	return &remoteTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
 
 func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, answer time.Duration) *gateway {
