--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -149,7 +149,7 @@
 		return p, errDown
 	}
 	if p, err = t.memTopic.Newest(ctx, patience); err == nil {
-		err = t.carry(ctx, p, patience)
+		err = t.transmit(ctx, p, patience)
 	}
 	return p, err
 }
@@ -160,13 +160,13 @@
 		return p, errDown
 	}
 	if p, err = t.memTopic.Wait(ctx, from, d, patience); err == nil {
-		err = t.carry(ctx, p, patience)
+		err = t.transmit(ctx, p, patience)
 	}
 	return p, err
 }
 
-// carry takes the time that an answer needs.
-func (t *remoteTopic) carry(ctx context.Context, p hollowgrade.KeyedPage, patience time.Duration) error {
+// transmit takes the time that an answer needs.
+func (t *remoteTopic) transmit(ctx context.Context, p hollowgrade.KeyedPage, patience time.Duration) error {
 	left := 0
 	for _, r := range p.Records {
 		left += len(r.Key) + len(r.Value)
