--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -108,11 +108,11 @@
 	answer time.Duration // that the store takes to answer
 	silent func(box string) bool
 	fails  func(box string) bool // whether the store fails a box's calls at once
-	calls  *calls
+	calls  *callCounter
 }
 
-// calls counts calls to the store.
-type calls struct {
+// callCounter counts callCounter to the store.
+type callCounter struct {
 	mu      sync.Mutex
 	from    time.Time
 	all     int
@@ -120,13 +120,13 @@
 }
 
 // begin begins to count anew.
-func (c *calls) begin() {
+func (c *callCounter) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.from, c.all, c.seconds = time.Now(), 0, map[int]int{}
 }
 
-func (c *calls) add() {
+func (c *callCounter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.all++
@@ -134,7 +134,7 @@
 }
 
 // count returns how many calls there were, and the most in a second.
-func (c *calls) count() (all, most int) {
+func (c *callCounter) count() (all, most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.seconds {
@@ -206,7 +206,7 @@
 	silent                 func(box string) bool // whether the store says nothing to a box
 	refused                func(box string) bool // whether it fails the calls of a box at once
 	config, fleet, members *memTopic
-	calls                  calls
+	calls                  callCounter
 	timing                 feed.Timing
 	gateways               []*gateway
 	startGateway           func(i int) *gateway // starts a gateway
