--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -23,7 +23,7 @@
 // countCallsDuring returns how many calls a second reach the store while some time passes, and
 // the most of them in one second.
 func (f *testFleet) countCallsDuring(d time.Duration) (perSecond float64, most int) {
-	f.calls.begin()
+	f.calls.reset()
 	time.Sleep(d)
 	all, most := f.calls.count()
 	return float64(all) / d.Seconds(), most
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -119,8 +119,8 @@
 	seconds map[int]int // by whole seconds since from
 }
 
-// begin begins to count anew.
-func (c *callCounter) begin() {
+// reset begins to count anew.
+func (c *callCounter) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.from, c.all, c.seconds = time.Now(), 0, map[int]int{}
@@ -251,7 +251,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &testFleet{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(maxViewAge), config: newTopic(), fleet: newTopic(), members: newTopic()}
-		f.calls.begin()
+		f.calls.reset()
 		addresses := make([]string, len(ps))
 		for i := range ps {
 			addresses[i] = address(i)
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -30,7 +30,7 @@
 	f.stopGateways(which)
 	time.Sleep(time.Second)
 	f.net.resetCounts()
-	f.calls.begin()
+	f.calls.reset()
 	began := time.Now()
 	f.restartGateways(which)
 	f.waitKnown(configOf, 1, 20*time.Second)
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -208,7 +208,7 @@
 								if f.failReaders(w, s.with) == 0 {
 									return
 								}
-								f.calls.begin()
+								f.calls.reset()
 								oldest := f.oldestViewDuring(outage)
 								all, most := f.calls.count()
 								b.ReportMetric(oldest.Seconds(), "s/oldest")
