--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprintf("gateways=%d", n), func(b *testing.B) {
 			for range b.N {
 				inTest(b, func(t *testing.T) {
-					inNetwork(t, grown(n), storeDelay, func(_ *testing.T, f *testFleet) {
+					inNetwork(t, fleetPlaces(n), storeDelay, func(_ *testing.T, f *testFleet) {
 						all, most := f.calls.count()
 						b.ReportMetric(float64(all), "start")
 						b.ReportMetric(float64(most), "start-most/s")
@@ -77,7 +77,7 @@
 // Evidence: of 21 gateways, five read at rest; while the store was away each of the 21 read
 // each of three topics about once a second, 436 calls in four seconds.
 func TestCallsToTheStoreDoNotGrowWithTheGateways(t *testing.T) {
-	inNetwork(t, grown(many), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
 		rest, _ := f.countCallsDuring(30 * time.Second)
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
@@ -95,7 +95,7 @@
 // The store turns away all gateways that read it for the others.
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
 	const keysGood = 4200 * time.Millisecond
-	inNetwork(t, grown(many), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
 		turned := f.readers()
 		require.Less(t, len(turned), len(f.gateways)/3)
 		f.silent = func(box string) bool { return slices.Contains(turned, box) }
--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -67,7 +67,7 @@
 	for _, n := range []int{5, some, 2 * some} {
 		for seed := range uint64(courses) {
 			t.Run(fmt.Sprintf("gateways=%d/seed=%d", n, seed), func(t *testing.T) {
-				inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) { f.requireFreshViews(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
+				inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) { f.requireFreshViews(t, rand.New(rand.NewPCG(seed, uint64(n)))) })
 			})
 		}
 	}
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -218,9 +218,9 @@
 	rate float64
 }
 
-// grown returns places as a fleet of n gateways has them: four halls, of every
+// fleetPlaces returns places as a fleet of n gateways has them: four halls, of every
 // seven gateways two with a wide link.
-func grown(n int) (ps []place) {
+func fleetPlaces(n int) (ps []place) {
 	for i := range n {
 		p := place{hall: fmt.Sprint("hall-", i%4), rate: narrow}
 		if i/4%7 < 2 {
@@ -415,7 +415,7 @@
 // of them after exactly the 256 KB of one stream's window; reads of the store were cut
 // after 655 to 770 of 794 KB.
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
 		c := configuration(seeded(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -33,7 +33,7 @@
 				b.Run(fmt.Sprintf("gateways=%d/bytes=%d/store=%s", n, size, a), func(b *testing.B) {
 					for range b.N {
 						inTest(b, func(t *testing.T) {
-							inNetwork(t, grown(n), a, func(t *testing.T, f *testFleet) {
+							inNetwork(t, fleetPlaces(n), a, func(t *testing.T, f *testFleet) {
 								f.net.resetCounts()
 								require.NoError(t, f.config.Put(context.Background(), "config", []byte(configuration(seeded(), size))))
 								took := f.waitKnown(configOf, 1, bound)
@@ -68,7 +68,7 @@
 }
 
 func TestNothingElseWaitsForALargeConfiguration(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		// A key is good for 5 s after the configuration was last confirmed, 0.8 s of which
 		// are kept for the way of answers.
 		const keysGood = 4200 * time.Millisecond
@@ -88,7 +88,7 @@
 // Changes that come faster than a whole copy passes a narrow link: what differs is small,
 // and versions in between need not be brought.
 func TestStormOfLargeConfigurations(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
 		c := configuration(seeded(), 4_000_000)
 		const changes = 10
@@ -103,7 +103,7 @@
 }
 
 func TestLargeConfigurationThatNothingCompresses(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
 		b := make([]byte, 4_000_000)
 		_, _ = rand.NewChaCha8([32]byte{}).Read(b)
@@ -117,7 +117,7 @@
 
 // The readers that were asked go away while they send.
 func TestLargeConfigurationWhileReadersAreLost(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		for f.countKnowing(configOf, 1) == 0 {
 			time.Sleep(pollInterval)
@@ -132,7 +132,7 @@
 }
 
 func TestLargeConfigurationAndASlowStore(t *testing.T) {
-	inNetwork(t, grown(28), 600*time.Millisecond, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), 600*time.Millisecond, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), maxSpreadTime)
 	})
@@ -150,7 +150,7 @@
 	for i := range all {
 		t.Run(fmt.Sprint("gateway ", i), func(t *testing.T) {
 			silent := func(f *testFleet) { f.silent = func(box string) bool { return box == address(i) } }
-			inNetwork(t, grown(all), storeDelay, func(t *testing.T, f *testFleet) {
+			inNetwork(t, fleetPlaces(all), storeDelay, func(t *testing.T, f *testFleet) {
 				for n := range int64(5) {
 					putConfig(t, f, fmt.Sprint("version ", n))
 					require.LessOrEqual(t, f.waitKnown(configOf, n+1, 20*time.Second), time.Second)
@@ -164,7 +164,7 @@
 // 3,000 upstreams are 0.9 MB: a page of them is bounded as well, for a gateway that the
 // store turns away as for one that asks readers.
 func TestManyRecordsAreToldPageByPage(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		const records = 3000
 		r := seeded()
 		for i := range records {
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -54,7 +54,7 @@
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, name), func(b *testing.B) {
 				for range b.N {
 					inTest(b, func(t *testing.T) {
-						inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
+						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 							f.fill(t, upstreamsOf(n))
 							f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 							took, calls, most := f.measureRestart(which, upstreamsOf(n))
@@ -78,7 +78,7 @@
 	const n = many
 	for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
 		t.Run(name, func(t *testing.T) {
-			inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
+			inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 				f.fill(t, upstreamsOf(n))
 				f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
 				took, calls, _ := f.measureRestart(which, upstreamsOf(n))
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -98,7 +98,7 @@
 		for _, w := range storeFaults {
 			for _, s := range failingShares {
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
-					inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
+					inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 						if f.failReaders(w, s.with) == 0 {
 							t.Skip("none is served")
 						}
@@ -126,7 +126,7 @@
 	}{{9200 * time.Millisecond, some}, {2200 * time.Millisecond, many}, {1200 * time.Millisecond, some}, {feed.MinViewAge, some}} {
 		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
-				inNetwork(t, grown(b.gateways), storeDelay, func(t *testing.T, f *testFleet) {
+				inNetwork(t, fleetPlaces(b.gateways), storeDelay, func(t *testing.T, f *testFleet) {
 					rest := f.oldestViewDuring(outage)
 					f.failReaders(w, failingShares[0].with)
 					oldest := f.oldestViewDuring(outage)
@@ -144,7 +144,7 @@
 	const slow = 500 * time.Millisecond // 200 ms before a read is given up
 	for _, n := range []int{5, some, many} {
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
-			inNetwork(t, grown(n), slow, func(t *testing.T, f *testFleet) {
+			inNetwork(t, fleetPlaces(n), slow, func(t *testing.T, f *testFleet) {
 				readers := len(f.readers())
 				rest, _ := f.countCallsDuring(outage)
 				oldest := f.oldestViewDuring(outage)
@@ -165,7 +165,7 @@
 	for _, n := range []int{some, many} {
 		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(t *testing.T) {
-				inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
+				inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 					var turned []string
 					for range 4 {
 						if rs := f.readers(); len(turned)+len(rs) < n {
@@ -185,7 +185,7 @@
 
 // A change of 4 MB goes on over links of 20 Mbit/s while the readers are turned away.
 func TestViewsWhileALargeChangeSpreads(t *testing.T) {
-	inNetwork(t, grown(28), storeDelay, func(t *testing.T, f *testFleet) {
+	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, configuration(seeded(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
 		f.failReaders(storeFaults[0], failingShares[0].with)
@@ -204,7 +204,7 @@
 				b.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(b *testing.B) {
 					for range b.N {
 						inTest(b, func(t *testing.T) {
-							inNetwork(t, grown(n), storeDelay, func(_ *testing.T, f *testFleet) {
+							inNetwork(t, fleetPlaces(n), storeDelay, func(_ *testing.T, f *testFleet) {
 								if f.failReaders(w, s.with) == 0 {
 									return
 								}
@@ -235,7 +235,7 @@
 				var config, registry time.Duration
 				for i := range moments {
 					inTest(b, func(t *testing.T) {
-						inNetwork(t, grown(n), storeDelay, func(t *testing.T, f *testFleet) {
+						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
 							f.failReaders(w, failingShares[0].with)
 							putConfig(t, f, "a change")
