--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -199,13 +199,13 @@
 func newHalf(n *network, from, to string) *half {
 	h := &half{net: n, from: from, to: to}
 	h.changed = sync.NewCond(&h.mu)
-	go h.carry()
+	go h.transmit()
 	return h
 }
 
-// carry brings what is sent over the links, a piece at a time, until the
+// transmit brings what is sent over the links, a piece at a time, until the
 // connection is closed.
-func (h *half) carry() {
+func (h *half) transmit() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for !h.closed {
