--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -185,15 +185,15 @@
 
 // half is one direction of a connection.
 type half struct {
-	net      *network
-	from, to string
-	mu       sync.Mutex
-	changed  *sync.Cond
-	next     []byte   // the head of a frame whose body is still to come
-	sent     [][]byte // frames that are not on the way yet
-	unread   []byte
-	under    int // bytes under way or unread
-	closed   bool
+	net           *network
+	from, to      string
+	mu            sync.Mutex
+	changed       *sync.Cond
+	next          []byte   // the head of a frame whose body is still to come
+	sent          [][]byte // frames that are not on the way yet
+	unread        []byte
+	inFlightBytes int // bytes under way or unread
+	closed        bool
 }
 
 func newHalf(n *network, from, to string) *half {
@@ -236,14 +236,14 @@
 	if opensBody(b) {
 		return len(b), nil
 	}
-	for !h.closed && h.under >= windowBytes {
+	for !h.closed && h.inFlightBytes >= windowBytes {
 		h.changed.Wait()
 	}
 	if h.closed {
 		return 0, io.ErrClosedPipe
 	}
 	h.sent = append(h.sent, h.next)
-	h.under += len(h.next)
+	h.inFlightBytes += len(h.next)
 	h.next = nil
 	h.changed.Broadcast()
 	return len(b), nil
@@ -266,7 +266,7 @@
 	}
 	n = copy(b, h.unread)
 	h.unread = h.unread[n:]
-	h.under -= n
+	h.inFlightBytes -= n
 	h.changed.Broadcast()
 	return n, nil
 }
