--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -189,7 +189,7 @@
 	from, to      string
 	mu            sync.Mutex
 	changed       *sync.Cond
-	next          []byte   // the head of a frame whose body is still to come
+	partialFrame  []byte   // the head of a frame whose body is still to come
 	sent          [][]byte // frames that are not on the way yet
 	unread        []byte
 	inFlightBytes int // bytes under way or unread
@@ -232,7 +232,7 @@
 func (h *half) write(b []byte) (n int, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.next = append(h.next, b...)
+	h.partialFrame = append(h.partialFrame, b...)
 	if opensBody(b) {
 		return len(b), nil
 	}
@@ -242,9 +242,9 @@
 	if h.closed {
 		return 0, io.ErrClosedPipe
 	}
-	h.sent = append(h.sent, h.next)
-	h.inFlightBytes += len(h.next)
-	h.next = nil
+	h.sent = append(h.sent, h.partialFrame)
+	h.inFlightBytes += len(h.partialFrame)
+	h.partialFrame = nil
 	h.changed.Broadcast()
 	return len(b), nil
 }
