--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -190,7 +190,7 @@
 	mu            sync.Mutex
 	changed       *sync.Cond
 	partialFrame  []byte   // the head of a frame whose body is still to come
-	sent          [][]byte // frames that are not on the way yet
+	queue         [][]byte // frames that are not on the way yet
 	unread        []byte
 	inFlightBytes int // bytes under way or unread
 	closed        bool
@@ -209,12 +209,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for !h.closed {
-		if len(h.sent) == 0 {
+		if len(h.queue) == 0 {
 			h.changed.Wait()
 			continue
 		}
-		s := h.sent[0]
-		h.sent = h.sent[1:]
+		s := h.queue[0]
+		h.queue = h.queue[1:]
 		for left := len(s); left > 0 && !h.closed; left -= segmentBytes {
 			at := h.net.send(h.from, h.to, min(left, segmentBytes))
 			h.mu.Unlock()
@@ -242,7 +242,7 @@
 	if h.closed {
 		return 0, io.ErrClosedPipe
 	}
-	h.sent = append(h.sent, h.partialFrame)
+	h.queue = append(h.queue, h.partialFrame)
 	h.inFlightBytes += len(h.partialFrame)
 	h.partialFrame = nil
 	h.changed.Broadcast()
