--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -233,7 +233,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.partialFrame = append(h.partialFrame, b...)
-	if opensBody(b) {
+	if isDataHeader(b) {
 		return len(b), nil
 	}
 	for !h.closed && h.inFlightBytes >= windowBytes {
@@ -249,8 +249,8 @@
 	return len(b), nil
 }
 
-// opensBody reports whether b is the head of a frame of yamux with data.
-func opensBody(b []byte) bool {
+// isDataHeader reports whether b is the head of a frame of yamux with data.
+func isDataHeader(b []byte) bool {
 	const headBytes, typeAt, lengthAt, data = 12, 1, 8, 0
 	return len(b) == headBytes && b[typeAt] == data && binary.BigEndian.Uint32(b[lengthAt:]) > 0
 }
