--- a/internal/spread/checker_test.go
+++ b/internal/spread/checker_test.go
@@ -46,7 +46,7 @@
 // applyPhase puts a phase in force.
 func (f *testFleet) applyPhase(p phase) {
 	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.failing[box] })
-	f.net.part(func(a, b string) bool { return p.group[a] != p.group[b] })
+	f.net.partition(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
 // reachesServed reports whether a gateway reaches one that the store serves, itself among them.
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// part lets boxes no longer reach each other, or again, and ends the connections between them.
-func (n *network) part(parted func(a, b string) bool) {
+// partition lets boxes no longer reach each other, or again, and ends the connections between them.
+func (n *network) partition(parted func(a, b string) bool) {
 	n.mu.Lock()
 	n.parted = parted
 	var cs []*conn
