--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -28,12 +28,12 @@
 // network is a network of boxes in virtual time. Each box has a link with a
 // rate, which all that it sends share, and all that it receives.
 type network struct {
-	mu        sync.Mutex
-	links     map[string]*boxLink
-	listeners map[string]*listener
-	conns     []*conn
-	closed    bool
-	parted    func(a, b string) bool // whether two boxes do not reach each other
+	mu          sync.Mutex
+	links       map[string]*boxLink
+	listeners   map[string]*listener
+	conns       []*conn
+	closed      bool
+	partitioned func(a, b string) bool // whether two boxes do not reach each other
 }
 
 // boxLink is the link of one box.
@@ -47,16 +47,16 @@
 
 func newNetwork() *network {
 	return &network{
-		links:     map[string]*boxLink{storeBox: {rate: storeRate}},
-		listeners: map[string]*listener{},
-		parted:    func(string, string) bool { return false },
+		links:       map[string]*boxLink{storeBox: {rate: storeRate}},
+		listeners:   map[string]*listener{},
+		partitioned: func(string, string) bool { return false },
 	}
 }
 
 // partition lets boxes no longer reach each other, or again, and ends the connections between them.
 func (n *network) partition(parted func(a, b string) bool) {
 	n.mu.Lock()
-	n.parted = parted
+	n.partitioned = parted
 	var cs []*conn
 	for _, c := range n.conns {
 		if parted(c.out.from, c.out.to) {
@@ -332,7 +332,7 @@
 func (n *network) dialer(from string) peer.Dialer {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		n.mu.Lock()
-		l, closed := n.listeners[to], n.closed || n.parted(from, to)
+		l, closed := n.listeners[to], n.closed || n.partitioned(from, to)
 		n.mu.Unlock()
 		if l == nil || closed {
 			return nil, fmt.Errorf("nobody listens on %s", to)
