--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -38,11 +38,11 @@
 
 // boxLink is the link of one box.
 type boxLink struct {
-	hall     string
-	rate     float64   // bytes a second
-	out, in  time.Time // when what it sends and receives now will be through
-	received int64
-	crossed  int64 // bytes that came from another hall
+	hall           string
+	rate           float64   // bytes a second
+	out, in        time.Time // when what it sends and receives now will be through
+	received       int64
+	crossHallBytes int64 // bytes that came from another hall
 }
 
 func newNetwork() *network {
@@ -94,7 +94,7 @@
 	t.in = hollowgrade.Later(t.in, f.out).Add(seconds(float64(bytes) / t.rate))
 	t.received += int64(bytes)
 	if from != storeBox && f.hall != t.hall {
-		t.crossed += int64(bytes)
+		t.crossHallBytes += int64(bytes)
 	}
 	return t.in
 }
@@ -111,7 +111,7 @@
 		if l.rate == narrow {
 			narrowest = max(narrowest, l.received)
 		}
-		crossed += l.crossed
+		crossed += l.crossHallBytes
 	}
 	return narrowest, crossed
 }
@@ -149,7 +149,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
-		l.received, l.crossed = 0, 0
+		l.received, l.crossHallBytes = 0, 0
 	}
 }
 
