--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -41,7 +41,7 @@
 	hall           string
 	rate           float64   // bytes a second
 	out, in        time.Time // when what it sends and receives now will be through
-	received       int64
+	receivedBytes  int64
 	crossHallBytes int64 // bytes that came from another hall
 }
 
@@ -92,7 +92,7 @@
 	f, t := n.links[from], n.links[to]
 	f.out = hollowgrade.Later(f.out, now).Add(seconds(float64(bytes) / f.rate))
 	t.in = hollowgrade.Later(t.in, f.out).Add(seconds(float64(bytes) / t.rate))
-	t.received += int64(bytes)
+	t.receivedBytes += int64(bytes)
 	if from != storeBox && f.hall != t.hall {
 		t.crossHallBytes += int64(bytes)
 	}
@@ -109,7 +109,7 @@
 			continue
 		}
 		if l.rate == narrow {
-			narrowest = max(narrowest, l.received)
+			narrowest = max(narrowest, l.receivedBytes)
 		}
 		crossed += l.crossHallBytes
 	}
@@ -123,7 +123,7 @@
 	defer n.mu.Unlock()
 	for b, l := range n.links {
 		if b != storeBox {
-			bytes = max(bytes, l.received)
+			bytes = max(bytes, l.receivedBytes)
 		}
 	}
 	at := map[string]int{}
@@ -149,7 +149,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
-		l.received, l.crossHallBytes = 0, 0
+		l.receivedBytes, l.crossHallBytes = 0, 0
 	}
 }
 
