--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -222,7 +222,7 @@
 // seven gateways two with a wide link.
 func fleetPlaces(n int) (ps []place) {
 	for i := range n {
-		p := place{hall: fmt.Sprint("hall-", i%4), rate: narrow}
+		p := place{hall: fmt.Sprint("hall-", i%4), rate: narrowBytesPerSecond}
 		if i/4%7 < 2 {
 			p.rate = wide
 		}
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	segmentBytes = 16 << 10             // that a link carries at a time
-	windowBytes  = 256 << 10            // that may be under way on one
-	dialTime     = 2 * time.Millisecond // that a connection takes to come up
-	storeRate    = 80 << 20             // bytes a second that the store's reads share
-	storeBox     = "store"              // its name in the network
-	narrow       = 20e6 / 8             // bytes a second of a link of 20 Mbit/s
-	wide         = 200e6 / 8            // and of one of 200
+	segmentBytes         = 16 << 10             // that a link carries at a time
+	windowBytes          = 256 << 10            // that may be under way on one
+	dialTime             = 2 * time.Millisecond // that a connection takes to come up
+	storeRate            = 80 << 20             // bytes a second that the store's reads share
+	storeBox             = "store"              // its name in the network
+	narrowBytesPerSecond = 20e6 / 8             // bytes a second of a link of 20 Mbit/s
+	wide                 = 200e6 / 8            // and of one of 200
 )
 
 // network is a network of boxes in virtual time. Each box has a link with a
@@ -108,7 +108,7 @@
 		if b == storeBox {
 			continue
 		}
-		if l.rate == narrow {
+		if l.rate == narrowBytesPerSecond {
 			narrowest = max(narrowest, l.receivedBytes)
 		}
 		crossed += l.crossHallBytes
