--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -224,7 +224,7 @@
 	for i := range n {
 		p := place{hall: fmt.Sprint("hall-", i%4), rate: narrowBytesPerSecond}
 		if i/4%7 < 2 {
-			p.rate = wide
+			p.rate = wideBytesPerSecond
 		}
 		ps = append(ps, p)
 	}
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -22,7 +22,7 @@
 	storeRate            = 80 << 20             // bytes a second that the store's reads share
 	storeBox             = "store"              // its name in the network
 	narrowBytesPerSecond = 20e6 / 8             // bytes a second of a link of 20 Mbit/s
-	wide                 = 200e6 / 8            // and of one of 200
+	wideBytesPerSecond   = 200e6 / 8            // and of one of 200
 )
 
 // network is a network of boxes in virtual time. Each box has a link with a
