--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -19,7 +19,7 @@
 	segmentBytes         = 16 << 10             // that a link carries at a time
 	windowBytes          = 256 << 10            // that may be under way on one
 	dialTime             = 2 * time.Millisecond // that a connection takes to come up
-	storeRate            = 80 << 20             // bytes a second that the store's reads share
+	storeBytesPerSecond  = 80 << 20             // bytes a second that the store's reads share
 	storeBox             = "store"              // its name in the network
 	narrowBytesPerSecond = 20e6 / 8             // bytes a second of a link of 20 Mbit/s
 	wideBytesPerSecond   = 200e6 / 8            // and of one of 200
@@ -47,7 +47,7 @@
 
 func newNetwork() *network {
 	return &network{
-		links:       map[string]*boxLink{storeBox: {rate: storeRate}},
+		links:       map[string]*boxLink{storeBox: {rate: storeBytesPerSecond}},
 		listeners:   map[string]*listener{},
 		partitioned: func(string, string) bool { return false },
 	}
