--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -250,7 +250,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := &testFleet{net: newNetwork(), silent: nobody, refused: nobody, timing: feed.NewTiming(maxViewAge), config: newTopic(), fleet: newTopic(), members: newTopic()}
+		f := &testFleet{net: newNetwork(), silent: noBox, refused: noBox, timing: feed.NewTiming(maxViewAge), config: newTopic(), fleet: newTopic(), members: newTopic()}
 		f.calls.reset()
 		addresses := make([]string, len(ps))
 		for i := range ps {
@@ -278,7 +278,7 @@
 	})
 }
 
-func nobody(string) bool { return false }
+func noBox(string) bool { return false }
 
 // setStoreFaults sets which boxes the store says nothing to, and which it refuses.
 func (f *testFleet) setStoreFaults(silent, refused func(box string) bool) {
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -62,9 +62,9 @@
 // failBoxes lets the store turn boxes away in this way, and no other.
 func (f *testFleet) failBoxes(w storeFault, boxes func(box string) bool) {
 	if w.refuse {
-		f.setStoreFaults(nobody, boxes)
+		f.setStoreFaults(noBox, boxes)
 	} else {
-		f.setStoreFaults(boxes, nobody)
+		f.setStoreFaults(boxes, noBox)
 	}
 }
 
