--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -52,7 +52,7 @@
 						f.setDown(false)
 						back, _ := f.countCallsDuring(3 * time.Second)
 						b.ReportMetric(back, "back/s")
-						f.silent = func(box string) bool { return slices.Contains(thirdOf(f), box) }
+						f.silent = func(box string) bool { return slices.Contains(everyThird(f), box) }
 						some, _ := f.countCallsDuring(outage)
 						b.ReportMetric(some, "third-away/s")
 					})
@@ -62,8 +62,8 @@
 	}
 }
 
-// thirdOf returns every third gateway.
-func thirdOf(f *testFleet) (boxes []string) {
+// everyThird returns every third gateway.
+func everyThird(f *testFleet) (boxes []string) {
 	for i := 0; i < len(f.gateways); i += 3 {
 		boxes = append(boxes, f.gateways[i].box)
 	}
