--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -38,7 +38,7 @@
 	for _, n := range []int{28, 103, 420} {
 		b.Run(fmt.Sprintf("gateways=%d", n), func(b *testing.B) {
 			for range b.N {
-				inTest(b, func(t *testing.T) {
+				runAsTest(b, func(t *testing.T) {
 					inNetwork(t, fleetPlaces(n), storeDelay, func(_ *testing.T, f *testFleet) {
 						all, most := f.calls.count()
 						b.ReportMetric(float64(all), "start")
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -13,8 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/feed"
 )
 
-// inTest runs a part of a benchmark as a test: virtual time is for tests only.
-func inTest(b *testing.B, f func(t *testing.T)) {
+// runAsTest runs a part of a benchmark as a test: virtual time is for tests only.
+func runAsTest(b *testing.B, f func(t *testing.T)) {
 	b.Helper()
 	all := func(_, _ string) (bool, error) { return true, nil }
 	if !testing.RunTests(all, []testing.InternalTest{{Name: b.Name(), F: f}}) {
@@ -32,7 +32,7 @@
 			for _, a := range []time.Duration{storeDelay, 600 * time.Millisecond} {
 				b.Run(fmt.Sprintf("gateways=%d/bytes=%d/store=%s", n, size, a), func(b *testing.B) {
 					for range b.N {
-						inTest(b, func(t *testing.T) {
+						runAsTest(b, func(t *testing.T) {
 							inNetwork(t, fleetPlaces(n), a, func(t *testing.T, f *testFleet) {
 								f.net.resetCounts()
 								require.NoError(t, f.config.Put(context.Background(), "config", []byte(configuration(seeded(), size))))
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -53,7 +53,7 @@
 		for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, name), func(b *testing.B) {
 				for range b.N {
-					inTest(b, func(t *testing.T) {
+					runAsTest(b, func(t *testing.T) {
 						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 							f.fill(t, upstreamsOf(n))
 							f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -203,7 +203,7 @@
 			for _, s := range failingShares {
 				b.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(b *testing.B) {
 					for range b.N {
-						inTest(b, func(t *testing.T) {
+						runAsTest(b, func(t *testing.T) {
 							inNetwork(t, fleetPlaces(n), storeDelay, func(_ *testing.T, f *testFleet) {
 								if f.failReaders(w, s.with) == 0 {
 									return
@@ -234,7 +234,7 @@
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(b *testing.B) {
 				var config, registry time.Duration
 				for i := range moments {
-					inTest(b, func(t *testing.T) {
+					runAsTest(b, func(t *testing.T) {
 						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 							time.Sleep(time.Duration(i) * f.timing.ReadWait / moments)
 							f.failReaders(w, failingShares[0].with)
