--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// upstreamsOf is how many upstreams fleets of a size have: 60 at 28 gateways, 150 at
+// upstreamCount is how many upstreams fleets of a size have: 60 at 28 gateways, 150 at
 // 103, 600 at 420.
-func upstreamsOf(gateways int) int {
+func upstreamCount(gateways int) int {
 	return max(gateways*10/7, 60)
 }
 
@@ -55,9 +55,9 @@
 				for range b.N {
 					runAsTest(b, func(t *testing.T) {
 						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
-							f.fill(t, upstreamsOf(n))
-							f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
-							took, calls, most := f.measureRestart(which, upstreamsOf(n))
+							f.fill(t, upstreamCount(n))
+							f.waitKnown(fleetFeedOf, int64(upstreamCount(n)), 20*time.Second)
+							took, calls, most := f.measureRestart(which, upstreamCount(n))
 							bytes, open := f.net.busiest()
 							b.ReportMetric(took.Seconds(), "s/last")
 							b.ReportMetric(float64(calls), "calls")
@@ -79,9 +79,9 @@
 	for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
 		t.Run(name, func(t *testing.T) {
 			inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
-				f.fill(t, upstreamsOf(n))
-				f.waitKnown(fleetFeedOf, int64(upstreamsOf(n)), 20*time.Second)
-				took, calls, _ := f.measureRestart(which, upstreamsOf(n))
+				f.fill(t, upstreamCount(n))
+				f.waitKnown(fleetFeedOf, int64(upstreamCount(n)), 20*time.Second)
+				took, calls, _ := f.measureRestart(which, upstreamCount(n))
 				require.Less(t, took, time.Second)
 				require.Less(t, calls, 5*n)
 				for _, w := range f.gateways {
