--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -15,8 +15,8 @@
 	return max(gateways*10/7, 60)
 }
 
-// fill writes a configuration and a registry of upstreams.
-func (f *testFleet) fill(t *testing.T, upstreams int) {
+// putConfigAndUpstreams writes a configuration and a registry of upstreams.
+func (f *testFleet) putConfigAndUpstreams(t *testing.T, upstreams int) {
 	t.Helper()
 	putConfig(t, f, configuration(seeded(), 350_000))
 	for i := range upstreams {
@@ -55,7 +55,7 @@
 				for range b.N {
 					runAsTest(b, func(t *testing.T) {
 						inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
-							f.fill(t, upstreamCount(n))
+							f.putConfigAndUpstreams(t, upstreamCount(n))
 							f.waitKnown(fleetFeedOf, int64(upstreamCount(n)), 20*time.Second)
 							took, calls, most := f.measureRestart(which, upstreamCount(n))
 							bytes, open := f.net.busiest()
@@ -79,7 +79,7 @@
 	for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
 		t.Run(name, func(t *testing.T) {
 			inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
-				f.fill(t, upstreamCount(n))
+				f.putConfigAndUpstreams(t, upstreamCount(n))
 				f.waitKnown(fleetFeedOf, int64(upstreamCount(n)), 20*time.Second)
 				took, calls, _ := f.measureRestart(which, upstreamCount(n))
 				require.Less(t, took, time.Second)
