--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -384,13 +384,13 @@
 			b.WriteByte(',')
 		}
 		fmt.Fprintf(&b, `{"name":"r-%s","host":"%s.example","pathPrefix":"/%s/","kind":"safe","timeoutMs":1000,"goalLatencyMs":1000,"priority":2,"service":"%s","maxAttempts":2,"public":true}`,
-			word(r), word(r)[:2], word(r), word(r)[:1])
+			randomName(r), randomName(r)[:2], randomName(r), randomName(r)[:1])
 	}
 	b.WriteString(`]}`)
 	return b.String()
 }
 
-func word(r *rand.Rand) string {
+func randomName(r *rand.Rand) string {
 	b := make([]byte, 8)
 	for i := range b {
 		b[i] = "abcdefghijklmnopqrstuvwxyz0123456789"[r.IntN(36)]
