--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -374,9 +374,9 @@
 
 func configOf(w *gateway) *feed.Feed { return w.config }
 
-// configuration returns a configuration of about so many bytes, of routes whose
+// randomConfig returns a randomConfig of about so many bytes, of routes whose
 // names are drawn.
-func configuration(r *rand.Rand, bytes int) string {
+func randomConfig(r *rand.Rand, bytes int) string {
 	var b strings.Builder
 	b.WriteString(`{"version":1,"routes":[`)
 	for i := 0; b.Len() < bytes; i++ {
@@ -417,7 +417,7 @@
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
-		c := configuration(seeded(), 800_000)
+		c := randomConfig(seeded(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
 		took := f.waitKnown(configOf, 1, 20*time.Second)
 		narrowest, _ := f.net.counts()
