--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -398,7 +398,7 @@
 	return string(b)
 }
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newSeededRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // The configuration had grown to 0.8 MB. Calls on a route that a change had moved
 // were still handled the old way eight seconds after the change was confirmed, at
@@ -417,7 +417,7 @@
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
-		c := randomConfig(seeded(), 800_000)
+		c := randomConfig(newSeededRand(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
 		took := f.waitKnown(configOf, 1, 20*time.Second)
 		narrowest, _ := f.net.counts()
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -35,7 +35,7 @@
 						runAsTest(b, func(t *testing.T) {
 							inNetwork(t, fleetPlaces(n), a, func(t *testing.T, f *testFleet) {
 								f.net.resetCounts()
-								require.NoError(t, f.config.Put(context.Background(), "config", []byte(randomConfig(seeded(), size))))
+								require.NoError(t, f.config.Put(context.Background(), "config", []byte(randomConfig(newSeededRand(), size))))
 								took := f.waitKnown(configOf, 1, bound)
 								narrowest, crossed := f.net.counts()
 								b.ReportMetric(took.Seconds(), "s/last")
@@ -72,7 +72,7 @@
 		// A key is good for 5 s after the configuration was last confirmed, 0.8 s of which
 		// are kept for the way of answers.
 		const keysGood = 4200 * time.Millisecond
-		putConfig(t, f, randomConfig(seeded(), 4_000_000))
+		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
 			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
@@ -90,7 +90,7 @@
 func TestStormOfLargeConfigurations(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
-		c := randomConfig(seeded(), 4_000_000)
+		c := randomConfig(newSeededRand(), 4_000_000)
 		const changes = 10
 		for i := range changes {
 			putConfig(t, f, strings.Replace(c, `"version":1`, fmt.Sprint(`"version":`, i+2), 1))
@@ -118,7 +118,7 @@
 // The readers that were asked go away while they send.
 func TestLargeConfigurationWhileReadersAreLost(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
-		putConfig(t, f, randomConfig(seeded(), 4_000_000))
+		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		for f.countKnowing(configOf, 1) == 0 {
 			time.Sleep(pollInterval)
 		}
@@ -133,7 +133,7 @@
 
 func TestLargeConfigurationAndASlowStore(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), 600*time.Millisecond, func(t *testing.T, f *testFleet) {
-		putConfig(t, f, randomConfig(seeded(), 4_000_000))
+		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), maxSpreadTime)
 	})
 }
@@ -166,7 +166,7 @@
 func TestManyRecordsAreToldPageByPage(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		const records = 3000
-		r := seeded()
+		r := newSeededRand()
 		for i := range records {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", i), []byte(randomConfig(r, 200))))
 		}
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -18,9 +18,9 @@
 // putConfigAndUpstreams writes a configuration and a registry of upstreams.
 func (f *testFleet) putConfigAndUpstreams(t *testing.T, upstreams int) {
 	t.Helper()
-	putConfig(t, f, randomConfig(seeded(), 350_000))
+	putConfig(t, f, randomConfig(newSeededRand(), 350_000))
 	for i := range upstreams {
-		require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", i), []byte(randomConfig(seeded(), 200))))
+		require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", i), []byte(randomConfig(newSeededRand(), 200))))
 	}
 }
 
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -186,7 +186,7 @@
 // A change of 4 MB goes on over links of 20 Mbit/s while the readers are turned away.
 func TestViewsWhileALargeChangeSpreads(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
-		putConfig(t, f, randomConfig(seeded(), 4_000_000))
+		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
 		f.failReaders(storeFaults[0], failingShares[0].with)
 		oldest := f.oldestViewDuring(outage)
