--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -299,14 +299,14 @@
 
 // listener takes connections to one box.
 type listener struct {
-	taken  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.taken:
+	case c := <-l.accepted:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -323,7 +323,7 @@
 func (n *network) listen(box string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &listener{taken: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[box] = l
 	return l
 }
@@ -344,7 +344,7 @@
 		n.mu.Unlock()
 		time.Sleep(dialTime)
 		select {
-		case l.taken <- &conn{out: in, in: out}:
+		case l.accepted <- &conn{out: in, in: out}:
 			return c, nil
 		case <-ctx.Done():
 			return nil, errors.Join(ctx.Err(), c.Close())
