--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -325,7 +325,7 @@
 	})
 	w.stop = func() {
 		cancel()
-		f.net.cut(box)
+		f.net.disconnect(box)
 		own.Wait()
 	}
 	g.Go(own.Wait)
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// cut ends all connections of a box, and lets it have no new ones.
-func (n *network) cut(box string) {
+// disconnect ends all connections of a box, and lets it have no new ones.
+func (n *network) disconnect(box string) {
 	n.mu.Lock()
 	delete(n.listeners, box)
 	var cs []*conn
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -124,7 +124,7 @@
 		}
 		for _, w := range f.gateways {
 			if w.config.Next() > 0 && f.countKnowing(configOf, 1) < 4 {
-				f.net.cut(w.box)
+				f.net.disconnect(w.box)
 			}
 		}
 		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), 2*maxSpreadTime)
