--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -8,19 +8,19 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Promise is one of the eight things that must always hold.
-type Promise string
+// Guarantee is one of the eight things that must always hold.
+type Guarantee string
 
 // The promises of the brief.
 const (
-	InTime       Promise = "ends within its allowed time"
-	NoMemoryLost Promise = "no engine loses memory for good"
-	WholeAnswer  Promise = "each caller gets the whole answer to its own request"
-	NotRunIsTrue Promise = "what is told 'not run' did not run"
-	AtMostOnce   Promise = "what may not be repeated runs at most once"
-	NoNewWork    Promise = "an upstream that is leaving receives no new work"
-	NothingCut   Promise = "a planned stop cuts off no request"
-	NeverReverts Promise = "an accepted configuration is in force everywhere and never reverts"
+	InTime       Guarantee = "ends within its allowed time"
+	NoMemoryLost Guarantee = "no engine loses memory for good"
+	WholeAnswer  Guarantee = "each caller gets the whole answer to its own request"
+	NotRunIsTrue Guarantee = "what is told 'not run' did not run"
+	AtMostOnce   Guarantee = "what may not be repeated runs at most once"
+	NoNewWork    Guarantee = "an upstream that is leaving receives no new work"
+	NothingCut   Guarantee = "a planned stop cuts off no request"
+	NeverReverts Guarantee = "an accepted configuration is in force everywhere and never reverts"
 )
 
 // Started is one start of a request at an upstream.
@@ -48,7 +48,7 @@
 
 // Breach is a promise that was not kept.
 type Breach struct {
-	Promise Promise
+	Promise Guarantee
 	Text    string
 }
 
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -17,7 +17,7 @@
 	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.Wants(), Sent: t0, Ended: t0.Add(time.Second / 2)}
 }
 
-func requireBreach(t *testing.T, p Promise, e Evidence) {
+func requireBreach(t *testing.T, p Guarantee, e Evidence) {
 	t.Helper()
 	bs := e.Breaches()
 	require.NotEmpty(t, bs)
