--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -46,14 +46,14 @@
 	Excused   map[string]bool      // requests by prompt whose entry could not speak to them
 }
 
-// Breach is a promise that was not kept.
-type Breach struct {
+// Violation is a promise that was not kept.
+type Violation struct {
 	Promise Guarantee
 	Text    string
 }
 
 // String implements [fmt.Stringer].
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%s: %s", b.Promise, b.Text)
 }
 
@@ -63,7 +63,7 @@
 )
 
 // Breaches returns every promise that the evidence shows broken.
-func (e Evidence) Breaches() (bs []Breach) {
+func (e Evidence) Breaches() (bs []Violation) {
 	for _, a := range e.Answers {
 		bs = append(bs, e.judgeAnswer(a)...)
 	}
@@ -73,22 +73,22 @@
 	return append(bs, e.judgeRevisions()...)
 }
 
-func (e Evidence) judgeAnswer(a Answer) (bs []Breach) {
+func (e Evidence) judgeAnswer(a Answer) (bs []Violation) {
 	if a.Took() > a.Call.Allowed+timeSlack && !e.Excused[a.Call.Prompt] {
-		bs = append(bs, Breach{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
+		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
 	}
 	if a.Outcome == hollowgrade.Finished && !whole(a) {
-		bs = append(bs, Breach{WholeAnswer, fmt.Sprintf("%q finished with %d bytes that are not its answer", name(a), len(a.Text))})
+		bs = append(bs, Violation{WholeAnswer, fmt.Sprintf("%q finished with %d bytes that are not its answer", name(a), len(a.Text))})
 	}
 	if a.Outcome == hollowgrade.NotRun {
 		for _, r := range e.runsOf(a) {
 			if r.At.Before(a.Ended) {
-				bs = append(bs, Breach{NotRunIsTrue, fmt.Sprintf("%q (%s) ran on %s", name(a), a.Code, r.Box)})
+				bs = append(bs, Violation{NotRunIsTrue, fmt.Sprintf("%q (%s) ran on %s", name(a), a.Code, r.Box)})
 			}
 		}
 	}
 	if e.Planned && a.Outcome != hollowgrade.Finished {
-		bs = append(bs, Breach{NothingCut, fmt.Sprintf("%q ended as %q with %s %s", name(a), a.Outcome, a.Code, a.Message)})
+		bs = append(bs, Violation{NothingCut, fmt.Sprintf("%q ended as %q with %s %s", name(a), a.Outcome, a.Code, a.Message)})
 	}
 	return bs
 }
@@ -129,7 +129,7 @@
 
 // judgeKeys counts the starts under each key. The pieces of one attempt count
 // as one start.
-func (e Evidence) judgeKeys() (bs []Breach) {
+func (e Evidence) judgeKeys() (bs []Violation) {
 	seen := map[string]bool{}
 	for _, a := range e.Answers {
 		if a.Call.Key == "" || seen[a.Call.Key] {
@@ -141,27 +141,27 @@
 			starts[r.Request+"/"+r.Attempt] = true
 		}
 		if len(starts) > 1 {
-			bs = append(bs, Breach{AtMostOnce, fmt.Sprintf("key %s ran %d times", a.Call.Key, len(starts))})
+			bs = append(bs, Violation{AtMostOnce, fmt.Sprintf("key %s ran %d times", a.Call.Key, len(starts))})
 		}
 	}
 	return bs
 }
 
-func (e Evidence) judgeMemory() (bs []Breach) {
+func (e Evidence) judgeMemory() (bs []Violation) {
 	for b, n := range e.Used {
 		if n != 0 {
-			bs = append(bs, Breach{NoMemoryLost, fmt.Sprintf("%s still holds %d tokens", b, n)})
+			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("%s still holds %d tokens", b, n)})
 		}
 	}
 	for b, n := range e.Lost {
 		if n != 0 {
-			bs = append(bs, Breach{NoMemoryLost, fmt.Sprintf("no lease answers for %d tokens on %s", n, b)})
+			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("no lease answers for %d tokens on %s", n, b)})
 		}
 	}
 	return bs
 }
 
-func (e Evidence) judgeLeaving() (bs []Breach) {
+func (e Evidence) judgeLeaving() (bs []Violation) {
 	sent := map[string]time.Time{}
 	for _, a := range e.Answers {
 		sent[a.RequestID] = a.Sent
@@ -169,22 +169,22 @@
 	for _, r := range e.Runs {
 		left, ok := e.Left[r.Box]
 		if ok && sent[r.Request].After(left.Add(leaveSlack)) {
-			bs = append(bs, Breach{NoNewWork, fmt.Sprintf("%s was given a request %s after it began to leave", r.Box, r.At.Sub(left))})
+			bs = append(bs, Violation{NoNewWork, fmt.Sprintf("%s was given a request %s after it began to leave", r.Box, r.At.Sub(left))})
 		}
 	}
 	return bs
 }
 
-func (e Evidence) judgeRevisions() (bs []Breach) {
+func (e Evidence) judgeRevisions() (bs []Violation) {
 	for b, rs := range e.Revisions {
 		for i := 1; i < len(rs); i++ {
 			if rs[i] < rs[i-1] {
-				bs = append(bs, Breach{NeverReverts, fmt.Sprintf("%s went from revision %d to %d", b, rs[i-1], rs[i])})
+				bs = append(bs, Violation{NeverReverts, fmt.Sprintf("%s went from revision %d to %d", b, rs[i-1], rs[i])})
 			}
 		}
 	}
 	for _, l := range e.Late {
-		bs = append(bs, Breach{NeverReverts, l})
+		bs = append(bs, Violation{NeverReverts, l})
 	}
 	return bs
 }
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -314,11 +314,11 @@
 
 // judge turns the evidence into breaches, with those that only the matrix can
 // see: of two racing operators at most one has won, and the loser was told.
-func (c *cell) judge(e Evidence) (bs []Breach) {
+func (c *cell) judge(e Evidence) (bs []Violation) {
 	bs = e.Breaches()
 	if c.survives && e.Answers[0].Outcome != hollowgrade.Finished {
 		a := e.Answers[0]
-		bs = append(bs, Breach{"a repeatable request survives a single fault", fmt.Sprintf("it ended as %q with %s %s", a.Outcome, a.Code, a.Message)})
+		bs = append(bs, Violation{"a repeatable request survives a single fault", fmt.Sprintf("it ended as %q with %s %s", a.Outcome, a.Code, a.Message)})
 	}
 	won := 0
 	for _, err := range c.raced {
@@ -327,17 +327,17 @@
 		case err == nil:
 			won++
 		case !errors.As(err, &f):
-			bs = append(bs, Breach{NeverReverts, "an operator was told nothing definite: " + err.Error()})
+			bs = append(bs, Violation{NeverReverts, "an operator was told nothing definite: " + err.Error()})
 		}
 	}
 	if won > 1 {
-		bs = append(bs, Breach{NeverReverts, "both racing operators were told that they won"})
+		bs = append(bs, Violation{NeverReverts, "both racing operators were told that they won"})
 	}
 	return bs
 }
 
 // inMatrix runs one cell in a bubble of its own.
-func inMatrix(t *testing.T, k kind, l timeline, blows []blow) (e Evidence, bs []Breach) {
+func inMatrix(t *testing.T, k kind, l timeline, blows []blow) (e Evidence, bs []Violation) {
 	t.Helper()
 	defer runtime.GC()
 	defer runtime.GC()
