--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -48,13 +48,13 @@
 
 // Violation is a promise that was not kept.
 type Violation struct {
-	Promise Guarantee
-	Text    string
+	Guarantee Guarantee
+	Text      string
 }
 
 // String implements [fmt.Stringer].
 func (b Violation) String() string {
-	return fmt.Sprintf("%s: %s", b.Promise, b.Text)
+	return fmt.Sprintf("%s: %s", b.Guarantee, b.Text)
 }
 
 const (
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -22,7 +22,7 @@
 	bs := e.Breaches()
 	require.NotEmpty(t, bs)
 	for _, b := range bs {
-		require.Equal(t, p, b.Promise, b.Text)
+		require.Equal(t, p, b.Guarantee, b.Text)
 	}
 }
 
