--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -62,8 +62,8 @@
 	leaveSlack = 2 * time.Second
 )
 
-// Breaches returns every promise that the evidence shows broken.
-func (e Evidence) Breaches() (bs []Violation) {
+// Violations returns every promise that the evidence shows broken.
+func (e Evidence) Violations() (bs []Violation) {
 	for _, a := range e.Answers {
 		bs = append(bs, e.judgeAnswer(a)...)
 	}
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -19,7 +19,7 @@
 
 func requireBreach(t *testing.T, p Guarantee, e Evidence) {
 	t.Helper()
-	bs := e.Breaches()
+	bs := e.Violations()
 	require.NotEmpty(t, bs)
 	for _, b := range bs {
 		require.Equal(t, p, b.Guarantee, b.Text)
@@ -36,7 +36,7 @@
 // just that.
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
 	t.Run("nothing broken", func(t *testing.T) {
-		require.Empty(t, Evidence{Answers: []Answer{kept()}, Planned: true}.Breaches())
+		require.Empty(t, Evidence{Answers: []Answer{kept()}, Planned: true}.Violations())
 	})
 	t.Run("late", func(t *testing.T) {
 		requireBreach(t, InTime, Evidence{Answers: with(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -315,7 +315,7 @@
 // judge turns the evidence into breaches, with those that only the matrix can
 // see: of two racing operators at most one has won, and the loser was told.
 func (c *cell) judge(e Evidence) (bs []Violation) {
-	bs = e.Breaches()
+	bs = e.Violations()
 	if c.survives && e.Answers[0].Outcome != hollowgrade.Finished {
 		a := e.Answers[0]
 		bs = append(bs, Violation{"a repeatable request survives a single fault", fmt.Sprintf("it ended as %q with %s %s", a.Outcome, a.Code, a.Message)})
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -120,13 +120,13 @@
 		time.Sleep(30 * time.Second)
 		e := f.Collect()
 		e.Answers, e.Revisions, e.Late = as, watched(), f.late()
-		for _, b := range e.Breaches() {
+		for _, b := range e.Violations() {
 			assert.Fail(t, b.String())
 		}
 		outcomes := map[string]int{}
 		for _, a := range as {
 			outcomes[strings.TrimSpace(string(a.Outcome)+" "+a.Code)]++
 		}
-		fmt.Printf("soak: %s, %d faults, %d requests: %v; breaches %d\n", soakTime, faults, len(as), outcomes, len(e.Breaches()))
+		fmt.Printf("soak: %s, %d faults, %d requests: %v; breaches %d\n", soakTime, faults, len(as), outcomes, len(e.Violations()))
 	})
 }
