--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -17,7 +17,7 @@
 	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.Wants(), Sent: t0, Ended: t0.Add(time.Second / 2)}
 }
 
-func requireBreach(t *testing.T, p Guarantee, e Evidence) {
+func requireViolation(t *testing.T, p Guarantee, e Evidence) {
 	t.Helper()
 	bs := e.Violations()
 	require.NotEmpty(t, bs)
@@ -39,50 +39,50 @@
 		require.Empty(t, Evidence{Answers: []Answer{kept()}, Planned: true}.Violations())
 	})
 	t.Run("late", func(t *testing.T) {
-		requireBreach(t, InTime, Evidence{Answers: with(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
+		requireViolation(t, InTime, Evidence{Answers: with(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
 	})
 	t.Run("memory held", func(t *testing.T) {
-		requireBreach(t, NoMemoryLost, Evidence{Used: map[string]int{"engine-0": 1}})
+		requireViolation(t, NoMemoryLost, Evidence{Used: map[string]int{"engine-0": 1}})
 	})
 	t.Run("memory without a lease", func(t *testing.T) {
-		requireBreach(t, NoMemoryLost, Evidence{Lost: map[string]int{"engine-0": 1}})
+		requireViolation(t, NoMemoryLost, Evidence{Lost: map[string]int{"engine-0": 1}})
 	})
 	t.Run("cut short", func(t *testing.T) {
-		requireBreach(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = a.Text[:4] })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = a.Text[:4] })})
 	})
 	t.Run("another's answer", func(t *testing.T) {
-		requireBreach(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.Wants() })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.Wants() })})
 	})
 	t.Run("token twice", func(t *testing.T) {
-		requireBreach(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text += a.Text[len(a.Text)-4:] })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text += a.Text[len(a.Text)-4:] })})
 	})
 	t.Run("not run, yet it ran", func(t *testing.T) {
 		as := with(func(a *Answer) { a.Outcome, a.Text = hollowgrade.NotRun, "" })
-		requireBreach(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
+		requireViolation(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("not run, yet an earlier one with its key ran", func(t *testing.T) {
 		a, b := kept(), kept()
 		a.Call.Key, b.Call.Key = "k", "k"
 		b.RequestID, b.Outcome, b.Text = "s", hollowgrade.NotRun, ""
-		requireBreach(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
+		requireViolation(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("run twice under one key", func(t *testing.T) {
 		as := with(func(a *Answer) { a.Call.Key = "k" })
-		requireBreach(t, AtMostOnce, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
+		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
 	})
 	t.Run("new work while leaving", func(t *testing.T) {
 		e := Evidence{Answers: []Answer{kept()}, Left: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
 		e.Runs = []Started{{Request: "r", Box: "engine-0", At: t0}}
-		requireBreach(t, NoNewWork, e)
+		requireViolation(t, NoNewWork, e)
 	})
 	t.Run("cut off by a planned stop", func(t *testing.T) {
 		as := with(func(a *Answer) { a.Outcome, a.Text = hollowgrade.Failed, "" })
-		requireBreach(t, NothingCut, Evidence{Answers: as, Planned: true})
+		requireViolation(t, NothingCut, Evidence{Answers: as, Planned: true})
 	})
 	t.Run("configuration reverted", func(t *testing.T) {
-		requireBreach(t, NeverReverts, Evidence{Revisions: map[string][]int64{"entry-0": {1, 3, 2}}})
+		requireViolation(t, NeverReverts, Evidence{Revisions: map[string][]int64{"entry-0": {1, 3, 2}}})
 	})
 	t.Run("configuration not in force", func(t *testing.T) {
-		requireBreach(t, NeverReverts, Evidence{Late: []string{"entry-0"}})
+		requireViolation(t, NeverReverts, Evidence{Late: []string{"entry-0"}})
 	})
 }
