--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -54,8 +54,8 @@
 	{"record", func(l timeline) time.Duration { return l.ended + way/2 }},
 }
 
-// trouble is a fault and the end of it.
-type trouble struct {
+// faultSpec is a fault and the end of it.
+type faultSpec struct {
 	name   string
 	strike func(c *cell)
 	heal   func(c *cell)
@@ -73,7 +73,7 @@
 
 func nothing(*cell) {}
 
-var troubles = []trouble{
+var troubles = []faultSpec{
 	{name: "kill entry", strike: func(c *cell) { c.fleet.KillEntry(0) }, heal: func(c *cell) { c.fleet.StartEntry("entry-2") }, lasts: brief},
 	{name: "kill agent", strike: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: nothing, tells: true},
 	{name: "kill agent and replace it", strike: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
@@ -207,7 +207,7 @@
 
 type blow struct {
 	step  step
-	fault trouble
+	fault faultSpec
 }
 
 func (c *cell) stop(f func()) {
