--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -73,7 +73,7 @@
 
 func nothing(*cell) {}
 
-var troubles = []faultSpec{
+var faultSpecs = []faultSpec{
 	{name: "kill entry", strike: func(c *cell) { c.fleet.KillEntry(0) }, heal: func(c *cell) { c.fleet.StartEntry("entry-2") }, lasts: brief},
 	{name: "kill agent", strike: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: nothing, tells: true},
 	{name: "kill agent and replace it", strike: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
@@ -406,13 +406,13 @@
 func table() (js []job) {
 	for _, k := range kinds {
 		for _, s := range steps {
-			for _, x := range troubles {
+			for _, x := range faultSpecs {
 				js = append(js, job{k, []blow{{s, x}}})
 			}
 		}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
-	draw := func() blow { return blow{steps[r.IntN(len(steps))], troubles[r.IntN(len(troubles))]} }
+	draw := func() blow { return blow{steps[r.IntN(len(steps))], faultSpecs[r.IntN(len(faultSpecs))]} }
 	for range pairs {
 		js = append(js, job{kinds[r.IntN(len(kinds))], []blow{draw(), draw()}})
 	}
