--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -205,7 +205,7 @@
 	mu     sync.Mutex
 }
 
-type blow struct {
+type timedFault struct {
 	step  step
 	fault faultSpec
 }
@@ -266,7 +266,7 @@
 }
 
 // run drives the cell and returns the evidence.
-func (c *cell) run(l timeline, blows []blow) Evidence {
+func (c *cell) run(l timeline, blows []timedFault) Evidence {
 	f := c.fleet
 	if c.kind.mint {
 		c.kind.call.Key = f.Mint(0, c.kind.call.Organisation)
@@ -337,7 +337,7 @@
 }
 
 // inMatrix runs one cell in a bubble of its own.
-func inMatrix(t *testing.T, k kind, l timeline, blows []blow) (e Evidence, bs []Violation) {
+func inMatrix(t *testing.T, k kind, l timeline, blows []timedFault) (e Evidence, bs []Violation) {
 	t.Helper()
 	defer runtime.GC()
 	defer runtime.GC()
@@ -390,7 +390,7 @@
 // job is one cell of the table.
 type job struct {
 	kind  kind
-	blows []blow
+	blows []timedFault
 }
 
 func (j job) String() string {
@@ -407,14 +407,14 @@
 	for _, k := range kinds {
 		for _, s := range steps {
 			for _, x := range faultSpecs {
-				js = append(js, job{k, []blow{{s, x}}})
+				js = append(js, job{k, []timedFault{{s, x}}})
 			}
 		}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
-	draw := func() blow { return blow{steps[r.IntN(len(steps))], faultSpecs[r.IntN(len(faultSpecs))]} }
+	draw := func() timedFault { return timedFault{steps[r.IntN(len(steps))], faultSpecs[r.IntN(len(faultSpecs))]} }
 	for range pairs {
-		js = append(js, job{kinds[r.IntN(len(kinds))], []blow{draw(), draw()}})
+		js = append(js, job{kinds[r.IntN(len(kinds))], []timedFault{draw(), draw()}})
 	}
 	return js
 }
