--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -266,7 +266,7 @@
 }
 
 // run drives the cell and returns the evidence.
-func (c *cell) run(l timeline, blows []timedFault) Evidence {
+func (c *cell) run(l timeline, faults []timedFault) Evidence {
 	f := c.fleet
 	if c.kind.mint {
 		c.kind.call.Key = f.Mint(0, c.kind.call.Organisation)
@@ -276,7 +276,7 @@
 	began := time.Now()
 	call := c.kind.call
 	call.Allowed = 20 * time.Second
-	for _, b := range blows {
+	for _, b := range faults {
 		c.stop(func() {
 			time.Sleep(time.Until(began.Add(b.step.at(l))))
 			c.mu.Lock()
@@ -298,8 +298,8 @@
 	e := f.Collect()
 	e.Answers, e.Left, e.Revisions = as, c.left, watched()
 	e.Late = f.late()
-	e.Excused, e.Planned = map[string]bool{}, len(blows) > 0
-	for _, b := range blows {
+	e.Excused, e.Planned = map[string]bool{}, len(faults) > 0
+	for _, b := range faults {
 		e.Planned = e.Planned && b.fault.planned
 		if !b.fault.tells {
 			e.Excused[call.Prompt] = true
