--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -337,7 +337,7 @@
 }
 
 // inMatrix runs one cell in a bubble of its own.
-func inMatrix(t *testing.T, k kind, l timeline, blows []timedFault) (e Evidence, bs []Violation) {
+func inMatrix(t *testing.T, k kind, l timeline, faults []timedFault) (e Evidence, bs []Violation) {
 	t.Helper()
 	defer runtime.GC()
 	defer runtime.GC()
@@ -347,8 +347,8 @@
 		defer c.ending.Wait()
 		defer f.Stop()
 		require.NoError(t, f.Prepare("a", "b"))
-		c.survives = len(blows) == 1 && blows[0].fault.tells && k.call.Key == "" && !k.mint
-		e = c.run(l, blows)
+		c.survives = len(faults) == 1 && faults[0].fault.tells && k.call.Key == "" && !k.mint
+		e = c.run(l, faults)
 		bs = c.judge(e)
 	})
 	return e, bs
