--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -389,13 +389,13 @@
 
 // job is one cell of the table.
 type job struct {
-	kind  kind
-	blows []timedFault
+	kind   kind
+	faults []timedFault
 }
 
 func (j job) String() string {
 	var ss []string
-	for _, b := range j.blows {
+	for _, b := range j.faults {
 		ss = append(ss, b.step.name+": "+b.fault.name)
 	}
 	return j.kind.name + ", " + strings.Join(ss, ", ")
@@ -482,7 +482,7 @@
 		if i%shards != n {
 			continue
 		}
-		_, bs := inMatrix(t, j.kind, lines[j.kind.name], j.blows)
+		_, bs := inMatrix(t, j.kind, lines[j.kind.name], j.faults)
 		cells++
 		if len(bs) > 0 {
 			broken++
