--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -58,7 +58,7 @@
 type faultSpec struct {
 	name   string
 	inject func(c *cell)
-	heal   func(c *cell)
+	repair func(c *cell)
 	lasts  time.Duration
 	// tells says that the entry can go on speaking to the caller.
 	tells bool
@@ -74,23 +74,23 @@
 func nothing(*cell) {}
 
 var faultSpecs = []faultSpec{
-	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, heal: func(c *cell) { c.fleet.StartEntry("entry-2") }, lasts: brief},
-	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: nothing, tells: true},
-	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
-	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, heal: unlistKeeper, lasts: brief, tells: true},
-	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, heal: nothing, tells: true},
-	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), heal: mend(Caller, func(*cell) string { return EntryName(0) }), lasts: brief},
-	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), heal: mend(EntryName(0), boxName), lasts: brief, tells: true},
-	{name: "cut agent from upstream", inject: cutUpstream, heal: mendUpstream, lasts: brief, tells: true},
-	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, heal: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, lasts: asleep},
-	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, heal: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, lasts: asleep, tells: true},
-	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, heal: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, lasts: 4 * asleep, tells: true},
-	{name: "freeze upstream", inject: freezeUpstream(true), heal: freezeUpstream(false), lasts: asleep, tells: true},
-	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, heal: func(c *cell) { c.fleet.Log.SetOutage(false) }, lasts: asleep, tells: true},
-	{name: "log loses answers of racing operators", inject: raceOperators, heal: nothing, tells: true},
-	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
-	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, heal: nothing, tells: true, planned: true},
-	{name: "drain agent", inject: drainAgent, heal: nothing, tells: true, planned: true},
+	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, repair: func(c *cell) { c.fleet.StartEntry("entry-2") }, lasts: brief},
+	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: nothing, tells: true},
+	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, lasts: brief, tells: true},
+	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, lasts: brief, tells: true},
+	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: nothing, tells: true},
+	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), lasts: brief},
+	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), lasts: brief, tells: true},
+	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, lasts: brief, tells: true},
+	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, lasts: asleep},
+	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, lasts: asleep, tells: true},
+	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, lasts: 4 * asleep, tells: true},
+	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), lasts: asleep, tells: true},
+	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, lasts: asleep, tells: true},
+	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, tells: true},
+	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, lasts: brief, tells: true},
+	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, tells: true, planned: true},
+	{name: "drain agent", inject: drainAgent, repair: nothing, tells: true, planned: true},
 }
 
 func boxName(c *cell) string { return c.fleet.Agents[c.box].Name }
@@ -284,7 +284,7 @@
 			c.mu.Unlock()
 			time.Sleep(b.fault.lasts)
 			c.mu.Lock()
-			b.fault.heal(c)
+			b.fault.repair(c)
 			c.mu.Unlock()
 		})
 	}
