--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -56,10 +56,10 @@
 
 // faultSpec is a fault and the end of it.
 type faultSpec struct {
-	name   string
-	inject func(c *cell)
-	repair func(c *cell)
-	lasts  time.Duration
+	name     string
+	inject   func(c *cell)
+	repair   func(c *cell)
+	duration time.Duration
 	// tells says that the entry can go on speaking to the caller.
 	tells bool
 	// planned says that it is a planned stop, which cuts off nothing.
@@ -74,21 +74,21 @@
 func nothing(*cell) {}
 
 var faultSpecs = []faultSpec{
-	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, repair: func(c *cell) { c.fleet.StartEntry("entry-2") }, lasts: brief},
+	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, repair: func(c *cell) { c.fleet.StartEntry("entry-2") }, duration: brief},
 	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: nothing, tells: true},
-	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, lasts: brief, tells: true},
-	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, lasts: brief, tells: true},
+	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, tells: true},
+	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, duration: brief, tells: true},
 	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: nothing, tells: true},
-	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), lasts: brief},
-	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), lasts: brief, tells: true},
-	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, lasts: brief, tells: true},
-	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, lasts: asleep},
-	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, lasts: asleep, tells: true},
-	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, lasts: 4 * asleep, tells: true},
-	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), lasts: asleep, tells: true},
-	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, lasts: asleep, tells: true},
+	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), duration: brief},
+	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: brief, tells: true},
+	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: brief, tells: true},
+	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: asleep},
+	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: asleep, tells: true},
+	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * asleep, tells: true},
+	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: asleep, tells: true},
+	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: asleep, tells: true},
 	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, tells: true},
-	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, lasts: brief, tells: true},
+	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, tells: true},
 	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, tells: true, planned: true},
 	{name: "drain agent", inject: drainAgent, repair: nothing, tells: true, planned: true},
 }
@@ -282,7 +282,7 @@
 			c.mu.Lock()
 			b.fault.inject(c)
 			c.mu.Unlock()
-			time.Sleep(b.fault.lasts)
+			time.Sleep(b.fault.duration)
 			c.mu.Lock()
 			b.fault.repair(c)
 			c.mu.Unlock()
