--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -60,8 +60,8 @@
 	inject   func(c *cell)
 	repair   func(c *cell)
 	duration time.Duration
-	// tells says that the entry can go on speaking to the caller.
-	tells bool
+	// entryReplies says that the entry can go on speaking to the caller.
+	entryReplies bool
 	// planned says that it is a planned stop, which cuts off nothing.
 	planned bool
 }
@@ -75,22 +75,22 @@
 
 var faultSpecs = []faultSpec{
 	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, repair: func(c *cell) { c.fleet.StartEntry("entry-2") }, duration: brief},
-	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: nothing, tells: true},
-	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, tells: true},
-	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, duration: brief, tells: true},
-	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: nothing, tells: true},
+	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: nothing, entryReplies: true},
+	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, entryReplies: true},
+	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, duration: brief, entryReplies: true},
+	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: nothing, entryReplies: true},
 	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), duration: brief},
-	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: brief, tells: true},
-	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: brief, tells: true},
+	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: brief, entryReplies: true},
+	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: brief, entryReplies: true},
 	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: asleep},
-	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: asleep, tells: true},
-	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * asleep, tells: true},
-	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: asleep, tells: true},
-	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: asleep, tells: true},
-	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, tells: true},
-	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, tells: true},
-	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, tells: true, planned: true},
-	{name: "drain agent", inject: drainAgent, repair: nothing, tells: true, planned: true},
+	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: asleep, entryReplies: true},
+	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * asleep, entryReplies: true},
+	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: asleep, entryReplies: true},
+	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: asleep, entryReplies: true},
+	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, entryReplies: true},
+	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: brief, entryReplies: true},
+	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, entryReplies: true, planned: true},
+	{name: "drain agent", inject: drainAgent, repair: nothing, entryReplies: true, planned: true},
 }
 
 func boxName(c *cell) string { return c.fleet.Agents[c.box].Name }
@@ -301,7 +301,7 @@
 	e.Excused, e.Planned = map[string]bool{}, len(faults) > 0
 	for _, b := range faults {
 		e.Planned = e.Planned && b.fault.planned
-		if !b.fault.tells {
+		if !b.fault.entryReplies {
 			e.Excused[call.Prompt] = true
 		}
 	}
@@ -347,7 +347,7 @@
 		defer c.ending.Wait()
 		defer f.Stop()
 		require.NoError(t, f.Prepare("a", "b"))
-		c.survives = len(faults) == 1 && faults[0].fault.tells && k.call.Key == "" && !k.mint
+		c.survives = len(faults) == 1 && faults[0].fault.entryReplies && k.call.Key == "" && !k.mint
 		e = c.run(l, faults)
 		bs = c.judge(e)
 	})
