--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -20,13 +20,13 @@
 	faultEvery = 3 * time.Second
 )
 
-// soaked is one fault of the soak. It returns what ends it.
-type soaked struct {
+// soakFault is one fault of the soak. It returns what ends it.
+type soakFault struct {
 	name   string
 	strike func(f *Fleet, i int) (heal func())
 }
 
-var soakFaults = []soaked{
+var soakFaults = []soakFault{
 	{"engine dies and comes back", func(f *Fleet, i int) func() {
 		e := f.Agents[i].Engine
 		e.Kill()
