--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -23,7 +23,7 @@
 // soakFault is one fault of the soak. It returns what ends it.
 type soakFault struct {
 	name   string
-	strike func(f *Fleet, i int) (heal func())
+	inject func(f *Fleet, i int) (heal func())
 }
 
 var soakFaults = []soakFault{
@@ -110,7 +110,7 @@
 			if time.Now().After(nextFault) {
 				nextFault = nextFault.Add(faultEvery)
 				x := soakFaults[r.IntN(len(soakFaults))]
-				heal := x.strike(f, r.IntN(f.Config.Engines))
+				heal := x.inject(f, r.IntN(f.Config.Engines))
 				time.AfterFunc(time.Duration(1+r.IntN(2))*time.Second, heal)
 				faults++
 			}
