--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -68,7 +68,7 @@
 
 const (
 	shortFault = 2 * time.Second
-	asleep     = 4 * time.Second // longer than the lease on a range of keys
+	longFault  = 4 * time.Second // longer than the lease on a range of keys
 )
 
 func nothing(*cell) {}
@@ -82,11 +82,11 @@
 	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), duration: shortFault},
 	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: shortFault, entryReplies: true},
 	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: shortFault, entryReplies: true},
-	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: asleep},
-	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: asleep, entryReplies: true},
-	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * asleep, entryReplies: true},
-	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: asleep, entryReplies: true},
-	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: asleep, entryReplies: true},
+	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: longFault},
+	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: longFault, entryReplies: true},
+	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * longFault, entryReplies: true},
+	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: longFault, entryReplies: true},
+	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: longFault, entryReplies: true},
 	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, entryReplies: true},
 	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
 	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, entryReplies: true, planned: true},
