--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -71,14 +71,14 @@
 	longFault  = 4 * time.Second // longer than the lease on a range of keys
 )
 
-func nothing(*cell) {}
+func noRepair(*cell) {}
 
 var faultSpecs = []faultSpec{
 	{name: "kill entry", inject: func(c *cell) { c.fleet.KillEntry(0) }, repair: func(c *cell) { c.fleet.StartEntry("entry-2") }, duration: shortFault},
-	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: nothing, entryReplies: true},
+	{name: "kill agent", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: noRepair, entryReplies: true},
 	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
 	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, duration: shortFault, entryReplies: true},
-	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: nothing, entryReplies: true},
+	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: noRepair, entryReplies: true},
 	{name: "cut caller from entry", inject: cut(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), duration: shortFault},
 	{name: "cut entry from agent", inject: cut(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: shortFault, entryReplies: true},
 	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: shortFault, entryReplies: true},
@@ -87,10 +87,10 @@
 	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * longFault, entryReplies: true},
 	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: longFault, entryReplies: true},
 	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: longFault, entryReplies: true},
-	{name: "log loses answers of racing operators", inject: raceOperators, repair: nothing, entryReplies: true},
+	{name: "log loses answers of racing operators", inject: raceOperators, repair: noRepair, entryReplies: true},
 	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
-	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: nothing, entryReplies: true, planned: true},
-	{name: "drain agent", inject: drainAgent, repair: nothing, entryReplies: true, planned: true},
+	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: noRepair, entryReplies: true, planned: true},
+	{name: "drain agent", inject: drainAgent, repair: noRepair, entryReplies: true, planned: true},
 }
 
 func boxName(c *cell) string { return c.fleet.Agents[c.box].Name }
