--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -79,8 +79,8 @@
 	{name: "kill agent and replace it", inject: func(c *cell) { c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
 	{name: "kill keeper", inject: func(c *cell) { c.fleet.KillAgent(c.keeper) }, repair: unlistKeeper, duration: shortFault, entryReplies: true},
 	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: noRepair, entryReplies: true},
-	{name: "cut caller from entry", inject: cutLink(Caller, func(*cell) string { return EntryName(0) }), repair: mend(Caller, func(*cell) string { return EntryName(0) }), duration: shortFault},
-	{name: "cut entry from agent", inject: cutLink(EntryName(0), boxName), repair: mend(EntryName(0), boxName), duration: shortFault, entryReplies: true},
+	{name: "cut caller from entry", inject: cutLink(Caller, func(*cell) string { return EntryName(0) }), repair: restoreLink(Caller, func(*cell) string { return EntryName(0) }), duration: shortFault},
+	{name: "cut entry from agent", inject: cutLink(EntryName(0), boxName), repair: restoreLink(EntryName(0), boxName), duration: shortFault, entryReplies: true},
 	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: shortFault, entryReplies: true},
 	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: longFault},
 	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: longFault, entryReplies: true},
@@ -99,7 +99,7 @@
 	return func(c *cell) { c.fleet.Network.Cut(a, b(c)) }
 }
 
-func mend(a string, b func(*cell) string) func(*cell) {
+func restoreLink(a string, b func(*cell) string) func(*cell) {
 	return func(c *cell) { c.fleet.Network.Mend(a, b(c)) }
 }
 
