--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -38,19 +38,19 @@
 }
 
 const (
-	boxDelay = 1500 * time.Microsecond // between two boxes in the matrix
-	near     = time.Millisecond        // between a caller and an entry
+	boxDelay    = 1500 * time.Microsecond // between two boxes in the matrix
+	callerDelay = time.Millisecond        // between a caller and an entry
 )
 
 var steps = []step{
-	{"admit", func(timeline) time.Duration { return near / 2 }},
-	{"place", func(timeline) time.Duration { return near + boxDelay/2 }},
+	{"admit", func(timeline) time.Duration { return callerDelay / 2 }},
+	{"place", func(timeline) time.Duration { return callerDelay + boxDelay/2 }},
 	{"offer", func(l timeline) time.Duration { return l.started - 3*boxDelay/4 }},
 	{"queue", func(l timeline) time.Duration { return l.started - 50*time.Microsecond }},
 	{"start", func(l timeline) time.Duration { return l.started + 50*time.Microsecond }},
-	{"first token", func(l timeline) time.Duration { return l.first - near - boxDelay/2 }},
+	{"first token", func(l timeline) time.Duration { return l.first - callerDelay - boxDelay/2 }},
 	{"mid stream", func(l timeline) time.Duration { return (l.first + l.ended) / 2 }},
-	{"last frame", func(l timeline) time.Duration { return l.ended - near - boxDelay/2 }},
+	{"last frame", func(l timeline) time.Duration { return l.ended - callerDelay - boxDelay/2 }},
 	{"record", func(l timeline) time.Duration { return l.ended + boxDelay/2 }},
 }
 
@@ -229,7 +229,7 @@
 
 func matrixConfig() Config {
 	c := Small()
-	c.BoxDelay, c.HallDelay, c.Caller = boxDelay, boxDelay, near
+	c.BoxDelay, c.HallDelay, c.Caller = boxDelay, boxDelay, callerDelay
 	return c
 }
 
