--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -196,9 +196,9 @@
 	keeper int // agent that keeps its key
 	left   map[string]time.Time
 	raced  []error
-	// survives says that a single fault left the entry able to speak, and that
+	// mustFinish says that a single fault left the entry able to speak, and that
 	// the request may run again: it must finish, not merely fail in order.
-	survives bool
+	mustFinish bool
 
 	group  sync.WaitGroup // what the verdict waits for
 	ending sync.WaitGroup // planned stops
@@ -316,7 +316,7 @@
 // see: of two racing operators at most one has won, and the loser was told.
 func (c *cell) judge(e Evidence) (bs []Violation) {
 	bs = e.Violations()
-	if c.survives && e.Answers[0].Outcome != hollowgrade.Finished {
+	if c.mustFinish && e.Answers[0].Outcome != hollowgrade.Finished {
 		a := e.Answers[0]
 		bs = append(bs, Violation{"a repeatable request survives a single fault", fmt.Sprintf("it ended as %q with %s %s", a.Outcome, a.Code, a.Message)})
 	}
@@ -347,7 +347,7 @@
 		defer c.ending.Wait()
 		defer f.Stop()
 		require.NoError(t, f.Prepare("a", "b"))
-		c.survives = len(faults) == 1 && faults[0].fault.entryReplies && k.call.Key == "" && !k.mint
+		c.mustFinish = len(faults) == 1 && faults[0].fault.entryReplies && k.call.Key == "" && !k.mint
 		e = c.run(l, faults)
 		bs = c.judge(e)
 	})
