--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -162,7 +162,7 @@
 			_, errs[i] = config.Publish(ctx, c.fleet.Log, config.OrganisationKind, "raced", o, 0)
 		})
 	}
-	c.stop(func() {
+	c.runTracked(func() {
 		g.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -210,7 +210,7 @@
 	fault faultSpec
 }
 
-func (c *cell) stop(f func()) {
+func (c *cell) runTracked(f func()) {
 	c.group.Go(f)
 }
 
@@ -277,7 +277,7 @@
 	call := c.kind.call
 	call.Allowed = 20 * time.Second
 	for _, b := range faults {
-		c.stop(func() {
+		c.runTracked(func() {
 			time.Sleep(time.Until(began.Add(b.step.at(l))))
 			c.mu.Lock()
 			b.fault.inject(c)
