--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -89,7 +89,7 @@
 	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: longFault, entryReplies: true},
 	{name: "log loses answers of racing operators", inject: raceOperators, repair: noRepair, entryReplies: true},
 	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
-	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, repair: noRepair, entryReplies: true, planned: true},
+	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopContext()) }) }, repair: noRepair, entryReplies: true, planned: true},
 	{name: "drain agent", inject: drainAgent, repair: noRepair, entryReplies: true, planned: true},
 }
 
@@ -145,7 +145,7 @@
 	c.fleet.Boxes.Hold(true)
 	c.fleet.Unlist(a.Name)
 	// Not waited for: a process that is killed while it drains never ends.
-	c.ending.Go(func() { c.fleet.StopAgent(c.stopping(), a) })
+	c.ending.Go(func() { c.fleet.StopAgent(c.stopContext(), a) })
 }
 
 // raceOperators publishes two changes of one item at once while the log takes
@@ -214,7 +214,7 @@
 	c.group.Go(f)
 }
 
-func (c *cell) stopping() context.Context {
+func (c *cell) stopContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	context.AfterFunc(ctx, cancel)
 	return ctx
