--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -89,7 +89,7 @@
 	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: longFault, entryReplies: true},
 	{name: "log loses answers of racing operators", inject: raceOperators, repair: noRepair, entryReplies: true},
 	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
-	{name: "drain entry", inject: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopContext()) }) }, repair: noRepair, entryReplies: true, planned: true},
+	{name: "drain entry", inject: func(c *cell) { c.plannedStops.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopContext()) }) }, repair: noRepair, entryReplies: true, planned: true},
 	{name: "drain agent", inject: drainAgent, repair: noRepair, entryReplies: true, planned: true},
 }
 
@@ -145,7 +145,7 @@
 	c.fleet.Boxes.Hold(true)
 	c.fleet.Unlist(a.Name)
 	// Not waited for: a process that is killed while it drains never ends.
-	c.ending.Go(func() { c.fleet.StopAgent(c.stopContext(), a) })
+	c.plannedStops.Go(func() { c.fleet.StopAgent(c.stopContext(), a) })
 }
 
 // raceOperators publishes two changes of one item at once while the log takes
@@ -200,9 +200,9 @@
 	// the request may run again: it must finish, not merely fail in order.
 	mustFinish bool
 
-	group  sync.WaitGroup // what the verdict waits for
-	ending sync.WaitGroup // planned stops
-	mu     sync.Mutex
+	group        sync.WaitGroup // what the verdict waits for
+	plannedStops sync.WaitGroup // planned stops
+	mu           sync.Mutex
 }
 
 type timedFault struct {
@@ -344,7 +344,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := New(matrixConfig())
 		c := &cell{fleet: f, kind: k}
-		defer c.ending.Wait()
+		defer c.plannedStops.Wait()
 		defer f.Stop()
 		require.NoError(t, f.Prepare("a", "b"))
 		c.mustFinish = len(faults) == 1 && faults[0].fault.entryReplies && k.call.Key == "" && !k.mint
