--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -166,7 +166,7 @@
 		g.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.raced = append(c.raced, errs...)
+		c.publishErrors = append(c.publishErrors, errs...)
 	})
 }
 
@@ -190,12 +190,12 @@
 
 // cell is one run: a request, and faults at steps of its life.
 type cell struct {
-	fleet  *Fleet
-	kind   kind
-	box    int // agent that serves the request
-	keeper int // agent that keeps its key
-	left   map[string]time.Time
-	raced  []error
+	fleet         *Fleet
+	kind          kind
+	box           int // agent that serves the request
+	keeper        int // agent that keeps its key
+	left          map[string]time.Time
+	publishErrors []error
 	// mustFinish says that a single fault left the entry able to speak, and that
 	// the request may run again: it must finish, not merely fail in order.
 	mustFinish bool
@@ -321,7 +321,7 @@
 		bs = append(bs, Violation{"a repeatable request survives a single fault", fmt.Sprintf("it ended as %q with %s %s", a.Outcome, a.Code, a.Message)})
 	}
 	won := 0
-	for _, err := range c.raced {
+	for _, err := range c.publishErrors {
 		var f *fault.Error
 		switch {
 		case err == nil:
