--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -141,7 +141,7 @@
 
 func drainAgent(c *cell) {
 	a := c.fleet.Agents[c.box]
-	c.left[a.Name] = time.Now()
+	c.leavingSince[a.Name] = time.Now()
 	c.fleet.Boxes.Hold(true)
 	c.fleet.Unlist(a.Name)
 	// Not waited for: a process that is killed while it drains never ends.
@@ -194,7 +194,7 @@
 	kind          kind
 	box           int // agent that serves the request
 	keeper        int // agent that keeps its key
-	left          map[string]time.Time
+	leavingSince  map[string]time.Time
 	publishErrors []error
 	// mustFinish says that a single fault left the entry able to speak, and that
 	// the request may run again: it must finish, not merely fail in order.
@@ -271,7 +271,7 @@
 	if c.kind.mint {
 		c.kind.call.Key = f.Mint(0, c.kind.call.Organisation)
 	}
-	c.left = map[string]time.Time{}
+	c.leavingSince = map[string]time.Time{}
 	c.box, c.keeper = l.box, c.keeperOf()
 	began := time.Now()
 	call := c.kind.call
@@ -296,7 +296,7 @@
 	c.group.Wait()
 	c.rest()
 	e := f.Collect()
-	e.Answers, e.Left, e.Revisions = as, c.left, watched()
+	e.Answers, e.Left, e.Revisions = as, c.leavingSince, watched()
 	e.Late = f.late()
 	e.Excused, e.Planned = map[string]bool{}, len(faults) > 0
 	for _, b := range faults {
