--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -35,15 +35,15 @@
 // Evidence is what the callers saw and what the upstreams really ran. The
 // checker judges by nothing else.
 type Evidence struct {
-	Answers   []Answer
-	Runs      []Started
-	Used      map[string]int       // tokens that each live engine still holds at the end
-	Lost      map[string]int       // tokens that no ledger answers for at the end
-	Left      map[string]time.Time // since when a box is leaving
-	Planned   bool                 // only planned stops happened
-	Revisions map[string][]int64   // what each box had in force, in the order of time
-	Late      []string             // boxes on which an accepted revision was not in force in time
-	Excused   map[string]bool      // requests by prompt whose entry could not speak to them
+	Answers      []Answer
+	Runs         []Started
+	Used         map[string]int       // tokens that each live engine still holds at the end
+	Lost         map[string]int       // tokens that no ledger answers for at the end
+	LeavingSince map[string]time.Time // since when a box is leaving
+	Planned      bool                 // only planned stops happened
+	Revisions    map[string][]int64   // what each box had in force, in the order of time
+	Late         []string             // boxes on which an accepted revision was not in force in time
+	Excused      map[string]bool      // requests by prompt whose entry could not speak to them
 }
 
 // Violation is a promise that was not kept.
@@ -167,7 +167,7 @@
 		sent[a.RequestID] = a.Sent
 	}
 	for _, r := range e.Runs {
-		left, ok := e.Left[r.Box]
+		left, ok := e.LeavingSince[r.Box]
 		if ok && sent[r.Request].After(left.Add(leaveSlack)) {
 			bs = append(bs, Violation{NoNewWork, fmt.Sprintf("%s was given a request %s after it began to leave", r.Box, r.At.Sub(left))})
 		}
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -71,7 +71,7 @@
 		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
 	})
 	t.Run("new work while leaving", func(t *testing.T) {
-		e := Evidence{Answers: []Answer{kept()}, Left: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
+		e := Evidence{Answers: []Answer{kept()}, LeavingSince: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
 		e.Runs = []Started{{Request: "r", Box: "engine-0", At: t0}}
 		requireViolation(t, NoNewWork, e)
 	})
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -296,7 +296,7 @@
 	c.group.Wait()
 	c.rest()
 	e := f.Collect()
-	e.Answers, e.Left, e.Revisions = as, c.leavingSince, watched()
+	e.Answers, e.LeavingSince, e.Revisions = as, c.leavingSince, watched()
 	e.Late = f.late()
 	e.Excused, e.Planned = map[string]bool{}, len(faults) > 0
 	for _, b := range faults {
