--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -254,9 +254,9 @@
 	return as
 }
 
-// rest gives the fleet the time that its leases and sweeps may take to bring
+// waitForRecovery gives the fleet the time that its leases and sweeps may take to bring
 // memory back. What is not back then is lost for good.
-func (c *cell) rest() {
+func (c *cell) waitForRecovery() {
 	time.Sleep(resting)
 	for began := time.Now(); time.Since(began) < longest; time.Sleep(time.Second) {
 		if len(c.fleet.Collect().judgeMemory()) == 0 {
@@ -294,7 +294,7 @@
 	a := f.Do(ctx, call)
 	as := append([]Answer{a}, c.resend(a)...)
 	c.group.Wait()
-	c.rest()
+	c.waitForRecovery()
 	e := f.Collect()
 	e.Answers, e.LeavingSince, e.Revisions = as, c.leavingSince, watched()
 	e.Late = f.late()
