--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -236,7 +236,7 @@
 const (
 	resends     = 8
 	minRecovery = 4 * time.Second  // for sweeps to pass and agents to take over
-	longest     = 25 * time.Second // for leases to expire
+	maxRecovery = 25 * time.Second // for leases to expire
 )
 
 // resend sends a call with a key again, to the other entry, until its caller
@@ -258,7 +258,7 @@
 // memory back. What is not back then is lost for good.
 func (c *cell) waitForRecovery() {
 	time.Sleep(minRecovery)
-	for began := time.Now(); time.Since(began) < longest; time.Sleep(time.Second) {
+	for began := time.Now(); time.Since(began) < maxRecovery; time.Sleep(time.Second) {
 		if len(c.fleet.Collect().judgeMemory()) == 0 {
 			return
 		}
