--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -234,7 +234,7 @@
 }
 
 const (
-	resends     = 8
+	maxResends  = 8
 	minRecovery = 4 * time.Second  // for sweeps to pass and agents to take over
 	maxRecovery = 25 * time.Second // for leases to expire
 )
@@ -243,7 +243,7 @@
 // knows how it ended. A caller without a key would do so too, but proves
 // nothing by it.
 func (c *cell) resend(a Answer) (as []Answer) {
-	for n := 0; n < resends && c.kind.call.Key != "" && a.Outcome != hollowgrade.Finished && a.Outcome != hollowgrade.Failed; n++ {
+	for n := 0; n < maxResends && c.kind.call.Key != "" && a.Outcome != hollowgrade.Finished && a.Outcome != hollowgrade.Failed; n++ {
 		time.Sleep(max(time.Duration(a.RetryAfter*float64(time.Second)), 500*time.Millisecond))
 		d := c.kind.call
 		d.Entry = 1
