--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -354,8 +354,8 @@
 	return e, bs
 }
 
-// dryRun finds the moments of a request without a fault.
-func dryRun(t *testing.T, k kind) (l timeline) {
+// measureTimeline finds the moments of a request without a fault.
+func measureTimeline(t *testing.T, k kind) (l timeline) {
 	t.Helper()
 	e, bs := inMatrix(t, k, timeline{}, nil)
 	require.Empty(t, bs)
@@ -475,7 +475,7 @@
 	t.Helper()
 	lines := map[string]timeline{}
 	for _, k := range kinds {
-		lines[k.name] = dryRun(t, k)
+		lines[k.name] = measureTimeline(t, k)
 	}
 	cells, broken := 0, 0
 	for i, j := range table() {
