--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -65,7 +65,7 @@
 // Violations returns every promise that the evidence shows broken.
 func (e Evidence) Violations() (bs []Violation) {
 	for _, a := range e.Answers {
-		bs = append(bs, e.judgeAnswer(a)...)
+		bs = append(bs, e.checkAnswer(a)...)
 	}
 	bs = append(bs, e.judgeKeys()...)
 	bs = append(bs, e.judgeMemory()...)
@@ -73,7 +73,7 @@
 	return append(bs, e.judgeRevisions()...)
 }
 
-func (e Evidence) judgeAnswer(a Answer) (bs []Violation) {
+func (e Evidence) checkAnswer(a Answer) (bs []Violation) {
 	if a.Took() > a.Call.Allowed+timeSlack && !e.Excused[a.Call.Prompt] {
 		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
 	}
