--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -67,7 +67,7 @@
 	for _, a := range e.Answers {
 		bs = append(bs, e.checkAnswer(a)...)
 	}
-	bs = append(bs, e.judgeKeys()...)
+	bs = append(bs, e.checkKeys()...)
 	bs = append(bs, e.judgeMemory()...)
 	bs = append(bs, e.judgeLeaving()...)
 	return append(bs, e.judgeRevisions()...)
@@ -127,9 +127,9 @@
 	return rs
 }
 
-// judgeKeys counts the starts under each key. The pieces of one attempt count
+// checkKeys counts the starts under each key. The pieces of one attempt count
 // as one start.
-func (e Evidence) judgeKeys() (bs []Violation) {
+func (e Evidence) checkKeys() (bs []Violation) {
 	seen := map[string]bool{}
 	for _, a := range e.Answers {
 		if a.Call.Key == "" || seen[a.Call.Key] {
