--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -68,7 +68,7 @@
 		bs = append(bs, e.checkAnswer(a)...)
 	}
 	bs = append(bs, e.checkKeys()...)
-	bs = append(bs, e.judgeMemory()...)
+	bs = append(bs, e.checkMemory()...)
 	bs = append(bs, e.judgeLeaving()...)
 	return append(bs, e.judgeRevisions()...)
 }
@@ -147,7 +147,7 @@
 	return bs
 }
 
-func (e Evidence) judgeMemory() (bs []Violation) {
+func (e Evidence) checkMemory() (bs []Violation) {
 	for b, n := range e.Used {
 		if n != 0 {
 			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("%s still holds %d tokens", b, n)})
--- a/internal/fleettest/input_test.go
+++ b/internal/fleettest/input_test.go
@@ -90,7 +90,7 @@
 	t.Helper()
 	e := f.Collect()
 	require.Empty(t, e.Runs)
-	require.Empty(t, e.judgeMemory())
+	require.Empty(t, e.checkMemory())
 }
 
 // slow sends a body that never ends.
@@ -123,7 +123,7 @@
 		time.Sleep(100 * time.Millisecond)
 		e := f.Collect()
 		require.Len(t, e.Runs, 1, "it ran until its caller was gone")
-		require.Empty(t, e.judgeMemory(), "its memory is back before any sweep")
+		require.Empty(t, e.checkMemory(), "its memory is back before any sweep")
 	})
 }
 
@@ -154,6 +154,6 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		require.NoError(t, f.Entries[0].Stop(ctx))
-		require.Empty(t, f.Collect().judgeMemory())
+		require.Empty(t, f.Collect().checkMemory())
 	})
 }
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -259,7 +259,7 @@
 func (c *cell) waitForRecovery() {
 	time.Sleep(minRecovery)
 	for began := time.Now(); time.Since(began) < maxRecovery; time.Sleep(time.Second) {
-		if len(c.fleet.Collect().judgeMemory()) == 0 {
+		if len(c.fleet.Collect().checkMemory()) == 0 {
 			return
 		}
 	}
