--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -69,7 +69,7 @@
 	}
 	bs = append(bs, e.checkKeys()...)
 	bs = append(bs, e.checkMemory()...)
-	bs = append(bs, e.judgeLeaving()...)
+	bs = append(bs, e.checkLeaving()...)
 	return append(bs, e.judgeRevisions()...)
 }
 
@@ -161,7 +161,7 @@
 	return bs
 }
 
-func (e Evidence) judgeLeaving() (bs []Violation) {
+func (e Evidence) checkLeaving() (bs []Violation) {
 	sent := map[string]time.Time{}
 	for _, a := range e.Answers {
 		sent[a.RequestID] = a.Sent
