--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -70,7 +70,7 @@
 	bs = append(bs, e.checkKeys()...)
 	bs = append(bs, e.checkMemory()...)
 	bs = append(bs, e.checkLeaving()...)
-	return append(bs, e.judgeRevisions()...)
+	return append(bs, e.checkRevisions()...)
 }
 
 func (e Evidence) checkAnswer(a Answer) (bs []Violation) {
@@ -175,7 +175,7 @@
 	return bs
 }
 
-func (e Evidence) judgeRevisions() (bs []Violation) {
+func (e Evidence) checkRevisions() (bs []Violation) {
 	for b, rs := range e.Revisions {
 		for i := 1; i < len(rs); i++ {
 			if rs[i] < rs[i-1] {
