--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -312,9 +312,9 @@
 	return c.fleet.keeperOf(c.kind.call.Organisation, c.kind.call.Key)
 }
 
-// judge turns the evidence into breaches, with those that only the matrix can
+// check turns the evidence into breaches, with those that only the matrix can
 // see: of two racing operators at most one has won, and the loser was told.
-func (c *cell) judge(e Evidence) (bs []Violation) {
+func (c *cell) check(e Evidence) (bs []Violation) {
 	bs = e.Violations()
 	if c.mustFinish && e.Answers[0].Outcome != hollowgrade.Finished {
 		a := e.Answers[0]
@@ -349,7 +349,7 @@
 		require.NoError(t, f.Prepare("a", "b"))
 		c.mustFinish = len(faults) == 1 && faults[0].fault.entryReplies && k.call.Key == "" && !k.mint
 		e = c.run(l, faults)
-		bs = c.judge(e)
+		bs = c.check(e)
 	})
 	return e, bs
 }
