--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -23,8 +23,8 @@
 	NeverReverts Guarantee = "an accepted configuration is in force everywhere and never reverts"
 )
 
-// Started is one start of a request at an upstream.
-type Started struct {
+// Run is one start of a request at an upstream.
+type Run struct {
 	Request string // id that the entry gave
 	Attempt string // tells attempts at one request apart
 	Box     string
@@ -36,7 +36,7 @@
 // checker judges by nothing else.
 type Evidence struct {
 	Answers      []Answer
-	Runs         []Started
+	Runs         []Run
 	Used         map[string]int       // tokens that each live engine still holds at the end
 	Lost         map[string]int       // tokens that no ledger answers for at the end
 	LeavingSince map[string]time.Time // since when a box is leaving
@@ -112,7 +112,7 @@
 
 // runsOf returns the starts of a request: its own, and for a key those of all
 // requests with that key.
-func (e Evidence) runsOf(a Answer) (rs []Started) {
+func (e Evidence) runsOf(a Answer) (rs []Run) {
 	ids := map[string]bool{a.RequestID: a.RequestID != ""}
 	for _, o := range e.Answers {
 		if a.Call.Key != "" && o.Call.Key == a.Call.Key && o.RequestID != "" {
@@ -209,17 +209,17 @@
 
 // starts returns what the upstream beside the agent ran. An engine knows it by
 // the agent's id: request, attempt and, for a piece of a prompt, its number.
-func (a *AgentBox) starts() (ss []Started) {
+func (a *AgentBox) starts() (ss []Run) {
 	if a.Engine == nil {
 		for _, r := range a.Service.Runs() {
-			ss = append(ss, Started{Request: r.RequestID, Attempt: r.At.String(), Box: a.Name, Body: r.Body, At: r.At})
+			ss = append(ss, Run{Request: r.RequestID, Attempt: r.At.String(), Box: a.Name, Body: r.Body, At: r.At})
 		}
 		return ss
 	}
 	for _, r := range a.Engine.Runs() {
 		id, attempt, _ := strings.Cut(r.ID, ".")
 		attempt, _, _ = strings.Cut(attempt, "/")
-		ss = append(ss, Started{Request: id, Attempt: attempt, Box: a.Name, At: r.At})
+		ss = append(ss, Run{Request: id, Attempt: attempt, Box: a.Name, At: r.At})
 	}
 	return ss
 }
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -58,21 +58,21 @@
 	})
 	t.Run("not run, yet it ran", func(t *testing.T) {
 		as := with(func(a *Answer) { a.Outcome, a.Text = hollowgrade.NotRun, "" })
-		requireViolation(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
+		requireViolation(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("not run, yet an earlier one with its key ran", func(t *testing.T) {
 		a, b := kept(), kept()
 		a.Call.Key, b.Call.Key = "k", "k"
 		b.RequestID, b.Outcome, b.Text = "s", hollowgrade.NotRun, ""
-		requireViolation(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Started{{Request: "r", Attempt: "1", At: t0}}})
+		requireViolation(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("run twice under one key", func(t *testing.T) {
 		as := with(func(a *Answer) { a.Call.Key = "k" })
-		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Started{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
+		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
 	})
 	t.Run("new work while leaving", func(t *testing.T) {
 		e := Evidence{Answers: []Answer{kept()}, LeavingSince: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
-		e.Runs = []Started{{Request: "r", Box: "engine-0", At: t0}}
+		e.Runs = []Run{{Request: "r", Box: "engine-0", At: t0}}
 		requireViolation(t, NoNewWork, e)
 	})
 	t.Run("cut off by a planned stop", func(t *testing.T) {
