--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -194,7 +194,7 @@
 	e := Evidence{Used: map[string]int{}, Lost: map[string]int{}}
 	for _, a := range f.Agents {
 		if !a.replaced {
-			e.Runs = append(e.Runs, a.starts()...)
+			e.Runs = append(e.Runs, a.runs()...)
 		}
 		if a.Engine != nil && !a.dead && !a.replaced {
 			e.Used[a.Name] = a.Engine.Used()
@@ -207,9 +207,9 @@
 	return e
 }
 
-// starts returns what the upstream beside the agent ran. An engine knows it by
+// runs returns what the upstream beside the agent ran. An engine knows it by
 // the agent's id: request, attempt and, for a piece of a prompt, its number.
-func (a *AgentBox) starts() (ss []Run) {
+func (a *AgentBox) runs() (ss []Run) {
 	if a.Engine == nil {
 		for _, r := range a.Service.Runs() {
 			ss = append(ss, Run{Request: r.RequestID, Attempt: r.At.String(), Box: a.Name, Body: r.Body, At: r.At})
