--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -378,7 +378,7 @@
 			return err
 		}
 	}
-	if err := f.giveRanges(); err != nil {
+	if err := f.assignKeyRanges(); err != nil {
 		return err
 	}
 	for !f.ready() {
@@ -387,9 +387,9 @@
 	return nil
 }
 
-// giveRanges names a keeper for each range of keys, as the agents themselves
+// assignKeyRanges names a keeper for each range of keys, as the agents themselves
 // would within seconds; written here to spare each test their dozens of reads.
-func (f *Fleet) giveRanges() error {
+func (f *Fleet) assignKeyRanges() error {
 	for n := range ledger.Ranges {
 		a := f.Agents[n%len(f.Agents)]
 		r := config.KeyRange{Owner: a.Name, Incarnation: a.incarnation, First: true}
