--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -263,13 +263,13 @@
 		a.Engine = standin.NewEngine(f.Config.Engine, hollowgrade.SystemClock())
 		f.stops = append(f.stops, a.Engine.Stop)
 	}
-	a = f.startBeside(a)
+	a = f.startProcess(a)
 	f.Agents = append(f.Agents, a)
 	return a
 }
 
-// startBeside starts a process beside the upstream of another one.
-func (f *Fleet) startBeside(o *AgentBox) *AgentBox {
+// startProcess starts a process beside the upstream of another one.
+func (f *Fleet) startProcess(o *AgentBox) *AgentBox {
 	a := &AgentBox{Name: o.Name, Engine: o.Engine, Service: o.Service, upstream: o.upstream, Freezer: f.Network.Freezer(o.Name)}
 	a.incarnation = f.incarnation(a.Name)
 	a.follower = f.follower(a.Name, a.Freezer)
@@ -501,7 +501,7 @@
 	old := f.Agents[i]
 	f.mark(&old.replaced)
 	f.Network.Forget(old.Name)
-	a := f.startBeside(old)
+	a := f.startProcess(old)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Agents = append(slices.Clone(f.Agents), old)
