--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -244,7 +244,7 @@
 		fold.WithPeers(node.Snapshots(f.agents, f.Network.Dial(name), f.Config.Log)))
 }
 
-func watch(w *fold.Follower, use func(*config.Config)) {
+func watchConfig(w *fold.Follower, use func(*config.Config)) {
 	var former *config.Config
 	w.Watch(func(s fold.State) {
 		if s.Revision() > 0 {
@@ -293,9 +293,9 @@
 	if a.Engine != nil {
 		a.preparer = agent.NewPreparer(a.Name, a.Link, f.Weights, clock, f.Config.Log, f.agents)
 		_ = a.preparer.Start(context.Background(), nil)
-		watch(a.follower, a.preparer.SetConfig)
+		watchConfig(a.follower, a.preparer.SetConfig)
 	}
-	watch(a.follower, a.keeper.SetConfig)
+	watchConfig(a.follower, a.keeper.SetConfig)
 	_ = a.keeper.Start(context.Background(), nil)
 	_ = a.Start(context.Background(), nil)
 	return a
@@ -339,7 +339,7 @@
 	f.mu.Unlock()
 	f.Boxes.Set(b)
 	_ = e.follower.Start(context.Background(), nil)
-	watch(e.follower, e.SetConfig)
+	watchConfig(e.follower, e.SetConfig)
 	_ = e.Start(context.Background(), nil)
 	return e
 }
