--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -487,12 +487,12 @@
 		f.Network.Kill(e.Name)
 	}
 	f.Network.Kill(Caller)
-	time.Sleep(closing)
+	time.Sleep(connCloseDelay)
 }
 
-// closing is how long net/http keeps a connection after an answer to a request
+// connCloseDelay is how long net/http keeps a connection after an answer to a request
 // whose body it has not read.
-const closing = time.Second
+const connCloseDelay = time.Second
 
 // ReplaceAgent starts another process at the address of an agent that was
 // killed, beside the same upstream. The new one takes its place in Agents; what
