--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -421,7 +421,7 @@
 // connections break.
 func (f *Fleet) KillEntry(i int) {
 	e := f.Entries[i]
-	f.mark(&e.dead)
+	f.setFlag(&e.dead)
 	e.Freezer.Set(true)
 	f.Network.Kill(e.Name)
 }
@@ -429,7 +429,7 @@
 // KillAgent kills an agent. Its upstream goes on.
 func (f *Fleet) KillAgent(i int) {
 	a := f.Agents[i]
-	f.mark(&a.dead)
+	f.setFlag(&a.dead)
 	a.Freezer.Set(true)
 	f.Network.Kill(a.Name)
 	if a.Link != nil {
@@ -499,7 +499,7 @@
 // the upstream ran before stays in the evidence.
 func (f *Fleet) ReplaceAgent(i int) {
 	old := f.Agents[i]
-	f.mark(&old.replaced)
+	f.setFlag(&old.replaced)
 	f.Network.Forget(old.Name)
 	a := f.startProcess(old)
 	f.mu.Lock()
@@ -511,7 +511,7 @@
 // StopAgent stops an agent as planned, with its keeper of keys.
 func (f *Fleet) StopAgent(ctx context.Context, a *AgentBox) {
 	_ = a.Stop(ctx)
-	f.mark(&a.stopped)
+	f.setFlag(&a.stopped)
 	_ = a.keeper.Stop(ctx)
 }
 
--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func (f *Fleet) mark(b *bool) {
+func (f *Fleet) setFlag(b *bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*b = true
