--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -215,8 +215,8 @@
 	return fmt.Sprintf("%s#%d", name, f.started)
 }
 
-// agents returns the list of agents as the platform shows it.
-func (f *Fleet) agents(ctx context.Context) []hollowgrade.Box {
+// listAgents returns the list of listAgents as the platform shows it.
+func (f *Fleet) listAgents(ctx context.Context) []hollowgrade.Box {
 	bs, _ := f.Boxes.List(ctx)
 	return slices.DeleteFunc(bs, func(b hollowgrade.Box) bool { return b.Role != hollowgrade.AgentRole })
 }
@@ -241,7 +241,7 @@
 
 func (f *Fleet) follower(name string, z *standin.Freezer) *fold.Follower {
 	return fold.NewFollower(frozenLog{f.Log, z}, fold.WithClock(z.Clock()), fold.WithLogger(f.Config.Log), fold.WithPoll(f.Config.Poll),
-		fold.WithPeers(node.Snapshots(f.agents, f.Network.Dial(name), f.Config.Log)))
+		fold.WithPeers(node.Snapshots(f.listAgents, f.Network.Dial(name), f.Config.Log)))
 }
 
 func watchConfig(w *fold.Follower, use func(*config.Config)) {
@@ -275,7 +275,7 @@
 	a.follower = f.follower(a.Name, a.Freezer)
 	clock, l := a.Freezer.Clock(), frozenLog{f.Log, a.Freezer}
 	b := hollowgrade.Box{Name: a.Name, Role: hollowgrade.AgentRole, Hall: f.hall(a.Name), Peer: a.Name, State: hollowgrade.BoxLive}
-	a.keeper = agent.NewKeeper(a.Name, a.incarnation, f.Config.KeyTimes, clock, f.Config.Log, l, a.follower, f.agents, f.Network.Dial(a.Name))
+	a.keeper = agent.NewKeeper(a.Name, a.incarnation, f.Config.KeyTimes, clock, f.Config.Log, l, a.follower, f.listAgents, f.Network.Dial(a.Name))
 	os := []agent.Option{
 		agent.WithClock(clock), agent.WithLogger(f.Config.Log), agent.WithLimits(f.Config.Limits),
 		agent.WithQueue(f.Config.Queue()), agent.WithKeys(a.keeper),
@@ -291,7 +291,7 @@
 	f.Boxes.Set(b)
 	_ = a.follower.Start(context.Background(), nil)
 	if a.Engine != nil {
-		a.preparer = agent.NewPreparer(a.Name, a.Link, f.Weights, clock, f.Config.Log, f.agents)
+		a.preparer = agent.NewPreparer(a.Name, a.Link, f.Weights, clock, f.Config.Log, f.listAgents)
 		_ = a.preparer.Start(context.Background(), nil)
 		watchConfig(a.follower, a.preparer.SetConfig)
 	}
@@ -330,7 +330,7 @@
 	e := &EntryBox{Name: name, Freezer: f.Network.Freezer(name)}
 	b := hollowgrade.Box{Name: name, Role: hollowgrade.EntryRole, Hall: f.hall(name), State: hollowgrade.BoxLive}
 	e.follower = f.follower(e.Name, e.Freezer)
-	e.Entry = entry.New(b, f.incarnation(name), f.Network.Listen(name), f.agents,
+	e.Entry = entry.New(b, f.incarnation(name), f.Network.Listen(name), f.listAgents,
 		entry.WithClock(e.Freezer.Clock()), entry.WithLogger(f.Config.Log), entry.WithLimits(f.Config.Entry),
 		entry.WithDialer(peer.Dialer(f.Network.Dial(name))), entry.WithPlacement(f.Config.Placement()),
 		entry.WithObserver(f.count))
