--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -208,7 +208,7 @@
 	}
 }
 
-func (f *Fleet) incarnation(name string) string {
+func (f *Fleet) newIncarnation(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.started++
@@ -271,7 +271,7 @@
 // startProcess starts a process beside the upstream of another one.
 func (f *Fleet) startProcess(o *AgentBox) *AgentBox {
 	a := &AgentBox{Name: o.Name, Engine: o.Engine, Service: o.Service, upstream: o.upstream, Freezer: f.Network.Freezer(o.Name)}
-	a.incarnation = f.incarnation(a.Name)
+	a.incarnation = f.newIncarnation(a.Name)
 	a.follower = f.follower(a.Name, a.Freezer)
 	clock, l := a.Freezer.Clock(), frozenLog{f.Log, a.Freezer}
 	b := hollowgrade.Box{Name: a.Name, Role: hollowgrade.AgentRole, Hall: f.hall(a.Name), Peer: a.Name, State: hollowgrade.BoxLive}
@@ -330,7 +330,7 @@
 	e := &EntryBox{Name: name, Freezer: f.Network.Freezer(name)}
 	b := hollowgrade.Box{Name: name, Role: hollowgrade.EntryRole, Hall: f.hall(name), State: hollowgrade.BoxLive}
 	e.follower = f.follower(e.Name, e.Freezer)
-	e.Entry = entry.New(b, f.incarnation(name), f.Network.Listen(name), f.listAgents,
+	e.Entry = entry.New(b, f.newIncarnation(name), f.Network.Listen(name), f.listAgents,
 		entry.WithClock(e.Freezer.Clock()), entry.WithLogger(f.Config.Log), entry.WithLimits(f.Config.Entry),
 		entry.WithDialer(peer.Dialer(f.Network.Dial(name))), entry.WithPlacement(f.Config.Placement()),
 		entry.WithObserver(f.count))
