--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -333,7 +333,7 @@
 	e.Entry = entry.New(b, f.newIncarnation(name), f.Network.Listen(name), f.listAgents,
 		entry.WithClock(e.Freezer.Clock()), entry.WithLogger(f.Config.Log), entry.WithLimits(f.Config.Entry),
 		entry.WithDialer(peer.Dialer(f.Network.Dial(name))), entry.WithPlacement(f.Config.Placement()),
-		entry.WithObserver(f.count))
+		entry.WithObserver(f.countAttempts))
 	f.mu.Lock()
 	f.Entries = append(slices.Clone(f.Entries), e)
 	f.mu.Unlock()
@@ -344,7 +344,7 @@
 	return e
 }
 
-func (f *Fleet) count(o entry.Observation) {
+func (f *Fleet) countAttempts(o entry.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests++
