--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -221,26 +221,26 @@
 	return slices.DeleteFunc(bs, func(b hollowgrade.Box) bool { return b.Role != hollowgrade.AgentRole })
 }
 
-// frozenLog is the log as a process sees it that can be frozen or cut off.
-type frozenLog struct {
+// freezableLog is the log as a process sees it that can be frozen or cut off.
+type freezableLog struct {
 	*standin.Log
 	freezer *standin.Freezer
 }
 
 // Append implements [hollowgrade.Log].
-func (l frozenLog) Append(ctx context.Context, b []byte) (int64, error) {
+func (l freezableLog) Append(ctx context.Context, b []byte) (int64, error) {
 	l.freezer.Wait()
 	return l.Log.Append(ctx, b)
 }
 
 // Read implements [hollowgrade.Log].
-func (l frozenLog) Read(ctx context.Context, from int64, limit int) (hollowgrade.Page, error) {
+func (l freezableLog) Read(ctx context.Context, from int64, limit int) (hollowgrade.Page, error) {
 	l.freezer.Wait()
 	return l.Log.Read(ctx, from, limit)
 }
 
 func (f *Fleet) follower(name string, z *standin.Freezer) *fold.Follower {
-	return fold.NewFollower(frozenLog{f.Log, z}, fold.WithClock(z.Clock()), fold.WithLogger(f.Config.Log), fold.WithPoll(f.Config.Poll),
+	return fold.NewFollower(freezableLog{f.Log, z}, fold.WithClock(z.Clock()), fold.WithLogger(f.Config.Log), fold.WithPoll(f.Config.Poll),
 		fold.WithPeers(node.Snapshots(f.listAgents, f.Network.Dial(name), f.Config.Log)))
 }
 
@@ -273,7 +273,7 @@
 	a := &AgentBox{Name: o.Name, Engine: o.Engine, Service: o.Service, upstream: o.upstream, Freezer: f.Network.Freezer(o.Name)}
 	a.incarnation = f.newIncarnation(a.Name)
 	a.follower = f.follower(a.Name, a.Freezer)
-	clock, l := a.Freezer.Clock(), frozenLog{f.Log, a.Freezer}
+	clock, l := a.Freezer.Clock(), freezableLog{f.Log, a.Freezer}
 	b := hollowgrade.Box{Name: a.Name, Role: hollowgrade.AgentRole, Hall: f.hall(a.Name), Peer: a.Name, State: hollowgrade.BoxLive}
 	a.keeper = agent.NewKeeper(a.Name, a.incarnation, f.Config.KeyTimes, clock, f.Config.Log, l, a.follower, f.listAgents, f.Network.Dial(a.Name))
 	os := []agent.Option{
