--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -88,7 +88,7 @@
 	c.Entries, c.Engines, c.Services = 3, 18, 3
 	c.Engine = standin.DefaultEngine(Model)
 	c.Limits.LongTokens, c.Limits.Heartbeat, c.Limits.Sweep = 100_000, 500*time.Millisecond, time.Second
-	c.HallDelay, c.Caller = u.hall, u.caller
+	c.HallDelay, c.CallerDelay = u.hall, u.caller
 	c.Entry.MaxBodyBytes = 16 << 20
 	m.apply(&c)
 	return c
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -31,22 +31,22 @@
 
 // Config gives the size of a fleet and how its parts decide.
 type Config struct {
-	Entries   int
-	Engines   int
-	Services  int // upstreams of the plain service
-	Halls     int
-	Engine    standin.EngineConfig
-	Limits    agent.Limits
-	Entry     entry.Limits
-	KeyTimes  agent.KeyTimes
-	Queue     func() sched.Queue
-	Placement func() sched.Placement
-	HallDelay time.Duration // one way between two data halls
-	BoxDelay  time.Duration // one way between two boxes of a data hall
-	Caller    time.Duration // one way to a caller
-	Poll      time.Duration // of the log
-	Policy    string
-	Log       *log.Logger
+	Entries     int
+	Engines     int
+	Services    int // upstreams of the plain service
+	Halls       int
+	Engine      standin.EngineConfig
+	Limits      agent.Limits
+	Entry       entry.Limits
+	KeyTimes    agent.KeyTimes
+	Queue       func() sched.Queue
+	Placement   func() sched.Placement
+	HallDelay   time.Duration // one way between two data halls
+	BoxDelay    time.Duration // one way between two boxes of a data hall
+	CallerDelay time.Duration // one way to a caller
+	Poll        time.Duration // of the log
+	Policy      string
+	Log         *log.Logger
 }
 
 // The names that a fleet uses.
@@ -71,22 +71,22 @@
 	k.Grace = time.Second
 	k.Every = time.Second
 	return Config{
-		Entries:   2,
-		Engines:   3,
-		Services:  2,
-		Halls:     3,
-		Engine:    e,
-		Limits:    l,
-		Entry:     entry.DefaultLimits(),
-		KeyTimes:  k,
-		Queue:     func() sched.Queue { return sched.NewFair() },
-		Placement: func() sched.Placement { return sched.NewQuickest() },
-		HallDelay: 1500 * time.Microsecond,
-		BoxDelay:  100 * time.Microsecond,
-		Caller:    time.Millisecond,
-		Poll:      time.Second,
-		Policy:    Policy,
-		Log:       log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel}),
+		Entries:     2,
+		Engines:     3,
+		Services:    2,
+		Halls:       3,
+		Engine:      e,
+		Limits:      l,
+		Entry:       entry.DefaultLimits(),
+		KeyTimes:    k,
+		Queue:       func() sched.Queue { return sched.NewFair() },
+		Placement:   func() sched.Placement { return sched.NewQuickest() },
+		HallDelay:   1500 * time.Microsecond,
+		BoxDelay:    100 * time.Microsecond,
+		CallerDelay: time.Millisecond,
+		Poll:        time.Second,
+		Policy:      Policy,
+		Log:         log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel}),
 	}
 }
 
@@ -200,7 +200,7 @@
 func (f *Fleet) delay(from, to string) time.Duration {
 	switch {
 	case from == Caller || to == Caller:
-		return f.Config.Caller
+		return f.Config.CallerDelay
 	case f.hall(from) == f.hall(to):
 		return f.Config.BoxDelay
 	default:
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -229,7 +229,7 @@
 
 func matrixConfig() Config {
 	c := Small()
-	c.BoxDelay, c.HallDelay, c.Caller = boxDelay, boxDelay, callerDelay
+	c.BoxDelay, c.HallDelay, c.CallerDelay = boxDelay, boxDelay, callerDelay
 	return c
 }
 
