--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -49,8 +49,8 @@
 	return a.Ended.Sub(a.Sent)
 }
 
-// Wants returns the text of the whole answer to a model's request.
-func (c Call) Wants() string {
+// ExpectedText returns the text of the whole answer to a model's request.
+func (c Call) ExpectedText() string {
 	return standin.Answer(c.Prompt, c.Tokens)
 }
 
--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -106,7 +106,7 @@
 	case a.Call.Service:
 		return a.Text == a.Call.Prompt
 	default:
-		return a.Text == a.Call.Wants()
+		return a.Text == a.Call.ExpectedText()
 	}
 }
 
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -14,7 +14,7 @@
 // kept returns an answer that breaks no promise.
 func kept() Answer {
 	c := Call{Prompt: "p", Tokens: 3, Allowed: time.Second}
-	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.Wants(), Sent: t0, Ended: t0.Add(time.Second / 2)}
+	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.ExpectedText(), Sent: t0, Ended: t0.Add(time.Second / 2)}
 }
 
 func requireViolation(t *testing.T, p Guarantee, e Evidence) {
@@ -51,7 +51,7 @@
 		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = a.Text[:4] })})
 	})
 	t.Run("another's answer", func(t *testing.T) {
-		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.Wants() })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.ExpectedText() })})
 	})
 	t.Run("token twice", func(t *testing.T) {
 		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text += a.Text[len(a.Text)-4:] })})
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -35,7 +35,7 @@
 		require.Equal(t, a.Call.Prompt, a.Text)
 		return
 	}
-	require.Equal(t, a.Call.Wants(), a.Text)
+	require.Equal(t, a.Call.ExpectedText(), a.Text)
 }
 
 func TestFleet(t *testing.T) {
