--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -93,7 +93,7 @@
 	a.Revision, a.Replayed = res.Header.Get(entry.RevisionHeader), res.Header.Get(entry.ReplayHeader) != ""
 	switch {
 	case res.StatusCode != http.StatusOK:
-		a.refused(res.Body)
+		a.readRefusal(res.Body)
 	case c.Service:
 		a.service(res.Body)
 	default:
@@ -122,7 +122,7 @@
 	return m.Key
 }
 
-func (a *Answer) refused(b io.Reader) {
+func (a *Answer) readRefusal(b io.Reader) {
 	var e entry.ErrorBody
 	if err := json.NewDecoder(b).Decode(&e); err != nil {
 		a.Code = "unreadable refusal"
