--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -128,10 +128,10 @@
 		a.Code = "unreadable refusal"
 		return
 	}
-	a.failed(e)
+	a.setFailure(e)
 }
 
-func (a *Answer) failed(e entry.ErrorBody) {
+func (a *Answer) setFailure(e entry.ErrorBody) {
 	a.Outcome, a.Code, a.Message, a.RetryAfter = e.Error.Outcome, string(e.Error.Code), e.Error.Message, e.Error.RetryAfter
 }
 
@@ -156,7 +156,7 @@
 	case v.Whole:
 		a.Outcome = hollowgrade.Finished
 	case v.Failure.Outcome != "":
-		a.failed(entry.ErrorBody{Error: v.Failure})
+		a.setFailure(entry.ErrorBody{Error: v.Failure})
 	default:
 		a.Code = v.Broken
 	}
