--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -95,7 +95,7 @@
 	case res.StatusCode != http.StatusOK:
 		a.readRefusal(res.Body)
 	case c.Service:
-		a.service(res.Body)
+		a.readService(res.Body)
 	default:
 		a.stream(res.Body)
 	}
@@ -135,7 +135,7 @@
 	a.Outcome, a.Code, a.Message, a.RetryAfter = e.Error.Outcome, string(e.Error.Code), e.Error.Message, e.Error.RetryAfter
 }
 
-func (a *Answer) service(b io.Reader) {
+func (a *Answer) readService(b io.Reader) {
 	v, err := io.ReadAll(b)
 	if err != nil {
 		a.Code = err.Error()
