--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -97,7 +97,7 @@
 	case c.Service:
 		a.readService(res.Body)
 	default:
-		a.stream(res.Body)
+		a.readStream(res.Body)
 	}
 	return a
 }
@@ -149,7 +149,7 @@
 	a.Text, a.Outcome = e.Body, hollowgrade.Finished
 }
 
-func (a *Answer) stream(b io.Reader) {
+func (a *Answer) readStream(b io.Reader) {
 	v := load.ReadStream(b)
 	a.Text, a.First = v.Text, v.First
 	switch {
