--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -9,7 +9,7 @@
 	"github.com/hollowgrade/hollowgrade/fold"
 )
 
-const watchEvery = 100 * time.Millisecond
+const revisionPollInterval = 100 * time.Millisecond
 
 // watchRevisions notes what each box has in force, until the function that it
 // returns is called.
@@ -24,7 +24,7 @@
 					seen[n] = append(seen[n], r)
 				}
 			}
-			t := time.NewTimer(watchEvery)
+			t := time.NewTimer(revisionPollInterval)
 			select {
 			case <-t.C:
 			case <-stop:
