--- a/internal/fleettest/outage_test.go
+++ b/internal/fleettest/outage_test.go
@@ -47,7 +47,7 @@
 		o := config.Organisation{Name: "c", Keys: []string{config.KeyDigest("c")}}
 		r, err := config.Publish(ctx, f.Log, config.OrganisationKind, "c", o, config.Current)
 		require.NoError(t, err)
-		time.Sleep(inForceWithin)
+		time.Sleep(maxRevisionDelay)
 		for n, v := range f.revisions() {
 			require.GreaterOrEqual(t, v, r, n)
 		}
--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -64,8 +64,8 @@
 	return m
 }
 
-// inForceWithin is how soon an accepted revision must be in force everywhere.
-const inForceWithin = 4 * time.Second
+// maxRevisionDelay is how soon an accepted revision must be in force everywhere.
+const maxRevisionDelay = 4 * time.Second
 
 // late names the live processes on which a revision that was accepted long
 // enough ago is not in force.
@@ -76,7 +76,7 @@
 	}
 	s := fold.New()
 	for _, r := range p.Records {
-		if time.Since(r.Time) >= inForceWithin {
+		if time.Since(r.Time) >= maxRevisionDelay {
 			s, _ = s.Apply(r)
 		}
 	}
