--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -67,9 +67,9 @@
 // maxRevisionDelay is how soon an accepted revision must be in force everywhere.
 const maxRevisionDelay = 4 * time.Second
 
-// late names the live processes on which a revision that was accepted long
+// lateRevisions names the live processes on which a revision that was accepted long
 // enough ago is not in force.
-func (f *Fleet) late() (ls []string) {
+func (f *Fleet) lateRevisions() (ls []string) {
 	p, err := f.Log.Read(context.Background(), 0, math.MaxInt)
 	if err != nil {
 		return []string{err.Error()}
