--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -35,15 +35,15 @@
 // Evidence is what the callers saw and what the upstreams really ran. The
 // checker judges by nothing else.
 type Evidence struct {
-	Answers      []Answer
-	Runs         []Run
-	Used         map[string]int       // tokens that each live engine still holds at the end
-	Lost         map[string]int       // tokens that no ledger answers for at the end
-	LeavingSince map[string]time.Time // since when a box is leaving
-	Planned      bool                 // only planned stops happened
-	Revisions    map[string][]int64   // what each box had in force, in the order of time
-	Late         []string             // boxes on which an accepted revision was not in force in time
-	Excused      map[string]bool      // requests by prompt whose entry could not speak to them
+	Answers       []Answer
+	Runs          []Run
+	Used          map[string]int       // tokens that each live engine still holds at the end
+	Lost          map[string]int       // tokens that no ledger answers for at the end
+	LeavingSince  map[string]time.Time // since when a box is leaving
+	Planned       bool                 // only planned stops happened
+	Revisions     map[string][]int64   // what each box had in force, in the order of time
+	LateRevisions []string             // boxes on which an accepted revision was not in force in time
+	Excused       map[string]bool      // requests by prompt whose entry could not speak to them
 }
 
 // Violation is a promise that was not kept.
@@ -183,7 +183,7 @@
 			}
 		}
 	}
-	for _, l := range e.Late {
+	for _, l := range e.LateRevisions {
 		bs = append(bs, Violation{NeverReverts, l})
 	}
 	return bs
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -83,6 +83,6 @@
 		requireViolation(t, NeverReverts, Evidence{Revisions: map[string][]int64{"entry-0": {1, 3, 2}}})
 	})
 	t.Run("configuration not in force", func(t *testing.T) {
-		requireViolation(t, NeverReverts, Evidence{Late: []string{"entry-0"}})
+		requireViolation(t, NeverReverts, Evidence{LateRevisions: []string{"entry-0"}})
 	})
 }
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -297,7 +297,7 @@
 	c.waitForRecovery()
 	e := f.Collect()
 	e.Answers, e.LeavingSince, e.Revisions = as, c.leavingSince, watched()
-	e.Late = f.lateRevisions()
+	e.LateRevisions = f.lateRevisions()
 	e.Excused, e.Planned = map[string]bool{}, len(faults) > 0
 	for _, b := range faults {
 		e.Planned = e.Planned && b.fault.planned
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -119,7 +119,7 @@
 		g.Wait()
 		time.Sleep(30 * time.Second)
 		e := f.Collect()
-		e.Answers, e.Revisions, e.Late = as, watched(), f.lateRevisions()
+		e.Answers, e.Revisions, e.LateRevisions = as, watched(), f.lateRevisions()
 		for _, b := range e.Violations() {
 			assert.Fail(t, b.String())
 		}
