--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -21,8 +21,8 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// user is one of the two fleets of the brief.
-type user struct {
+// workload is one of the two fleets of the brief.
+type workload struct {
 	name          string
 	hall, caller  time.Duration // delays, one way
 	lengths       []int         // of prompts, in tokens
@@ -33,7 +33,7 @@
 }
 
 // One prompt in fifty is over 100,000 tokens, and those are most of the work.
-var users = []user{
+var users = []workload{
 	{
 		name: "sao-bien", hall: 1500 * time.Microsecond, caller: time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
@@ -83,7 +83,7 @@
 	{"ours", func(c *Config) { c.Policy = ownPolicy }},
 }
 
-func benchConfig(u user, m mode) Config {
+func benchConfig(u workload, m mode) Config {
 	c := Small()
 	c.Entries, c.Engines, c.Services = 3, 18, 3
 	c.Engine = standin.DefaultEngine(Model)
@@ -114,7 +114,7 @@
 )
 
 // draw makes the load of a user at a part of the fleet's capacity.
-func draw(u user, part float64, seed uint64) (as []arrival) {
+func draw(u workload, part float64, seed uint64) (as []arrival) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	mean := 0.0
 	total := 0.0
