--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -33,7 +33,7 @@
 }
 
 // One prompt in fifty is over 100,000 tokens, and those are most of the work.
-var users = []workload{
+var workloads = []workload{
 	{
 		name: "sao-bien", hall: 1500 * time.Microsecond, caller: time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
@@ -239,7 +239,7 @@
 // report gives the figures of a run to the benchmark.
 func report(b *testing.B, outs, alone []outcome) {
 	b.Helper()
-	for _, n := range users[0].lengths {
+	for _, n := range workloads[0].lengths {
 		ds := firsts(outs, func(o outcome) bool { return o.size == n })
 		b.ReportMetric(ms(quantile(ds, 0.95)), fmt.Sprintf("ttft-p95-%s-ms", measure.Bucket(n)))
 	}
@@ -298,7 +298,7 @@
 // there. Time is virtual: the same seed gives the same load, and the figures do
 // not depend on the machine.
 func BenchmarkFleet(b *testing.B) {
-	for _, u := range users {
+	for _, u := range workloads {
 		for _, part := range []float64{0.5, 0.8, 0.95, 2} {
 			for seed := range uint64(3) {
 				for _, m := range modes {
