--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -46,8 +46,8 @@
 	},
 }
 
-// mode is a way of deciding.
-type mode struct {
+// strategy is a way of deciding.
+type strategy struct {
 	name  string
 	apply func(*Config)
 }
@@ -71,7 +71,7 @@
 	c.Limits.MaxRunning = 128
 }
 
-var modes = []mode{
+var modes = []strategy{
 	{"naive", func(c *Config) {
 		baseline(c)
 		c.Placement = func() sched.Placement { return sched.NewRoundRobin() }
@@ -83,7 +83,7 @@
 	{"ours", func(c *Config) { c.Policy = ownPolicy }},
 }
 
-func benchConfig(u workload, m mode) Config {
+func benchConfig(u workload, m strategy) Config {
 	c := Small()
 	c.Entries, c.Engines, c.Services = 3, 18, 3
 	c.Engine = standin.DefaultEngine(Model)
