--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -71,7 +71,7 @@
 	c.Limits.MaxRunning = 128
 }
 
-var modes = []strategy{
+var strategies = []strategy{
 	{"naive", func(c *Config) {
 		baseline(c)
 		c.Placement = func() sched.Placement { return sched.NewRoundRobin() }
@@ -301,7 +301,7 @@
 	for _, u := range workloads {
 		for _, part := range []float64{0.5, 0.8, 0.95, 2} {
 			for seed := range uint64(3) {
-				for _, m := range modes {
+				for _, m := range strategies {
 					b.Run(fmt.Sprintf("%s/load=%v/seed=%d/%s", u.name, part, seed+1, m.name), func(b *testing.B) {
 						as := draw(u, part, seed+1)
 						var with, alone []outcome
