--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -113,8 +113,8 @@
 	longLimit = 100_000
 )
 
-// draw makes the load of a user at a part of the fleet's capacity.
-func draw(u workload, part float64, seed uint64) (as []arrival) {
+// drawLoad makes the load of a user at a part of the fleet's capacity.
+func drawLoad(u workload, part float64, seed uint64) (as []arrival) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	mean := 0.0
 	total := 0.0
@@ -303,7 +303,7 @@
 			for seed := range uint64(3) {
 				for _, m := range strategies {
 					b.Run(fmt.Sprintf("%s/load=%v/seed=%d/%s", u.name, part, seed+1, m.name), func(b *testing.B) {
-						as := draw(u, part, seed+1)
+						as := drawLoad(u, part, seed+1)
 						var with, alone []outcome
 						for range b.N {
 							with = drive(b, benchConfig(u, m), as)
