--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -165,8 +165,8 @@
 	answer Answer
 }
 
-// drive sends the load through a fleet in virtual time.
-func drive(b *testing.B, c Config, as []arrival) (outs []outcome) {
+// runLoad sends the load through a fleet in virtual time.
+func runLoad(b *testing.B, c Config, as []arrival) (outs []outcome) {
 	b.Helper()
 	defer runtime.GC()
 	defer runtime.GC()
@@ -306,8 +306,8 @@
 						as := drawLoad(u, part, seed+1)
 						var with, alone []outcome
 						for range b.N {
-							with = drive(b, benchConfig(u, m), as)
-							alone = drive(b, benchConfig(u, m), withoutLong(as))
+							with = runLoad(b, benchConfig(u, m), as)
+							alone = runLoad(b, benchConfig(u, m), withoutLong(as))
 						}
 						report(b, with, alone)
 					})
