--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -171,7 +171,7 @@
 	defer runtime.GC()
 	defer runtime.GC()
 	outs = make([]outcome, len(as))
-	bubble(b, func() {
+	runInBubble(b, func() {
 		f := New(c)
 		defer f.Stop()
 		var names []string
@@ -194,8 +194,8 @@
 	return outs
 }
 
-// bubble runs f in a bubble of virtual time, which takes a test to make.
-func bubble(b *testing.B, f func()) {
+// runInBubble runs f in a runInBubble of virtual time, which takes a test to make.
+func runInBubble(b *testing.B, f func()) {
 	b.Helper()
 	ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubble",
