--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -222,8 +222,8 @@
 	return ds[min(int(q*float64(len(ds))), len(ds)-1)]
 }
 
-// firsts returns the times to first token of the finished requests that match.
-func firsts(os []outcome, match func(outcome) bool) (ds []time.Duration) {
+// firstTokenTimes returns the times to first token of the finished requests that match.
+func firstTokenTimes(os []outcome, match func(outcome) bool) (ds []time.Duration) {
 	for _, o := range os {
 		if finished(o) && !o.call.Service && match(o) {
 			ds = append(ds, o.first())
@@ -240,10 +240,10 @@
 func report(b *testing.B, outs, alone []outcome) {
 	b.Helper()
 	for _, n := range workloads[0].lengths {
-		ds := firsts(outs, func(o outcome) bool { return o.size == n })
+		ds := firstTokenTimes(outs, func(o outcome) bool { return o.size == n })
 		b.ReportMetric(ms(quantile(ds, 0.95)), fmt.Sprintf("ttft-p95-%s-ms", measure.Bucket(n)))
 	}
-	with, without := quantile(firsts(outs, isShort), 0.95), quantile(firsts(alone, isShort), 0.95)
+	with, without := quantile(firstTokenTimes(outs, isShort), 0.95), quantile(firstTokenTimes(alone, isShort), 0.95)
 	b.ReportMetric(float64(with)/float64(without), "short-slowdown-p95")
 	b.ReportMetric(ms(without), "short-alone-p95-ms")
 	long, done, refused, good := 0, 0, 0, 0
@@ -284,7 +284,7 @@
 func worstOrganisation(os []outcome) float64 {
 	var ps []time.Duration
 	for i := range 10 {
-		if ds := firsts(os, func(o outcome) bool { return o.org == i && isShort(o) }); len(ds) > 0 {
+		if ds := firstTokenTimes(os, func(o outcome) bool { return o.org == i && isShort(o) }); len(ds) > 0 {
 			ps = append(ps, quantile(ds, 0.95))
 		}
 	}
