--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -206,7 +206,7 @@
 	require.True(b, ok)
 }
 
-func (o outcome) first() time.Duration {
+func (o outcome) timeToFirstToken() time.Duration {
 	return o.answer.First.Sub(o.answer.Sent)
 }
 
@@ -226,7 +226,7 @@
 func firstTokenTimes(os []outcome, match func(outcome) bool) (ds []time.Duration) {
 	for _, o := range os {
 		if finished(o) && !o.call.Service && match(o) {
-			ds = append(ds, o.first())
+			ds = append(ds, o.timeToFirstToken())
 		}
 	}
 	return ds
