--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -109,8 +109,8 @@
 }
 
 const (
-	loadTime  = 40 * time.Second
-	longLimit = 100_000
+	loadTime         = 40 * time.Second
+	longPromptTokens = 100_000
 )
 
 // drawLoad makes the load of a user at a part of the fleet's capacity.
@@ -157,7 +157,7 @@
 }
 
 func withoutLong(as []arrival) []arrival {
-	return slices.DeleteFunc(slices.Clone(as), func(a arrival) bool { return a.size > longLimit })
+	return slices.DeleteFunc(slices.Clone(as), func(a arrival) bool { return a.size > longPromptTokens })
 }
 
 type outcome struct {
@@ -248,7 +248,7 @@
 	b.ReportMetric(ms(without), "short-alone-p95-ms")
 	long, done, refused, good := 0, 0, 0, 0
 	for _, o := range outs {
-		if o.size > longLimit {
+		if o.size > longPromptTokens {
 			long++
 			if finished(o) {
 				done++
