--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -125,8 +125,8 @@
 	perSecond := part * 18 * engineRate(standin.DefaultEngine()) / (mean / total)
 	n := int(perSecond * loadTime.Seconds())
 	for i := range n {
-		size := u.lengths[pick(r, u.weights)]
-		org := pick(r, u.organisations)
+		size := u.lengths[pickWeighted(r, u.weights)]
+		org := pickWeighted(r, u.organisations)
 		a := arrival{at: time.Duration(r.Float64() * float64(loadTime)), size: size, org: org}
 		a.call = Call{
 			Entry: i % 3, Organisation: fmt.Sprintf("o%d", org), Tokens: u.tokens,
@@ -142,7 +142,7 @@
 	return as
 }
 
-func pick(r *rand.Rand, ws []float64) int {
+func pickWeighted(r *rand.Rand, ws []float64) int {
 	total := 0.0
 	for _, w := range ws {
 		total += w
