--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -236,8 +236,8 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// report gives the figures of a run to the benchmark.
-func report(b *testing.B, outs, alone []outcome) {
+// reportMetrics gives the figures of a run to the benchmark.
+func reportMetrics(b *testing.B, outs, alone []outcome) {
 	b.Helper()
 	for _, n := range workloads[0].lengths {
 		ds := firstTokenTimes(outs, func(o outcome) bool { return o.size == n })
@@ -309,7 +309,7 @@
 							with = runLoad(b, benchConfig(u, m), as)
 							alone = runLoad(b, benchConfig(u, m), withoutLong(as))
 						}
-						report(b, with, alone)
+						reportMetrics(b, with, alone)
 					})
 				}
 			}
