--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Date(2026, 12, 5, 19, 0, 0, 0, time.UTC)
 
-// kept returns an answer that breaks no promise.
-func kept() Answer {
+// goodAnswer returns an answer that breaks no promise.
+func goodAnswer() Answer {
 	c := Call{Prompt: "p", Tokens: 3, Allowed: time.Second}
 	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.ExpectedText(), Sent: t0, Ended: t0.Add(time.Second / 2)}
 }
@@ -27,7 +27,7 @@
 }
 
 func with(change func(*Answer)) []Answer {
-	a := kept()
+	a := goodAnswer()
 	change(&a)
 	return []Answer{a}
 }
@@ -36,7 +36,7 @@
 // just that.
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
 	t.Run("nothing broken", func(t *testing.T) {
-		require.Empty(t, Evidence{Answers: []Answer{kept()}, Planned: true}.Violations())
+		require.Empty(t, Evidence{Answers: []Answer{goodAnswer()}, Planned: true}.Violations())
 	})
 	t.Run("late", func(t *testing.T) {
 		requireViolation(t, InTime, Evidence{Answers: with(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
@@ -61,7 +61,7 @@
 		requireViolation(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("not run, yet an earlier one with its key ran", func(t *testing.T) {
-		a, b := kept(), kept()
+		a, b := goodAnswer(), goodAnswer()
 		a.Call.Key, b.Call.Key = "k", "k"
 		b.RequestID, b.Outcome, b.Text = "s", hollowgrade.NotRun, ""
 		requireViolation(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
@@ -71,7 +71,7 @@
 		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
 	})
 	t.Run("new work while leaving", func(t *testing.T) {
-		e := Evidence{Answers: []Answer{kept()}, LeavingSince: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
+		e := Evidence{Answers: []Answer{goodAnswer()}, LeavingSince: map[string]time.Time{"engine-0": t0.Add(-3 * time.Second)}}
 		e.Runs = []Run{{Request: "r", Box: "engine-0", At: t0}}
 		requireViolation(t, NoNewWork, e)
 	})
