--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func with(change func(*Answer)) []Answer {
+func answersWith(change func(*Answer)) []Answer {
 	a := goodAnswer()
 	change(&a)
 	return []Answer{a}
@@ -39,7 +39,7 @@
 		require.Empty(t, Evidence{Answers: []Answer{goodAnswer()}, Planned: true}.Violations())
 	})
 	t.Run("late", func(t *testing.T) {
-		requireViolation(t, InTime, Evidence{Answers: with(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
+		requireViolation(t, InTime, Evidence{Answers: answersWith(func(a *Answer) { a.Ended = t0.Add(2 * time.Second) })})
 	})
 	t.Run("memory held", func(t *testing.T) {
 		requireViolation(t, NoMemoryLost, Evidence{Used: map[string]int{"engine-0": 1}})
@@ -48,16 +48,16 @@
 		requireViolation(t, NoMemoryLost, Evidence{Lost: map[string]int{"engine-0": 1}})
 	})
 	t.Run("cut short", func(t *testing.T) {
-		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = a.Text[:4] })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: answersWith(func(a *Answer) { a.Text = a.Text[:4] })})
 	})
 	t.Run("another's answer", func(t *testing.T) {
-		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.ExpectedText() })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: answersWith(func(a *Answer) { a.Text = Call{Prompt: "q", Tokens: 3}.ExpectedText() })})
 	})
 	t.Run("token twice", func(t *testing.T) {
-		requireViolation(t, WholeAnswer, Evidence{Answers: with(func(a *Answer) { a.Text += a.Text[len(a.Text)-4:] })})
+		requireViolation(t, WholeAnswer, Evidence{Answers: answersWith(func(a *Answer) { a.Text += a.Text[len(a.Text)-4:] })})
 	})
 	t.Run("not run, yet it ran", func(t *testing.T) {
-		as := with(func(a *Answer) { a.Outcome, a.Text = hollowgrade.NotRun, "" })
+		as := answersWith(func(a *Answer) { a.Outcome, a.Text = hollowgrade.NotRun, "" })
 		requireViolation(t, NotRunIsTrue, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("not run, yet an earlier one with its key ran", func(t *testing.T) {
@@ -67,7 +67,7 @@
 		requireViolation(t, NotRunIsTrue, Evidence{Answers: []Answer{a, b}, Runs: []Run{{Request: "r", Attempt: "1", At: t0}}})
 	})
 	t.Run("run twice under one key", func(t *testing.T) {
-		as := with(func(a *Answer) { a.Call.Key = "k" })
+		as := answersWith(func(a *Answer) { a.Call.Key = "k" })
 		requireViolation(t, AtMostOnce, Evidence{Answers: as, Runs: []Run{{Request: "r", Attempt: "1"}, {Request: "r", Attempt: "2"}}})
 	})
 	t.Run("new work while leaving", func(t *testing.T) {
@@ -76,7 +76,7 @@
 		requireViolation(t, NoNewWork, e)
 	})
 	t.Run("cut off by a planned stop", func(t *testing.T) {
-		as := with(func(a *Answer) { a.Outcome, a.Text = hollowgrade.Failed, "" })
+		as := answersWith(func(a *Answer) { a.Outcome, a.Text = hollowgrade.Failed, "" })
 		requireViolation(t, NothingCut, Evidence{Answers: as, Planned: true})
 	})
 	t.Run("configuration reverted", func(t *testing.T) {
