--- a/internal/fleettest/event_test.go
+++ b/internal/fleettest/event_test.go
@@ -13,8 +13,8 @@
 	"github.com/hollowgrade/hollowgrade/internal/standin"
 )
 
-// announce publishes an event that needs another model.
-func announce(t *testing.T, f *Fleet, in time.Duration) config.Event {
+// publishEvent publishes an event that needs another model.
+func publishEvent(t *testing.T, f *Fleet, in time.Duration) config.Event {
 	t.Helper()
 	e := config.Event{
 		Name: "final", Starts: time.Now().Add(in), Ends: time.Now().Add(in + time.Hour),
@@ -41,7 +41,7 @@
 func TestEventStart(t *testing.T) {
 	t.Run("models are in place before the start, at the store's rate", func(t *testing.T) {
 		inBubble(t, Small(), func(t *testing.T, f *Fleet) {
-			e := announce(t, f, 60*time.Second)
+			e := publishEvent(t, f, 60*time.Second)
 			time.Sleep(25 * time.Second)
 			requireReady(t, f, false)
 			time.Sleep(time.Until(e.Starts))
@@ -51,7 +51,7 @@
 	})
 	t.Run("an outage of the store before the start", func(t *testing.T) {
 		inBubble(t, Small(), func(t *testing.T, f *Fleet) {
-			e := announce(t, f, 60*time.Second)
+			e := publishEvent(t, f, 60*time.Second)
 			f.Weights.SetOutage(true)
 			time.Sleep(45 * time.Second)
 			requireReady(t, f, false)
@@ -62,15 +62,15 @@
 	})
 	t.Run("an event that is moved forward", func(t *testing.T) {
 		inBubble(t, Small(), func(t *testing.T, f *Fleet) {
-			announce(t, f, time.Hour)
-			e := announce(t, f, 35*time.Second)
+			publishEvent(t, f, time.Hour)
+			e := publishEvent(t, f, 35*time.Second)
 			time.Sleep(time.Until(e.Starts))
 			requireReady(t, f, true)
 		})
 	})
 	t.Run("a dead box does not hold up the others", func(t *testing.T) {
 		inBubble(t, Small(), func(t *testing.T, f *Fleet) {
-			e := announce(t, f, 60*time.Second)
+			e := publishEvent(t, f, 60*time.Second)
 			f.KillAgent(0)
 			time.Sleep(time.Until(e.Starts))
 			requireReady(t, f, true)
