--- a/internal/fleettest/event_test.go
+++ b/internal/fleettest/event_test.go
@@ -25,8 +25,8 @@
 	return e
 }
 
-// requireReady checks that each live engine has the event's model.
-func requireReady(t *testing.T, f *Fleet, want bool) {
+// requireModelLoaded checks that each live engine has the event's model.
+func requireModelLoaded(t *testing.T, f *Fleet, want bool) {
 	t.Helper()
 	for _, a := range f.Agents {
 		if a.Engine == nil || a.dead {
@@ -43,9 +43,9 @@
 		inBubble(t, Small(), func(t *testing.T, f *Fleet) {
 			e := publishEvent(t, f, 60*time.Second)
 			time.Sleep(25 * time.Second)
-			requireReady(t, f, false)
+			requireModelLoaded(t, f, false)
 			time.Sleep(time.Until(e.Starts))
-			requireReady(t, f, true)
+			requireModelLoaded(t, f, true)
 			require.Len(t, f.Weights.Fetches(), f.Config.Engines, "nobody fetched twice")
 		})
 	})
@@ -54,10 +54,10 @@
 			e := publishEvent(t, f, 60*time.Second)
 			f.Weights.SetOutage(true)
 			time.Sleep(45 * time.Second)
-			requireReady(t, f, false)
+			requireModelLoaded(t, f, false)
 			f.Weights.SetOutage(false)
 			time.Sleep(time.Until(e.Starts))
-			requireReady(t, f, true)
+			requireModelLoaded(t, f, true)
 		})
 	})
 	t.Run("an event that is moved forward", func(t *testing.T) {
@@ -65,7 +65,7 @@
 			publishEvent(t, f, time.Hour)
 			e := publishEvent(t, f, 35*time.Second)
 			time.Sleep(time.Until(e.Starts))
-			requireReady(t, f, true)
+			requireModelLoaded(t, f, true)
 		})
 	})
 	t.Run("a dead box does not hold up the others", func(t *testing.T) {
@@ -73,7 +73,7 @@
 			e := publishEvent(t, f, 60*time.Second)
 			f.KillAgent(0)
 			time.Sleep(time.Until(e.Starts))
-			requireReady(t, f, true)
+			requireModelLoaded(t, f, true)
 		})
 	})
 	t.Run("an order with a stale fence is refused", func(t *testing.T) {
