--- a/internal/fleettest/input_test.go
+++ b/internal/fleettest/input_test.go
@@ -17,13 +17,13 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// raw is a request of a caller who may do anything.
-type raw struct {
+// rawRequest is a request of a caller who may do anything.
+type rawRequest struct {
 	path, body string
 	header     map[string]string
 }
 
-func (f *Fleet) raw(t *testing.T, q raw) *http.Response {
+func (f *Fleet) raw(t *testing.T, q rawRequest) *http.Response {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://entry-0:80"+q.path, strings.NewReader(q.body))
 	require.NoError(t, err)
@@ -54,26 +54,26 @@
 	good := `{"model":"m","prompt":"p","max_tokens":2}`
 	cases := []struct {
 		name string
-		q    raw
+		q    rawRequest
 		code fault.Code
 	}{
-		{"no JSON", raw{completions, `{"model":`, nil}, fault.MalformedBody},
-		{"wrong type", raw{completions, `{"model":7,"prompt":"p"}`, nil}, fault.MalformedBody},
-		{"no prompt", raw{completions, `{"model":"m"}`, nil}, fault.MalformedBody},
-		{"negative max_tokens", raw{completions, `{"model":"m","prompt":"p","max_tokens":-1}`, nil}, fault.MalformedBody},
-		{"no messages", raw{entry.ChatPath, `{"model":"m"}`, nil}, fault.MalformedBody},
-		{"unknown model", raw{completions, `{"model":"x","prompt":"p"}`, nil}, fault.UnknownModel},
-		{"unknown service", raw{"/services/x/y", ``, nil}, fault.UnknownService},
-		{"unknown path", raw{"/v2", ``, nil}, fault.NoSuchPath},
-		{"body over the limit", raw{completions, `{"model":"m","prompt":"` + strings.Repeat("x", 9<<20) + `"}`, nil}, fault.BodyTooLarge},
-		{"no key", raw{completions, good, map[string]string{"Authorization": ""}}, fault.NoKey},
-		{"wrong key", raw{completions, good, map[string]string{"Authorization": "Bearer nobody"}}, fault.WrongKey},
-		{"negative allowed time", raw{completions, good, map[string]string{entry.AllowedHeader: "-1s"}}, fault.BadHeader},
-		{"allowed time that is none", raw{completions, good, map[string]string{entry.AllowedHeader: "soon"}}, fault.BadHeader},
-		{"kind too long", raw{completions, good, map[string]string{entry.KindHeader: strings.Repeat("k", 65)}}, fault.BadHeader},
-		{"no idempotency key", raw{completions, good, map[string]string{entry.KindHeader: "once"}}, fault.KeyNeeded},
-		{"prompt no group can hold", raw{completions, `{"model":"m","prompt":"` + strings.Repeat("x", 300_000) + `"}`, nil}, fault.PromptTooLong},
-		{"no time for the answer", raw{completions, `{"model":"m","prompt":"p","max_tokens":15000}`, nil}, fault.CannotMakeIt},
+		{"no JSON", rawRequest{completions, `{"model":`, nil}, fault.MalformedBody},
+		{"wrong type", rawRequest{completions, `{"model":7,"prompt":"p"}`, nil}, fault.MalformedBody},
+		{"no prompt", rawRequest{completions, `{"model":"m"}`, nil}, fault.MalformedBody},
+		{"negative max_tokens", rawRequest{completions, `{"model":"m","prompt":"p","max_tokens":-1}`, nil}, fault.MalformedBody},
+		{"no messages", rawRequest{entry.ChatPath, `{"model":"m"}`, nil}, fault.MalformedBody},
+		{"unknown model", rawRequest{completions, `{"model":"x","prompt":"p"}`, nil}, fault.UnknownModel},
+		{"unknown service", rawRequest{"/services/x/y", ``, nil}, fault.UnknownService},
+		{"unknown path", rawRequest{"/v2", ``, nil}, fault.NoSuchPath},
+		{"body over the limit", rawRequest{completions, `{"model":"m","prompt":"` + strings.Repeat("x", 9<<20) + `"}`, nil}, fault.BodyTooLarge},
+		{"no key", rawRequest{completions, good, map[string]string{"Authorization": ""}}, fault.NoKey},
+		{"wrong key", rawRequest{completions, good, map[string]string{"Authorization": "Bearer nobody"}}, fault.WrongKey},
+		{"negative allowed time", rawRequest{completions, good, map[string]string{entry.AllowedHeader: "-1s"}}, fault.BadHeader},
+		{"allowed time that is none", rawRequest{completions, good, map[string]string{entry.AllowedHeader: "soon"}}, fault.BadHeader},
+		{"kind too long", rawRequest{completions, good, map[string]string{entry.KindHeader: strings.Repeat("k", 65)}}, fault.BadHeader},
+		{"no idempotency key", rawRequest{completions, good, map[string]string{entry.KindHeader: "once"}}, fault.KeyNeeded},
+		{"prompt no group can hold", rawRequest{completions, `{"model":"m","prompt":"` + strings.Repeat("x", 300_000) + `"}`, nil}, fault.PromptTooLong},
+		{"no time for the answer", rawRequest{completions, `{"model":"m","prompt":"p","max_tokens":15000}`, nil}, fault.CannotMakeIt},
 	}
 	inBubble(t, Small(), func(t *testing.T, f *Fleet) {
 		for _, c := range cases {
