--- a/internal/fleettest/input_test.go
+++ b/internal/fleettest/input_test.go
@@ -23,7 +23,7 @@
 	header     map[string]string
 }
 
-func (f *Fleet) raw(t *testing.T, q rawRequest) *http.Response {
+func (f *Fleet) sendRaw(t *testing.T, q rawRequest) *http.Response {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://entry-0:80"+q.path, strings.NewReader(q.body))
 	require.NoError(t, err)
@@ -78,7 +78,7 @@
 	inBubble(t, Small(), func(t *testing.T, f *Fleet) {
 		for _, c := range cases {
 			t.Log(c.name)
-			requireRefusal(t, c.code, f.raw(t, c.q))
+			requireRefusal(t, c.code, f.sendRaw(t, c.q))
 		}
 		requireNothingRan(t, f)
 		// The entry is none the worse for it.
