--- a/internal/fleettest/input_test.go
+++ b/internal/fleettest/input_test.go
@@ -93,11 +93,11 @@
 	require.Empty(t, e.checkMemory())
 }
 
-// slow sends a body that never ends.
-type slow struct{}
+// slowBody sends a body that never ends.
+type slowBody struct{}
 
 // Read implements [io.Reader].
-func (slow) Read(b []byte) (int, error) {
+func (slowBody) Read(b []byte) (int, error) {
 	time.Sleep(700 * time.Millisecond)
 	b[0] = ' '
 	return 1, nil
@@ -105,7 +105,7 @@
 
 func TestSlowBody(t *testing.T) {
 	inBubble(t, Small(), func(t *testing.T, f *Fleet) {
-		r, err := http.NewRequest(http.MethodPost, "http://entry-0:80"+entry.CompletionsPath, io.NopCloser(slow{}))
+		r, err := http.NewRequest(http.MethodPost, "http://entry-0:80"+entry.CompletionsPath, io.NopCloser(slowBody{}))
 		require.NoError(t, err)
 		r.Header.Set("Authorization", "Bearer "+Bearer+"a")
 		res, err := f.client.Do(r)
