--- a/internal/fleettest/lease_test.go
+++ b/internal/fleettest/lease_test.go
@@ -13,9 +13,9 @@
 	"github.com/hollowgrade/hollowgrade/ledger"
 )
 
-// grants counts the keepers that would let one key run, each asked by another
+// countGrants counts the keepers that would let one key run, each asked by another
 // request.
-func grants(f *Fleet, key string) (n int) {
+func countGrants(f *Fleet, key string) (n int) {
 	for _, a := range f.Agents {
 		v := a.keeper.Claim(&wire.Claim{Organisation: "a", Key: key, Id: a.incarnation, HoldMicros: time.Minute.Microseconds()})
 		if ledger.Verdict(v.GetVerdict()) == ledger.Granted {
@@ -55,7 +55,7 @@
 				}
 				old.Freezer.Set(true)
 				time.Sleep(40 * time.Second)
-				require.Equal(t, c.want, grants(f, key))
+				require.Equal(t, c.want, countGrants(f, key))
 			})
 		})
 	}
