--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -455,8 +455,8 @@
 			assert.Fail(t, "shard failed", "shard %d:\n%s", i, o)
 		}
 		if m != nil {
-			cells += number(t, m[1])
-			broken += number(t, m[2])
+			cells += parseNumber(t, m[1])
+			broken += parseNumber(t, m[2])
 		}
 	}
 	assert.Equal(t, len(table()), cells)
@@ -464,7 +464,7 @@
 	fmt.Printf("cells %d, held %d, broken %d\n", cells, cells-broken, broken)
 }
 
-func number(t *testing.T, b []byte) int {
+func parseNumber(t *testing.T, b []byte) int {
 	t.Helper()
 	n, err := strconv.Atoi(string(b))
 	require.NoError(t, err)
