--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	soakTime   = 10 * time.Minute // virtual
-	soakEvery  = 150 * time.Millisecond
-	faultEvery = 3 * time.Second
+	soakDuration = 10 * time.Minute // virtual
+	soakEvery    = 150 * time.Millisecond
+	faultEvery   = 3 * time.Second
 )
 
 // soakFault is one fault of the soak. It returns what ends it.
@@ -99,7 +99,7 @@
 		began := time.Now()
 		nextFault := began.Add(faultEvery)
 		faults := 0
-		for n := 0; time.Since(began) < soakTime; n++ {
+		for n := 0; time.Since(began) < soakDuration; n++ {
 			c := soakCall(r, n)
 			g.Go(func() {
 				a := f.Do(context.Background(), c)
@@ -127,6 +127,6 @@
 		for _, a := range as {
 			outcomes[strings.TrimSpace(string(a.Outcome)+" "+a.Code)]++
 		}
-		fmt.Printf("soak: %s, %d faults, %d requests: %v; breaches %d\n", soakTime, faults, len(as), outcomes, len(e.Violations()))
+		fmt.Printf("soak: %s, %d faults, %d requests: %v; breaches %d\n", soakDuration, faults, len(as), outcomes, len(e.Violations()))
 	})
 }
