--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	soakDuration = 10 * time.Minute // virtual
-	soakEvery    = 150 * time.Millisecond
-	faultEvery   = 3 * time.Second
+	soakDuration    = 10 * time.Minute // virtual
+	requestInterval = 150 * time.Millisecond
+	faultEvery      = 3 * time.Second
 )
 
 // soakFault is one fault of the soak. It returns what ends it.
@@ -114,7 +114,7 @@
 				time.AfterFunc(time.Duration(1+r.IntN(2))*time.Second, heal)
 				faults++
 			}
-			time.Sleep(soakEvery)
+			time.Sleep(requestInterval)
 		}
 		g.Wait()
 		time.Sleep(30 * time.Second)
