--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -17,7 +17,7 @@
 const (
 	soakDuration    = 10 * time.Minute // virtual
 	requestInterval = 150 * time.Millisecond
-	faultEvery      = 3 * time.Second
+	faultInterval   = 3 * time.Second
 )
 
 // soakFault is one fault of the soak. It returns what ends it.
@@ -97,7 +97,7 @@
 		var g sync.WaitGroup
 		watched := f.watchRevisions()
 		began := time.Now()
-		nextFault := began.Add(faultEvery)
+		nextFault := began.Add(faultInterval)
 		faults := 0
 		for n := 0; time.Since(began) < soakDuration; n++ {
 			c := soakCall(r, n)
@@ -108,7 +108,7 @@
 				as = append(as, a)
 			})
 			if time.Now().After(nextFault) {
-				nextFault = nextFault.Add(faultEvery)
+				nextFault = nextFault.Add(faultInterval)
 				x := soakFaults[r.IntN(len(soakFaults))]
 				heal := x.inject(f, r.IntN(f.Config.Engines))
 				time.AfterFunc(time.Duration(1+r.IntN(2))*time.Second, heal)
