--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -383,9 +383,9 @@
 	return l
 }
 
-// pairs is the number of cells with two faults. All pairs at all steps would be
+// faultPairs is the number of cells with two faults. All faultPairs at all steps would be
 // some 140,000 cells; this is a sample with a fixed seed.
-const pairs = 400
+const faultPairs = 400
 
 // job is one cell of the table.
 type job struct {
@@ -413,7 +413,7 @@
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	draw := func() timedFault { return timedFault{steps[r.IntN(len(steps))], faultSpecs[r.IntN(len(faultSpecs))]} }
-	for range pairs {
+	for range faultPairs {
 		js = append(js, job{kinds[r.IntN(len(kinds))], []timedFault{draw(), draw()}})
 	}
 	return js
@@ -460,7 +460,7 @@
 		}
 	}
 	assert.Equal(t, len(table()), cells)
-	fmt.Printf("single faults: every step by every fault for %d kinds of request, no cell left out; pairs: a sample of %d, seed 1\n", len(kinds), pairs)
+	fmt.Printf("single faults: every step by every fault for %d kinds of request, no cell left out; pairs: a sample of %d, seed 1\n", len(kinds), faultPairs)
 	fmt.Printf("cells %d, held %d, broken %d\n", cells, cells-broken, broken)
 }
 
