--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -15,13 +15,13 @@
 type storeFault struct {
 	name   string
 	refuse bool          // it fails their calls at once, and else says nothing
-	every  time.Duration // after which it turns them away or serves them by turns; 0 for no turns
+	period time.Duration // after which it turns them away or serves them by turns; 0 for no turns
 }
 
 var storeFaults = []storeFault{
 	{name: "silent"},
 	{name: "refused", refuse: true},
-	{name: "flapping", refuse: true, every: time.Second},
+	{name: "flapping", refuse: true, period: time.Second},
 }
 
 // failingShares are which gateways are turned away beside the readers, by their place among the others.
@@ -52,7 +52,7 @@
 	}
 	began := time.Now()
 	turned := func(box string) bool {
-		on := w.every == 0 || int(time.Since(began)/w.every)%2 == 0
+		on := w.period == 0 || int(time.Since(began)/w.period)%2 == 0
 		return on && slices.Contains(boxes, box)
 	}
 	f.failBoxes(w, turned)
