--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -37,7 +37,7 @@
 
 // failReaders lets the store turn away all readers, and those of the other gateways that with names.
 // It returns how many are served.
-func (f *testFleet) failReaders(w storeFault, with func(i, others int) bool) (served int) {
+func (f *testFleet) failReaders(w storeFault, include func(i, others int) bool) (served int) {
 	boxes := f.readers()
 	others := len(f.gateways) - len(boxes)
 	i := 0
@@ -45,7 +45,7 @@
 		if slices.Contains(boxes, g.box) {
 			continue
 		}
-		if with(i, others) {
+		if include(i, others) {
 			boxes = append(boxes, g.box)
 		}
 		i++
