--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -166,15 +166,15 @@
 		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("gateways=%d/%s", n, w.name), func(t *testing.T) {
 				inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
-					var turned []string
+					var failing []string
 					for range 4 {
-						if rs := f.readers(); len(turned)+len(rs) < n {
-							turned = append(slices.Clone(turned), rs...)
+						if rs := f.readers(); len(failing)+len(rs) < n {
+							failing = append(slices.Clone(failing), rs...)
 						}
-						now := turned
+						now := failing
 						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
 						oldest := f.oldestViewDuring(4 * time.Second)
-						t.Logf("oldest view %s, %d turned away", oldest, len(turned))
+						t.Logf("oldest view %s, %d turned away", oldest, len(failing))
 						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					}
 				})
