--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -96,9 +96,9 @@
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
 	const keysGood = 4200 * time.Millisecond
 	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
-		turned := f.readers()
-		require.Less(t, len(turned), len(f.gateways)/3)
-		f.silent = func(box string) bool { return slices.Contains(turned, box) }
+		failing := f.readers()
+		require.Less(t, len(failing), len(f.gateways)/3)
+		f.silent = func(box string) bool { return slices.Contains(failing, box) }
 		began := time.Now()
 		putConfig(t, f, "a change")
 		oldest := time.Duration(0)
