--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -237,7 +237,7 @@
 }
 
 // inNetwork runs gateways at the places in virtual time until test returns.
-func inNetwork(t *testing.T, ps []place, answer time.Duration, test func(t *testing.T, f *testFleet), prepare ...func(f *testFleet)) {
+func inNetwork(t *testing.T, ps []place, delay time.Duration, test func(t *testing.T, f *testFleet), prepare ...func(f *testFleet)) {
 	t.Helper()
 	// Two collections empty the pool that yamux keeps timers of an earlier bubble in.
 	runtime.GC()
@@ -269,7 +269,7 @@
 		for _, p := range prepare {
 			p(f)
 		}
-		f.startGateway = func(i int) *gateway { return f.start(ctx, &g, addresses[i], addresses, answer) }
+		f.startGateway = func(i int) *gateway { return f.start(ctx, &g, addresses[i], addresses, delay) }
 		for i := range ps {
 			f.gateways = append(f.gateways, f.startGateway(i))
 		}
