--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -298,13 +298,13 @@
 	return &remoteTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
 
-func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, answer time.Duration) *gateway {
+func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, delay time.Duration) *gateway {
 	quiet := log.New(io.Discard)
 	w := &gateway{box: box}
 	w.relay = feed.NewRelay(box, func() []string { return append([]string(nil), all...) }, feed.WithRelayLogger(quiet), feed.WithDialer(f.net.dialer(box)), feed.WithPlaces(f.net.place), feed.WithRelayTiming(f.timing))
-	w.config = feed.New("config", f.remoteTopic(f.config, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.ReadWait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
-	w.fleet = feed.New("fleet", f.remoteTopic(f.fleet, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(3*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
-	w.members = feed.New("members", f.remoteTopic(f.members, box, answer), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(20*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
+	w.config = feed.New("config", f.remoteTopic(f.config, box, delay), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(min(f.timing.ReadWait, 1500*time.Millisecond)), feed.WithReader(w.relay.ReadsLarge), feed.WithBreaker(w.relay.Breaker()))
+	w.fleet = feed.New("fleet", f.remoteTopic(f.fleet, box, delay), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(3*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
+	w.members = feed.New("members", f.remoteTopic(f.members, box, delay), feed.WithLogger(quiet), feed.WithTiming(f.timing), feed.WithWait(20*time.Second), feed.WithReader(w.relay.Reads), feed.WithBreaker(w.relay.Breaker()))
 	fs := []*feed.Feed{w.config, w.fleet, w.members}
 	w.relay.Add(fs...)
 	v := feed.NewServer(f.net.place(box).Link, fs...)
