--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -294,8 +294,8 @@
 }
 
 // remoteTopic returns a topic as a box sees it.
-func (f *testFleet) remoteTopic(t *memTopic, box string, answer time.Duration) *remoteTopic {
-	return &remoteTopic{t, f.net, box, answer, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
+func (f *testFleet) remoteTopic(t *memTopic, box string, delay time.Duration) *remoteTopic {
+	return &remoteTopic{t, f.net, box, delay, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
 
 func (f *testFleet) start(ctx context.Context, g *sync.WaitGroup, box string, all []string, delay time.Duration) *gateway {
