--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -105,7 +105,7 @@
 	*memTopic
 	net    *network
 	box    string
-	answer time.Duration // that the store takes to answer
+	delay  time.Duration // that the store takes to answer
 	silent func(box string) bool
 	fails  func(box string) bool // whether the store fails a box's calls at once
 	calls  *callCounter
@@ -171,7 +171,7 @@
 	for _, r := range p.Records {
 		left += len(r.Key) + len(r.Value)
 	}
-	wait := min(t.answer, patience)
+	wait := min(t.delay, patience)
 	if t.silent(t.box) {
 		wait = patience
 	}
@@ -179,7 +179,7 @@
 		if !hollowgrade.Sleep(ctx, hollowgrade.SystemClock(), wait) {
 			return ctx.Err()
 		}
-		if t.answer > patience || t.silent(t.box) {
+		if t.delay > patience || t.silent(t.box) {
 			return errDown
 		}
 		if left <= 0 {
