--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -103,12 +103,12 @@
 // store's link and its own.
 type remoteTopic struct {
 	*memTopic
-	net    *network
-	box    string
-	delay  time.Duration // that the store takes to answer
-	silent func(box string) bool
-	fails  func(box string) bool // whether the store fails a box's calls at once
-	calls  *callCounter
+	net     *network
+	box     string
+	delay   time.Duration // that the store takes to answer
+	silent  func(box string) bool
+	refused func(box string) bool // whether the store fails a box's calls at once
+	calls   *callCounter
 }
 
 // callCounter counts callCounter to the store.
@@ -145,7 +145,7 @@
 
 func (t *remoteTopic) Newest(ctx context.Context, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
 	t.calls.add()
-	if t.fails(t.box) {
+	if t.refused(t.box) {
 		return p, errDown
 	}
 	if p, err = t.memTopic.Newest(ctx, patience); err == nil {
@@ -156,7 +156,7 @@
 
 func (t *remoteTopic) Wait(ctx context.Context, from int64, d, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
 	t.calls.add()
-	if t.fails(t.box) {
+	if t.refused(t.box) {
 		return p, errDown
 	}
 	if p, err = t.memTopic.Wait(ctx, from, d, patience); err == nil {
