--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -115,7 +115,7 @@
 type callCounter struct {
 	mu      sync.Mutex
 	from    time.Time
-	all     int
+	total   int
 	seconds map[int]int // by whole seconds since from
 }
 
@@ -123,13 +123,13 @@
 func (c *callCounter) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.from, c.all, c.seconds = time.Now(), 0, map[int]int{}
+	c.from, c.total, c.seconds = time.Now(), 0, map[int]int{}
 }
 
 func (c *callCounter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all++
+	c.total++
 	c.seconds[int(time.Since(c.from)/time.Second)]++
 }
 
@@ -140,7 +140,7 @@
 	for _, n := range c.seconds {
 		most = max(most, n)
 	}
-	return c.all, most
+	return c.total, most
 }
 
 func (t *remoteTopic) Newest(ctx context.Context, patience time.Duration) (p hollowgrade.KeyedPage, err error) {
