--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -114,7 +114,7 @@
 // callCounter counts callCounter to the store.
 type callCounter struct {
 	mu      sync.Mutex
-	from    time.Time
+	since   time.Time
 	total   int
 	seconds map[int]int // by whole seconds since from
 }
@@ -123,14 +123,14 @@
 func (c *callCounter) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.from, c.total, c.seconds = time.Now(), 0, map[int]int{}
+	c.since, c.total, c.seconds = time.Now(), 0, map[int]int{}
 }
 
 func (c *callCounter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total++
-	c.seconds[int(time.Since(c.from)/time.Second)]++
+	c.seconds[int(time.Since(c.since)/time.Second)]++
 }
 
 // count returns how many calls there were, and the most in a second.
