--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -113,31 +113,31 @@
 
 // callCounter counts callCounter to the store.
 type callCounter struct {
-	mu      sync.Mutex
-	since   time.Time
-	total   int
-	seconds map[int]int // by whole seconds since from
+	mu        sync.Mutex
+	since     time.Time
+	total     int
+	perSecond map[int]int // by whole seconds since from
 }
 
 // reset begins to count anew.
 func (c *callCounter) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since, c.total, c.seconds = time.Now(), 0, map[int]int{}
+	c.since, c.total, c.perSecond = time.Now(), 0, map[int]int{}
 }
 
 func (c *callCounter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total++
-	c.seconds[int(time.Since(c.since)/time.Second)]++
+	c.perSecond[int(time.Since(c.since)/time.Second)]++
 }
 
 // count returns how many calls there were, and the most in a second.
 func (c *callCounter) count() (all, most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range c.seconds {
+	for _, n := range c.perSecond {
 		most = max(most, n)
 	}
 	return c.total, most
