--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -41,7 +41,7 @@
 	return took, calls, most
 }
 
-func all(int) bool          { return true }
+func everyGateway(int) bool { return true }
 func everyOther(i int) bool { return i%2 == 0 }
 
 // BenchmarkReturn measures the return of all gateways, and of every other one, after their loss:
@@ -50,7 +50,7 @@
 // busiest gateway. Time is virtual.
 func BenchmarkReturn(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
-		for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
+		for name, which := range map[string]func(int) bool{"all": everyGateway, "half": everyOther} {
 			b.Run(fmt.Sprintf("gateways=%d/%s", n, name), func(b *testing.B) {
 				for range b.N {
 					runAsTest(b, func(t *testing.T) {
@@ -76,7 +76,7 @@
 // second, with a few calls each, of which the store serves 16,000 a second.
 func TestReturnOfManyGateways(t *testing.T) {
 	const n = many
-	for name, which := range map[string]func(int) bool{"all": all, "half": everyOther} {
+	for name, which := range map[string]func(int) bool{"all": everyGateway, "half": everyOther} {
 		t.Run(name, func(t *testing.T) {
 			inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 				f.putConfigAndUpstreams(t, upstreamCount(n))
