--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -29,7 +29,7 @@
 	return float64(all) / d.Seconds(), most
 }
 
-const outage = 9 * time.Second
+const outageDuration = 9 * time.Second
 
 // BenchmarkCalls measures calls to the store: all from the start of all gateways until
 // each knows all topics and at rest, those a second while it is away, while it turns away a
@@ -46,14 +46,14 @@
 						rest, _ := f.countCallsDuring(30 * time.Second)
 						b.ReportMetric(rest, "rest/s")
 						f.setDown(true)
-						away, most := f.countCallsDuring(outage)
+						away, most := f.countCallsDuring(outageDuration)
 						b.ReportMetric(away, "away/s")
 						b.ReportMetric(float64(most), "away-most/s")
 						f.setDown(false)
 						back, _ := f.countCallsDuring(3 * time.Second)
 						b.ReportMetric(back, "back/s")
 						f.silent = func(box string) bool { return slices.Contains(everyThird(f), box) }
-						some, _ := f.countCallsDuring(outage)
+						some, _ := f.countCallsDuring(outageDuration)
 						b.ReportMetric(some, "third-away/s")
 					})
 				})
@@ -81,7 +81,7 @@
 		rest, _ := f.countCallsDuring(30 * time.Second)
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
-		away, _ := f.countCallsDuring(outage)
+		away, _ := f.countCallsDuring(outageDuration)
 		require.Less(t, away, 60.0, "calls a second while the store is away")
 		f.setDown(false)
 		returned := time.Now()
@@ -102,7 +102,7 @@
 		began := time.Now()
 		putConfig(t, f, "a change")
 		oldest := time.Duration(0)
-		for time.Since(began) < outage {
+		for time.Since(began) < outageDuration {
 			time.Sleep(pollInterval)
 			oldest = max(oldest, f.oldestView())
 		}
--- a/internal/spread/turned_test.go
+++ b/internal/spread/turned_test.go
@@ -102,7 +102,7 @@
 						if f.failReaders(w, s.with) == 0 {
 							t.Skip("none is served")
 						}
-						oldest := f.oldestViewDuring(outage)
+						oldest := f.oldestViewDuring(outageDuration)
 						t.Logf("oldest view %s", oldest)
 						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					})
@@ -127,9 +127,9 @@
 		for _, w := range storeFaults[:2] {
 			t.Run(fmt.Sprintf("bound=%s/gateways=%d/%s", b.bound, b.gateways, w.name), func(t *testing.T) {
 				inNetwork(t, fleetPlaces(b.gateways), storeDelay, func(t *testing.T, f *testFleet) {
-					rest := f.oldestViewDuring(outage)
+					rest := f.oldestViewDuring(outageDuration)
 					f.failReaders(w, failingShares[0].with)
-					oldest := f.oldestViewDuring(outage)
+					oldest := f.oldestViewDuring(outageDuration)
 					t.Logf("oldest view %s at rest, %s", rest, oldest)
 					require.Less(t, max(rest, oldest), viewAgeGoal(b.bound))
 				}, func(f *testFleet) { f.timing = feed.NewTiming(b.bound) })
@@ -146,13 +146,13 @@
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
 			inNetwork(t, fleetPlaces(n), slow, func(t *testing.T, f *testFleet) {
 				readers := len(f.readers())
-				rest, _ := f.countCallsDuring(outage)
-				oldest := f.oldestViewDuring(outage)
+				rest, _ := f.countCallsDuring(outageDuration)
+				oldest := f.oldestViewDuring(outageDuration)
 				t.Logf("oldest view %s, %.1f calls a second", oldest, rest)
 				require.Less(t, oldest, viewAgeGoal(maxViewAge))
 				require.Equal(t, readers, len(f.readers()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
-				oldest = f.oldestViewDuring(outage)
+				oldest = f.oldestViewDuring(outageDuration)
 				t.Logf("oldest view %s with the readers turned away", oldest)
 				require.Less(t, oldest, maxViewAge)
 			})
@@ -189,7 +189,7 @@
 		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		time.Sleep(200 * time.Millisecond)
 		f.failReaders(storeFaults[0], failingShares[0].with)
-		oldest := f.oldestViewDuring(outage)
+		oldest := f.oldestViewDuring(outageDuration)
 		t.Logf("oldest view %s", oldest)
 		require.Less(t, oldest, viewAgeGoal(maxViewAge))
 		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1))
@@ -209,10 +209,10 @@
 									return
 								}
 								f.calls.reset()
-								oldest := f.oldestViewDuring(outage)
+								oldest := f.oldestViewDuring(outageDuration)
 								all, most := f.calls.count()
 								b.ReportMetric(oldest.Seconds(), "s/oldest")
-								b.ReportMetric(float64(all)/outage.Seconds(), "calls/s")
+								b.ReportMetric(float64(all)/outageDuration.Seconds(), "calls/s")
 								b.ReportMetric(float64(most), "most/s")
 								b.ReportMetric(float64(len(f.readers())), "read")
 							})
@@ -240,9 +240,9 @@
 							f.failReaders(w, failingShares[0].with)
 							putConfig(t, f, "a change")
 							require.NoError(t, f.fleet.Put(t.Context(), "upstream", []byte("draining")))
-							took := f.waitKnown(configOf, 1, outage)
+							took := f.waitKnown(configOf, 1, outageDuration)
 							config = max(config, took)
-							registry = max(registry, took+f.waitKnown(fleetFeedOf, 1, outage))
+							registry = max(registry, took+f.waitKnown(fleetFeedOf, 1, outageDuration))
 						})
 					})
 				}
