--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -420,7 +420,7 @@
 		c := randomConfig(newSeededRand(), 800_000)
 		require.NoError(t, f.config.Put(context.Background(), "config", []byte(c)))
 		took := f.waitKnown(configOf, 1, 20*time.Second)
-		narrowest, _ := f.net.counts()
+		narrowest, _ := f.net.byteCounts()
 		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1), "gateways that know the change after %s", took)
 		require.LessOrEqual(t, took, maxSpreadTime)
 		require.Less(t, narrowest, int64(len(c)*3/2), "bytes that a narrow gateway received")
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -99,9 +99,9 @@
 	return t.in
 }
 
-// counts returns the bytes that the box with the slowest link received at the
+// byteCounts returns the bytes that the box with the slowest link received at the
 // most, and all that went from hall to hall.
-func (n *network) counts() (narrowest, crossed int64) {
+func (n *network) byteCounts() (narrowest, crossed int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for b, l := range n.links {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -37,7 +37,7 @@
 								f.net.resetCounts()
 								require.NoError(t, f.config.Put(context.Background(), "config", []byte(randomConfig(newSeededRand(), size))))
 								took := f.waitKnown(configOf, 1, bound)
-								narrowest, crossed := f.net.counts()
+								narrowest, crossed := f.net.byteCounts()
 								b.ReportMetric(took.Seconds(), "s/last")
 								b.ReportMetric(float64(f.countKnowing(configOf, 1)), "know")
 								b.ReportMetric(float64(narrowest)/1e3, "KB/narrow")
@@ -97,7 +97,7 @@
 			time.Sleep(330 * time.Millisecond)
 		}
 		require.LessOrEqual(t, f.waitKnown(configOf, changes, 20*time.Second), maxSpreadTime)
-		narrowest, _ := f.net.counts()
+		narrowest, _ := f.net.byteCounts()
 		require.Less(t, narrowest, int64(800_000), "bytes over a narrow link: the first copy, compressed, and what differs")
 	})
 }
@@ -110,7 +110,7 @@
 		putConfig(t, f, string(b))
 		// One copy alone takes 1.6 s of a narrow link.
 		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), 2*maxSpreadTime)
-		narrowest, _ := f.net.counts()
+		narrowest, _ := f.net.byteCounts()
 		require.Less(t, narrowest, int64(len(b)*5/4))
 	})
 }
