--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -38,11 +38,11 @@
 
 // boxLink is the link of one box.
 type boxLink struct {
-	hall           string
-	rate           float64   // bytes a second
-	out, in        time.Time // when what it sends and receives now will be through
-	receivedBytes  int64
-	crossHallBytes int64 // bytes that came from another hall
+	hall             string
+	rate             float64   // bytes a second
+	outBusyUntil, in time.Time // when what it sends and receives now will be through
+	receivedBytes    int64
+	crossHallBytes   int64 // bytes that came from another hall
 }
 
 func newNetwork() *network {
@@ -90,8 +90,8 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	f, t := n.links[from], n.links[to]
-	f.out = hollowgrade.Later(f.out, now).Add(seconds(float64(bytes) / f.rate))
-	t.in = hollowgrade.Later(t.in, f.out).Add(seconds(float64(bytes) / t.rate))
+	f.outBusyUntil = hollowgrade.Later(f.outBusyUntil, now).Add(seconds(float64(bytes) / f.rate))
+	t.in = hollowgrade.Later(t.in, f.outBusyUntil).Add(seconds(float64(bytes) / t.rate))
 	t.receivedBytes += int64(bytes)
 	if from != storeBox && f.hall != t.hall {
 		t.crossHallBytes += int64(bytes)
