--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -38,11 +38,11 @@
 
 // boxLink is the link of one box.
 type boxLink struct {
-	hall             string
-	rate             float64   // bytes a second
-	outBusyUntil, in time.Time // when what it sends and receives now will be through
-	receivedBytes    int64
-	crossHallBytes   int64 // bytes that came from another hall
+	hall                      string
+	rate                      float64   // bytes a second
+	outBusyUntil, inBusyUntil time.Time // when what it sends and receives now will be through
+	receivedBytes             int64
+	crossHallBytes            int64 // bytes that came from another hall
 }
 
 func newNetwork() *network {
@@ -91,12 +91,12 @@
 	now := time.Now()
 	f, t := n.links[from], n.links[to]
 	f.outBusyUntil = hollowgrade.Later(f.outBusyUntil, now).Add(seconds(float64(bytes) / f.rate))
-	t.in = hollowgrade.Later(t.in, f.outBusyUntil).Add(seconds(float64(bytes) / t.rate))
+	t.inBusyUntil = hollowgrade.Later(t.inBusyUntil, f.outBusyUntil).Add(seconds(float64(bytes) / t.rate))
 	t.receivedBytes += int64(bytes)
 	if from != storeBox && f.hall != t.hall {
 		t.crossHallBytes += int64(bytes)
 	}
-	return t.in
+	return t.inBusyUntil
 }
 
 // byteCounts returns the bytes that the box with the slowest link received at the
