--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -58,7 +58,7 @@
 }
 
 const (
-	timeSlack  = 50 * time.Millisecond // for the way back to the caller
+	replySlack = 50 * time.Millisecond // for the way back to the caller
 	leaveSlack = 2 * time.Second
 )
 
@@ -74,7 +74,7 @@
 }
 
 func (e Evidence) checkAnswer(a Answer) (bs []Violation) {
-	if a.Took() > a.Call.Allowed+timeSlack && !e.Excused[a.Call.Prompt] {
+	if a.Took() > a.Call.Allowed+replySlack && !e.Excused[a.Call.Prompt] {
 		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
 	}
 	if a.Outcome == hollowgrade.Finished && !whole(a) {
