--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -58,8 +58,8 @@
 }
 
 const (
-	replySlack = 50 * time.Millisecond // for the way back to the caller
-	leaveSlack = 2 * time.Second
+	replySlack   = 50 * time.Millisecond // for the way back to the caller
+	leavingSlack = 2 * time.Second
 )
 
 // Violations returns every promise that the evidence shows broken.
@@ -168,7 +168,7 @@
 	}
 	for _, r := range e.Runs {
 		left, ok := e.LeavingSince[r.Box]
-		if ok && sent[r.Request].After(left.Add(leaveSlack)) {
+		if ok && sent[r.Request].After(left.Add(leavingSlack)) {
 			bs = append(bs, Violation{NoNewWork, fmt.Sprintf("%s was given a request %s after it began to leave", r.Box, r.At.Sub(left))})
 		}
 	}
