--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -147,7 +147,7 @@
 	requests int // that entries have ended
 	attempts int // at them
 	started  int // processes, to number incarnations
-	stops    []func()
+	cleanups []func()
 }
 
 // New starts a fleet. It must run inside a bubble.
@@ -261,7 +261,7 @@
 		a.upstream = f.startService(a)
 	} else {
 		a.Engine = standin.NewEngine(f.Config.Engine, hollowgrade.SystemClock())
-		f.stops = append(f.stops, a.Engine.Stop)
+		f.cleanups = append(f.cleanups, a.Engine.Stop)
 	}
 	a = f.startProcess(a)
 	f.Agents = append(f.Agents, a)
@@ -312,7 +312,7 @@
 	go func() { _ = s.Serve(l) }()
 	d := f.Network.Dial(a.Name)
 	t := upstream.ServiceTransport(func(ctx context.Context, _, _ string) (net.Conn, error) { return d(ctx, host) })
-	f.stops = append(f.stops, func() { _ = s.Close(); t.CloseIdleConnections() })
+	f.cleanups = append(f.cleanups, func() { _ = s.Close(); t.CloseIdleConnections() })
 	c, err := upstream.NewService("http://"+host, t)
 	if err != nil {
 		panic(err)
@@ -477,7 +477,7 @@
 		}
 		_ = a.follower.Stop(ctx)
 	}
-	for _, s := range f.stops {
+	for _, s := range f.cleanups {
 		s()
 	}
 	for _, a := range f.Agents {
