--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -77,7 +77,7 @@
 	if a.Took() > a.Call.Allowed+replySlack && !e.Excused[a.Call.Prompt] {
 		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
 	}
-	if a.Outcome == hollowgrade.Finished && !whole(a) {
+	if a.Outcome == hollowgrade.Finished && !isWhole(a) {
 		bs = append(bs, Violation{WholeAnswer, fmt.Sprintf("%q finished with %d bytes that are not its answer", name(a), len(a.Text))})
 	}
 	if a.Outcome == hollowgrade.NotRun {
@@ -97,9 +97,9 @@
 	return strings.TrimSpace(a.Call.Prompt[:min(len(a.Call.Prompt), 24)])
 }
 
-// whole reports whether a finished answer is the right one. A finished request
+// isWhole reports whether a finished answer is the right one. A finished request
 // whose answer is no longer kept says so by its code and has no text.
-func whole(a Answer) bool {
+func isWhole(a Answer) bool {
 	switch {
 	case a.Code != "":
 		return a.Text == ""
