--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -75,25 +75,25 @@
 
 func (e Evidence) checkAnswer(a Answer) (bs []Violation) {
 	if a.Took() > a.Call.Allowed+replySlack && !e.Excused[a.Call.Prompt] {
-		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", name(a), a.Took(), a.Call.Allowed)})
+		bs = append(bs, Violation{InTime, fmt.Sprintf("%q took %s, allowed are %s", answerName(a), a.Took(), a.Call.Allowed)})
 	}
 	if a.Outcome == hollowgrade.Finished && !isWhole(a) {
-		bs = append(bs, Violation{WholeAnswer, fmt.Sprintf("%q finished with %d bytes that are not its answer", name(a), len(a.Text))})
+		bs = append(bs, Violation{WholeAnswer, fmt.Sprintf("%q finished with %d bytes that are not its answer", answerName(a), len(a.Text))})
 	}
 	if a.Outcome == hollowgrade.NotRun {
 		for _, r := range e.runsOf(a) {
 			if r.At.Before(a.Ended) {
-				bs = append(bs, Violation{NotRunIsTrue, fmt.Sprintf("%q (%s) ran on %s", name(a), a.Code, r.Box)})
+				bs = append(bs, Violation{NotRunIsTrue, fmt.Sprintf("%q (%s) ran on %s", answerName(a), a.Code, r.Box)})
 			}
 		}
 	}
 	if e.Planned && a.Outcome != hollowgrade.Finished {
-		bs = append(bs, Violation{NothingCut, fmt.Sprintf("%q ended as %q with %s %s", name(a), a.Outcome, a.Code, a.Message)})
+		bs = append(bs, Violation{NothingCut, fmt.Sprintf("%q ended as %q with %s %s", answerName(a), a.Outcome, a.Code, a.Message)})
 	}
 	return bs
 }
 
-func name(a Answer) string {
+func answerName(a Answer) string {
 	return strings.TrimSpace(a.Call.Prompt[:min(len(a.Call.Prompt), 24)])
 }
 
