--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -23,24 +23,24 @@
 
 // workload is one of the two fleets of the brief.
 type workload struct {
-	name              string
-	hallDelay, caller time.Duration // delays, one way
-	lengths           []int         // of prompts, in tokens
-	weights           []float64
-	organisations     []float64 // weights; a few large
-	serviceShare      float64
-	tokens            int // of an answer
+	name                   string
+	hallDelay, callerDelay time.Duration // delays, one way
+	lengths                []int         // of prompts, in tokens
+	weights                []float64
+	organisations          []float64 // weights; a few large
+	serviceShare           float64
+	tokens                 int // of an answer
 }
 
 // One prompt in fifty is over 100,000 tokens, and those are most of the work.
 var workloads = []workload{
 	{
-		name: "sao-bien", hallDelay: 1500 * time.Microsecond, caller: time.Millisecond,
+		name: "sao-bien", hallDelay: 1500 * time.Microsecond, callerDelay: time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
 		organisations: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, tokens: 48,
 	},
 	{
-		name: "korrigan", hallDelay: 500 * time.Microsecond, caller: 3 * time.Millisecond,
+		name: "korrigan", hallDelay: 500 * time.Microsecond, callerDelay: 3 * time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{50, 32, 8, 8, 1.7, 0.3},
 		organisations: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, tokens: 32,
 	},
@@ -88,7 +88,7 @@
 	c.Entries, c.Engines, c.Services = 3, 18, 3
 	c.Engine = standin.DefaultEngine(Model)
 	c.Limits.LongTokens, c.Limits.Heartbeat, c.Limits.Sweep = 100_000, 500*time.Millisecond, time.Second
-	c.HallDelay, c.CallerDelay = u.hallDelay, u.caller
+	c.HallDelay, c.CallerDelay = u.hallDelay, u.callerDelay
 	c.Entry.MaxBodyBytes = 16 << 20
 	m.apply(&c)
 	return c
