--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -29,7 +29,7 @@
 	weights                []float64
 	organisations          []float64 // weights; a few large
 	serviceShare           float64
-	tokens                 int // of an answer
+	answerTokens           int // of an answer
 }
 
 // One prompt in fifty is over 100,000 tokens, and those are most of the work.
@@ -37,12 +37,12 @@
 	{
 		name: "sao-bien", hallDelay: 1500 * time.Microsecond, callerDelay: time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
-		organisations: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, tokens: 48,
+		organisations: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, answerTokens: 48,
 	},
 	{
 		name: "korrigan", hallDelay: 500 * time.Microsecond, callerDelay: 3 * time.Millisecond,
 		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{50, 32, 8, 8, 1.7, 0.3},
-		organisations: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, tokens: 32,
+		organisations: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, answerTokens: 32,
 	},
 }
 
@@ -129,7 +129,7 @@
 		org := pickWeighted(r, u.organisations)
 		a := arrival{at: time.Duration(r.Float64() * float64(loadTime)), size: size, org: org}
 		a.call = Call{
-			Entry: i % 3, Organisation: fmt.Sprintf("o%d", org), Tokens: u.tokens,
+			Entry: i % 3, Organisation: fmt.Sprintf("o%d", org), Tokens: u.answerTokens,
 			Prompt: fmt.Sprintf("%08d", i) + strings.Repeat(fmt.Sprintf("%04d", i%10000), size-2),
 		}
 		if r.Float64() < u.serviceShare/(1-u.serviceShare) {
