--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -25,7 +25,7 @@
 type workload struct {
 	name                   string
 	hallDelay, callerDelay time.Duration // delays, one way
-	lengths                []int         // of prompts, in tokens
+	promptTokens           []int         // of prompts, in tokens
 	weights                []float64
 	organisations          []float64 // weights; a few large
 	serviceShare           float64
@@ -36,12 +36,12 @@
 var workloads = []workload{
 	{
 		name: "sao-bien", hallDelay: 1500 * time.Microsecond, callerDelay: time.Millisecond,
-		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
+		promptTokens: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{44, 25, 21, 8, 1.5, 0.5},
 		organisations: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, answerTokens: 48,
 	},
 	{
 		name: "korrigan", hallDelay: 500 * time.Microsecond, callerDelay: 3 * time.Millisecond,
-		lengths: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{50, 32, 8, 8, 1.7, 0.3},
+		promptTokens: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, weights: []float64{50, 32, 8, 8, 1.7, 0.3},
 		organisations: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, answerTokens: 32,
 	},
 }
@@ -119,13 +119,13 @@
 	mean := 0.0
 	total := 0.0
 	for i, w := range u.weights {
-		mean += w * float64(u.lengths[i])
+		mean += w * float64(u.promptTokens[i])
 		total += w
 	}
 	perSecond := part * 18 * engineRate(standin.DefaultEngine()) / (mean / total)
 	n := int(perSecond * loadTime.Seconds())
 	for i := range n {
-		size := u.lengths[pickWeighted(r, u.weights)]
+		size := u.promptTokens[pickWeighted(r, u.weights)]
 		org := pickWeighted(r, u.organisations)
 		a := arrival{at: time.Duration(r.Float64() * float64(loadTime)), size: size, org: org}
 		a.call = Call{
@@ -239,7 +239,7 @@
 // reportMetrics gives the figures of a run to the benchmark.
 func reportMetrics(b *testing.B, outs, alone []outcome) {
 	b.Helper()
-	for _, n := range workloads[0].lengths {
+	for _, n := range workloads[0].promptTokens {
 		ds := firstTokenTimes(outs, func(o outcome) bool { return o.size == n })
 		b.ReportMetric(ms(quantile(ds, 0.95)), fmt.Sprintf("ttft-p95-%s-ms", measure.Bucket(n)))
 	}
