--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -27,7 +27,7 @@
 	hallDelay, callerDelay time.Duration // delays, one way
 	promptTokens           []int         // of prompts, in tokens
 	promptWeights          []float64
-	organisations          []float64 // weights; a few large
+	organisationWeights    []float64 // weights; a few large
 	serviceShare           float64
 	answerTokens           int // of an answer
 }
@@ -37,12 +37,12 @@
 	{
 		name: "sao-bien", hallDelay: 1500 * time.Microsecond, callerDelay: time.Millisecond,
 		promptTokens: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, promptWeights: []float64{44, 25, 21, 8, 1.5, 0.5},
-		organisations: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, answerTokens: 48,
+		organisationWeights: []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}, serviceShare: 0.15, answerTokens: 48,
 	},
 	{
 		name: "korrigan", hallDelay: 500 * time.Microsecond, callerDelay: 3 * time.Millisecond,
 		promptTokens: []int{1_000, 4_000, 16_000, 64_000, 256_000, 1_000_000}, promptWeights: []float64{50, 32, 8, 8, 1.7, 0.3},
-		organisations: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, answerTokens: 32,
+		organisationWeights: []float64{25, 25, 20, 6, 5, 5, 4, 4, 3, 3}, serviceShare: 0.15, answerTokens: 32,
 	},
 }
 
@@ -126,7 +126,7 @@
 	n := int(perSecond * loadTime.Seconds())
 	for i := range n {
 		size := u.promptTokens[pickWeighted(r, u.promptWeights)]
-		org := pickWeighted(r, u.organisations)
+		org := pickWeighted(r, u.organisationWeights)
 		a := arrival{at: time.Duration(r.Float64() * float64(loadTime)), size: size, org: org}
 		a.call = Call{
 			Entry: i % 3, Organisation: fmt.Sprintf("o%d", org), Tokens: u.answerTokens,
