--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -109,7 +109,7 @@
 }
 
 const (
-	loadTime         = 40 * time.Second
+	loadDuration     = 40 * time.Second
 	longPromptTokens = 100_000
 )
 
@@ -123,11 +123,11 @@
 		total += w
 	}
 	perSecond := part * 18 * engineRate(standin.DefaultEngine()) / (mean / total)
-	n := int(perSecond * loadTime.Seconds())
+	n := int(perSecond * loadDuration.Seconds())
 	for i := range n {
 		size := u.promptTokens[pickWeighted(r, u.promptWeights)]
 		org := pickWeighted(r, u.organisationWeights)
-		a := arrival{at: time.Duration(r.Float64() * float64(loadTime)), size: size, org: org}
+		a := arrival{at: time.Duration(r.Float64() * float64(loadDuration)), size: size, org: org}
 		a.call = Call{
 			Entry: i % 3, Organisation: fmt.Sprintf("o%d", org), Tokens: u.answerTokens,
 			Prompt: fmt.Sprintf("%08d", i) + strings.Repeat(fmt.Sprintf("%04d", i%10000), size-2),
@@ -276,7 +276,7 @@
 			n++
 		}
 	}
-	return float64(n) / loadTime.Seconds()
+	return float64(n) / loadDuration.Seconds()
 }
 
 // worstOrganisation compares the 95th percentile of short requests of the worst
