--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -200,7 +200,7 @@
 	// the request may run again: it must finish, not merely fail in order.
 	mustFinish bool
 
-	group        sync.WaitGroup // what the verdict waits for
+	tracked      sync.WaitGroup // what the verdict waits for
 	plannedStops sync.WaitGroup // planned stops
 	mu           sync.Mutex
 }
@@ -211,7 +211,7 @@
 }
 
 func (c *cell) runTracked(f func()) {
-	c.group.Go(f)
+	c.tracked.Go(f)
 }
 
 func (c *cell) stopContext() context.Context {
@@ -293,7 +293,7 @@
 	defer cancel()
 	a := f.Do(ctx, call)
 	as := append([]Answer{a}, c.resend(a)...)
-	c.group.Wait()
+	c.tracked.Wait()
 	c.waitForRecovery()
 	e := f.Collect()
 	e.Answers, e.LeavingSince, e.Revisions = as, c.leavingSince, watched()
