--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -401,9 +401,9 @@
 	return j.kind.name + ", " + strings.Join(ss, ", ")
 }
 
-// table lists the cells: single faults whole, every step by every fault, and a
+// matrixCells lists the cells: single faults whole, every step by every fault, and a
 // sample of the pairs.
-func table() (js []job) {
+func matrixCells() (js []job) {
 	for _, k := range kinds {
 		for _, s := range steps {
 			for _, x := range faultSpecs {
@@ -459,7 +459,7 @@
 			broken += parseNumber(t, m[2])
 		}
 	}
-	assert.Equal(t, len(table()), cells)
+	assert.Equal(t, len(matrixCells()), cells)
 	fmt.Printf("single faults: every step by every fault for %d kinds of request, no cell left out; pairs: a sample of %d, seed 1\n", len(kinds), faultPairs)
 	fmt.Printf("cells %d, held %d, broken %d\n", cells, cells-broken, broken)
 }
@@ -478,7 +478,7 @@
 		lines[k.name] = measureTimeline(t, k)
 	}
 	cells, broken := 0, 0
-	for i, j := range table() {
+	for i, j := range matrixCells() {
 		if i%shards != n {
 			continue
 		}
