--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -473,16 +473,16 @@
 
 func runShard(t *testing.T, n int) {
 	t.Helper()
-	lines := map[string]timeline{}
+	timelines := map[string]timeline{}
 	for _, k := range kinds {
-		lines[k.name] = measureTimeline(t, k)
+		timelines[k.name] = measureTimeline(t, k)
 	}
 	cells, broken := 0, 0
 	for i, j := range matrixCells() {
 		if i%shards != n {
 			continue
 		}
-		_, bs := inMatrix(t, j.kind, lines[j.kind.name], j.faults)
+		_, bs := inMatrix(t, j.kind, timelines[j.kind.name], j.faults)
 		cells++
 		if len(bs) > 0 {
 			broken++
