--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -44,7 +44,7 @@
 	HallDelay   time.Duration // one way between two data halls
 	BoxDelay    time.Duration // one way between two boxes of a data hall
 	CallerDelay time.Duration // one way to a caller
-	Poll        time.Duration // of the log
+	LogPoll     time.Duration // of the log
 	Policy      string
 	Log         *log.Logger
 }
@@ -84,7 +84,7 @@
 		HallDelay:   1500 * time.Microsecond,
 		BoxDelay:    100 * time.Microsecond,
 		CallerDelay: time.Millisecond,
-		Poll:        time.Second,
+		LogPoll:     time.Second,
 		Policy:      Policy,
 		Log:         log.NewWithOptions(io.Discard, log.Options{Level: log.FatalLevel}),
 	}
@@ -240,7 +240,7 @@
 }
 
 func (f *Fleet) follower(name string, z *standin.Freezer) *fold.Follower {
-	return fold.NewFollower(freezableLog{f.Log, z}, fold.WithClock(z.Clock()), fold.WithLogger(f.Config.Log), fold.WithPoll(f.Config.Poll),
+	return fold.NewFollower(freezableLog{f.Log, z}, fold.WithClock(z.Clock()), fold.WithLogger(f.Config.Log), fold.WithPoll(f.Config.LogPoll),
 		fold.WithPeers(node.Snapshots(f.listAgents, f.Network.Dial(name), f.Config.Log)))
 }
 
@@ -382,7 +382,7 @@
 		return err
 	}
 	for !f.ready() {
-		time.Sleep(f.Config.Poll / 4)
+		time.Sleep(f.Config.LogPoll / 4)
 	}
 	return nil
 }
