--- a/internal/spread/doc.go
+++ b/internal/spread/doc.go
@@ -1,7 +1,7 @@
-// Package spread holds the tests of how values of all sizes spread among gateways
-// behind links of different rates, in virtual time.
+// Package spread tests in virtual time how records of all sizes propagate among gateways whose
+// links have different rates.
 //
-// They are apart from package feed since yamux keeps timers for all its sessions in one
-// pool, and a timer of virtual time must not leave its bubble: all sessions of this
-// package's tests are in bubbles, and the pool is emptied between two of them.
+// The tests are separate from package feed because yamux pools the timers of all its sessions, and
+// a timer of virtual time must not leave its bubble: here all sessions run in bubbles, and the pool
+// is emptied between two of them.
 package spread
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	storeDelay = 4 * time.Millisecond // that the store takes to answer
-	// maxViewAge is the age of a view up to which keys are good: 5 s after the configuration was last
-	// confirmed, less 0.8 s for the way of answers.
+	storeDelay = 4 * time.Millisecond // time that the store takes to answer
+	// maxViewAge bounds the age of a view by which keys are accepted: 5 s after the configuration was
+	// last confirmed, less 0.8 s for the transfer of answers.
 	maxViewAge    = 4200 * time.Millisecond
-	maxSpreadTime = 2 * time.Second       // within which a change has to be known everywhere
-	pollInterval  = 10 * time.Millisecond // how often it is looked
+	maxSpreadTime = 2 * time.Second       // until all gateways have a change
+	pollInterval  = 10 * time.Millisecond // between checks of the gateways
 )
 
 var errDown = errors.New("down")
@@ -99,27 +99,27 @@
 	}
 }
 
-// remoteTopic is the store's topic as a box sees it: what it reads goes over the
-// store's link and its own.
+// remoteTopic is a topic of the store as a box reaches it: what it reads is sent over the links of
+// the store and of the box.
 type remoteTopic struct {
 	*memTopic
 	net     *network
 	box     string
-	delay   time.Duration // that the store takes to answer
+	delay   time.Duration // time that the store takes to answer
 	silent  func(box string) bool
-	refused func(box string) bool // whether the store fails a box's calls at once
+	refused func(box string) bool // whether the store refuses a box's calls at once
 	calls   *callCounter
 }
 
-// callCounter counts callCounter to the store.
+// callCounter counts calls to the store.
 type callCounter struct {
 	mu        sync.Mutex
 	since     time.Time
 	total     int
-	perSecond map[int]int // by whole seconds since from
+	perSecond map[int]int // by whole seconds since the reset
 }
 
-// reset begins to count anew.
+// reset starts a new count.
 func (c *callCounter) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +133,7 @@
 	c.perSecond[int(time.Since(c.since)/time.Second)]++
 }
 
-// count returns how many calls there were, and the most in a second.
+// count returns the number of calls, and the most in one second.
 func (c *callCounter) count() (all, most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +165,7 @@
 	return p, err
 }
 
-// transmit takes the time that an answer needs.
+// transmit waits for the time that the answer takes to arrive.
 func (t *remoteTopic) transmit(ctx context.Context, p hollowgrade.KeyedPage, patience time.Duration) error {
 	left := 0
 	for _, r := range p.Records {
@@ -191,35 +191,35 @@
 	}
 }
 
-// gateway is what one gateway has of feeds.
+// gateway has the feeds of one gateway process.
 type gateway struct {
 	box                    string
 	config, fleet, members *feed.Feed
 	relay                  *feed.Relay
-	stop                   func() // ends the process, and waits for that
+	stop                   func() // stops the process and waits for its end
 }
 
-// testFleet is gateways before one store in one network.
+// testFleet is a set of gateways with one store and one network.
 type testFleet struct {
 	net                    *network
 	faultsMu               sync.Mutex
-	silent                 func(box string) bool // whether the store says nothing to a box
-	refused                func(box string) bool // whether it fails the calls of a box at once
+	silent                 func(box string) bool // whether the store does not answer a box
+	refused                func(box string) bool // whether it refuses the calls of a box at once
 	config, fleet, members *memTopic
 	calls                  callCounter
 	timing                 feed.Timing
 	gateways               []*gateway
-	startGateway           func(i int) *gateway // starts a gateway
+	startGateway           func(i int) *gateway
 }
 
-// place is where a gateway is.
+// place is the data hall and link rate of a gateway.
 type place struct {
 	hall string
 	rate float64
 }
 
-// fleetPlaces returns places as a fleet of n gateways has them: four halls, of every
-// seven gateways two with a wide link.
+// fleetPlaces returns the places of n gateways: four halls, and wide links for two of every seven
+// gateways.
 func fleetPlaces(n int) (ps []place) {
 	for i := range n {
 		p := place{hall: fmt.Sprint("hall-", i%4), rate: narrowBytesPerSecond}
@@ -231,21 +231,20 @@
 	return ps
 }
 
-// address returns the address of a gateway.
 func address(i int) string {
 	return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
 }
 
-// inNetwork runs gateways at the places in virtual time until test returns.
+// inNetwork runs the test with gateways at the given places, in virtual time.
 func inNetwork(t *testing.T, ps []place, delay time.Duration, test func(t *testing.T, f *testFleet), prepare ...func(f *testFleet)) {
 	t.Helper()
-	// Two collections empty the pool that yamux keeps timers of an earlier bubble in.
+	// Two collections empty the pool in which yamux keeps timers of an earlier bubble.
 	runtime.GC()
 	runtime.GC()
 	if raceDetector {
-		// All timers of a bubble have one state in the race detector, which two threads that take
-		// expired timers at once both use: the runtime crashed in two of three runs (SIGSEGV below
-		// runtime.timer.maybeRunChan, or a failed check of its own, slot_locked).
+		// The race detector has one context for all timers of a bubble. If two threads run expired
+		// timers at once, the runtime crashes (SIGSEGV below runtime.timer.maybeRunChan, or a failed
+		// check of slot_locked), in two of three runs.
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -259,7 +258,7 @@
 		var g sync.WaitGroup
 		defer func() {
 			cancel()
-			time.Sleep(time.Second) // asks under way end
+			time.Sleep(time.Second) // pending polls end
 			f.net.close()
 			g.Wait()
 		}()
@@ -280,7 +279,7 @@
 
 func noBox(string) bool { return false }
 
-// setStoreFaults sets which boxes the store says nothing to, and which it refuses.
+// setStoreFaults sets which boxes the store does not answer, and which it refuses at once.
 func (f *testFleet) setStoreFaults(silent, refused func(box string) bool) {
 	f.faultsMu.Lock()
 	defer f.faultsMu.Unlock()
@@ -293,7 +292,7 @@
 	return (*how)(box)
 }
 
-// remoteTopic returns a topic as a box sees it.
+// remoteTopic returns a topic as the box reaches it.
 func (f *testFleet) remoteTopic(t *memTopic, box string, delay time.Duration) *remoteTopic {
 	return &remoteTopic{t, f.net, box, delay, func(box string) bool { return f.hasStoreFault(&f.silent, box) }, func(box string) bool { return f.hasStoreFault(&f.refused, box) }, &f.calls}
 }
@@ -314,7 +313,7 @@
 	var own sync.WaitGroup
 	own.Go(func() {
 		_ = s.Serve(ctx, l)
-		s.Close() // what it accepted last is waited for too
+		s.Close() // waits for the connections accepted last
 	})
 	own.Go(func() { w.config.Run(ctx) })
 	own.Go(func() { w.fleet.Run(ctx) })
@@ -332,7 +331,7 @@
 	return w
 }
 
-// stopGateways ends gateways at one moment.
+// stopGateways stops the selected gateways concurrently.
 func (f *testFleet) stopGateways(which func(i int) bool) {
 	var g sync.WaitGroup
 	for i, w := range f.gateways {
@@ -343,7 +342,7 @@
 	g.Wait()
 }
 
-// restartGateways starts gateways that were lost, at one moment.
+// restartGateways starts the selected gateways, which were stopped.
 func (f *testFleet) restartGateways(which func(i int) bool) {
 	for i := range f.gateways {
 		if which(i) {
@@ -352,7 +351,7 @@
 	}
 }
 
-// countKnowing returns how many gateways know the topics up to an offset.
+// countKnowing returns how many gateways have a topic up to an offset.
 func (f *testFleet) countKnowing(of func(*gateway) *feed.Feed, next int64) (n int) {
 	for _, w := range f.gateways {
 		if of(w).Next() >= next {
@@ -362,8 +361,8 @@
 	return n
 }
 
-// waitKnown waits waitKnown all gateways know a topic up to an offset, and returns how
-// long that took, or bound.
+// waitKnown waits until all gateways have a topic up to an offset, for at most bound, and returns
+// how long it waited.
 func (f *testFleet) waitKnown(of func(*gateway) *feed.Feed, next int64, bound time.Duration) time.Duration {
 	began := time.Now()
 	for f.countKnowing(of, next) < len(f.gateways) && time.Since(began) < bound {
@@ -374,8 +373,7 @@
 
 func configOf(w *gateway) *feed.Feed { return w.config }
 
-// randomConfig returns a randomConfig of about so many bytes, of routes whose
-// names are drawn.
+// randomConfig returns a configuration of at least so many bytes, with random route names.
 func randomConfig(r *rand.Rand, bytes int) string {
 	var b strings.Builder
 	b.WriteString(`{"version":1,"routes":[`)
@@ -400,20 +398,10 @@
 
 func newSeededRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// The configuration had grown to 0.8 MB. Calls on a route that a change had moved
-// were still handled the old way eight seconds after the change was confirmed, at
-// gateways with a link of 20 Mbit/s; they never had the change until the day ended.
-//
-// A gateway asks three peers each 400 ms and gives an answer 700 ms, however large
-// it is. An answer held whole records. On such a link one copy takes 0.32 s, three
-// at a time 0.96 s: each answer was cut, thrown away, and asked for again from the
-// beginning, which kept the link full. The gateway's own read of the store, which
-// had a bound in time as well, was cut on the same link.
-//
-// Evidence: each of these gateways received 2.3 MB a second for 38 s, its whole link,
-// and 81 to 91 MB in all; 40 to 56 answers a second were cut in the fleet, two thirds
-// of them after exactly the 256 KB of one stream's window; reads of the store were cut
-// after 655 to 770 of 794 KB.
+// Guards against a large configuration that never reaches gateways with links of 20 Mbit/s. Each
+// polls three peers every 400 ms and waits 700 ms for an answer. If answers hold whole records, one
+// copy of 0.8 MB takes 0.32 s and three at once 0.96 s: each is aborted, discarded and requested
+// again from the start, which keeps the link full and aborts the gateway's reads of the store too.
 func TestLargeConfigurationReachesAllGateways(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -16,33 +16,32 @@
 )
 
 const (
-	segmentBytes         = 16 << 10             // that a link carries at a time
-	windowBytes          = 256 << 10            // that may be under way on one
-	dialTime             = 2 * time.Millisecond // that a connection takes to come up
-	storeBytesPerSecond  = 80 << 20             // bytes a second that the store's reads share
-	storeBox             = "store"              // its name in the network
-	narrowBytesPerSecond = 20e6 / 8             // bytes a second of a link of 20 Mbit/s
-	wideBytesPerSecond   = 200e6 / 8            // and of one of 200
+	segmentBytes         = 16 << 10             // that a link transmits at once
+	windowBytes          = 256 << 10            // that may be in flight per direction of a connection
+	dialTime             = 2 * time.Millisecond // time to establish a connection
+	storeBytesPerSecond  = 80 << 20             // shared by all reads of the store
+	storeBox             = "store"              // the store's name in the network
+	narrowBytesPerSecond = 20e6 / 8             // 20 Mbit/s
+	wideBytesPerSecond   = 200e6 / 8            // 200 Mbit/s
 )
 
-// network is a network of boxes in virtual time. Each box has a link with a
-// rate, which all that it sends share, and all that it receives.
+// network is a network of boxes in virtual time. Each box has a link whose rate, in each direction,
+// is shared by all its connections.
 type network struct {
 	mu          sync.Mutex
 	links       map[string]*boxLink
 	listeners   map[string]*listener
 	conns       []*conn
 	closed      bool
-	partitioned func(a, b string) bool // whether two boxes do not reach each other
+	partitioned func(a, b string) bool // whether two boxes cannot reach each other
 }
 
-// boxLink is the link of one box.
 type boxLink struct {
 	hall                      string
 	rate                      float64   // bytes a second
-	outBusyUntil, inBusyUntil time.Time // when what it sends and receives now will be through
+	outBusyUntil, inBusyUntil time.Time // when all data scheduled so far will have passed
 	receivedBytes             int64
-	crossHallBytes            int64 // bytes that came from another hall
+	crossHallBytes            int64 // received from other halls
 }
 
 func newNetwork() *network {
@@ -53,7 +52,7 @@
 	}
 }
 
-// partition lets boxes no longer reach each other, or again, and ends the connections between them.
+// partition sets which boxes cannot reach each other, and closes the connections between them.
 func (n *network) partition(parted func(a, b string) bool) {
 	n.mu.Lock()
 	n.partitioned = parted
@@ -75,7 +74,6 @@
 	n.links[box] = &boxLink{hall: hall, rate: rate}
 }
 
-// place returns where a box is.
 func (n *network) place(box string) feed.Place {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,8 +81,7 @@
 	return feed.Place{Hall: l.hall, Link: l.rate * 8 / 1e6}
 }
 
-// send puts bytes on the way from one box to another and returns when they will
-// be there.
+// send schedules bytes for transmission from one box to another and returns when they arrive.
 func (n *network) send(from, to string, bytes int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,8 +96,8 @@
 	return t.inBusyUntil
 }
 
-// byteCounts returns the bytes that the box with the slowest link received at the
-// most, and all that went from hall to hall.
+// byteCounts returns the most bytes that a box with a narrow link received, and all bytes that
+// crossed halls.
 func (n *network) byteCounts() (narrowest, crossed int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,8 +113,8 @@
 	return narrowest, crossed
 }
 
-// busiest returns the most bytes that one box has received, and the most connections
-// that one has open.
+// busiest returns the most bytes that one box has received, and the most connections that one box
+// has open.
 func (n *network) busiest() (bytes int64, open int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,7 +160,7 @@
 	}
 }
 
-// disconnect ends all connections of a box, and lets it have no new ones.
+// disconnect closes all connections of a box, and accepts no new ones to it.
 func (n *network) disconnect(box string) {
 	n.mu.Lock()
 	delete(n.listeners, box)
@@ -189,10 +186,10 @@
 	from, to      string
 	mu            sync.Mutex
 	changed       *sync.Cond
-	partialFrame  []byte   // the head of a frame whose body is still to come
-	queue         [][]byte // frames that are not on the way yet
+	partialFrame  []byte   // the header of a frame whose body is not yet written
+	queue         [][]byte // frames that are not yet in transmission
 	unread        []byte
-	inFlightBytes int // bytes under way or unread
+	inFlightBytes int // bytes sent and not yet read
 	closed        bool
 }
 
@@ -203,8 +200,8 @@
 	return h
 }
 
-// transmit brings what is sent over the links, a piece at a time, until the
-// connection is closed.
+// transmit sends the queued frames over the links, one segment at a time, until the connection is
+// closed.
 func (h *half) transmit() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -226,9 +223,8 @@
 	}
 }
 
-// write sends what it is given in one go. The head of a frame waits for its body:
-// yamux reads a body under a lock, and virtual time stands still while a goroutine
-// waits for a lock.
+// write queues data as one frame. A frame header is kept until its body follows: yamux reads a body
+// under a lock, and virtual time doesn't advance while a goroutine waits for a lock.
 func (h *half) write(b []byte) (n int, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -249,7 +245,7 @@
 	return len(b), nil
 }
 
-// isDataHeader reports whether b is the head of a frame of yamux with data.
+// isDataHeader reports whether b is the header of a yamux data frame with a body.
 func isDataHeader(b []byte) bool {
 	const headBytes, typeAt, lengthAt, data = 12, 1, 8, 0
 	return len(b) == headBytes && b[typeAt] == data && binary.BigEndian.Uint32(b[lengthAt:]) > 0
@@ -297,7 +293,7 @@
 	return nil
 }
 
-// listener takes connections to one box.
+// listener accepts connections to one box.
 type listener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -328,7 +324,7 @@
 	return l
 }
 
-// dialer returns how a box reaches the others.
+// dialer returns a dialer that connects a box to others.
 func (n *network) dialer(from string) peer.Dialer {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		n.mu.Lock()
--- a/internal/spread/norace_test.go
+++ b/internal/spread/norace_test.go
@@ -2,13 +2,14 @@
 
 package spread
 
-// raceDetector reports whether the race detector runs.
+// raceDetector reports whether the race detector is on.
 const raceDetector = false
 
-// many is how many gateways a large fleet has.
+// many is the number of gateways of a large fleet.
 const many = 103
 
-// some is how many gateways a smaller fleet has, and courses how many courses of each are played.
+// some is the number of gateways of a smaller fleet, and courses the number of random sequences of
+// phases for each size of fleet.
 const (
 	some    = 21
 	courses = 6
--- a/internal/spread/phases_test.go
+++ b/internal/spread/phases_test.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	phases = 6 // of one course
-	// settleTime is how long after the last change a view may still be what the time before left behind.
+	phases = 6 // of one sequence
+	// settleTime is how long after a change of phase views may still be as old as before it.
 	settleTime = 3 * time.Second
 )
 
-// phase is what holds for some seconds: which gateways the store turns away, and how, and which of
-// the gateways reach each other.
+// phase describes some seconds of a run: which gateways' calls the store fails, in which way, and
+// which gateways reach each other.
 type phase struct {
 	failing map[string]bool
 	refuse  bool
-	group   map[string]int // gateways of different groups do not reach each other
+	group   map[string]int // gateways of different groups cannot connect
 }
 
-// drawPhase draws a phase. At least one gateway is served.
+// drawPhase draws a random phase in which the store serves at least one gateway.
 func (f *testFleet) drawPhase(r *rand.Rand) phase {
 	p := phase{failing: map[string]bool{}, refuse: r.IntN(2) == 0, group: map[string]int{}}
 	share, groups := r.Float64(), 1+r.IntN(3)
@@ -43,13 +43,13 @@
 	return p
 }
 
-// applyPhase puts a phase in force.
+// applyPhase applies a phase to the store and the network.
 func (f *testFleet) applyPhase(p phase) {
 	f.failBoxes(storeFault{refuse: p.refuse}, func(box string) bool { return p.failing[box] })
 	f.net.partition(func(a, b string) bool { return p.group[a] != p.group[b] })
 }
 
-// reachesServed reports whether a gateway reaches one that the store serves, itself among them.
+// reachesServed reports whether a gateway reaches one that the store serves, itself included.
 func (f *testFleet) reachesServed(p phase, box string) bool {
 	for _, g := range f.gateways {
 		if p.group[g.box] == p.group[box] && !p.failing[g.box] {
@@ -59,10 +59,10 @@
 	return false
 }
 
-// Any set of gateways loses and regains the store, and each other, at any moment. A view of one that
-// reaches a gateway which the store serves does not get older than the time for which keys are good, or as much
-// as five sevenths of it once things have been as they are for a while; no view goes back; and no more gateways
-// read the store than read for the others, and as many again.
+// Guards against stale views when the store fails and serves changing sets of gateways and the
+// network is partitioned. A gateway that reaches a served one keeps its view younger than
+// maxViewAge, and after settleTime younger than viewAgeGoal. Views never go back to an older state,
+// and at most twice the regular number of readers read the store in each partition.
 func TestViewsInAnyCourse(t *testing.T) {
 	for _, n := range []int{5, some, 2 * some} {
 		for seed := range uint64(courses) {
@@ -90,8 +90,8 @@
 				putConfig(t, f, "a change")
 			}
 			for _, g := range f.gateways {
-				require.GreaterOrEqual(t, g.config.Next(), next[g.box], "%s goes back", g.box)
-				require.False(t, g.config.Fresh().Before(fresh[g.box]), "%s gets older", g.box)
+				require.GreaterOrEqual(t, g.config.Next(), next[g.box], "%s went back to an earlier offset", g.box)
+				require.False(t, g.config.Fresh().Before(fresh[g.box]), "%s became less fresh", g.box)
 				next[g.box], fresh[g.box] = g.config.Next(), g.config.Fresh()
 				if !f.reachesServed(p, g.box) {
 					continue
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -2,15 +2,16 @@
 
 package spread
 
-// raceDetector reports whether the race detector runs.
+// raceDetector reports whether the race detector is on.
 const raceDetector = true
 
-// many is how many gateways a large fleet has. The race detector keeps half a megabyte for each
-// goroutine: 103 gateways took 12 GB with it. CI plays all of them without it.
+// many is the number of gateways of a large fleet. The race detector keeps half a megabyte for each
+// goroutine, 12 GB for 103 gateways; CI runs these without it.
 const many = 28
 
-// some is how many gateways a smaller fleet has, and courses how many courses of each are played: each leaves its
-// memory to the race detector, 11 GB after 18 of 5 to 40 gateways beside all else.
+// some is the number of gateways of a smaller fleet, and courses the number of random sequences of
+// phases for each size of fleet. The race detector keeps the memory of each sequence: 11 GB after 18
+// of 5 to 40 gateways, besides the other tests.
 const (
 	some    = 12
 	courses = 2
--- a/internal/spread/storefault_test.go
+++ b/internal/spread/storefault_test.go
@@ -11,11 +11,11 @@
 	"github.com/hollowgrade/hollowgrade/feed"
 )
 
-// storeFault is how the store turns gateways away.
+// storeFault is a way in which the store fails the calls of some gateways.
 type storeFault struct {
 	name   string
-	refuse bool          // it fails their calls at once, and else says nothing
-	period time.Duration // after which it turns them away or serves them by turns; 0 for no turns
+	refuse bool          // calls fail at once; otherwise they get no answer
+	period time.Duration // alternates between failing and serving; 0 fails always
 }
 
 var storeFaults = []storeFault{
@@ -24,7 +24,8 @@
 	{name: "flapping", refuse: true, period: time.Second},
 }
 
-// failingShares are which gateways are turned away beside the readers, by their place among the others.
+// failingShares select the gateways that the store fails besides the readers, by their index among
+// the others.
 var failingShares = []struct {
 	name string
 	with func(i, others int) bool
@@ -35,8 +36,8 @@
 	{"all but three", func(i, others int) bool { return i < others-3 }},
 }
 
-// failReaders lets the store turn away all readers, and those of the other gateways that with names.
-// It returns how many are served.
+// failReaders makes the store fail the calls of all readers and of the other gateways that include
+// selects. It returns the number of gateways that are still served.
 func (f *testFleet) failReaders(w storeFault, include func(i, others int) bool) (served int) {
 	boxes := f.readers()
 	others := len(f.gateways) - len(boxes)
@@ -59,7 +60,7 @@
 	return len(f.gateways) - len(boxes)
 }
 
-// failBoxes lets the store turn boxes away in this way, and no other.
+// failBoxes makes the store fail the calls of exactly these boxes.
 func (f *testFleet) failBoxes(w storeFault, boxes func(box string) bool) {
 	if w.refuse {
 		f.setStoreFaults(noBox, boxes)
@@ -68,7 +69,7 @@
 	}
 }
 
-// oldestViewDuring returns the highest age of the gateways' configuration while some time passes.
+// oldestViewDuring returns the largest age of a view of the configuration during a time.
 func (f *testFleet) oldestViewDuring(d time.Duration) (oldest time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(pollInterval) {
 		oldest = max(oldest, f.oldestView())
@@ -76,23 +77,10 @@
 	return oldest
 }
 
-// The store turns away all gateways that read it for the others, and callers are refused although it
-// serves gateways enough: at 103 gateways the oldest view was 3.8 to 4.0 s old where keys are good for 4.2 s,
-// 4.19 s where a third of the others were turned away as well, and 5.0 s where all but three were.
-//
-// A gateway that asks cannot know whether the one that it asks is served by the store. What a reader
-// tells it is good enough as long as it is younger than two reads wait, 3.3 s; only then does it
-// doubt, wait for half a second, and read the store itself, as all others do. So the age is a sum of
-// constants that nobody had added up: 3.0 s of a reader's view at rest, since an answer counts from when its
-// read was sent although it tells of the end of its wait; 0.4 s until it is asked; 0.3 s of margin; 0.5 or
-// 0.9 s without word. Nothing in that sum gets shorter when a reader knows that it is turned away.
-//
-// Evidence, from a trace of who reads and how old views are, 103 gateways: at rest the oldest view is 3.39 s
-// old. With the seven readers turned away when it is 1.97 s old, nobody else reads the store in the next 1.7 s,
-// until it is 3.67 s old; then all 96 others do within the same 0.3 s.
-//
-// Mended: a peer says whether the store serves it, an answer counts from the end of its wait, and others
-// stand in by turns ([feed.Timing] adds up what that takes).
+// Guards against views that expire while the store fails the readers and serves other gateways. If a
+// reader doesn't report that it isn't served, the others notice only when their view is older than
+// two reads take, 3.3 s, and views get 3.8 to 5.0 s old at 103 gateways, where keys are accepted for
+// 4.2 s. [feed.Timing] adds up what takes how long.
 func TestViewsWhileTheStoreTurnsGatewaysAway(t *testing.T) {
 	for _, n := range []int{5, some, many} {
 		for _, w := range storeFaults {
@@ -100,7 +88,7 @@
 				t.Run(fmt.Sprintf("gateways=%d/%s/%s", n, w.name, s.name), func(t *testing.T) {
 					inNetwork(t, fleetPlaces(n), storeDelay, func(t *testing.T, f *testFleet) {
 						if f.failReaders(w, s.with) == 0 {
-							t.Skip("none is served")
+							t.Skip("the store serves no gateway")
 						}
 						oldest := f.oldestViewDuring(outageDuration)
 						t.Logf("oldest view %s", oldest)
@@ -112,13 +100,13 @@
 	}
 }
 
-// viewAgeGoal is how old views may get where keys are good for so long: the same share of that for all.
+// viewAgeGoal is the age that views may reach under a bound: the same share of any bound.
 func viewAgeGoal(bound time.Duration) time.Duration {
 	return bound * 5 / 7
 }
 
-// A deployment that asks for less gets the same share of it: with keys that are good for 2.2 s views were
-// 2.57 s old with nothing wrong, and 3.16 s with the readers turned away.
+// Guards against views that exceed a bound other than the default: times that don't scale with the
+// bound gave 2.57 s at rest and 3.16 s without the readers, where 2.2 s are the bound.
 func TestViewsKeepTheirShareOfAnyBound(t *testing.T) {
 	for _, b := range []struct {
 		bound    time.Duration
@@ -138,10 +126,11 @@
 	}
 }
 
-// A store that takes half a second for each answer is not one that turns anybody away: nobody stands in, and
-// views are as young as that lets them be. One answer more than the first cannot be told from none.
+// Guards against backups that read although the store is merely slow and answers after half a
+// second. With such a store a missing answer is recognised later, so that with the readers failing
+// only maxViewAge holds.
 func TestViewsOfASlowStore(t *testing.T) {
-	const slow = 500 * time.Millisecond // 200 ms before a read is given up
+	const slow = 500 * time.Millisecond // 200 ms less than the timeout of a read
 	for _, n := range []int{5, some, many} {
 		t.Run(fmt.Sprintf("gateways=%d", n), func(t *testing.T) {
 			inNetwork(t, fleetPlaces(n), slow, func(t *testing.T, f *testFleet) {
@@ -160,7 +149,7 @@
 	}
 }
 
-// Whoever stands in is turned away in turn.
+// Guards against views that expire when the store fails the backups too, one group after another.
 func TestViewsWhileThoseThatStandInAreTurnedAway(t *testing.T) {
 	for _, n := range []int{some, many} {
 		for _, w := range storeFaults[:2] {
@@ -174,7 +163,7 @@
 						now := failing
 						f.failBoxes(w, func(box string) bool { return slices.Contains(now, box) })
 						oldest := f.oldestViewDuring(4 * time.Second)
-						t.Logf("oldest view %s, %d turned away", oldest, len(failing))
+						t.Logf("oldest view %s, %d gateways not served", oldest, len(failing))
 						require.Less(t, oldest, viewAgeGoal(maxViewAge))
 					}
 				})
@@ -183,7 +172,8 @@
 	}
 }
 
-// A change of 4 MB goes on over links of 20 Mbit/s while the readers are turned away.
+// Guards against views that expire, or a change that is lost, when the readers fail while 4 MB are
+// transmitted over links of 20 Mbit/s.
 func TestViewsWhileALargeChangeSpreads(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
@@ -196,7 +186,8 @@
 	})
 }
 
-// BenchmarkTurnedAway measures the same: the oldest view, and calls a second to the store. Time is virtual.
+// BenchmarkTurnedAway measures the age of the oldest view and the calls per second to the store
+// while it fails some gateways. Time is virtual.
 func BenchmarkTurnedAway(b *testing.B) {
 	for _, n := range []int{5, 21, 103, 420} {
 		for _, w := range storeFaults {
@@ -224,9 +215,9 @@
 	}
 }
 
-// BenchmarkChangeWhileTurnedAway measures how long a change of the configuration, and an upstream that leaves,
-// take at the most to be known everywhere when all readers are turned away in the moment before, whenever that is
-// between two reads. Time is virtual.
+// BenchmarkChangeWhileTurnedAway measures the longest time until all gateways have a change of the
+// configuration and a draining upstream if the store fails all readers right before it, at different
+// moments between two reads. Time is virtual.
 func BenchmarkChangeWhileTurnedAway(b *testing.B) {
 	const moments = 10
 	for _, n := range []int{5, 21, 103} {
