--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// setDown lets the store refuse every call, or serve again.
+// setDown makes the store fail every call, or serve again.
 func (f *testFleet) setDown(down bool) {
 	for _, t := range []*memTopic{f.config, f.fleet, f.members} {
 		t.mu.Lock()
@@ -20,8 +20,8 @@
 	}
 }
 
-// countCallsDuring returns how many calls a second reach the store while some time passes, and
-// the most of them in one second.
+// countCallsDuring returns the calls to the store per second over a time, and the most in one
+// second.
 func (f *testFleet) countCallsDuring(d time.Duration) (perSecond float64, most int) {
 	f.calls.reset()
 	time.Sleep(d)
@@ -31,9 +31,9 @@
 
 const outageDuration = 9 * time.Second
 
-// BenchmarkCalls measures calls to the store: all from the start of all gateways until
-// each knows all topics and at rest, those a second while it is away, while it turns away a
-// third of the gateways, and in the seconds after its return. Time is virtual.
+// BenchmarkCalls measures calls to the store: in total from the start until each gateway has all
+// topics, and per second at rest, during an outage of the store, after it, and while the store does
+// not answer a third of the gateways. Time is virtual.
 func BenchmarkCalls(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
 		b.Run(fmt.Sprintf("gateways=%d", n), func(b *testing.B) {
@@ -70,12 +70,10 @@
 	return boxes
 }
 
-// Every call to the store has a price, and the more gateways there are the less each
-// of them may make: 103 gateways made 2,100 calls on a quiet day of 48 s and up to 7,500 on days on which
-// the store was away, 0.024 and 0.079 of all that these days are worth.
-//
-// Evidence: of 21 gateways, five read at rest; while the store was away each of the 21 read
-// each of three topics about once a second, 436 calls in four seconds.
+// Guards against calls to the store that grow with the number of gateways, since each call costs:
+// 103 gateways made 2,100 calls in 48 s at rest and up to 7,500 with outages, 2.4 and 7.9 % of the
+// worth of all calls in that time. Without a breaker each gateway reads each topic about once a
+// second during an outage.
 func TestCallsToTheStoreDoNotGrowWithTheGateways(t *testing.T) {
 	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
 		rest, _ := f.countCallsDuring(30 * time.Second)
@@ -88,11 +86,12 @@
 		for f.oldestView() > 2*time.Second {
 			time.Sleep(pollInterval)
 		}
-		require.Less(t, time.Since(returned), time.Second, "until each gateway knows again what is fresh")
+		require.Less(t, time.Since(returned), time.Second, "until all views are fresh again")
 	})
 }
 
-// The store turns away all gateways that read it for the others.
+// Guards against views that expire while the store does not answer the gateways that read for the
+// others: other gateways have to take over.
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
 	const keysGood = 4200 * time.Millisecond
 	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
@@ -112,7 +111,7 @@
 	})
 }
 
-// readers returns the gateways that read the store now.
+// readers returns the gateways that currently read the store for the others.
 func (f *testFleet) readers() (boxes []string) {
 	for _, w := range f.gateways {
 		if w.relay.Reads() {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -13,7 +13,7 @@
 	"github.com/hollowgrade/hollowgrade/feed"
 )
 
-// runAsTest runs a part of a benchmark as a test: virtual time is for tests only.
+// runAsTest runs a part of a benchmark as a test, since virtual time needs a test.
 func runAsTest(b *testing.B, f func(t *testing.T)) {
 	b.Helper()
 	all := func(_, _ string) (bool, error) { return true, nil }
@@ -22,9 +22,9 @@
 	}
 }
 
-// BenchmarkSpread measures one change of the configuration: the time from its
-// confirmation until the last gateway knows it, the most bytes that came over a
-// narrow link, and the bytes that went from hall to hall. Time is virtual.
+// BenchmarkSpread measures one change of the configuration: the time from its confirmation until
+// the last gateway has it, the most bytes received over a narrow link, and the bytes sent between
+// halls. Time is virtual.
 func BenchmarkSpread(b *testing.B) {
 	const bound = 60 * time.Second
 	for _, n := range []int{28, 100, 420} {
@@ -53,7 +53,7 @@
 
 func fleetFeedOf(w *gateway) *feed.Feed { return w.fleet }
 
-// oldestView returns the highest age of the gateways' configuration.
+// oldestView returns the largest age of the gateways' views of the configuration.
 func (f *testFleet) oldestView() (d time.Duration) {
 	for _, w := range f.gateways {
 		age, _ := w.config.Age()
@@ -69,13 +69,13 @@
 
 func TestNothingElseWaitsForALargeConfiguration(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
-		// A key is good for 5 s after the configuration was last confirmed, 0.8 s of which
-		// are kept for the way of answers.
+		// Keys are accepted for 5 s after the configuration was last confirmed, 0.8 s of which are
+		// reserved for the transfer of answers.
 		const keysGood = 4200 * time.Millisecond
 		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
-			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "an engine that leaves is known")
+			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "until all gateways know the draining engine")
 			require.Less(t, f.oldestView(), keysGood)
 			require.Less(t, next, int64(10))
 		}
@@ -85,8 +85,8 @@
 	})
 }
 
-// Changes that come faster than a whole copy passes a narrow link: what differs is small,
-// and versions in between need not be brought.
+// Guards against changes that come faster than a narrow link carries a whole copy: only the
+// difference is sent, and versions in between may be skipped.
 func TestStormOfLargeConfigurations(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		f.net.resetCounts()
@@ -98,7 +98,7 @@
 		}
 		require.LessOrEqual(t, f.waitKnown(configOf, changes, 20*time.Second), maxSpreadTime)
 		narrowest, _ := f.net.byteCounts()
-		require.Less(t, narrowest, int64(800_000), "bytes over a narrow link: the first copy, compressed, and what differs")
+		require.Less(t, narrowest, int64(800_000), "bytes over a narrow link: the first copy, compressed, and the differences")
 	})
 }
 
@@ -108,14 +108,15 @@
 		b := make([]byte, 4_000_000)
 		_, _ = rand.NewChaCha8([32]byte{}).Read(b)
 		putConfig(t, f, string(b))
-		// One copy alone takes 1.6 s of a narrow link.
+		// One copy alone takes 1.6 s on a narrow link.
 		require.LessOrEqual(t, f.waitKnown(configOf, 1, 20*time.Second), 2*maxSpreadTime)
 		narrowest, _ := f.net.byteCounts()
 		require.Less(t, narrowest, int64(len(b)*5/4))
 	})
 }
 
-// The readers that were asked go away while they send.
+// Guards against a change that is lost or late because the polled readers disconnect while they
+// send it.
 func TestLargeConfigurationWhileReadersAreLost(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
@@ -138,13 +139,9 @@
 	})
 }
 
-// A gateway was started while the store said nothing to it. It was to read the store for
-// others, so that it asked nobody, and waited eight seconds for the answer to its first
-// read: a change that all others had was in force there 3.3 s after it was confirmed, and
-// a call was handled by the version before.
-//
-// Evidence: its log has no read of the store between its start and a change that it learned
-// from a peer, once its view was older than two reads take.
+// Guards against a gateway that starts while the store doesn't answer it and that is itself a
+// reader: it polled no peer and waited eight seconds for its first read, so that it applied a
+// change 3.3 s after its confirmation.
 func TestReaderToWhichTheStoreSaysNothing(t *testing.T) {
 	const all = 5
 	for i := range all {
@@ -161,8 +158,8 @@
 	}
 }
 
-// 3,000 upstreams are 0.9 MB: a page of them is bounded as well, for a gateway that the
-// store turns away as for one that asks readers.
+// Guards against unbounded pages of many small records, 0.9 MB for 3,000 upstreams, both in reads
+// of the store and in polls of readers.
 func TestManyRecordsAreToldPageByPage(t *testing.T) {
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		const records = 3000
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -9,13 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// upstreamCount is how many upstreams fleets of a size have: 60 at 28 gateways, 150 at
-// 103, 600 at 420.
+// upstreamCount is the number of upstreams of a fleet: 60 for 28 gateways, 150 for 103, 600 for 420.
 func upstreamCount(gateways int) int {
 	return max(gateways*10/7, 60)
 }
 
-// putConfigAndUpstreams writes a configuration and a registry of upstreams.
+// putConfigAndUpstreams writes a configuration and a registry of upstreams to the store.
 func (f *testFleet) putConfigAndUpstreams(t *testing.T, upstreams int) {
 	t.Helper()
 	putConfig(t, f, randomConfig(newSeededRand(), 350_000))
@@ -24,8 +23,9 @@
 	}
 }
 
-// measureRestart starts gateways that were lost, and returns how long it takes until each gateway knows
-// the configuration and all upstreams, and the calls to the store of two seconds from then on.
+// measureRestart stops and restarts gateways. It returns the time until each gateway has the
+// configuration and all upstreams, and the calls to the store from the restart until two seconds
+// after that.
 func (f *testFleet) measureRestart(which func(i int) bool, upstreams int) (took time.Duration, calls, most int) {
 	f.stopGateways(which)
 	time.Sleep(time.Second)
@@ -44,10 +44,10 @@
 func everyGateway(int) bool { return true }
 func everyOther(i int) bool { return i%2 == 0 }
 
-// BenchmarkReturn measures the return of all gateways, and of every other one, after their loss:
-// the time until each knows the configuration (350 KB) and all upstreams, calls to the store in that
-// time and the two seconds after it, the most in one second, and bytes and connections of the
-// busiest gateway. Time is virtual.
+// BenchmarkReturn measures the restart of all gateways, and of every other one: the time until each
+// has the configuration (350 KB) and all upstreams, the calls to the store in that time and the two
+// seconds after it, the most in one second, and the bytes and connections of the busiest gateway.
+// Time is virtual.
 func BenchmarkReturn(b *testing.B) {
 	for _, n := range []int{28, 103, 420} {
 		for name, which := range map[string]func(int) bool{"all": everyGateway, "half": everyOther} {
@@ -72,8 +72,8 @@
 	}
 }
 
-// The loss of any number of gateways is borne: those that come back know all within a
-// second, with a few calls each, of which the store serves 16,000 a second.
+// Guards against a slow recovery when many gateways restart at once: all records are known within a
+// second, with fewer than five calls each to the store, which serves 16,000 calls a second.
 func TestReturnOfManyGateways(t *testing.T) {
 	const n = many
 	for name, which := range map[string]func(int) bool{"all": everyGateway, "half": everyOther} {
