--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -14,7 +14,7 @@
 	applyWithin  = 2 * time.Second // a change is in force this long after it was written
 	backSlack    = 250 * time.Millisecond
 	touchAfter   = 3 * time.Second // what is bounded in time holds this long after a fault
-	grace        = 4 * time.Second // of a planned stop
+	stopGrace    = 4 * time.Second // of a planned stop
 	retryRatio   = 0.2
 	retrySlack   = 16
 	retryWindow  = 10 * time.Second
@@ -231,7 +231,7 @@
 func (h *history) cut() []string {
 	return h.each(func(q *request) string {
 		for _, s := range h.spans {
-			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(grace))
+			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
 			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.calm(q.sent, q.ended) && h.ran()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -55,7 +55,7 @@
 		return
 	}
 	w.store.Put("keyed.servers", k.ID, nil)
-	time.Sleep(grace) // what it has is finished
+	time.Sleep(stopGrace) // what it has is finished
 	k.Close()
 }
 
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -194,7 +194,7 @@
 retry_ratio = %g
 retry_slack = %d
 retry_window = %q
-`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, applyWithin, grace,
+`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, applyWithin, stopGrace,
 		retryRatio, retrySlack, retryWindow)
 	require.NoError(w.t, os.WriteFile(g.config, []byte(text), 0o600))
 	return g
@@ -456,7 +456,7 @@
 	done := g.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(grace):
+	case <-time.After(stopGrace):
 		<-g.signal(syscall.SIGKILL)
 	}
 	w.start(g)
@@ -523,7 +523,7 @@
 		w.mu.Unlock()
 		time.Sleep(drainWithin + s.lasts)
 		w.store.Put("keyed.servers", k.ID, nil)
-		time.Sleep(grace) // what it has is finished
+		time.Sleep(stopGrace) // what it has is finished
 		k.Close()
 	case nameLimit, leaveInAnswers, askForRest:
 		w.signal(k, s)
