--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -9,15 +9,15 @@
 // The bounds that gateways are held to; the settings of the processes have the
 // same.
 const (
-	keyFreshness = 5 * time.Second // a key admits nothing this long after it was revoked
-	drainWithin  = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
-	applyWithin  = 2 * time.Second // a change is in force this long after it was written
-	backSlack    = 250 * time.Millisecond
-	touchAfter   = 3 * time.Second // what is bounded in time holds this long after a fault
-	stopGrace    = 4 * time.Second // of a planned stop
-	retryRatio   = 0.2
-	retrySlack   = 16
-	retryWindow  = 10 * time.Second
+	keyFreshness  = 5 * time.Second // a key admits nothing this long after it was revoked
+	maxDrainDelay = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
+	applyWithin   = 2 * time.Second // a change is in force this long after it was written
+	backSlack     = 250 * time.Millisecond
+	touchAfter    = 3 * time.Second // what is bounded in time holds this long after a fault
+	stopGrace     = 4 * time.Second // of a planned stop
+	retryRatio    = 0.2
+	retrySlack    = 16
+	retryWindow   = 10 * time.Second
 )
 
 // request is what a caller sent and got.
@@ -186,7 +186,7 @@
 func (h *history) drained() []string {
 	return h.eachRun(func(r run, _ *request) string {
 		at, ok := h.leaving[r.worker]
-		if ok && r.at.After(at.Add(drainWithin)) && h.calm(at, r.at) {
+		if ok && r.at.After(at.Add(maxDrainDelay)) && h.calm(at, r.at) {
 			return fmt.Sprintf("DRAIN, %s after it began to leave", r.at.Sub(at))
 		}
 		return ""
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -121,7 +121,7 @@
 // leftByWord finds requests that reached a worker long after its answer had told their gateway that it leaves.
 func (h *history) leftByWord() (bs []string) {
 	h.eachWord(func(w word) bool { return w.leaving }, func(w word, r run) {
-		if r.at.Sub(w.at) > drainWithin && h.hears(w.at, r.at) && len(bs) == 0 {
+		if r.at.Sub(w.at) > maxDrainDelay && h.hears(w.at, r.at) && len(bs) == 0 {
 			bs = append(bs, fmt.Sprintf("DRAIN, request %s at worker %s %s after it told gateway %d that it leaves", r.id, r.worker, r.at.Sub(w.at), w.gateway))
 		}
 	})
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -521,7 +521,7 @@
 		w.mu.Lock()
 		w.history.leaving[k.ID] = time.Now()
 		w.mu.Unlock()
-		time.Sleep(drainWithin + s.lasts)
+		time.Sleep(maxDrainDelay + s.lasts)
 		w.store.Put("keyed.servers", k.ID, nil)
 		time.Sleep(stopGrace) // what it has is finished
 		k.Close()
