--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,7 +11,7 @@
 const (
 	keyFreshness  = 5 * time.Second // a key admits nothing this long after it was revoked
 	maxDrainDelay = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
-	applyWithin   = 2 * time.Second // a change is in force this long after it was written
+	maxApplyDelay = 2 * time.Second // a change is in force this long after it was written
 	backSlack     = 250 * time.Millisecond
 	touchAfter    = 3 * time.Second // what is bounded in time holds this long after a fault
 	stopGrace     = 4 * time.Second // of a planned stop
@@ -220,7 +220,7 @@
 func (h *history) late() []string {
 	return h.each(func(q *request) string {
 		at, ok := h.added[q.probe]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(at.Add(applyWithin)) && h.calm(at, q.ended) {
+		if q.probe != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.calm(at, q.ended) {
 			return fmt.Sprintf("CONFIG, not in force %s after it was written", q.sent.Sub(at))
 		}
 		return ""
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -194,7 +194,7 @@
 retry_ratio = %g
 retry_slack = %d
 retry_window = %q
-`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, applyWithin, stopGrace,
+`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
 		retryRatio, retrySlack, retryWindow)
 	require.NoError(w.t, os.WriteFile(g.config, []byte(text), 0o600))
 	return g
