--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -9,15 +9,15 @@
 // The bounds that gateways are held to; the settings of the processes have the
 // same.
 const (
-	keyFreshness  = 5 * time.Second // a key admits nothing this long after it was revoked
-	maxDrainDelay = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
-	maxApplyDelay = 2 * time.Second // a change is in force this long after it was written
-	backSlack     = 250 * time.Millisecond
-	touchAfter    = 3 * time.Second // what is bounded in time holds this long after a fault
-	stopGrace     = 4 * time.Second // of a planned stop
-	retryRatio    = 0.2
-	retrySlack    = 16
-	retryWindow   = 10 * time.Second
+	keyFreshness         = 5 * time.Second // a key admits nothing this long after it was revoked
+	maxDrainDelay        = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
+	maxApplyDelay        = 2 * time.Second // a change is in force this long after it was written
+	routeRevertTolerance = 250 * time.Millisecond
+	touchAfter           = 3 * time.Second // what is bounded in time holds this long after a fault
+	stopGrace            = 4 * time.Second // of a planned stop
+	retryRatio           = 0.2
+	retrySlack           = 16
+	retryWindow          = 10 * time.Second
 )
 
 // request is what a caller sent and got.
@@ -209,7 +209,7 @@
 	}
 	return h.each(func(q *request) string {
 		t, ok := first[place{q.gateway, q.life, q.probe}]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(t.Add(backSlack)) {
+		if q.probe != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
 			return "CONFIG, it has gone back"
 		}
 		return ""
