--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -13,7 +13,7 @@
 	maxDrainDelay        = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
 	maxApplyDelay        = 2 * time.Second // a change is in force this long after it was written
 	routeRevertTolerance = 250 * time.Millisecond
-	touchAfter           = 3 * time.Second // what is bounded in time holds this long after a fault
+	settleTime           = 3 * time.Second // what is bounded in time holds this long after a fault
 	stopGrace            = 4 * time.Second // of a planned stop
 	retryRatio           = 0.2
 	retrySlack           = 16
@@ -65,7 +65,7 @@
 // calm reports whether nothing was disturbed shortly before or within a time.
 func (h *history) calm(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return !s.what.planned() && s.from.Before(to) && s.to.Add(touchAfter).After(from)
+		return !s.what.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -17,7 +17,7 @@
 	limitWindow  = 4 * time.Second
 	limitFactor  = 1.5
 	limitExtra   = 5
-	limitFrom    = touchAfter             // from when on after it was named first
+	limitFrom    = settleTime             // from when on after it was named first
 	toldBefore   = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
 	restMost     = 2
 	restTime     = 2500 * time.Millisecond // that is asked for
@@ -99,7 +99,7 @@
 // hears reports whether gateways heard workers and each other in a time.
 func (h *history) hears(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return slices.Contains(unheardBy, s.what) && s.from.Before(to) && s.to.Add(touchAfter).After(from)
+		return slices.Contains(unheardBy, s.what) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
