--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -18,7 +18,7 @@
 func wellServed(h *history, id string, sent float64) *request {
 	q := &request{
 		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), once: true,
-		status: 200, sealed: true, whole: true, answer: "answer to " + id, want: "answer to " + id,
+		status: 200, signed: true, whole: true, answer: "answer to " + id, want: "answer to " + id,
 	}
 	h.requests[id] = q
 	h.runs = append(h.runs, run{id: id, worker: "w", path: q.path, body: q.body, organisation: "o", at: at(sent + 0.05)})
@@ -61,7 +61,7 @@
 		want  string // beginning of the one line that tells it; nothing is wrong if empty
 	}{
 		{"none", func(*history, *request) {}, ""},
-		{"no signature", func(_ *history, q *request) { q.sealed = false }, "MIXED"},
+		{"no signature", func(_ *history, q *request) { q.signed = false }, "MIXED"},
 		{"another's answer", func(_ *history, q *request) { q.answer = "answer to x" }, "MIXED"},
 		{"short and looks whole", func(_ *history, q *request) { q.answer = "answer" }, "MIXED"},
 		{"short and cut", func(_ *history, q *request) { q.answer, q.whole, q.err = "answer", false, "EOF" }, ""},
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -104,7 +104,7 @@
 	defer w.mu.Unlock()
 	q.ended, q.whole, q.answer = time.Now(), err == nil, string(body)
 	if a != nil {
-		q.status, q.sealed = a.StatusCode, a.Header.Get("Response-Seal") != ""
+		q.status, q.signed = a.StatusCode, a.Header.Get("Response-Seal") != ""
 	}
 	if err != nil {
 		q.err = err.Error()
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -26,7 +26,7 @@
 	gateway, life       int // that it was sent to
 	sent, ended         time.Time
 	status              int // 0 without an answer
-	sealed, whole       bool
+	signed, whole       bool
 	answer, want        string // body that came, and what a worker would have sent
 	err                 string
 	once                bool // may run once at the most
@@ -100,7 +100,7 @@
 func (h *history) mixed() []string {
 	return h.each(func(q *request) string {
 		switch {
-		case success(q) && !q.sealed:
+		case success(q) && !q.signed:
 			return "MIXED, no worker's signature"
 		case success(q) && q.whole && q.answer != q.want:
 			return fmt.Sprintf("MIXED, got %q", q.answer)
