--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -18,7 +18,7 @@
 func wellServed(h *history, id string, sent float64) *request {
 	q := &request{
 		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), once: true,
-		status: 200, signed: true, whole: true, answer: "answer to " + id, want: "answer to " + id,
+		status: 200, signed: true, complete: true, answer: "answer to " + id, want: "answer to " + id,
 	}
 	h.requests[id] = q
 	h.runs = append(h.runs, run{id: id, worker: "w", path: q.path, body: q.body, organisation: "o", at: at(sent + 0.05)})
@@ -64,8 +64,8 @@
 		{"no signature", func(_ *history, q *request) { q.signed = false }, "MIXED"},
 		{"another's answer", func(_ *history, q *request) { q.answer = "answer to x" }, "MIXED"},
 		{"short and looks whole", func(_ *history, q *request) { q.answer = "answer" }, "MIXED"},
-		{"short and cut", func(_ *history, q *request) { q.answer, q.whole, q.err = "answer", false, "EOF" }, ""},
-		{"wrong before the cut", func(_ *history, q *request) { q.answer, q.whole, q.err = "answex", false, "EOF" }, "ORDER"},
+		{"short and cut", func(_ *history, q *request) { q.answer, q.complete, q.err = "answer", false, "EOF" }, ""},
+		{"wrong before the cut", func(_ *history, q *request) { q.answer, q.complete, q.err = "answex", false, "EOF" }, "ORDER"},
 		{"ran twice", func(h *history, _ *request) { h.runs = append(h.runs, h.runs[0]) }, "TWICE"},
 		{"refused once before it ran", func(h *history, _ *request) {
 			h.runs = append(h.runs, h.runs[0])
@@ -104,11 +104,11 @@
 			h.added["/added/"] = at(10 - 2.1)
 		}, "CONFIG"},
 		{"cut by a planned stop", func(h *history, q *request) {
-			q.status, q.whole, q.err = 0, false, "EOF"
+			q.status, q.complete, q.err = 0, false, "EOF"
 			h.spans = []span{{what: stopGateway, from: at(9), to: at(15)}}
 		}, "LOST"},
 		{"cut by a kill", func(h *history, q *request) {
-			q.status, q.whole, q.err = 0, false, "EOF"
+			q.status, q.complete, q.err = 0, false, "EOF"
 			h.spans = []span{{what: stopGateway, from: at(9), to: at(15)}, {what: killGateway, from: at(10), to: at(11)}}
 		}, ""},
 		{"too many repeats", func(h *history, q *request) {
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -102,7 +102,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	q.ended, q.whole, q.answer = time.Now(), err == nil, string(body)
+	q.ended, q.complete, q.answer = time.Now(), err == nil, string(body)
 	if a != nil {
 		q.status, q.signed = a.StatusCode, a.Header.Get("Response-Seal") != ""
 	}
@@ -122,5 +122,5 @@
 	w.send(t, q)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return success(q) && q.whole
+	return success(q) && q.complete
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -26,7 +26,7 @@
 	gateway, life       int // that it was sent to
 	sent, ended         time.Time
 	status              int // 0 without an answer
-	signed, whole       bool
+	signed, complete    bool
 	answer, want        string // body that came, and what a worker would have sent
 	err                 string
 	once                bool // may run once at the most
@@ -102,9 +102,9 @@
 		switch {
 		case success(q) && !q.signed:
 			return "MIXED, no worker's signature"
-		case success(q) && q.whole && q.answer != q.want:
+		case success(q) && q.complete && q.answer != q.want:
 			return fmt.Sprintf("MIXED, got %q", q.answer)
-		case success(q) && !q.whole && len(q.answer) <= len(q.want) && q.answer != q.want[:len(q.answer)]:
+		case success(q) && !q.complete && len(q.answer) <= len(q.want) && q.answer != q.want[:len(q.answer)]:
 			return fmt.Sprintf("ORDER, got %q", q.answer)
 		}
 		return ""
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -157,7 +157,7 @@
 	defer w.mu.Unlock()
 	ok := 0
 	for _, q := range w.history.requests {
-		if success(q) && q.whole {
+		if success(q) && q.complete {
 			ok++
 		}
 	}
