--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -17,7 +17,7 @@
 // wellServed adds a request that ran once and was served.
 func wellServed(h *history, id string, sent float64) *request {
 	q := &request{
-		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), once: true,
+		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), atMostOnce: true,
 		status: 200, signed: true, complete: true, answer: "answer to " + id, want: "answer to " + id,
 	}
 	h.requests[id] = q
@@ -112,7 +112,7 @@
 			h.spans = []span{{what: stopGateway, from: at(9), to: at(15)}, {what: killGateway, from: at(10), to: at(11)}}
 		}, ""},
 		{"too many repeats", func(h *history, q *request) {
-			q.once = false
+			q.atMostOnce = false
 			for range 30 {
 				h.runs = append(h.runs, h.runs[0])
 			}
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -51,12 +51,12 @@
 	defer w.mu.Unlock()
 	kind := []string{"once", "again", "stream", "probe"}[r.IntN(4)]
 	q := &request{
-		id:      fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
-		key:     fmt.Sprint("key-", r.IntN(keysGiven)),
-		gateway: g,
-		life:    w.gates[g].lives(),
-		once:    kind == "once",
-		sent:    time.Now(),
+		id:         fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
+		key:        fmt.Sprint("key-", r.IntN(keysGiven)),
+		gateway:    g,
+		life:       w.gates[g].lives(),
+		atMostOnce: kind == "once",
+		sent:       time.Now(),
 	}
 	q.path = "/" + kind + "/" + q.id
 	q.body = strings.Repeat(q.id+" ", r.IntN(200))
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -29,7 +29,7 @@
 	signed, complete    bool
 	answer, want        string // body that came, and what a worker would have sent
 	err                 string
-	once                bool // may run once at the most
+	atMostOnce          bool // may run once at the most
 	probe               string
 }
 
@@ -125,7 +125,7 @@
 func (h *history) ranMore() []string {
 	n := h.ran()
 	return h.each(func(q *request) string {
-		if q.once && n[q.id] > 1 {
+		if q.atMostOnce && n[q.id] > 1 {
 			return fmt.Sprintf("TWICE, ran %d times", n[q.id])
 		}
 		return ""
@@ -136,7 +136,7 @@
 func (h *history) refused() []string {
 	n := h.ran()
 	return h.each(func(q *request) string {
-		if q.once && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
+		if q.atMostOnce && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
 			return "REFUSED, yet it ran"
 		}
 		return ""
