--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -87,19 +87,19 @@
 			h.spans = []span{{what: silenceStore, from: at(4), to: at(6)}}
 		}, ""},
 		{"route gone again", func(h *history, q *request) {
-			q.probe = "/once/"
+			q.probedRoute = "/once/"
 			p := *q
 			p.id, p.status, p.sent, p.ended = "late", 404, at(11), at(11.1)
 			h.requests[p.id] = &p
 		}, "CONFIG"},
 		{"route gone in another life", func(h *history, q *request) {
-			q.probe = "/once/"
+			q.probedRoute = "/once/"
 			p := *q
 			p.id, p.status, p.sent, p.ended, p.life = "late", 404, at(11), at(11.1), 2
 			h.requests[p.id] = &p
 		}, ""},
 		{"route not in force", func(h *history, q *request) {
-			q.probe, q.status = "/added/", 404
+			q.probedRoute, q.status = "/added/", 404
 			h.runs = nil
 			h.added["/added/"] = at(10 - 2.1)
 		}, "CONFIG"},
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -72,8 +72,8 @@
 			q.path = "/again/" + q.id
 			break
 		}
-		q.probe = w.routes[len(w.routes)-1-r.IntN(min(len(w.routes), 3))]
-		q.path = q.probe + q.id
+		q.probedRoute = w.routes[len(w.routes)-1-r.IntN(min(len(w.routes), 3))]
+		q.path = q.probedRoute + q.id
 		q.key = "key-0"
 	}
 	w.history.requests[q.id] = q
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -30,7 +30,7 @@
 	answer, want        string // body that came, and what a worker would have sent
 	err                 string
 	atMostOnce          bool // may run once at the most
-	probe               string
+	probedRoute         string
 }
 
 // run is what a worker saw.
@@ -202,14 +202,14 @@
 	}
 	first := map[place]time.Time{}
 	for _, q := range h.requests {
-		p := place{q.gateway, q.life, q.probe}
-		if t, ok := first[p]; q.probe != "" && success(q) && (!ok || q.ended.Before(t)) {
+		p := place{q.gateway, q.life, q.probedRoute}
+		if t, ok := first[p]; q.probedRoute != "" && success(q) && (!ok || q.ended.Before(t)) {
 			first[p] = q.ended
 		}
 	}
 	return h.each(func(q *request) string {
-		t, ok := first[place{q.gateway, q.life, q.probe}]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
+		t, ok := first[place{q.gateway, q.life, q.probedRoute}]
+		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
 			return "CONFIG, it has gone back"
 		}
 		return ""
@@ -219,8 +219,8 @@
 // late finds probes of a route that should be in force and is not.
 func (h *history) late() []string {
 	return h.each(func(q *request) string {
-		at, ok := h.added[q.probe]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.calm(at, q.ended) {
+		at, ok := h.added[q.probedRoute]
+		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.calm(at, q.ended) {
 			return fmt.Sprintf("CONFIG, not in force %s after it was written", q.sent.Sub(at))
 		}
 		return ""
