--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -95,7 +95,7 @@
 		{"route gone in another life", func(h *history, q *request) {
 			q.probedRoute = "/once/"
 			p := *q
-			p.id, p.status, p.sent, p.ended, p.life = "late", 404, at(11), at(11.1), 2
+			p.id, p.status, p.sent, p.ended, p.instance = "late", 404, at(11), at(11.1), 2
 			h.requests[p.id] = &p
 		}, ""},
 		{"route not in force", func(h *history, q *request) {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -23,7 +23,7 @@
 // request is what a caller sent and got.
 type request struct {
 	id, path, key, body string
-	gateway, life       int // that it was sent to
+	gateway, instance   int // that it was sent to
 	sent, ended         time.Time
 	status              int // 0 without an answer
 	signed, complete    bool
@@ -202,13 +202,13 @@
 	}
 	first := map[place]time.Time{}
 	for _, q := range h.requests {
-		p := place{q.gateway, q.life, q.probedRoute}
+		p := place{q.gateway, q.instance, q.probedRoute}
 		if t, ok := first[p]; q.probedRoute != "" && success(q) && (!ok || q.ended.Before(t)) {
 			first[p] = q.ended
 		}
 	}
 	return h.each(func(q *request) string {
-		t, ok := first[place{q.gateway, q.life, q.probedRoute}]
+		t, ok := first[place{q.gateway, q.instance, q.probedRoute}]
 		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
 			return "CONFIG, it has gone back"
 		}
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -31,7 +31,7 @@
 	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
 	for n, end := 0, time.Now().Add(s.lasts); time.Now().Before(end); n++ {
 		g := r.IntN(len(w.gates))
-		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, life: w.gates[g].lives(), sent: time.Now()}
+		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gates[g].lives(), sent: time.Now()}
 		w.mu.Lock()
 		w.history.requests[q.id] = q
 		w.mu.Unlock()
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -82,7 +82,7 @@
 		w.mu.Lock()
 		g, q := w.signals[k.ID], w.history.requests[r.Header.Get("Attempt-Id")]
 		if g != (signal{}) && q != nil {
-			w.history.words = append(w.history.words, word{g, k.ID, q.gateway, q.life, time.Now()})
+			w.history.words = append(w.history.words, word{g, k.ID, q.gateway, q.instance, time.Now()})
 		}
 		w.mu.Unlock()
 		b(k, c, r)
@@ -111,7 +111,7 @@
 		}
 		for _, r := range h.runs {
 			q := h.requests[r.id]
-			if r.worker == w.worker && q != nil && q.gateway == w.gateway && q.life == w.life && r.at.After(w.at) {
+			if r.worker == w.worker && q != nil && q.gateway == w.gateway && q.instance == w.life && r.at.After(w.at) {
 				c(w, r)
 			}
 		}
