--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -40,7 +40,7 @@
 
 // told adds that the worker told a gateway something of itself.
 func told(h *history, g signal, seconds float64) {
-	h.words = append(h.words, word{signal: g, worker: "w", at: at(seconds)})
+	h.words = append(h.words, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
 // arrive adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
