--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -129,7 +129,7 @@
 		{"left by its word just before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-1.9) }, ""},
 		{"left by its word to another life", func(h *history, _ *request) {
 			told(h, signal{leaving: true}, 10.05-2.1)
-			h.words[0].life++
+			h.words[0].instance++
 		}, ""},
 		{"left by its word, the store away since", func(h *history, _ *request) {
 			told(h, signal{leaving: true}, 10.05-2.1)
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -34,9 +34,9 @@
 // receivedSignal is a signal that a gateway was told in an answer.
 type receivedSignal struct {
 	signal
-	worker        string
-	gateway, life int
-	at            time.Time
+	worker            string
+	gateway, instance int
+	at                time.Time
 }
 
 // signal lets a worker say something of itself for a while.
@@ -111,7 +111,7 @@
 		}
 		for _, r := range h.runs {
 			q := h.requests[r.id]
-			if r.worker == w.worker && q != nil && q.gateway == w.gateway && q.instance == w.life && r.at.After(w.at) {
+			if r.worker == w.worker && q != nil && q.gateway == w.gateway && q.instance == w.instance && r.at.After(w.at) {
 				c(w, r)
 			}
 		}
