--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -40,7 +40,7 @@
 
 // told adds that the worker told a gateway something of itself.
 func told(h *history, g signal, seconds float64) {
-	h.words = append(h.words, receivedSignal{signal: g, worker: "w", at: at(seconds)})
+	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
 // arrive adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
@@ -129,7 +129,7 @@
 		{"left by its word just before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-1.9) }, ""},
 		{"left by its word to another life", func(h *history, _ *request) {
 			told(h, signal{leaving: true}, 10.05-2.1)
-			h.words[0].instance++
+			h.received[0].instance++
 		}, ""},
 		{"left by its word, the store away since", func(h *history, _ *request) {
 			told(h, signal{leaving: true}, 10.05-2.1)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -55,7 +55,7 @@
 	revoked  map[string]time.Time // keys
 	leaving  map[string]time.Time // workers
 	added    map[string]time.Time // paths of routes
-	words    []receivedSignal     // that workers told gateways in answers
+	received []receivedSignal     // that workers told gateways in answers
 }
 
 func newHistory() *history {
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -82,7 +82,7 @@
 		w.mu.Lock()
 		g, q := w.signals[k.ID], w.history.requests[r.Header.Get("Attempt-Id")]
 		if g != (signal{}) && q != nil {
-			w.history.words = append(w.history.words, receivedSignal{g, k.ID, q.gateway, q.instance, time.Now()})
+			w.history.received = append(w.history.received, receivedSignal{g, k.ID, q.gateway, q.instance, time.Now()})
 		}
 		w.mu.Unlock()
 		b(k, c, r)
@@ -105,7 +105,7 @@
 
 // eachWord calls a check for each run that came to a worker after a word of it to the same life of the gateway that sent it.
 func (h *history) eachWord(of func(w receivedSignal) bool, c func(w receivedSignal, r run)) {
-	for _, w := range h.words {
+	for _, w := range h.received {
 		if !of(w) {
 			continue
 		}
@@ -158,7 +158,7 @@
 // namedLimits returns those of all workers.
 func (h *history) namedLimits() map[string]*namedLimit {
 	ls := map[string]*namedLimit{}
-	for _, w := range h.words {
+	for _, w := range h.received {
 		if w.limit == 0 {
 			continue
 		}
