--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -80,10 +80,10 @@
 		{"key handed on", func(h *history, _ *request) { h.runs[0].key = true }, "UNASKED"},
 		{"key revoked long before", func(h *history, _ *request) { h.revoked["k"] = at(10 - 5.1) }, "CONFIG"},
 		{"key revoked just before", func(h *history, _ *request) { h.revoked["k"] = at(10 - 4.9) }, ""},
-		{"worker left long before", func(h *history, _ *request) { h.leaving["w"] = at(10 - 2.1) }, "DRAIN"},
-		{"worker left just before", func(h *history, _ *request) { h.leaving["w"] = at(10 - 1.8) }, ""},
+		{"worker left long before", func(h *history, _ *request) { h.leavingSince["w"] = at(10 - 2.1) }, "DRAIN"},
+		{"worker left just before", func(h *history, _ *request) { h.leavingSince["w"] = at(10 - 1.8) }, ""},
 		{"worker left long before, disturbed", func(h *history, _ *request) {
-			h.leaving["w"] = at(10 - 2.1)
+			h.leavingSince["w"] = at(10 - 2.1)
 			h.spans = []span{{what: silenceStore, from: at(4), to: at(6)}}
 		}, ""},
 		{"route gone again", func(h *history, q *request) {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -49,17 +49,17 @@
 
 // history is all that was seen.
 type history struct {
-	requests map[string]*request
-	runs     []run
-	spans    []span
-	revoked  map[string]time.Time // keys
-	leaving  map[string]time.Time // workers
-	added    map[string]time.Time // paths of routes
-	received []receivedSignal     // that workers told gateways in answers
+	requests     map[string]*request
+	runs         []run
+	spans        []span
+	revoked      map[string]time.Time // keys
+	leavingSince map[string]time.Time // workers
+	added        map[string]time.Time // paths of routes
+	received     []receivedSignal     // that workers told gateways in answers
 }
 
 func newHistory() *history {
-	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leaving: map[string]time.Time{}, added: map[string]time.Time{}}
+	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leavingSince: map[string]time.Time{}, added: map[string]time.Time{}}
 }
 
 // calm reports whether nothing was disturbed shortly before or within a time.
@@ -185,7 +185,7 @@
 
 func (h *history) drained() []string {
 	return h.eachRun(func(r run, _ *request) string {
-		at, ok := h.leaving[r.worker]
+		at, ok := h.leavingSince[r.worker]
 		if ok && r.at.After(at.Add(maxDrainDelay)) && h.calm(at, r.at) {
 			return fmt.Sprintf("DRAIN, %s after it began to leave", r.at.Sub(at))
 		}
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -519,7 +519,7 @@
 		w.replace(k)
 		w.list(k, "draining")
 		w.mu.Lock()
-		w.history.leaving[k.ID] = time.Now()
+		w.history.leavingSince[k.ID] = time.Now()
 		w.mu.Unlock()
 		time.Sleep(maxDrainDelay + s.lasts)
 		w.store.Put("keyed.servers", k.ID, nil)
