--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -62,8 +62,8 @@
 	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leavingSince: map[string]time.Time{}, added: map[string]time.Time{}}
 }
 
-// calm reports whether nothing was disturbed shortly before or within a time.
-func (h *history) calm(from, to time.Time) bool {
+// undisturbed reports whether nothing was disturbed shortly before or within a time.
+func (h *history) undisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return !s.what.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
@@ -186,7 +186,7 @@
 func (h *history) drained() []string {
 	return h.eachRun(func(r run, _ *request) string {
 		at, ok := h.leavingSince[r.worker]
-		if ok && r.at.After(at.Add(maxDrainDelay)) && h.calm(at, r.at) {
+		if ok && r.at.After(at.Add(maxDrainDelay)) && h.undisturbed(at, r.at) {
 			return fmt.Sprintf("DRAIN, %s after it began to leave", r.at.Sub(at))
 		}
 		return ""
@@ -220,7 +220,7 @@
 func (h *history) late() []string {
 	return h.each(func(q *request) string {
 		at, ok := h.added[q.probedRoute]
-		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.calm(at, q.ended) {
+		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.undisturbed(at, q.ended) {
 			return fmt.Sprintf("CONFIG, not in force %s after it was written", q.sent.Sub(at))
 		}
 		return ""
@@ -232,7 +232,7 @@
 	return h.each(func(q *request) string {
 		for _, s := range h.spans {
 			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
-			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.calm(q.sent, q.ended) && h.ran()[q.id] > 0 {
+			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.undisturbed(q.sent, q.ended) && h.ran()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
 		}
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -137,7 +137,7 @@
 		slices.SortFunc(ts, func(a, b time.Time) int { return a.Compare(b) })
 		late := 0
 		for _, t := range ts {
-			if third := ts[min(2, len(ts)-1)].Add(harmfulTime); t.After(third.Add(settleTime)) && h.calm(third, t) {
+			if third := ts[min(2, len(ts)-1)].Add(harmfulTime); t.After(third.Add(settleTime)) && h.undisturbed(third, t) {
 				late++
 			}
 		}
