--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -77,8 +77,8 @@
 	return bs
 }
 
-// each calls a check for each request that has ended.
-func (h *history) each(c func(q *request) string) (bs []string) {
+// eachEnded calls a check for eachEnded request that has ended.
+func (h *history) eachEnded(c func(q *request) string) (bs []string) {
 	for _, q := range h.requests {
 		if q.ended.IsZero() {
 			continue
@@ -98,7 +98,7 @@
 
 // mixed finds answers that are another request's, or not whole and look it.
 func (h *history) mixed() []string {
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		switch {
 		case success(q) && !q.signed:
 			return "MIXED, no worker's signature"
@@ -124,7 +124,7 @@
 
 func (h *history) ranMore() []string {
 	n := h.ran()
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 1 {
 			return fmt.Sprintf("TWICE, ran %d times", n[q.id])
 		}
@@ -135,7 +135,7 @@
 // refused finds requests that were called not run and ran.
 func (h *history) refused() []string {
 	n := h.ran()
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
 			return "REFUSED, yet it ran"
 		}
@@ -207,7 +207,7 @@
 			first[p] = q.ended
 		}
 	}
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		t, ok := first[place{q.gateway, q.instance, q.probedRoute}]
 		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
 			return "CONFIG, it has gone back"
@@ -218,7 +218,7 @@
 
 // late finds probes of a route that should be in force and is not.
 func (h *history) late() []string {
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		at, ok := h.added[q.probedRoute]
 		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.undisturbed(at, q.ended) {
 			return fmt.Sprintf("CONFIG, not in force %s after it was written", q.sent.Sub(at))
@@ -229,7 +229,7 @@
 
 // cut finds requests that a planned stop cut off.
 func (h *history) cut() []string {
-	return h.each(func(q *request) string {
+	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
 			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
 			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.undisturbed(q.sent, q.ended) && h.ran()[q.id] > 0 {
