--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// ran returns how often each request ran.
-func (h *history) ran() map[string]int {
+// runCounts returns how often each request runCounts.
+func (h *history) runCounts() map[string]int {
 	n := map[string]int{}
 	for _, r := range h.runs {
 		if !r.refused {
@@ -123,7 +123,7 @@
 }
 
 func (h *history) ranMore() []string {
-	n := h.ran()
+	n := h.runCounts()
 	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 1 {
 			return fmt.Sprintf("TWICE, ran %d times", n[q.id])
@@ -134,7 +134,7 @@
 
 // refused finds requests that were called not run and ran.
 func (h *history) refused() []string {
-	n := h.ran()
+	n := h.runCounts()
 	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
 			return "REFUSED, yet it ran"
@@ -232,7 +232,7 @@
 	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
 			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
-			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.undisturbed(q.sent, q.ended) && h.ran()[q.id] > 0 {
+			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.undisturbed(q.sent, q.ended) && h.runCounts()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
 		}
