--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.mixed, h.ranMore, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.ranMore, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
 		bs = append(bs, c()...)
 	}
 	return bs
@@ -96,8 +96,8 @@
 	return q.status >= 200 && q.status < 300
 }
 
-// mixed finds answers that are another request's, or not whole and look it.
-func (h *history) mixed() []string {
+// wrongAnswers finds answers that are another request's, or not whole and look it.
+func (h *history) wrongAnswers() []string {
 	return h.eachEnded(func(q *request) string {
 		switch {
 		case success(q) && !q.signed:
