--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.wrongAnswers, h.ranMore, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
 		bs = append(bs, c()...)
 	}
 	return bs
@@ -122,7 +122,7 @@
 	return n
 }
 
-func (h *history) ranMore() []string {
+func (h *history) repeatedRuns() []string {
 	n := h.runCounts()
 	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 1 {
