--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
 		bs = append(bs, c()...)
 	}
 	return bs
@@ -132,8 +132,8 @@
 	})
 }
 
-// refused finds requests that were called not run and ran.
-func (h *history) refused() []string {
+// ranAfterRefusal finds requests that were called not run and ran.
+func (h *history) ranAfterRefusal() []string {
 	n := h.runCounts()
 	return h.eachEnded(func(q *request) string {
 		if q.atMostOnce && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
