--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
 		bs = append(bs, c()...)
 	}
 	return bs
@@ -156,8 +156,8 @@
 	return bs
 }
 
-// unasked finds runs that nobody asked for so.
-func (h *history) unasked() []string {
+// unrequestedRuns finds runs that nobody asked for so.
+func (h *history) unrequestedRuns() []string {
 	return h.eachRun(func(r run, q *request) string {
 		switch {
 		case q == nil:
