--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.ranWithRevokedKey, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
 		bs = append(bs, c()...)
 	}
 	return bs
@@ -171,7 +171,7 @@
 	})
 }
 
-func (h *history) revokedRan() []string {
+func (h *history) ranWithRevokedKey() []string {
 	return h.eachRun(func(_ run, q *request) string {
 		if q == nil {
 			return ""
