--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -125,8 +125,8 @@
 	})
 }
 
-// harm finds harmful requests that are sent on after they had to be known.
-func (h *history) harm() (bs []string) {
+// harmfulForwarded finds harmful requests that are sent on after they had to be known.
+func (h *history) harmfulForwarded() (bs []string) {
 	at := map[string][]time.Time{} // when each of them reached workers, by body
 	for _, r := range h.runs {
 		if strings.HasPrefix(r.id, harmful) && !r.refused {
