--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -115,8 +115,8 @@
 	time.Sleep(s.lasts)
 }
 
-// strangers finds runs at workers that only strange entries name.
-func (h *history) strangers() []string {
+// runsAtUnlistedWorkers finds runs at workers that only strange entries name.
+func (h *history) runsAtUnlistedWorkers() []string {
 	return h.eachRun(func(r run, _ *request) string {
 		if strings.HasPrefix(r.worker, "strange") {
 			return "ENTRIES, it names no worker"
