--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -103,8 +103,8 @@
 	})
 }
 
-// eachWord calls a check for each run that came to a worker after a word of it to the same life of the gateway that sent it.
-func (h *history) eachWord(of func(w receivedSignal) bool, c func(w receivedSignal, r run)) {
+// eachRunAfterSignal calls a check for each run that came to a worker after a word of it to the same life of the gateway that sent it.
+func (h *history) eachRunAfterSignal(of func(w receivedSignal) bool, c func(w receivedSignal, r run)) {
 	for _, w := range h.received {
 		if !of(w) {
 			continue
@@ -120,7 +120,7 @@
 
 // leftByWord finds requests that reached a worker long after its answer had told their gateway that it leaves.
 func (h *history) leftByWord() (bs []string) {
-	h.eachWord(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
+	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
 		if r.at.Sub(w.at) > maxDrainDelay && h.hears(w.at, r.at) && len(bs) == 0 {
 			bs = append(bs, fmt.Sprintf("DRAIN, request %s at worker %s %s after it told gateway %d that it leaves", r.id, r.worker, r.at.Sub(w.at), w.gateway))
 		}
@@ -131,7 +131,7 @@
 // rested finds gateways that sent more to a worker than they may while it rests.
 func (h *history) rested() (bs []string) {
 	n := map[receivedSignal]int{}
-	h.eachWord(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
+	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
 		if d := r.at.Sub(w.at); d > toldBefore && d < restTime && h.hears(w.at, r.at) {
 			if n[w]++; n[w] > restMost && len(bs) == 0 {
 				bs = append(bs, fmt.Sprintf("BUDGET, worker %s had asked gateway %d for rest and got %d requests", w.worker, w.gateway, n[w]))
