--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// leftByWord finds requests that reached a worker long after its answer had told their gateway that it leaves.
-func (h *history) leftByWord() (bs []string) {
+// ranAfterLeaving finds requests that reached a worker long after its answer had told their gateway that it leaves.
+func (h *history) ranAfterLeaving() (bs []string) {
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
 		if r.at.Sub(w.at) > maxDrainDelay && h.hears(w.at, r.at) && len(bs) == 0 {
 			bs = append(bs, fmt.Sprintf("DRAIN, request %s at worker %s %s after it told gateway %d that it leaves", r.id, r.worker, r.at.Sub(w.at), w.gateway))
