--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -128,8 +128,8 @@
 	return bs
 }
 
-// rested finds gateways that sent more to a worker than they may while it rests.
-func (h *history) rested() (bs []string) {
+// ranDuringRetryDelay finds gateways that sent more to a worker than they may while it rests.
+func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
 		if d := r.at.Sub(w.at); d > toldBefore && d < restTime && h.hears(w.at, r.at) {
