--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -71,7 +71,7 @@
 
 // check returns the promises that were broken, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.ranWithRevokedKey, h.ranWhileDraining, h.revertedRoutes, h.lateRoutes, h.cutByPlannedStop, h.retryBudget, h.harmfulForwarded, h.runsAtUnlistedWorkers, h.ranAfterLeaving, h.ranDuringRetryDelay, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.ranWithRevokedKey, h.ranWhileDraining, h.revertedRoutes, h.lateRoutes, h.cutByPlannedStop, h.retryBudget, h.harmfulForwarded, h.runsAtUnlistedWorkers, h.ranAfterLeaving, h.ranDuringRetryDelay, h.overLimit} {
 		bs = append(bs, c()...)
 	}
 	return bs
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -192,8 +192,8 @@
 	return n
 }
 
-// limited finds workers that got more than the limit allows that they name.
-func (h *history) limited() (bs []string) {
+// overLimit finds workers that got more than the limit allows that they name.
+func (h *history) overLimit() (bs []string) {
 	for k, l := range h.namedLimits() {
 		for _, a := range l.arrivals {
 			if a.at.Sub(l.first) < limitFrom || !h.hears(l.first, a.at) {
