--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -96,8 +96,8 @@
 	delayWorker, resetWorker, silenceWorker, deafenWorker, crashWorker, harmfulRequest,
 }
 
-// hears reports whether gateways heard workers and each other in a time.
-func (h *history) hears(from, to time.Time) bool {
+// connected reports whether gateways heard workers and each other in a time.
+func (h *history) connected(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return slices.Contains(unheardBy, s.what) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
@@ -121,7 +121,7 @@
 // ranAfterLeaving finds requests that reached a worker long after its answer had told their gateway that it leaves.
 func (h *history) ranAfterLeaving() (bs []string) {
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
-		if r.at.Sub(w.at) > maxDrainDelay && h.hears(w.at, r.at) && len(bs) == 0 {
+		if r.at.Sub(w.at) > maxDrainDelay && h.connected(w.at, r.at) && len(bs) == 0 {
 			bs = append(bs, fmt.Sprintf("DRAIN, request %s at worker %s %s after it told gateway %d that it leaves", r.id, r.worker, r.at.Sub(w.at), w.gateway))
 		}
 	})
@@ -132,7 +132,7 @@
 func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
-		if d := r.at.Sub(w.at); d > toldBefore && d < restTime && h.hears(w.at, r.at) {
+		if d := r.at.Sub(w.at); d > toldBefore && d < restTime && h.connected(w.at, r.at) {
 			if n[w]++; n[w] > restMost && len(bs) == 0 {
 				bs = append(bs, fmt.Sprintf("BUDGET, worker %s had asked gateway %d for rest and got %d requests", w.worker, w.gateway, n[w]))
 			}
@@ -196,7 +196,7 @@
 func (h *history) overLimit() (bs []string) {
 	for k, l := range h.namedLimits() {
 		for _, a := range l.arrivals {
-			if a.at.Sub(l.first) < limitFrom || !h.hears(l.first, a.at) {
+			if a.at.Sub(l.first) < limitFrom || !h.connected(l.first, a.at) {
 				continue
 			}
 			if n := l.within(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitExtra {
