--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -91,7 +91,7 @@
 
 // What a gateway has been told by a worker holds whatever befalls the store; a gateway that stood still, or a link that was
 // disturbed, excuses it.
-var unheardBy = []kind{
+var linkFaults = []kind{
 	killGateway, pauseGateway, suspendGateway, stopGateway, silencePeers, resetPeers, delayPeers,
 	delayWorker, resetWorker, silenceWorker, deafenWorker, crashWorker, harmfulRequest,
 }
@@ -99,7 +99,7 @@
 // connected reports whether gateways heard workers and each other in a time.
 func (h *history) connected(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return slices.Contains(unheardBy, s.what) && s.from.Before(to) && s.to.Add(settleTime).After(from)
+		return slices.Contains(linkFaults, s.what) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
