--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -14,10 +14,10 @@
 const (
 	// harmful begins the ids of requests that end the workers which run them. Those of one
 	// step share path and body.
-	harmful      = "harm"
-	harmfulEvery = 60 * time.Millisecond // that one comes again, at any gateway
-	harmfulTime  = 50 * time.Millisecond // that a worker lives on once it runs one
-	downTime     = 700 * time.Millisecond
+	harmful         = "harm"
+	harmfulInterval = 60 * time.Millisecond // that one comes again, at any gateway
+	harmfulTime     = 50 * time.Millisecond // that a worker lives on once it runs one
+	downTime        = 700 * time.Millisecond
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
 	harmfulLate = 3
@@ -36,7 +36,7 @@
 		w.history.requests[q.id] = q
 		w.mu.Unlock()
 		go w.send(t, q)
-		time.Sleep(harmfulEvery)
+		time.Sleep(harmfulInterval)
 	}
 	time.Sleep(downTime)
 }
