--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -30,7 +30,7 @@
 	for i := range first + late {
 		t := at(10)
 		if i >= first {
-			t = at(10).Add(harmfulTime + settleTime + time.Second)
+			t = at(10).Add(crashDelay + settleTime + time.Second)
 		}
 		q := &request{id: fmt.Sprint(harmful, "-1-", i), path: "/again/" + harmful, body: harmful + "-1", sent: t, ended: t, status: 502}
 		h.requests[q.id] = q
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -16,7 +16,7 @@
 	// step share path and body.
 	harmful         = "harm"
 	harmfulInterval = 60 * time.Millisecond // that one comes again, at any gateway
-	harmfulTime     = 50 * time.Millisecond // that a worker lives on once it runs one
+	crashDelay      = 50 * time.Millisecond // that a worker lives on once it runs one
 	downTime        = 700 * time.Millisecond
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
@@ -137,7 +137,7 @@
 		slices.SortFunc(ts, func(a, b time.Time) int { return a.Compare(b) })
 		late := 0
 		for _, t := range ts {
-			if third := ts[min(2, len(ts)-1)].Add(harmfulTime); t.After(third.Add(settleTime)) && h.undisturbed(third, t) {
+			if third := ts[min(2, len(ts)-1)].Add(crashDelay); t.After(third.Add(settleTime)) && h.undisturbed(third, t) {
 				late++
 			}
 		}
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -325,7 +325,7 @@
 	case refuses:
 		w.saying(platformtest.Shed)(k, c, r)
 	case strings.HasPrefix(id, harmful):
-		time.Sleep(harmfulTime)
+		time.Sleep(crashDelay)
 		w.endIn(k, returns(luck%uint64(ways)))
 	case luck < 3:
 		w.saying(platformtest.Shed)(k, c, r)
