--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -20,8 +20,8 @@
 	downTime        = 700 * time.Millisecond
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
-	harmfulLate = 3
-	harmfulMost = 24
+	maxLateHarmful = 3
+	harmfulMost    = 24
 )
 
 // harm sends one harmful request again and again.
@@ -141,7 +141,7 @@
 				late++
 			}
 		}
-		if late > harmfulLate || len(ts) > harmfulMost {
+		if late > maxLateHarmful || len(ts) > harmfulMost {
 			bs = append(bs, fmt.Sprintf("BUDGET, harmful request %s was sent %d times, %d of them late", body, len(ts), late))
 		}
 	}
