--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -21,7 +21,7 @@
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
 	maxLateHarmful = 3
-	harmfulMost    = 24
+	maxHarmful     = 24
 )
 
 // harm sends one harmful request again and again.
@@ -141,7 +141,7 @@
 				late++
 			}
 		}
-		if late > maxLateHarmful || len(ts) > harmfulMost {
+		if late > maxLateHarmful || len(ts) > maxHarmful {
 			bs = append(bs, fmt.Sprintf("BUDGET, harmful request %s was sent %d times, %d of them late", body, len(ts), late))
 		}
 	}
