--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -17,7 +17,7 @@
 	harmful         = "harm"
 	harmfulInterval = 60 * time.Millisecond // that one comes again, at any gateway
 	crashDelay      = 50 * time.Millisecond // that a worker lives on once it runs one
-	downTime        = 700 * time.Millisecond
+	workerDownTime  = 700 * time.Millisecond
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
 	maxLateHarmful = 3
@@ -38,7 +38,7 @@
 		go w.send(t, q)
 		time.Sleep(harmfulInterval)
 	}
-	time.Sleep(downTime)
+	time.Sleep(workerDownTime)
 }
 
 // returns is how a worker comes back that a request has ended.
@@ -64,7 +64,7 @@
 		k.proxy.close()
 	}
 	k.Close()
-	time.Sleep(downTime)
+	time.Sleep(workerDownTime)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if how == another {
