--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -41,18 +41,18 @@
 	time.Sleep(workerDownTime)
 }
 
-// returns is how a worker comes back that a request has ended.
-type returns uint64
+// restartMode is how a worker comes back that a request has ended.
+type restartMode uint64
 
 const (
-	another returns = iota // in its place
-	again                  // itself, in a new life at another address
-	behind                 // the same at its address, which has gone on taking connections and closed each
+	another restartMode = iota // in its place
+	again                      // itself, in a new life at another address
+	behind                     // the same at its address, which has gone on taking connections and closed each
 	ways
 )
 
 // endWorker lets a worker end with all that it has, and come back.
-func (w *world) endWorker(k *worker, how returns) {
+func (w *world) endWorker(k *worker, how restartMode) {
 	w.mu.Lock()
 	if !slices.Contains(w.workers, k) {
 		w.mu.Unlock()
@@ -83,7 +83,7 @@
 }
 
 // endIn lets the worker that answers a request end: it waits for its answers, so another has to do it.
-func (w *world) endIn(k *platformtest.Worker, how returns) {
+func (w *world) endIn(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range w.workers {
