--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -45,9 +45,9 @@
 type restartMode uint64
 
 const (
-	another restartMode = iota // in its place
-	again                      // itself, in a new life at another address
-	behind                     // the same at its address, which has gone on taking connections and closed each
+	replaceWorker restartMode = iota // in its place
+	again                            // itself, in a new life at another address
+	behind                           // the same at its address, which has gone on taking connections and closed each
 	ways
 )
 
@@ -67,7 +67,7 @@
 	time.Sleep(workerDownTime)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if how == another {
+	if how == replaceWorker {
 		w.store.Put("keyed.servers", k.ID, nil)
 		w.addWorker()
 		return
