--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -46,7 +46,7 @@
 
 const (
 	replaceWorker restartMode = iota // in its place
-	again                            // itself, in a new life at another address
+	restartMoved                     // itself, in a new life at another address
 	behind                           // the same at its address, which has gone on taking connections and closed each
 	ways
 )
