--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -45,9 +45,9 @@
 type restartMode uint64
 
 const (
-	replaceWorker restartMode = iota // in its place
-	restartMoved                     // itself, in a new life at another address
-	behind                           // the same at its address, which has gone on taking connections and closed each
+	replaceWorker  restartMode = iota // in its place
+	restartMoved                      // itself, in a new life at another address
+	restartInPlace                    // the same at its address, which has gone on taking connections and closed each
 	ways
 )
 
@@ -60,7 +60,7 @@
 	}
 	w.workers = slices.DeleteFunc(w.workers, func(x *worker) bool { return x == k })
 	w.mu.Unlock()
-	if how != behind {
+	if how != restartInPlace {
 		k.proxy.close()
 	}
 	k.Close()
@@ -73,7 +73,7 @@
 		return
 	}
 	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, born: time.Now()}
-	if how == behind {
+	if how == restartInPlace {
 		b.proxy.lead(b.Address())
 	} else {
 		b.proxy = newProxy(w.t, b.Address())
