--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -48,7 +48,7 @@
 	replaceWorker  restartMode = iota // in its place
 	restartMoved                      // itself, in a new life at another address
 	restartInPlace                    // the same at its address, which has gone on taking connections and closed each
-	ways
+	restartModes
 )
 
 // endWorker lets a worker end with all that it has, and come back.
