--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -24,8 +24,8 @@
 	maxHarmful     = 24
 )
 
-// harm sends one harmful request again and again.
-func (w *world) harm(s step) {
+// sendHarmful sends one harmful request again and again.
+func (w *world) sendHarmful(s step) {
 	r := rand.New(rand.NewPCG(uint64(s.which), 1))
 	t := &http.Transport{DisableKeepAlives: true}
 	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -491,7 +491,7 @@
 func (w *world) applyToWorkers(s step) {
 	switch s.what {
 	case harmfulRequest:
-		w.harm(s)
+		w.sendHarmful(s)
 		return
 	case strangeEntries:
 		w.stranger(s)
