--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -51,8 +51,8 @@
 	restartModes
 )
 
-// endWorker lets a worker end with all that it has, and come back.
-func (w *world) endWorker(k *worker, how restartMode) {
+// crashAndRestart lets a worker end with all that it has, and come back.
+func (w *world) crashAndRestart(k *worker, how restartMode) {
 	w.mu.Lock()
 	if !slices.Contains(w.workers, k) {
 		w.mu.Unlock()
@@ -88,7 +88,7 @@
 	defer w.mu.Unlock()
 	for _, x := range w.workers {
 		if x.Worker == k {
-			w.ends.Go(func() { w.endWorker(x, how) })
+			w.ends.Go(func() { w.crashAndRestart(x, how) })
 		}
 	}
 }
