--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -82,8 +82,8 @@
 	w.list(b, "ready")
 }
 
-// endIn lets the worker that answers a request end: it waits for its answers, so another has to do it.
-func (w *world) endIn(k *platformtest.Worker, how restartMode) {
+// crashAsync lets the worker that answers a request end: it waits for its answers, so another has to do it.
+func (w *world) crashAsync(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range w.workers {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -326,7 +326,7 @@
 		w.saying(platformtest.Shed)(k, c, r)
 	case strings.HasPrefix(id, harmful):
 		time.Sleep(crashDelay)
-		w.endIn(k, restartMode(luck%uint64(restartModes)))
+		w.crashAsync(k, restartMode(luck%uint64(restartModes)))
 	case luck < 3:
 		w.saying(platformtest.Shed)(k, c, r)
 	case luck < 5:
