--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// stranger writes entries that name nothing, at a worker's address, and takes them away.
-func (w *world) stranger(s step) {
+// addInvalidEntries writes entries that name nothing, at a worker's address, and takes them away.
+func (w *world) addInvalidEntries(s step) {
 	k := w.worker(s.which)
 	if k == nil {
 		return
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -494,7 +494,7 @@
 		w.sendHarmful(s)
 		return
 	case strangeEntries:
-		w.stranger(s)
+		w.addInvalidEntries(s)
 		return
 	}
 	k := w.worker(s.which)
