--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -88,7 +88,7 @@
 	defer w.mu.Unlock()
 	for _, x := range w.workers {
 		if x.Worker == k {
-			w.ends.Go(func() { w.crashAndRestart(x, how) })
+			w.crashes.Go(func() { w.crashAndRestart(x, how) })
 		}
 	}
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -82,7 +82,7 @@
 	routes  []string // that were added
 	filler  int      // further routes, which nobody calls
 	signals map[string]signal
-	ends    sync.WaitGroup // of workers that end by a request
+	crashes sync.WaitGroup // of workers that end by a request
 }
 
 func newWorld(t testing.TB, binary string, z size) *world {
@@ -587,7 +587,7 @@
 	for _, g := range w.gates {
 		<-g.signal(syscall.SIGKILL)
 	}
-	w.ends.Wait()
+	w.crashes.Wait()
 	w.mu.Lock()
 	ks := slices.Clone(w.workers)
 	w.mu.Unlock()
