--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -72,7 +72,7 @@
 		w.addWorker()
 		return
 	}
-	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, born: time.Now()}
+	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, startTime: time.Now()}
 	if how == restartInPlace {
 		b.proxy.lead(b.Address())
 	} else {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -61,8 +61,8 @@
 // worker is a stand-in behind a proxy, whose address the registry has.
 type worker struct {
 	*platformtest.Worker
-	proxy *proxy
-	born  time.Time // of a later life under the same id
+	proxy     *proxy
+	startTime time.Time // of a later life under the same id
 }
 
 // world is all that a run has.
@@ -295,8 +295,8 @@
 func (w *world) list(k *worker, state string) {
 	r := k.Record("s", state)
 	r["address"] = k.proxy.address()
-	if !k.born.IsZero() {
-		r["born"] = k.born.UnixMilli()
+	if !k.startTime.IsZero() {
+		r["born"] = k.startTime.UnixMilli()
 	}
 	w.store.PutJSON("keyed.servers", k.ID, r)
 }
