--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	patience  = 3500 * time.Millisecond
-	callPause = 25 * time.Millisecond // between two requests of a caller, on average
+	requestTimeout = 3500 * time.Millisecond
+	callPause      = 25 * time.Millisecond // between two requests of a caller, on average
 )
 
 func hash(s string) uint64 {
@@ -82,7 +82,7 @@
 
 // send sends a request and notes what came of it.
 func (w *world) send(t *http.Transport, q *request) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience+2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
 	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gates[q.gateway].callers+q.path, strings.NewReader(q.body))
 	if err != nil {
@@ -92,7 +92,7 @@
 	h.Host = "h"
 	h.GetBody = nil // the transport must not send it again by itself
 	h.Header.Set("Attempt-Id", q.id)
-	h.Header.Set("Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+	h.Header.Set("Deadline-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	h.Header.Set("Authorization", "Bearer "+q.key)
 	a, err := t.RoundTrip(h)
 	body := []byte(nil)
