--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	requestTimeout = 3500 * time.Millisecond
-	callPause      = 25 * time.Millisecond // between two requests of a caller, on average
+	requestTimeout   = 3500 * time.Millisecond
+	meanCallInterval = 25 * time.Millisecond // between two requests of a caller, on average
 )
 
 func hash(s string) uint64 {
@@ -41,7 +41,7 @@
 		g := r.IntN(len(w.gates))
 		q := w.newRequest(r, seed, caller, n, g)
 		w.send(transports[g], q)
-		time.Sleep(time.Duration(r.Int64N(int64(2 * callPause))))
+		time.Sleep(time.Duration(r.Int64N(int64(2 * meanCallInterval))))
 	}
 }
 
