--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -24,8 +24,8 @@
 	return h.Sum64()
 }
 
-// refusedConnection reports whether an error says that nobody listened.
-func refusedConnection(err string) bool {
+// isConnectionRefused reports whether an error says that nobody listened.
+func isConnectionRefused(err string) bool {
 	return strings.Contains(err, "connection refused") || strings.Contains(err, "i/o timeout")
 }
 
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -232,7 +232,7 @@
 	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
 			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
-			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.undisturbed(q.sent, q.ended) && h.runCounts()[q.id] > 0 {
+			if stopped && q.status == 0 && q.err != "" && !isConnectionRefused(q.err) && h.undisturbed(q.sent, q.ended) && h.runCounts()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
 		}
