--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -29,8 +29,8 @@
 	return strings.Contains(err, "connection refused") || strings.Contains(err, "i/o timeout")
 }
 
-// call sends requests until ctx ends. Each caller keeps its connections open.
-func (w *world) call(ctx context.Context, seed uint64, caller int) {
+// runCaller sends requests until ctx ends. Each caller keeps its connections open.
+func (w *world) runCaller(ctx context.Context, seed uint64, caller int) {
 	r := rand.New(rand.NewPCG(seed, uint64(caller)+1))
 	transports := make([]*http.Transport, len(w.gates))
 	for i := range transports {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -76,7 +76,7 @@
 	begin := time.Now()
 	var cs, fs sync.WaitGroup
 	for i := range *callers {
-		cs.Go(func() { w.call(ctx, seed, i) })
+		cs.Go(func() { w.runCaller(ctx, seed, i) })
 	}
 	for _, s := range p {
 		fs.Go(func() {
