--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -52,7 +52,7 @@
 	kind := []string{"once", "again", "stream", "probe"}[r.IntN(4)]
 	q := &request{
 		id:         fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
-		key:        fmt.Sprint("key-", r.IntN(keysGiven)),
+		key:        fmt.Sprint("key-", r.IntN(totalKeys)),
 		gateway:    g,
 		instance:   w.gates[g].lives(),
 		atMostOnce: kind == "once",
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -30,7 +30,7 @@
 const (
 	events    = 12 // of a stream
 	keysKept  = 3  // keys that are never revoked
-	keysGiven = 40 // keys in all
+	totalKeys = 40 // keys in all
 	// narrow is the rate of some gateways' links, 20 Mbit/s. A configuration with
 	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
 	narrow        = 20e6 / 8
@@ -91,7 +91,7 @@
 	t.Cleanup(w.store.Close)
 	w.logs = filepath.Join(os.TempDir(), "hollowgrade-soak", fmt.Sprint(os.Getpid(), "-", time.Now().UnixNano()))
 	require.NoError(t, os.MkdirAll(w.logs, 0o755))
-	for i := range keysGiven {
+	for i := range totalKeys {
 		w.keys = append(w.keys, fmt.Sprint("key-", i))
 	}
 	w.configure()
