--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -28,9 +28,9 @@
 }
 
 const (
-	events    = 12 // of a stream
-	keysKept  = 3  // keys that are never revoked
-	totalKeys = 40 // keys in all
+	events        = 12 // of a stream
+	permanentKeys = 3  // keys that are never revoked
+	totalKeys     = 40 // keys in all
 	// narrow is the rate of some gateways' links, 20 Mbit/s. A configuration with
 	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
 	narrow        = 20e6 / 8
@@ -555,8 +555,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	revoked, added := "", ""
-	if s.what == revokeKey && len(w.keys) > keysKept {
-		i := keysKept + s.which%(len(w.keys)-keysKept)
+	if s.what == revokeKey && len(w.keys) > permanentKeys {
+		i := permanentKeys + s.which%(len(w.keys)-permanentKeys)
 		revoked = w.keys[i]
 		w.keys = slices.Delete(w.keys, i, i+1)
 	} else {
