--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -108,7 +108,7 @@
 	return ss
 }
 
-func describe(ss []step) string {
+func formatPlan(ss []step) string {
 	var b strings.Builder
 	for _, s := range ss {
 		fmt.Fprintln(&b, s)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -167,5 +167,5 @@
 		require.NoError(t, os.RemoveAll(w.logs))
 		return
 	}
-	require.Empty(t, bs, "seed %d, logs in %s, plan:\n%s", seed, w.logs, describe(p))
+	require.Empty(t, bs, "seed %d, logs in %s, plan:\n%s", seed, w.logs, formatPlan(p))
 }
