--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -78,8 +78,8 @@
 const (
 	// The pauses between steps are shorter than most faults last, so that these
 	// overlap.
-	minStepGap, mostGap = 50 * time.Millisecond, 900 * time.Millisecond
-	shortest, longest   = 300 * time.Millisecond, 3 * time.Second
+	minStepGap, maxStepGap = 50 * time.Millisecond, 900 * time.Millisecond
+	shortest, longest      = 300 * time.Millisecond, 3 * time.Second
 	// After some faults nothing is disturbed for a while but by one piece of planned
 	// work, so that promises for calm times are tested as well.
 	calmEvery = 12
@@ -93,11 +93,11 @@
 	span := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
 	}
-	for at, n := span(minStepGap, mostGap), 0; at < length; n++ {
+	for at, n := span(minStepGap, maxStepGap), 0; at < length; n++ {
 		k := kind(r.IntN(int(kinds)))
 		for range 1 + r.IntN(seriesOf)*r.IntN(2) {
 			ss = append(ss, step{at: at, lasts: span(shortest, longest), what: k, which: r.IntN(1000)})
-			at += span(minStepGap, mostGap)
+			at += span(minStepGap, maxStepGap)
 		}
 		if n%calmEvery == calmEvery-1 {
 			at += calmPause
