--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -78,8 +78,8 @@
 const (
 	// The pauses between steps are shorter than most faults last, so that these
 	// overlap.
-	minStepGap, maxStepGap = 50 * time.Millisecond, 900 * time.Millisecond
-	minFaultTime, longest  = 300 * time.Millisecond, 3 * time.Second
+	minStepGap, maxStepGap     = 50 * time.Millisecond, 900 * time.Millisecond
+	minFaultTime, maxFaultTime = 300 * time.Millisecond, 3 * time.Second
 	// After some faults nothing is disturbed for a while but by one piece of planned
 	// work, so that promises for calm times are tested as well.
 	calmEvery = 12
@@ -96,7 +96,7 @@
 	for at, n := span(minStepGap, maxStepGap), 0; at < length; n++ {
 		k := kind(r.IntN(int(kinds)))
 		for range 1 + r.IntN(seriesOf)*r.IntN(2) {
-			ss = append(ss, step{at: at, lasts: span(minFaultTime, longest), what: k, which: r.IntN(1000)})
+			ss = append(ss, step{at: at, lasts: span(minFaultTime, maxFaultTime), what: k, which: r.IntN(1000)})
 			at += span(minStepGap, maxStepGap)
 		}
 		if n%calmEvery == calmEvery-1 {
