--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -84,7 +84,7 @@
 	// work, so that promises for calm times are tested as well.
 	calmEvery = 12
 	calmPause = 5 * time.Second
-	seriesOf  = 3 // steps of one kind in a row, now and then
+	maxSeries = 3 // steps of one kind in a row, now and then
 )
 
 // newPlan returns the steps that a seed stands for.
@@ -95,7 +95,7 @@
 	}
 	for at, n := span(minStepGap, maxStepGap), 0; at < length; n++ {
 		k := kind(r.IntN(int(kinds)))
-		for range 1 + r.IntN(seriesOf)*r.IntN(2) {
+		for range 1 + r.IntN(maxSeries)*r.IntN(2) {
 			ss = append(ss, step{at: at, lasts: span(minFaultTime, maxFaultTime), what: k, which: r.IntN(1000)})
 			at += span(minStepGap, maxStepGap)
 		}
