--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -82,9 +82,9 @@
 	minFaultTime, maxFaultTime = 300 * time.Millisecond, 3 * time.Second
 	// After some faults nothing is disturbed for a while but by one piece of planned
 	// work, so that promises for calm times are tested as well.
-	calmEvery = 12
-	calmPause = 5 * time.Second
-	maxSeries = 3 // steps of one kind in a row, now and then
+	drawsPerCalm = 12
+	calmPause    = 5 * time.Second
+	maxSeries    = 3 // steps of one kind in a row, now and then
 )
 
 // newPlan returns the steps that a seed stands for.
@@ -99,7 +99,7 @@
 			ss = append(ss, step{at: at, lasts: span(minFaultTime, maxFaultTime), what: k, which: r.IntN(1000)})
 			at += span(minStepGap, maxStepGap)
 		}
-		if n%calmEvery == calmEvery-1 {
+		if n%drawsPerCalm == drawsPerCalm-1 {
 			at += calmPause
 			ss = append(ss, step{at: at, lasts: minFaultTime, what: plannedWork[r.IntN(len(plannedWork))], which: r.IntN(1000)})
 			at += calmPause
