--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -29,7 +29,7 @@
 	r := rand.New(rand.NewPCG(uint64(s.which), 1))
 	t := &http.Transport{DisableKeepAlives: true}
 	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
-	for n, end := 0, time.Now().Add(s.lasts); time.Now().Before(end); n++ {
+	for n, end := 0, time.Now().Add(s.duration); time.Now().Before(end); n++ {
 		g := r.IntN(len(w.gates))
 		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gates[g].lives(), sent: time.Now()}
 		w.mu.Lock()
@@ -112,7 +112,7 @@
 		defer w.store.Put("keyed.servers", id, nil)
 		defer w.store.Put("keyed.members", id, nil)
 	}
-	time.Sleep(s.lasts)
+	time.Sleep(s.duration)
 }
 
 // runsAtUnlistedWorkers finds runs at workers that only strange entries name.
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -49,7 +49,7 @@
 		w.replace(k)
 	}
 	w.setSignal(k, g)
-	time.Sleep(s.lasts + signalLonger)
+	time.Sleep(s.duration + signalLonger)
 	if !g.leaving {
 		w.setSignal(k, signal{})
 		return
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -367,9 +367,9 @@
 	// What it takes to recover belongs to the fault: a process to start, a view to
 	// be read again.
 	if s.what == suspendGateway {
-		s.lasts += suspendMore
+		s.duration += suspendMore
 	}
-	over := from.Add(s.lasts + 2*time.Second)
+	over := from.Add(s.duration + 2*time.Second)
 	if s.what == turnAway {
 		over = over.Add(time.Duration(len(w.gates)) * turnEvery)
 	}
@@ -378,23 +378,23 @@
 	case killGateway, pauseGateway, suspendGateway, stopGateway, reloadGateway:
 		w.applyToProcess(g, s)
 	case silenceStore:
-		w.during(g.store, silence, s.lasts)
+		w.during(g.store, silence, s.duration)
 	case resetStore:
 		g.store.reset()
 	case turnAway:
 		w.turnAway(s)
 	case silencePeers:
-		w.during(g.peers, silence, s.lasts)
+		w.during(g.peers, silence, s.duration)
 	case resetPeers:
 		g.peers.reset()
 	case delayPeers:
-		w.during(g.peers, delay, s.lasts)
+		w.during(g.peers, delay, s.duration)
 	case busyStore:
-		w.mode(platformtest.Busy, s.lasts)
+		w.mode(platformtest.Busy, s.duration)
 	case awayStore:
-		w.mode(platformtest.Away, s.lasts)
+		w.mode(platformtest.Away, s.duration)
 	case loseAnswers:
-		w.mode(platformtest.LosingAll, s.lasts)
+		w.mode(platformtest.LosingAll, s.duration)
 	case compactStore:
 		w.store.Compact("keyed.op")
 		w.store.Compact("keyed.servers")
@@ -408,14 +408,14 @@
 	switch s.what {
 	case killGateway:
 		<-g.signal(syscall.SIGKILL)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		w.start(g)
 	case pauseGateway:
 		g.signal(syscall.SIGSTOP)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		g.signal(syscall.SIGCONT)
 	case suspendGateway:
-		w.suspend(g, s.lasts)
+		w.suspend(g, s.duration)
 	case stopGateway:
 		w.stop(g)
 	case reloadGateway:
@@ -476,7 +476,7 @@
 		x := w.gates[(s.which+i)%len(w.gates)]
 		g.Go(func() {
 			time.Sleep(time.Duration(i) * turnEvery)
-			w.during(x.store, silence, s.lasts)
+			w.during(x.store, silence, s.duration)
 		})
 	}
 	g.Wait()
@@ -503,17 +503,17 @@
 	}
 	switch s.what {
 	case delayWorker:
-		w.during(k.proxy, delay, s.lasts)
+		w.during(k.proxy, delay, s.duration)
 	case resetWorker:
 		k.proxy.reset()
 	case silenceWorker:
-		w.during(k.proxy, silence, s.lasts)
+		w.during(k.proxy, silence, s.duration)
 	case deafenWorker:
-		w.during(k.proxy, deafen, s.lasts)
+		w.during(k.proxy, deafen, s.duration)
 	case crashWorker:
 		w.replace(k)
 		k.Close()
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		w.store.Put("keyed.servers", k.ID, nil)
 	case drainWorker:
 		w.replace(k)
@@ -521,7 +521,7 @@
 		w.mu.Lock()
 		w.history.leavingSince[k.ID] = time.Now()
 		w.mu.Unlock()
-		time.Sleep(maxDrainDelay + s.lasts)
+		time.Sleep(maxDrainDelay + s.duration)
 		w.store.Put("keyed.servers", k.ID, nil)
 		time.Sleep(stopGrace) // what it has is finished
 		k.Close()
