--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// way is how a proxy treats bytes.
-type way int32
+// linkMode is how a proxy treats bytes.
+type linkMode int32
 
 const (
-	pass way = iota
+	pass linkMode = iota
 	delay
 	silence // nothing gets through until it ends
 	deafen  // nothing comes back until it ends
@@ -66,7 +66,7 @@
 	return p.to
 }
 
-func (p *proxy) set(w way) {
+func (p *proxy) set(w linkMode) {
 	p.way.Store(int32(w))
 }
 
@@ -143,10 +143,10 @@
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		for w := way(p.way.Load()); w == silence || w == deafen && back; w = way(p.way.Load()) {
+		for w := linkMode(p.way.Load()); w == silence || w == deafen && back; w = linkMode(p.way.Load()) {
 			time.Sleep(lookAt)
 		}
-		if way(p.way.Load()) == delay {
+		if linkMode(p.way.Load()) == delay {
 			time.Sleep(delayFor)
 		}
 		if back {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -462,7 +462,7 @@
 	w.start(g)
 }
 
-func (w *world) during(p *proxy, y way, d time.Duration) {
+func (w *world) during(p *proxy, y linkMode, d time.Duration) {
 	p.set(y)
 	time.Sleep(d)
 	p.set(pass)
