--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -29,7 +29,7 @@
 // proxy leads connections to a target and harms them on request.
 type proxy struct {
 	listener net.Listener
-	way      atomic.Int32
+	mode     atomic.Int32
 	rate     float64 // bytes a second towards the dialling side, 0 for no bound
 
 	mu    sync.Mutex
@@ -67,7 +67,7 @@
 }
 
 func (p *proxy) set(w linkMode) {
-	p.way.Store(int32(w))
+	p.mode.Store(int32(w))
 }
 
 // reset breaks all connections off.
@@ -143,10 +143,10 @@
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		for w := linkMode(p.way.Load()); w == silence || w == deafen && back; w = linkMode(p.way.Load()) {
+		for w := linkMode(p.mode.Load()); w == silence || w == deafen && back; w = linkMode(p.mode.Load()) {
 			time.Sleep(lookAt)
 		}
-		if linkMode(p.way.Load()) == delay {
+		if linkMode(p.mode.Load()) == delay {
 			time.Sleep(delayFor)
 		}
 		if back {
