--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	delayFor = 150 * time.Millisecond
-	lookAt   = 10 * time.Millisecond // how often held bytes look whether they may go on
+	delayFor         = 150 * time.Millisecond
+	modePollInterval = 10 * time.Millisecond // how often held bytes look whether they may go on
 )
 
 // proxy leads connections to a target and harms them on request.
@@ -144,7 +144,7 @@
 	for {
 		n, err := from.Read(b)
 		for w := linkMode(p.mode.Load()); w == silence || w == deafen && back; w = linkMode(p.mode.Load()) {
-			time.Sleep(lookAt)
+			time.Sleep(modePollInterval)
 		}
 		if linkMode(p.mode.Load()) == delay {
 			time.Sleep(delayFor)
