--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	delayFor         = 150 * time.Millisecond
+	linkDelay        = 150 * time.Millisecond
 	modePollInterval = 10 * time.Millisecond // how often held bytes look whether they may go on
 )
 
@@ -147,7 +147,7 @@
 			time.Sleep(modePollInterval)
 		}
 		if linkMode(p.mode.Load()) == delay {
-			time.Sleep(delayFor)
+			time.Sleep(linkDelay)
 		}
 		if back {
 			p.carry(n)
