--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -74,7 +74,7 @@
 	}
 	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, startTime: time.Now()}
 	if how == restartInPlace {
-		b.proxy.lead(b.Address())
+		b.proxy.setTarget(b.Address())
 	} else {
 		b.proxy = newProxy(w.t, b.Address())
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -53,8 +53,8 @@
 	return p.listener.Addr().String()
 }
 
-// lead leads connections elsewhere from now on.
-func (p *proxy) lead(target string) {
+// setTarget leads connections elsewhere from now on.
+func (p *proxy) setTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.to = target
