--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -115,8 +115,8 @@
 	p.copy(c, u, true)
 }
 
-// carry waits until the link, which all connections share, has carried n bytes.
-func (p *proxy) carry(n int) {
+// throttle waits until the link, which all connections share, has carried n bytes.
+func (p *proxy) throttle(n int) {
 	if p.rate <= 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 			time.Sleep(linkDelay)
 		}
 		if back {
-			p.carry(n)
+			p.throttle(n)
 		}
 		if _, werr := to.Write(b[:n]); err != nil || werr != nil {
 			return
