--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -32,10 +32,10 @@
 	mode     atomic.Int32
 	rate     float64 // bytes a second towards the dialling side, 0 for no bound
 
-	mu    sync.Mutex
-	to    string // where connections are led
-	conns map[net.Conn]bool
-	free  time.Time // when the link has carried what it was given
+	mu        sync.Mutex
+	to        string // where connections are led
+	conns     map[net.Conn]bool
+	busyUntil time.Time // when the link has carried what it was given
 }
 
 func newProxy(t testing.TB, target string) *proxy {
@@ -121,11 +121,11 @@
 		return
 	}
 	p.mu.Lock()
-	if now := time.Now(); p.free.Before(now) {
-		p.free = now
+	if now := time.Now(); p.busyUntil.Before(now) {
+		p.busyUntil = now
 	}
-	p.free = p.free.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
-	d := time.Until(p.free)
+	p.busyUntil = p.busyUntil.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
+	d := time.Until(p.busyUntil)
 	p.mu.Unlock()
 	time.Sleep(d)
 }
