--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -17,7 +17,7 @@
 	limitWindow     = 4 * time.Second
 	limitFactor     = 1.5
 	limitExtra      = 5
-	limitFrom       = settleTime             // from when on after it was named first
+	limitSettleTime = settleTime             // from when on after it was named first
 	signalApplyTime = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
 	restMost        = 2
 	restTime        = 2500 * time.Millisecond // that is asked for
@@ -196,7 +196,7 @@
 func (h *history) overLimit() (bs []string) {
 	for k, l := range h.namedLimits() {
 		for _, a := range l.arrivals {
-			if a.at.Sub(l.first) < limitFrom || !h.connected(l.first, a.at) {
+			if a.at.Sub(l.first) < limitSettleTime || !h.connected(l.first, a.at) {
 				continue
 			}
 			if n := l.within(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitExtra {
