--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -16,7 +16,7 @@
 const (
 	limitWindow     = 4 * time.Second
 	limitFactor     = 1.5
-	limitExtra      = 5
+	limitBurst      = 5
 	limitSettleTime = settleTime             // from when on after it was named first
 	signalApplyTime = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
 	restMost        = 2
@@ -199,7 +199,7 @@
 			if a.at.Sub(l.first) < limitSettleTime || !h.connected(l.first, a.at) {
 				continue
 			}
-			if n := l.within(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitExtra {
+			if n := l.within(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitBurst {
 				bs = append(bs, fmt.Sprintf("LIMIT, worker %s named %.2f a second and got %d requests in %s", k, l.limit, n, limitWindow))
 				break
 			}
