--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -14,14 +14,14 @@
 
 // The bounds of what may reach a worker that says something of itself in its answers.
 const (
-	limitWindow     = 4 * time.Second
-	limitFactor     = 1.5
-	limitBurst      = 5
-	limitSettleTime = settleTime             // from when on after it was named first
-	signalApplyTime = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
-	restMost        = 2
-	restTime        = 2500 * time.Millisecond // that is asked for
-	signalLonger    = 6 * time.Second         // by how much more than other faults it lasts
+	limitWindow         = 4 * time.Second
+	limitFactor         = 1.5
+	limitBurst          = 5
+	limitSettleTime     = settleTime             // from when on after it was named first
+	signalApplyTime     = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
+	maxDuringRetryDelay = 2
+	restTime            = 2500 * time.Millisecond // that is asked for
+	signalLonger        = 6 * time.Second         // by how much more than other faults it lasts
 )
 
 // signal is what a worker says of itself in its answers.
@@ -133,7 +133,7 @@
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
 		if d := r.at.Sub(w.at); d > signalApplyTime && d < restTime && h.connected(w.at, r.at) {
-			if n[w]++; n[w] > restMost && len(bs) == 0 {
+			if n[w]++; n[w] > maxDuringRetryDelay && len(bs) == 0 {
 				bs = append(bs, fmt.Sprintf("BUDGET, worker %s had asked gateway %d for rest and got %d requests", w.worker, w.gateway, n[w]))
 			}
 		}
