--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -20,7 +20,7 @@
 	limitSettleTime     = settleTime             // from when on after it was named first
 	signalApplyTime     = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
 	maxDuringRetryDelay = 2
-	restTime            = 2500 * time.Millisecond // that is asked for
+	retryDelay          = 2500 * time.Millisecond // that is asked for
 	signalLonger        = 6 * time.Second         // by how much more than other faults it lasts
 )
 
@@ -68,7 +68,7 @@
 		h.Set("Server-Leaving", "1")
 	}
 	if g.rest {
-		h.Set("Retry-After", fmt.Sprint(restTime.Seconds()))
+		h.Set("Retry-After", fmt.Sprint(retryDelay.Seconds()))
 	}
 	k.SetHeaders(h)
 	w.mu.Lock()
@@ -132,7 +132,7 @@
 func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
-		if d := r.at.Sub(w.at); d > signalApplyTime && d < restTime && h.connected(w.at, r.at) {
+		if d := r.at.Sub(w.at); d > signalApplyTime && d < retryDelay && h.connected(w.at, r.at) {
 			if n[w]++; n[w] > maxDuringRetryDelay && len(bs) == 0 {
 				bs = append(bs, fmt.Sprintf("BUDGET, worker %s had asked gateway %d for rest and got %d requests", w.worker, w.gateway, n[w]))
 			}
