--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -21,7 +21,7 @@
 	signalApplyTime     = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
 	maxDuringRetryDelay = 2
 	retryDelay          = 2500 * time.Millisecond // that is asked for
-	signalLonger        = 6 * time.Second         // by how much more than other faults it lasts
+	signalExtraTime     = 6 * time.Second         // by how much more than other faults it lasts
 )
 
 // signal is what a worker says of itself in its answers.
@@ -49,7 +49,7 @@
 		w.replace(k)
 	}
 	w.setSignal(k, g)
-	time.Sleep(s.duration + signalLonger)
+	time.Sleep(s.duration + signalExtraTime)
 	if !g.leaving {
 		w.setSignal(k, signal{})
 		return
