--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -139,10 +139,10 @@
 			told(h, signal{leaving: true}, 10.05-2.1)
 			h.spans = []span{{what: pauseGateway, from: at(8), to: at(9)}}
 		}, ""},
-		{"rests and gets three", func(h *history, _ *request) { arrive(h, signal{rest: true}, 9, 3) }, "BUDGET"},
-		{"rests and gets two", func(h *history, _ *request) { arrive(h, signal{rest: true}, 9, 2) }, ""},
-		{"rests and gets three at once", func(h *history, _ *request) { arrive(h, signal{rest: true}, 10.1, 3) }, ""},
-		{"rests and gets three after it", func(h *history, _ *request) { arrive(h, signal{rest: true}, 7, 3) }, ""},
+		{"rests and gets three", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 9, 3) }, "BUDGET"},
+		{"rests and gets two", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 9, 2) }, ""},
+		{"rests and gets three at once", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 10.1, 3) }, ""},
+		{"rests and gets three after it", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 7, 3) }, ""},
 		{"named a limit and got more", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 6, 12) }, "LIMIT"},
 		{"named a limit and got as much", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 6, 11) }, ""},
 		{"named a limit just now", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 8.5, 12) }, ""},
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -26,9 +26,9 @@
 
 // signal is what a worker says of itself in its answers.
 type signal struct {
-	limit   float64 // 0 if it names none
-	leaving bool
-	rest    bool // it turns requests away and asks for rest
+	limit      float64 // 0 if it names none
+	leaving    bool
+	retryLater bool // it turns requests away and asks for rest
 }
 
 // receivedSignal is a signal that a gateway was told in an answer.
@@ -41,7 +41,7 @@
 
 // signal lets a worker say something of itself for a while.
 func (w *world) signal(k *worker, s step) {
-	g := signal{leaving: s.what == leaveInAnswers, rest: s.what == askForRest}
+	g := signal{leaving: s.what == leaveInAnswers, retryLater: s.what == askForRest}
 	if s.what == nameLimit {
 		g.limit = 0.5 + rand.New(rand.NewPCG(uint64(s.which), 2)).Float64()*3
 	}
@@ -67,7 +67,7 @@
 	if g.leaving {
 		h.Set("Server-Leaving", "1")
 	}
-	if g.rest {
+	if g.retryLater {
 		h.Set("Retry-After", fmt.Sprint(retryDelay.Seconds()))
 	}
 	k.SetHeaders(h)
@@ -131,7 +131,7 @@
 // ranDuringRetryDelay finds gateways that sent more to a worker than they may while it rests.
 func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
-	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.rest }, func(w receivedSignal, r run) {
+	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.retryLater }, func(w receivedSignal, r run) {
 		if d := r.at.Sub(w.at); d > signalApplyTime && d < retryDelay && h.connected(w.at, r.at) {
 			if n[w]++; n[w] > maxDuringRetryDelay && len(bs) == 0 {
 				bs = append(bs, fmt.Sprintf("BUDGET, worker %s had asked gateway %d for rest and got %d requests", w.worker, w.gateway, n[w]))
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -313,7 +313,7 @@
 		}
 	}
 	w.mu.Lock()
-	refuses := w.signals[k.ID].rest
+	refuses := w.signals[k.ID].retryLater
 	w.history.runs = append(w.history.runs, run{
 		id: id, worker: k.ID, path: r.URL.Path, body: body, organisation: r.Header.Get("Tenant"), at: time.Now(),
 		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmful) || r.Header.Get("Expect-Instance") != k.ID, key: r.Header.Get("Authorization") != "",
