--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -39,8 +39,8 @@
 	at                time.Time
 }
 
-// signal lets a worker say something of itself for a while.
-func (w *world) signal(k *worker, s step) {
+// announce lets a worker say something of itself for a while.
+func (w *world) announce(k *worker, s step) {
 	g := signal{leaving: s.what == leaveInAnswers, retryLater: s.what == askForRest}
 	if s.what == nameLimit {
 		g.limit = 0.5 + rand.New(rand.NewPCG(uint64(s.which), 2)).Float64()*3
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -526,7 +526,7 @@
 		time.Sleep(stopGrace) // what it has is finished
 		k.Close()
 	case nameLimit, leaveInAnswers, askForRest:
-		w.signal(k, s)
+		w.announce(k, s)
 	case revokeKey, addRoute, growConfig:
 		w.change(s)
 	}
