--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -76,8 +76,8 @@
 	w.signals[k.ID] = g
 }
 
-// saying notes what a worker tells the gateway of a request as it begins to answer.
-func (w *world) saying(b platformtest.Behaviour) platformtest.Behaviour {
+// recordSignal notes what a worker tells the gateway of a request as it begins to answer.
+func (w *world) recordSignal(b platformtest.Behaviour) platformtest.Behaviour {
 	return func(k *platformtest.Worker, c net.Conn, r *http.Request) {
 		w.mu.Lock()
 		g, q := w.signals[k.ID], w.history.requests[r.Header.Get("Attempt-Id")]
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -323,21 +323,21 @@
 	case r.Header.Get("Expect-Instance") != k.ID:
 		platformtest.Misdirected(k, c, r)
 	case refuses:
-		w.saying(platformtest.Shed)(k, c, r)
+		w.recordSignal(platformtest.Shed)(k, c, r)
 	case strings.HasPrefix(id, harmful):
 		time.Sleep(crashDelay)
 		w.crashAsync(k, restartMode(luck%uint64(restartModes)))
 	case luck < 3:
-		w.saying(platformtest.Shed)(k, c, r)
+		w.recordSignal(platformtest.Shed)(k, c, r)
 	case luck < 5:
 		platformtest.Reset(k, c, r)
 	case luck < 7:
-		w.saying(platformtest.Answer(http.StatusInternalServerError, "no"))(k, c, r)
+		w.recordSignal(platformtest.Answer(http.StatusInternalServerError, "no"))(k, c, r)
 	case luck < 8:
 		platformtest.Hang(k, c, r)
 	default:
 		time.Sleep(time.Duration(luck) * time.Millisecond)
-		w.saying(answer(id, luck))(k, c, r)
+		w.recordSignal(answer(id, luck))(k, c, r)
 	}
 }
 
