--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -141,8 +141,8 @@
 	return bs
 }
 
-// namedLimit is what a worker that named a limit told, and what reached it until it named it last.
-type namedLimit struct {
+// announcedLimit is what a worker that named a limit told, and what reached it until it named it last.
+type announcedLimit struct {
 	limit       float64 // the largest
 	first, last time.Time
 	told        map[int]time.Time // by gateway, the first word
@@ -156,15 +156,15 @@
 }
 
 // namedLimits returns those of all workers.
-func (h *history) namedLimits() map[string]*namedLimit {
-	ls := map[string]*namedLimit{}
+func (h *history) namedLimits() map[string]*announcedLimit {
+	ls := map[string]*announcedLimit{}
 	for _, w := range h.received {
 		if w.limit == 0 {
 			continue
 		}
 		l := ls[w.worker]
 		if l == nil {
-			l = &namedLimit{first: w.at, told: map[int]time.Time{}}
+			l = &announcedLimit{first: w.at, told: map[int]time.Time{}}
 			ls[w.worker] = l
 		}
 		if _, ok := l.told[w.gateway]; !ok {
@@ -182,7 +182,7 @@
 }
 
 // within counts what reached the worker in the window that ends at a moment, from gateways that it had told.
-func (l *namedLimit) within(end time.Time) (n int) {
+func (l *announcedLimit) within(end time.Time) (n int) {
 	for _, a := range l.arrivals {
 		told, ok := l.told[a.gateway]
 		if d := end.Sub(a.at); ok && end.Sub(told) >= signalApplyTime && d >= 0 && d < limitWindow {
