--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -143,10 +143,10 @@
 
 // announcedLimit is what a worker that named a limit told, and what reached it until it named it last.
 type announcedLimit struct {
-	limit       float64 // the largest
-	first, last time.Time
-	told        map[int]time.Time // by gateway, the first word
-	arrivals    []arrival
+	limit         float64 // the largest
+	first, last   time.Time
+	firstReceived map[int]time.Time // by gateway, the first word
+	arrivals      []arrival
 }
 
 // arrival is a request that reached a worker.
@@ -164,11 +164,11 @@
 		}
 		l := ls[w.worker]
 		if l == nil {
-			l = &announcedLimit{first: w.at, told: map[int]time.Time{}}
+			l = &announcedLimit{first: w.at, firstReceived: map[int]time.Time{}}
 			ls[w.worker] = l
 		}
-		if _, ok := l.told[w.gateway]; !ok {
-			l.told[w.gateway] = w.at
+		if _, ok := l.firstReceived[w.gateway]; !ok {
+			l.firstReceived[w.gateway] = w.at
 		}
 		l.limit, l.last = max(l.limit, w.limit), w.at
 	}
@@ -184,7 +184,7 @@
 // within counts what reached the worker in the window that ends at a moment, from gateways that it had told.
 func (l *announcedLimit) within(end time.Time) (n int) {
 	for _, a := range l.arrivals {
-		told, ok := l.told[a.gateway]
+		told, ok := l.firstReceived[a.gateway]
 		if d := end.Sub(a.at); ok && end.Sub(told) >= signalApplyTime && d >= 0 && d < limitWindow {
 			n++
 		}
