--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -181,8 +181,8 @@
 	return ls
 }
 
-// within counts what reached the worker in the window that ends at a moment, from gateways that it had told.
-func (l *announcedLimit) within(end time.Time) (n int) {
+// countInWindow counts what reached the worker in the window that ends at a moment, from gateways that it had told.
+func (l *announcedLimit) countInWindow(end time.Time) (n int) {
 	for _, a := range l.arrivals {
 		told, ok := l.firstReceived[a.gateway]
 		if d := end.Sub(a.at); ok && end.Sub(told) >= signalApplyTime && d >= 0 && d < limitWindow {
@@ -199,7 +199,7 @@
 			if a.at.Sub(l.first) < limitSettleTime || !h.connected(l.first, a.at) {
 				continue
 			}
-			if n := l.within(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitBurst {
+			if n := l.countInWindow(a.at); float64(n) > limitFactor*l.limit*limitWindow.Seconds()+limitBurst {
 				bs = append(bs, fmt.Sprintf("LIMIT, worker %s named %.2f a second and got %d requests in %s", k, l.limit, n, limitWindow))
 				break
 			}
