--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -155,8 +155,8 @@
 	gateway int
 }
 
-// namedLimits returns those of all workers.
-func (h *history) namedLimits() map[string]*announcedLimit {
+// announcedLimits returns those of all workers.
+func (h *history) announcedLimits() map[string]*announcedLimit {
 	ls := map[string]*announcedLimit{}
 	for _, w := range h.received {
 		if w.limit == 0 {
@@ -194,7 +194,7 @@
 
 // overLimit finds workers that got more than the limit allows that they name.
 func (h *history) overLimit() (bs []string) {
-	for k, l := range h.namedLimits() {
+	for k, l := range h.announcedLimits() {
 		for _, a := range l.arrivals {
 			if a.at.Sub(l.first) < limitSettleTime || !h.connected(l.first, a.at) {
 				continue
