--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -25,8 +25,8 @@
 	callers  = flag.Int("callers", 10, "callers of each run")
 )
 
-// recoverWithin is how soon all is served again once nothing is disturbed.
-const recoverWithin = 12 * time.Second
+// recoveryTimeout is how soon all is served again once nothing is disturbed.
+const recoveryTimeout = 12 * time.Second
 
 // lookEvery is how often promises are checked while a run goes on.
 const lookEvery = time.Second
@@ -123,7 +123,7 @@
 // awaitServing waits until each gateway serves.
 func (w *world) awaitServing(t *testing.T, when string) {
 	t.Helper()
-	until := time.Now().Add(recoverWithin)
+	until := time.Now().Add(recoveryTimeout)
 	for i := range w.gates {
 		for n := 0; ; n++ {
 			if w.served(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
