--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -28,8 +28,8 @@
 // recoveryTimeout is how soon all is served again once nothing is disturbed.
 const recoveryTimeout = 12 * time.Second
 
-// lookEvery is how often promises are checked while a run goes on.
-const lookEvery = time.Second
+// checkInterval is how often promises are checked while a run goes on.
+const checkInterval = time.Second
 
 // build builds the program that is tested.
 func build(t testing.TB) string {
@@ -105,7 +105,7 @@
 		select {
 		case <-over:
 			return w.check()
-		case <-time.After(lookEvery):
+		case <-time.After(checkInterval):
 			if bs = w.check(); len(bs) > 0 {
 				<-over // faults use the world
 				return bs
