--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -61,12 +61,12 @@
 func TestSoak(t *testing.T) {
 	b := build(t)
 	for _, s := range parseSeeds(t, *seeds) {
-		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) { play(t, b, s) })
+		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) { runSeed(t, b, s) })
 	}
 }
 
-// play plays the plan of one seed.
-func play(t *testing.T, binary string, seed uint64) {
+// runSeed plays the plan of one seed.
+func runSeed(t *testing.T, binary string, seed uint64) {
 	w := newWorld(t, binary, size{*gateways, *workers, *callers})
 	defer w.close()
 	p := newPlan(seed, *length)
