--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// logged returns how often the gateways' logs have a text.
-func (w *world) logged(text string) (n int) {
+// countLogged returns how often the gateways' logs have a text.
+func (w *world) countLogged(text string) (n int) {
 	for _, g := range w.gates {
 		b, err := os.ReadFile(filepath.Join(w.logs, g.name+".log"))
 		if err != nil {
@@ -162,7 +162,7 @@
 		}
 	}
 	t.Logf("seed %d: %d faults, %d requests, %d served, %d arrivals at workers, %d large values from peers, %d suspensions, %d promises broken",
-		seed, len(p), len(w.history.requests), ok, len(w.history.runs), w.logged("value received"), w.logged("machine was suspended"), len(bs))
+		seed, len(p), len(w.history.requests), ok, len(w.history.runs), w.countLogged("value received"), w.countLogged("machine was suspended"), len(bs))
 	if len(bs) == 0 && !t.Failed() {
 		require.NoError(t, os.RemoveAll(w.logs))
 		return
