--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -31,15 +31,15 @@
 	events        = 12 // of a stream
 	permanentKeys = 3  // keys that are never revoked
 	totalKeys     = 40 // keys in all
-	// narrow is the rate of some gateways' links, 20 Mbit/s. A configuration with
+	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
 	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
-	narrow        = 20e6 / 8
-	fillerAtATime = 1400
-	mostFiller    = 4200
-	wideEvery     = 3 // gateways, of which one has a link without a bound
-	servedStill   = 2 // gateways that the store serves while others are turned away in turn
-	turnEvery     = 400 * time.Millisecond
-	narrowMbits   = 20
+	narrowLinkBytesPerSecond = 20e6 / 8
+	fillerAtATime            = 1400
+	mostFiller               = 4200
+	wideEvery                = 3 // gateways, of which one has a link without a bound
+	servedStill              = 2 // gateways that the store serves while others are turned away in turn
+	turnEvery                = 400 * time.Millisecond
+	narrowMbits              = 20
 )
 
 // gateway is one real process, and the proxy through which it sees the store.
@@ -174,7 +174,7 @@
 	g.peers = newProxy(w.t, peers)
 	link := 0
 	if i%wideEvery != 0 {
-		g.store.rate, g.peers.rate, link = narrow, narrow, narrowMbits
+		g.store.rate, g.peers.rate, link = narrowLinkBytesPerSecond, narrowLinkBytesPerSecond, narrowMbits
 	}
 	*seeds = append(*seeds, g.peers.address())
 	text := fmt.Sprintf(`role = "gateway"
