--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -39,7 +39,7 @@
 	wideEvery                = 3 // gateways, of which one has a link without a bound
 	servedStill              = 2 // gateways that the store serves while others are turned away in turn
 	turnEvery                = 400 * time.Millisecond
-	narrowMbits              = 20
+	narrowLinkMbits          = 20
 )
 
 // gateway is one real process, and the proxy through which it sees the store.
@@ -174,7 +174,7 @@
 	g.peers = newProxy(w.t, peers)
 	link := 0
 	if i%wideEvery != 0 {
-		g.store.rate, g.peers.rate, link = narrowLinkBytesPerSecond, narrowLinkBytesPerSecond, narrowMbits
+		g.store.rate, g.peers.rate, link = narrowLinkBytesPerSecond, narrowLinkBytesPerSecond, narrowLinkMbits
 	}
 	*seeds = append(*seeds, g.peers.address())
 	text := fmt.Sprintf(`role = "gateway"
