--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -34,7 +34,7 @@
 	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
 	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
 	narrowLinkBytesPerSecond = 20e6 / 8
-	fillerAtATime            = 1400
+	fillerRoutesPerStep      = 1400
 	mostFiller               = 4200
 	wideEvery                = 3 // gateways, of which one has a link without a bound
 	servedStill              = 2 // gateways that the store serves while others are turned away in turn
@@ -564,7 +564,7 @@
 		w.routes = append(w.routes, added)
 	}
 	if s.what == growConfig {
-		w.filler = min(w.filler+fillerAtATime, mostFiller)
+		w.filler = min(w.filler+fillerRoutesPerStep, mostFiller)
 	}
 	w.configure()
 	if revoked != "" {
