--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -35,7 +35,7 @@
 	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
 	narrowLinkBytesPerSecond = 20e6 / 8
 	fillerRoutesPerStep      = 1400
-	mostFiller               = 4200
+	maxFillerRoutes          = 4200
 	wideEvery                = 3 // gateways, of which one has a link without a bound
 	servedStill              = 2 // gateways that the store serves while others are turned away in turn
 	turnEvery                = 400 * time.Millisecond
@@ -564,7 +564,7 @@
 		w.routes = append(w.routes, added)
 	}
 	if s.what == growConfig {
-		w.filler = min(w.filler+fillerRoutesPerStep, mostFiller)
+		w.filler = min(w.filler+fillerRoutesPerStep, maxFillerRoutes)
 	}
 	w.configure()
 	if revoked != "" {
