--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -36,7 +36,7 @@
 	narrowLinkBytesPerSecond = 20e6 / 8
 	fillerRoutesPerStep      = 1400
 	maxFillerRoutes          = 4200
-	wideEvery                = 3 // gateways, of which one has a link without a bound
+	wideLinkEvery            = 3 // gateways, of which one has a link without a bound
 	servedStill              = 2 // gateways that the store serves while others are turned away in turn
 	turnEvery                = 400 * time.Millisecond
 	narrowLinkMbits          = 20
@@ -173,7 +173,7 @@
 	peers := freeAddress(w.t)
 	g.peers = newProxy(w.t, peers)
 	link := 0
-	if i%wideEvery != 0 {
+	if i%wideLinkEvery != 0 {
 		g.store.rate, g.peers.rate, link = narrowLinkBytesPerSecond, narrowLinkBytesPerSecond, narrowLinkMbits
 	}
 	*seeds = append(*seeds, g.peers.address())
