--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -37,7 +37,7 @@
 	fillerRoutesPerStep      = 1400
 	maxFillerRoutes          = 4200
 	wideLinkEvery            = 3 // gateways, of which one has a link without a bound
-	servedStill              = 2 // gateways that the store serves while others are turned away in turn
+	minServedGateways        = 2 // gateways that the store serves while others are turned away in turn
 	turnEvery                = 400 * time.Millisecond
 	narrowLinkMbits          = 20
 )
@@ -472,7 +472,7 @@
 // readers are turned away in turn.
 func (w *world) turnAway(s step) {
 	var g sync.WaitGroup
-	for i := range w.gates[servedStill:] {
+	for i := range w.gates[minServedGateways:] {
 		x := w.gates[(s.which+i)%len(w.gates)]
 		g.Go(func() {
 			time.Sleep(time.Duration(i) * turnEvery)
