--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -38,7 +38,7 @@
 	maxFillerRoutes          = 4200
 	wideLinkEvery            = 3 // gateways, of which one has a link without a bound
 	minServedGateways        = 2 // gateways that the store serves while others are turned away in turn
-	turnEvery                = 400 * time.Millisecond
+	turnAwayInterval         = 400 * time.Millisecond
 	narrowLinkMbits          = 20
 )
 
@@ -371,7 +371,7 @@
 	}
 	over := from.Add(s.duration + 2*time.Second)
 	if s.what == turnAway {
-		over = over.Add(time.Duration(len(w.gates)) * turnEvery)
+		over = over.Add(time.Duration(len(w.gates)) * turnAwayInterval)
 	}
 	w.disturb(s.what, i, from, over)
 	switch s.what {
@@ -475,7 +475,7 @@
 	for i := range w.gates[minServedGateways:] {
 		x := w.gates[(s.which+i)%len(w.gates)]
 		g.Go(func() {
-			time.Sleep(time.Duration(i) * turnEvery)
+			time.Sleep(time.Duration(i) * turnAwayInterval)
 			w.during(x.store, silence, s.duration)
 		})
 	}
