--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -111,7 +111,7 @@
 // Ports of gateways are taken from below those that the system gives to outgoing
 // connections, or one of these has a port by the time when its gateway starts
 // again. Each run takes a part of them for itself, since others may run beside it.
-const firstPort, portsOfRun, runsBeside = 12_000, 2_000, 10
+const firstPort, portsOfRun, maxParallelRuns = 12_000, 2_000, 10
 
 // ownPorts returns the first port of this run's part, which is locked until the process ends.
 var ownPorts = sync.OnceValues(func() (first int, err error) {
@@ -119,7 +119,7 @@
 	if err = os.MkdirAll(d, 0o755); err != nil {
 		return 0, err
 	}
-	for i := range runsBeside {
+	for i := range maxParallelRuns {
 		f, err := os.OpenFile(filepath.Join(d, fmt.Sprint(i)), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return 0, err
@@ -130,7 +130,7 @@
 		}
 		_ = f.Close() // another run has it
 	}
-	return 0, fmt.Errorf("%d runs have all ports", runsBeside)
+	return 0, fmt.Errorf("%d runs have all ports", maxParallelRuns)
 })
 
 // portsLock is held open for as long as the process runs.
