--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -111,7 +111,7 @@
 // Ports of gateways are taken from below those that the system gives to outgoing
 // connections, or one of these has a port by the time when its gateway starts
 // again. Each run takes a part of them for itself, since others may run beside it.
-const firstPort, portsOfRun, maxParallelRuns = 12_000, 2_000, 10
+const firstPort, portsPerRun, maxParallelRuns = 12_000, 2_000, 10
 
 // ownPorts returns the first port of this run's part, which is locked until the process ends.
 var ownPorts = sync.OnceValues(func() (first int, err error) {
@@ -126,7 +126,7 @@
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
 			portsLock = f
-			return firstPort + i*portsOfRun, nil
+			return firstPort + i*portsPerRun, nil
 		}
 		_ = f.Close() // another run has it
 	}
@@ -145,8 +145,8 @@
 	first, err := ownPorts()
 	require.NoError(t, err)
 	var k net.ListenConfig
-	for range portsOfRun {
-		p := first + rand.IntN(portsOfRun)
+	for range portsPerRun {
+		p := first + rand.IntN(portsPerRun)
 		a := fmt.Sprint("127.0.0.1:", p)
 		if given[p] {
 			continue
