--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -136,9 +136,9 @@
 // portsLock is held open for as long as the process runs.
 var portsLock *os.File
 
-// given has the ports that were handed out: one is free until its gateway starts, and was handed out
+// usedPorts has the ports that were handed out: one is free until its gateway starts, and was handed out
 // twice.
-var given = map[int]bool{}
+var usedPorts = map[int]bool{}
 
 func freeAddress(t testing.TB) string {
 	t.Helper()
@@ -148,13 +148,13 @@
 	for range portsPerRun {
 		p := first + rand.IntN(portsPerRun)
 		a := fmt.Sprint("127.0.0.1:", p)
-		if given[p] {
+		if usedPorts[p] {
 			continue
 		}
 		l, err := k.Listen(context.Background(), "tcp", a)
 		if err == nil {
 			require.NoError(t, l.Close())
-			given[p] = true
+			usedPorts[p] = true
 			return a
 		}
 	}
