--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -44,16 +44,16 @@
 
 // gateway is one real process, and the proxy through which it sees the store.
 type gateway struct {
-	mu      sync.Mutex
-	name    string
-	config  string
-	callers string
-	ready   string
-	store   *proxy
-	peers   *proxy    // through which others reach it
-	cmd     *exec.Cmd // nil while it is down
-	exited  chan struct{}
-	life    int
+	mu       sync.Mutex
+	name     string
+	config   string
+	callers  string
+	ready    string
+	store    *proxy
+	peers    *proxy    // through which others reach it
+	cmd      *exec.Cmd // nil while it is down
+	exited   chan struct{}
+	instance int
 
 	suspended time.Duration // in all; the process reads it from a file
 }
@@ -222,7 +222,7 @@
 	}
 	done := make(chan struct{})
 	g.cmd, g.exited = c, done
-	g.life++
+	g.instance++
 	go func() {
 		_ = c.Wait() // how it ended is in its log
 		_ = out.Close()
@@ -244,7 +244,7 @@
 func (g *gateway) lives() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.instance
 }
 
 // running reports whether the process runs. The lock is held.
