--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -54,7 +54,7 @@
 		id:         fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
 		key:        fmt.Sprint("key-", r.IntN(totalKeys)),
 		gateway:    g,
-		instance:   w.gates[g].lives(),
+		instance:   w.gates[g].currentInstance(),
 		atMostOnce: kind == "once",
 		sent:       time.Now(),
 	}
@@ -114,7 +114,7 @@
 // served sends one request that may run again and reports whether it was served.
 func (w *world) served(g int, id string) bool {
 	id = strings.ReplaceAll(id, " ", "-")
-	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gates[g].lives(), want: "answer to " + id, sent: time.Now()}
+	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gates[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
 	w.mu.Lock()
 	w.history.requests[id] = q
 	w.mu.Unlock()
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -241,7 +241,7 @@
 	return g.exited
 }
 
-func (g *gateway) lives() int {
+func (g *gateway) currentInstance() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.instance
