--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -73,16 +73,16 @@
 	store  *platformtest.Store
 	gates  []*gateway
 
-	mu      sync.Mutex
-	history *history
-	workers []*worker
-	made    int // workers
-	version int
-	keys    []string
-	routes  []string // that were added
-	filler  int      // further routes, which nobody calls
-	signals map[string]signal
-	crashes sync.WaitGroup // of workers that end by a request
+	mu             sync.Mutex
+	history        *history
+	workers        []*worker
+	workersStarted int // workers
+	version        int
+	keys           []string
+	routes         []string // that were added
+	filler         int      // further routes, which nobody calls
+	signals        map[string]signal
+	crashes        sync.WaitGroup // of workers that end by a request
 }
 
 func newWorld(t testing.TB, binary string, z size) *world {
@@ -284,8 +284,8 @@
 
 // addWorker starts a worker and lists it.
 func (w *world) addWorker() {
-	id := fmt.Sprint("i-", w.made)
-	w.made++
+	id := fmt.Sprint("i-", w.workersStarted)
+	w.workersStarted++
 	k := &worker{Worker: platformtest.NewWorker(id, w.behave)}
 	k.proxy = newProxy(w.t, k.Address())
 	w.workers = append(w.workers, k)
