--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -215,7 +215,7 @@
 	}
 	c := exec.Command(w.binary, "gateway", "--config", g.config)
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(os.Environ(), suspendedFile+"="+g.suspensions())
+	c.Env = append(os.Environ(), suspendedFileEnv+"="+g.suspensions())
 	if err = c.Start(); err != nil {
 		w.t.Errorf("start %s: %v", g.name, err)
 		return
@@ -423,8 +423,8 @@
 	}
 }
 
-// suspendedFile is where a process of a build for the soak looks for how long its machine was suspended.
-const suspendedFile = "HOLLOWGRADE_SUSPENDED"
+// suspendedFileEnv is where a process of a build for the soak looks for how long its machine was suspended.
+const suspendedFileEnv = "HOLLOWGRADE_SUSPENDED"
 
 // suspendMore is how much longer a machine is suspended than other faults last: keys that are taken away
 // meanwhile have to be of no use when it goes on.
