--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -367,7 +367,7 @@
 	// What it takes to recover belongs to the fault: a process to start, a view to
 	// be read again.
 	if s.what == suspendGateway {
-		s.duration += suspendMore
+		s.duration += suspendExtraTime
 	}
 	over := from.Add(s.duration + 2*time.Second)
 	if s.what == turnAway {
@@ -426,9 +426,9 @@
 // suspendedFileEnv is where a process of a build for the soak looks for how long its machine was suspended.
 const suspendedFileEnv = "HOLLOWGRADE_SUSPENDED"
 
-// suspendMore is how much longer a machine is suspended than other faults last: keys that are taken away
+// suspendExtraTime is how much longer a machine is suspended than other faults last: keys that are taken away
 // meanwhile have to be of no use when it goes on.
-const suspendMore = 4 * time.Second
+const suspendExtraTime = 4 * time.Second
 
 // suspensions returns the path of the file for a gateway.
 func (g *gateway) suspensions() string {
