--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -215,7 +215,7 @@
 	}
 	c := exec.Command(w.binary, "gateway", "--config", g.config)
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(os.Environ(), suspendedFileEnv+"="+g.suspensions())
+	c.Env = append(os.Environ(), suspendedFileEnv+"="+g.suspendedPath())
 	if err = c.Start(); err != nil {
 		w.t.Errorf("start %s: %v", g.name, err)
 		return
@@ -430,8 +430,8 @@
 // meanwhile have to be of no use when it goes on.
 const suspendExtraTime = 4 * time.Second
 
-// suspensions returns the path of the file for a gateway.
-func (g *gateway) suspensions() string {
+// suspendedPath returns the path of the file for a gateway.
+func (g *gateway) suspendedPath() string {
 	return g.config + ".suspended"
 }
 
@@ -442,8 +442,8 @@
 	time.Sleep(d)
 	g.mu.Lock()
 	g.suspended += time.Since(begin)
-	part := g.suspensions() + ".part" // the file is there as a whole or not at all
-	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspensions()))
+	part := g.suspendedPath() + ".part" // the file is there as a whole or not at all
+	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspendedPath()))
 	g.mu.Unlock()
 	if err != nil {
 		w.t.Errorf("suspend %s: %v", g.name, err)
