--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -378,17 +378,17 @@
 	case killGateway, pauseGateway, suspendGateway, stopGateway, reloadGateway:
 		w.applyToProcess(g, s)
 	case silenceStore:
-		w.during(g.store, silence, s.duration)
+		w.setModeFor(g.store, silence, s.duration)
 	case resetStore:
 		g.store.reset()
 	case turnAway:
 		w.turnAway(s)
 	case silencePeers:
-		w.during(g.peers, silence, s.duration)
+		w.setModeFor(g.peers, silence, s.duration)
 	case resetPeers:
 		g.peers.reset()
 	case delayPeers:
-		w.during(g.peers, delay, s.duration)
+		w.setModeFor(g.peers, delay, s.duration)
 	case busyStore:
 		w.mode(platformtest.Busy, s.duration)
 	case awayStore:
@@ -462,7 +462,7 @@
 	w.start(g)
 }
 
-func (w *world) during(p *proxy, y linkMode, d time.Duration) {
+func (w *world) setModeFor(p *proxy, y linkMode, d time.Duration) {
 	p.set(y)
 	time.Sleep(d)
 	p.set(pass)
@@ -476,7 +476,7 @@
 		x := w.gates[(s.which+i)%len(w.gates)]
 		g.Go(func() {
 			time.Sleep(time.Duration(i) * turnAwayInterval)
-			w.during(x.store, silence, s.duration)
+			w.setModeFor(x.store, silence, s.duration)
 		})
 	}
 	g.Wait()
@@ -503,13 +503,13 @@
 	}
 	switch s.what {
 	case delayWorker:
-		w.during(k.proxy, delay, s.duration)
+		w.setModeFor(k.proxy, delay, s.duration)
 	case resetWorker:
 		k.proxy.reset()
 	case silenceWorker:
-		w.during(k.proxy, silence, s.duration)
+		w.setModeFor(k.proxy, silence, s.duration)
 	case deafenWorker:
-		w.during(k.proxy, deafen, s.duration)
+		w.setModeFor(k.proxy, deafen, s.duration)
 	case crashWorker:
 		w.replace(k)
 		k.Close()
