--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -390,11 +390,11 @@
 	case delayPeers:
 		w.setModeFor(g.peers, delay, s.duration)
 	case busyStore:
-		w.mode(platformtest.Busy, s.duration)
+		w.setStoreMode(platformtest.Busy, s.duration)
 	case awayStore:
-		w.mode(platformtest.Away, s.duration)
+		w.setStoreMode(platformtest.Away, s.duration)
 	case loseAnswers:
-		w.mode(platformtest.LosingAll, s.duration)
+		w.setStoreMode(platformtest.LosingAll, s.duration)
 	case compactStore:
 		w.store.Compact("keyed.op")
 		w.store.Compact("keyed.servers")
@@ -482,7 +482,7 @@
 	g.Wait()
 }
 
-func (w *world) mode(m platformtest.Mode, d time.Duration) {
+func (w *world) setStoreMode(m platformtest.Mode, d time.Duration) {
 	w.store.SetMode(m)
 	time.Sleep(d)
 	w.store.SetMode(platformtest.Serving)
