--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -382,7 +382,7 @@
 	case resetStore:
 		g.store.reset()
 	case turnAway:
-		w.turnAway(s)
+		w.silenceInTurn(s)
 	case silencePeers:
 		w.setModeFor(g.peers, silence, s.duration)
 	case resetPeers:
@@ -468,9 +468,9 @@
 	p.set(pass)
 }
 
-// turnAway lets the store answer all gateways but two no more, one after another, so that those that stand in for
+// silenceInTurn lets the store answer all gateways but two no more, one after another, so that those that stand in for
 // readers are turned away in turn.
-func (w *world) turnAway(s step) {
+func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
 	for i := range w.gates[minServedGateways:] {
 		x := w.gates[(s.which+i)%len(w.gates)]
