--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -79,7 +79,7 @@
 		b.proxy = newProxy(w.t, b.Address())
 	}
 	w.workers = append(w.workers, b)
-	w.list(b, "ready")
+	w.register(b, "ready")
 }
 
 // crashAsync lets the worker that answers a request end: it waits for its answers, so another has to do it.
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -289,10 +289,10 @@
 	k := &worker{Worker: platformtest.NewWorker(id, w.behave)}
 	k.proxy = newProxy(w.t, k.Address())
 	w.workers = append(w.workers, k)
-	w.list(k, "ready")
+	w.register(k, "ready")
 }
 
-func (w *world) list(k *worker, state string) {
+func (w *world) register(k *worker, state string) {
 	r := k.Record("s", state)
 	r["address"] = k.proxy.address()
 	if !k.startTime.IsZero() {
@@ -517,7 +517,7 @@
 		w.store.Put("keyed.servers", k.ID, nil)
 	case drainWorker:
 		w.replace(k)
-		w.list(k, "draining")
+		w.register(k, "draining")
 		w.mu.Lock()
 		w.history.leavingSince[k.ID] = time.Now()
 		w.mu.Unlock()
