--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -94,7 +94,7 @@
 	for i := range totalKeys {
 		w.keys = append(w.keys, fmt.Sprint("key-", i))
 	}
-	w.configure()
+	w.writeConfig()
 	for range z.workers {
 		w.addWorker()
 	}
@@ -260,9 +260,9 @@
 	}
 }
 
-// configure writes the configuration anew. The lock is held, or nobody else has
+// writeConfig writes the configuration anew. The lock is held, or nobody else has
 // the world yet.
-func (w *world) configure() {
+func (w *world) writeConfig() {
 	w.version++
 	var routes []string
 	route := func(path, more string) {
@@ -566,7 +566,7 @@
 	if s.what == growConfig {
 		w.filler = min(w.filler+fillerRoutesPerStep, maxFillerRoutes)
 	}
-	w.configure()
+	w.writeConfig()
 	if revoked != "" {
 		w.history.revoked[revoked] = time.Now()
 	} else {
