--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -528,7 +528,7 @@
 	case nameLimit, leaveInAnswers, askForRest:
 		w.announce(k, s)
 	case revokeKey, addRoute, growConfig:
-		w.change(s)
+		w.changeConfig(s)
 	}
 }
 
@@ -550,8 +550,8 @@
 	w.addWorker()
 }
 
-// change writes a new version of the configuration.
-func (w *world) change(s step) {
+// changeConfig writes a new version of the configuration.
+func (w *world) changeConfig(s step) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	revoked, added := "", ""
