--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -352,8 +352,8 @@
 	}
 }
 
-// disturb notes a fault, so that what is bounded in time is not held to it.
-func (w *world) disturb(k kind, gateway int, from, to time.Time) {
+// recordFault notes a fault, so that what is bounded in time is not held to it.
+func (w *world) recordFault(k kind, gateway int, from, to time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history.spans = append(w.history.spans, span{k, gateway, from, to})
@@ -373,7 +373,7 @@
 	if s.what == turnAway {
 		over = over.Add(time.Duration(len(w.gates)) * turnAwayInterval)
 	}
-	w.disturb(s.what, i, from, over)
+	w.recordFault(s.what, i, from, over)
 	switch s.what {
 	case killGateway, pauseGateway, suspendGateway, stopGateway, reloadGateway:
 		w.applyToProcess(g, s)
