--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -86,7 +86,7 @@
 	}
 	bs := w.watch(&fs)
 	if len(bs) == 0 {
-		w.heal()
+		w.resumeGateways()
 		w.awaitServing(t, "after the last fault")
 	}
 	cancel()
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -574,8 +574,8 @@
 	}
 }
 
-// heal ends all faults that last: each gateway runs.
-func (w *world) heal() {
+// resumeGateways ends all faults that last: each gateway runs.
+func (w *world) resumeGateways() {
 	for _, g := range w.gates {
 		g.signal(syscall.SIGCONT)
 		w.start(g)
