--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -25,8 +25,8 @@
 	return q
 }
 
-// sentOn adds a harmful request that reached workers some times at first, and some later than it has to be known.
-func sentOn(h *history, first, late int) {
+// addHarmful adds a harmful request that reached workers some times at first, and some later than it has to be known.
+func addHarmful(h *history, first, late int) {
 	for i := range first + late {
 		t := at(10)
 		if i >= first {
@@ -117,14 +117,14 @@
 				h.runs = append(h.runs, h.runs[0])
 			}
 		}, "BUDGET"},
-		{"harmful and sent on", func(h *history, _ *request) { sentOn(h, 3, 4) }, "BUDGET"},
-		{"harmful and sent on three times", func(h *history, _ *request) { sentOn(h, 3, 3) }, ""},
-		{"harmful and sent on at once", func(h *history, _ *request) { sentOn(h, 20, 0) }, ""},
+		{"harmful and sent on", func(h *history, _ *request) { addHarmful(h, 3, 4) }, "BUDGET"},
+		{"harmful and sent on three times", func(h *history, _ *request) { addHarmful(h, 3, 3) }, ""},
+		{"harmful and sent on at once", func(h *history, _ *request) { addHarmful(h, 20, 0) }, ""},
 		{"harmful and sent on while the store is silent", func(h *history, _ *request) {
-			sentOn(h, 3, 4)
+			addHarmful(h, 3, 4)
 			h.spans = []span{{what: silenceStore, from: at(12), to: at(14)}}
 		}, ""},
-		{"harmful and sent on without end", func(h *history, _ *request) { sentOn(h, 30, 0) }, "BUDGET"},
+		{"harmful and sent on without end", func(h *history, _ *request) { addHarmful(h, 30, 0) }, "BUDGET"},
 		{"left by its word long before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-2.1) }, "DRAIN"},
 		{"left by its word just before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-1.9) }, ""},
 		{"left by its word to another life", func(h *history, _ *request) {
