--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -38,18 +38,18 @@
 	}
 }
 
-// told adds that the worker told a gateway something of itself.
-func told(h *history, g signal, seconds float64) {
+// addSignal adds that the worker addSignal a gateway something of itself.
+func addSignal(h *history, g signal, seconds float64) {
 	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
 // arrive adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
 func arrive(h *history, g signal, seconds float64, n int) {
-	told(h, g, seconds)
+	addSignal(h, g, seconds)
 	for i := range n - 1 {
 		wellServed(h, fmt.Sprint("more", i), 10.1+float64(i)/10)
 	}
-	told(h, signal{limit: g.limit}, 30)
+	addSignal(h, signal{limit: g.limit}, 30)
 }
 
 // TestPlantedBreaches shows that each check finds a breach that was planted into a
@@ -125,18 +125,18 @@
 			h.spans = []span{{what: silenceStore, from: at(12), to: at(14)}}
 		}, ""},
 		{"harmful and sent on without end", func(h *history, _ *request) { addHarmful(h, 30, 0) }, "BUDGET"},
-		{"left by its word long before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-2.1) }, "DRAIN"},
-		{"left by its word just before", func(h *history, _ *request) { told(h, signal{leaving: true}, 10.05-1.9) }, ""},
+		{"left by its word long before", func(h *history, _ *request) { addSignal(h, signal{leaving: true}, 10.05-2.1) }, "DRAIN"},
+		{"left by its word just before", func(h *history, _ *request) { addSignal(h, signal{leaving: true}, 10.05-1.9) }, ""},
 		{"left by its word to another life", func(h *history, _ *request) {
-			told(h, signal{leaving: true}, 10.05-2.1)
+			addSignal(h, signal{leaving: true}, 10.05-2.1)
 			h.received[0].instance++
 		}, ""},
 		{"left by its word, the store away since", func(h *history, _ *request) {
-			told(h, signal{leaving: true}, 10.05-2.1)
+			addSignal(h, signal{leaving: true}, 10.05-2.1)
 			h.spans = []span{{what: awayStore, from: at(8), to: at(11)}}
 		}, "DRAIN"},
 		{"left by its word, the gateway stood still", func(h *history, _ *request) {
-			told(h, signal{leaving: true}, 10.05-2.1)
+			addSignal(h, signal{leaving: true}, 10.05-2.1)
 			h.spans = []span{{what: pauseGateway, from: at(8), to: at(9)}}
 		}, ""},
 		{"rests and gets three", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 9, 3) }, "BUDGET"},
