--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -43,8 +43,8 @@
 	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
-// arrive adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
-func arrive(h *history, g signal, seconds float64, n int) {
+// addArrivals adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
+func addArrivals(h *history, g signal, seconds float64, n int) {
 	addSignal(h, g, seconds)
 	for i := range n - 1 {
 		wellServed(h, fmt.Sprint("more", i), 10.1+float64(i)/10)
@@ -139,13 +139,13 @@
 			addSignal(h, signal{leaving: true}, 10.05-2.1)
 			h.spans = []span{{what: pauseGateway, from: at(8), to: at(9)}}
 		}, ""},
-		{"rests and gets three", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 9, 3) }, "BUDGET"},
-		{"rests and gets two", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 9, 2) }, ""},
-		{"rests and gets three at once", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 10.1, 3) }, ""},
-		{"rests and gets three after it", func(h *history, _ *request) { arrive(h, signal{retryLater: true}, 7, 3) }, ""},
-		{"named a limit and got more", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 6, 12) }, "LIMIT"},
-		{"named a limit and got as much", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 6, 11) }, ""},
-		{"named a limit just now", func(h *history, _ *request) { arrive(h, signal{limit: 1}, 8.5, 12) }, ""},
+		{"rests and gets three", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 9, 3) }, "BUDGET"},
+		{"rests and gets two", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 9, 2) }, ""},
+		{"rests and gets three at once", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 10.1, 3) }, ""},
+		{"rests and gets three after it", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 7, 3) }, ""},
+		{"named a limit and got more", func(h *history, _ *request) { addArrivals(h, signal{limit: 1}, 6, 12) }, "LIMIT"},
+		{"named a limit and got as much", func(h *history, _ *request) { addArrivals(h, signal{limit: 1}, 6, 11) }, ""},
+		{"named a limit just now", func(h *history, _ *request) { addArrivals(h, signal{limit: 1}, 8.5, 12) }, ""},
 		{"at a worker that there is not", func(h *history, _ *request) { h.runs[0].worker = "strange-1" }, "ENTRIES"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
