--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -14,8 +14,8 @@
 	return time.Unix(1_000_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// wellServed adds a request that ran once and was served.
-func wellServed(h *history, id string, sent float64) *request {
+// addServed adds a request that ran once and was served.
+func addServed(h *history, id string, sent float64) *request {
 	q := &request{
 		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), atMostOnce: true,
 		status: 200, signed: true, complete: true, answer: "answer to " + id, want: "answer to " + id,
@@ -47,7 +47,7 @@
 func addArrivals(h *history, g signal, seconds float64, n int) {
 	addSignal(h, g, seconds)
 	for i := range n - 1 {
-		wellServed(h, fmt.Sprint("more", i), 10.1+float64(i)/10)
+		addServed(h, fmt.Sprint("more", i), 10.1+float64(i)/10)
 	}
 	addSignal(h, signal{limit: g.limit}, 30)
 }
@@ -150,7 +150,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHistory()
-			c.plant(h, wellServed(h, "q", 10))
+			c.plant(h, addServed(h, "q", 10))
 			bs := h.check()
 			if c.want == "" {
 				require.Empty(t, bs)
