--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -158,7 +158,7 @@
 	e.mu.Lock()
 	e.frozen = on
 	e.mu.Unlock()
-	e.poke()
+	e.notify()
 }
 
 // Runs returns the record of what ran.
@@ -183,7 +183,7 @@
 		return 1
 	})
 	e.waiting = slices.Insert(e.waiting, i, s)
-	e.poke()
+	e.notify()
 	stop := context.AfterFunc(ctx, func() { _ = e.Cancel(context.WithoutCancel(ctx), g.ID) })
 	return &stream{engine: e, sequence: s, stop: stop}, nil
 }
@@ -253,7 +253,7 @@
 		e.end(e.running[i], ErrCancelled)
 		e.running = slices.Delete(e.running, i, i+1)
 	}
-	e.poke()
+	e.notify()
 	return nil
 }
 
@@ -263,7 +263,7 @@
 	close(s.out)
 }
 
-func (e *Engine) poke() {
+func (e *Engine) notify() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -97,7 +97,7 @@
 	if h, ok := e.held[id]; ok {
 		e.drop(h)
 	}
-	e.poke()
+	e.notify()
 	return nil
 }
 
