--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -65,20 +65,20 @@
 	config EngineConfig
 	clock  hollowgrade.Clock
 
-	mu      sync.Mutex
-	down    bool
-	frozen  bool
-	wake    chan struct{}
-	stopped chan struct{}
-	waiting []*sequence
-	running []*sequence
-	held    map[string]*holding
-	cache   prefixCache
-	used    int
-	fence   int64
-	models  []string
-	loads   []hollowgrade.EngineLoad // history, for the lag
-	runs    []Run
+	mu       sync.Mutex
+	down     bool
+	frozen   bool
+	wake     chan struct{}
+	stopped  chan struct{}
+	waiting  []*sequence
+	running  []*sequence
+	holdings map[string]*holding
+	cache    prefixCache
+	used     int
+	fence    int64
+	models   []string
+	loads    []hollowgrade.EngineLoad // history, for the lag
+	runs     []Run
 }
 
 // Run is one entry of the engine's own record of what ran, which the checkers
@@ -114,12 +114,12 @@
 // NewEngine returns an engine and starts its loop.
 func NewEngine(c EngineConfig, k hollowgrade.Clock) *Engine {
 	e := &Engine{
-		config:  c,
-		clock:   k,
-		wake:    make(chan struct{}, 1),
-		stopped: make(chan struct{}),
-		held:    map[string]*holding{},
-		models:  slices.Clone(c.Models),
+		config:   c,
+		clock:    k,
+		wake:     make(chan struct{}, 1),
+		stopped:  make(chan struct{}),
+		holdings: map[string]*holding{},
+		models:   slices.Clone(c.Models),
 	}
 	e.cache.init()
 	go e.loop()
@@ -141,7 +141,7 @@
 		e.end(s, ErrEngineDown)
 	}
 	e.running, e.waiting = nil, nil
-	e.held = map[string]*holding{}
+	e.holdings = map[string]*holding{}
 	e.used = 0
 	e.cache.init()
 }
@@ -323,7 +323,7 @@
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxRunning {
 		s := e.waiting[0]
-		if r, ok := e.held[s.Reservation]; ok && s.Reservation != "" {
+		if r, ok := e.holdings[s.Reservation]; ok && s.Reservation != "" {
 			e.drop(r)
 		}
 		if e.used+s.need > e.config.MemoryTokens {
@@ -375,7 +375,7 @@
 		return
 	}
 	e.used += s.need
-	e.held[s.ID] = &holding{
+	e.holdings[s.ID] = &holding{
 		Holding: hollowgrade.Holding{ID: s.ID, Kind: hollowgrade.HeldExport, Tokens: s.need},
 		digest:  s.digest,
 		hash:    s.hash,
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -21,7 +21,7 @@
 		return ErrEngineDown
 	}
 	e.expire()
-	if _, ok := e.held[id]; ok {
+	if _, ok := e.holdings[id]; ok {
 		return ErrDuplicateID
 	}
 	if e.used+tokens > e.config.MemoryTokens {
@@ -29,7 +29,7 @@
 	}
 	e.used += tokens
 	e.cache.shrink(e.config.MemoryTokens - e.used)
-	e.held[id] = &holding{
+	e.holdings[id] = &holding{
 		Holding: hollowgrade.Holding{ID: id, Kind: hollowgrade.HeldReservation, Tokens: tokens},
 		expires: e.clock.Now().Add(ttl),
 	}
@@ -38,7 +38,7 @@
 
 func (e *Engine) expire() {
 	now := e.clock.Now()
-	for _, h := range e.held {
+	for _, h := range e.holdings {
 		if !h.expires.IsZero() && now.After(h.expires) {
 			e.drop(h)
 		}
@@ -47,7 +47,7 @@
 
 func (e *Engine) drop(h *holding) {
 	e.used -= h.Tokens
-	delete(e.held, h.ID)
+	delete(e.holdings, h.ID)
 }
 
 // Export implements [hollowgrade.Engine].
@@ -57,7 +57,7 @@
 	if e.down {
 		return "", ErrEngineDown
 	}
-	h, ok := e.held[id]
+	h, ok := e.holdings[id]
 	if !ok || h.Kind != hollowgrade.HeldExport {
 		return "", ErrNoHolding
 	}
@@ -94,7 +94,7 @@
 	if e.down {
 		return ErrEngineDown
 	}
-	if h, ok := e.held[id]; ok {
+	if h, ok := e.holdings[id]; ok {
 		e.drop(h)
 	}
 	e.notify()
@@ -110,7 +110,7 @@
 	}
 	e.expire()
 	var hs []hollowgrade.Holding
-	for _, h := range slices.SortedFunc(maps.Values(e.held), byID) {
+	for _, h := range slices.SortedFunc(maps.Values(e.holdings), byID) {
 		hs = append(hs, h.Holding)
 	}
 	for _, s := range e.running {
