--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -341,7 +341,7 @@
 func (e *Engine) deliver() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.report()
+	e.recordLoad()
 	kept := e.running[:0]
 	for _, s := range e.running {
 		if s.prefilled < s.prompt || !e.advance(s) {
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -141,13 +141,13 @@
 	if e.down {
 		return hollowgrade.EngineLoad{}, ErrEngineDown
 	}
-	e.report()
+	e.recordLoad()
 	return e.loads[0], nil
 }
 
-// report notes the present load, and forgets those that are older than the lag
+// recordLoad notes the present load, and forgets those that are older than the lag
 // but for the newest of them.
-func (e *Engine) report() {
+func (e *Engine) recordLoad() {
 	now := e.clock.Now()
 	e.loads = append(e.loads, hollowgrade.EngineLoad{
 		Running:     len(e.running),
