--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -350,7 +350,7 @@
 		}
 		e.used -= s.need
 		e.cache.add(s.blocks, e.config.MemoryTokens-e.used)
-		e.keep(s)
+		e.holdExport(s)
 		e.end(s, io.EOF)
 	}
 	clear(e.running[len(kept):])
@@ -370,7 +370,7 @@
 	return s.made >= s.MaxTokens
 }
 
-func (e *Engine) keep(s *sequence) {
+func (e *Engine) holdExport(s *sequence) {
 	if !s.HoldOnly {
 		return
 	}
