--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -30,7 +30,7 @@
 	{"engine dies and comes back", func(f *Fleet, i int) func() {
 		e := f.Agents[i].Engine
 		e.Kill()
-		return e.Revive
+		return e.Restart
 	}},
 	{"engine freezes", func(f *Fleet, i int) func() {
 		e := f.Agents[i].Engine
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -146,8 +146,8 @@
 	e.cache.init()
 }
 
-// Revive ends what Kill began.
-func (e *Engine) Revive() {
+// Restart ends what Kill began.
+func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
