--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -104,7 +104,7 @@
 	blocks    []uint64
 	prompt    int // tokens still counted to this sequence's own prefill
 	prefilled int
-	made      int // tokens of the answer, with those of Prefix
+	generated int // tokens of the answer, with those of Prefix
 	need      int
 	run       int // index into Engine.runs
 	out       chan hollowgrade.Token
@@ -210,7 +210,7 @@
 	_, _ = s.digest.WriteString(g.Prompt)
 	s.blocks, s.hash = chain(s.hash, g.Prompt)
 	s.prompt = Tokens(g.Prompt) + len(g.Prefix)
-	s.made = len(g.Prefix)
+	s.generated = len(g.Prefix)
 	s.need = s.prompt + g.MaxTokens - len(g.Prefix)
 	if g.HoldOnly {
 		s.need = s.prompt
@@ -362,12 +362,12 @@
 	if s.HoldOnly {
 		return true
 	}
-	if s.made < s.MaxTokens {
-		s.out <- hollowgrade.Token{Offset: s.made, Text: AnswerToken(s.digest.Sum64(), s.made)}
-		s.made++
+	if s.generated < s.MaxTokens {
+		s.out <- hollowgrade.Token{Offset: s.generated, Text: AnswerToken(s.digest.Sum64(), s.generated)}
+		s.generated++
 		e.runs[s.run].Tokens++
 	}
-	return s.made >= s.MaxTokens
+	return s.generated >= s.MaxTokens
 }
 
 func (e *Engine) holdExport(s *sequence) {
