--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -17,7 +17,7 @@
 	clock hollowgrade.Clock
 
 	mu      sync.Mutex
-	held    []hollowgrade.Box // shown while it is not nil
+	frozen  []hollowgrade.Box // shown while it is not nil
 	lag     time.Duration
 	history []boxesAt
 }
@@ -38,9 +38,9 @@
 	bs, _ := b.List(context.Background())
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held = nil
+	b.frozen = nil
 	if on {
-		b.held = append([]hollowgrade.Box{}, bs...)
+		b.frozen = append([]hollowgrade.Box{}, bs...)
 	}
 }
 
@@ -71,8 +71,8 @@
 func (b *Boxes) List(context.Context) ([]hollowgrade.Box, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held != nil {
-		return slices.Clone(b.held), nil
+	if b.frozen != nil {
+		return slices.Clone(b.frozen), nil
 	}
 	old := b.clock.Now().Add(-b.lag)
 	for len(b.history) > 1 && !b.history[1].at.After(old) {
