--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -88,7 +88,7 @@
 	{name: "freeze upstream", strike: freezeUpstream(true), heal: freezeUpstream(false), lasts: asleep, tells: true},
 	{name: "log down", strike: func(c *cell) { c.fleet.Log.SetOutage(true) }, heal: func(c *cell) { c.fleet.Log.SetOutage(false) }, lasts: asleep, tells: true},
 	{name: "log loses answers of racing operators", strike: raceOperators, heal: nothing, tells: true},
-	{name: "list lags behind a replaced agent", strike: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
+	{name: "list lags behind a replaced agent", strike: func(c *cell) { c.fleet.Boxes.Freeze(true); c.fleet.KillAgent(c.box) }, heal: replaceAgent, lasts: brief, tells: true},
 	{name: "drain entry", strike: func(c *cell) { c.ending.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopping()) }) }, heal: nothing, tells: true, planned: true},
 	{name: "drain agent", strike: drainAgent, heal: nothing, tells: true, planned: true},
 }
@@ -142,7 +142,7 @@
 func drainAgent(c *cell) {
 	a := c.fleet.Agents[c.box]
 	c.left[a.Name] = time.Now()
-	c.fleet.Boxes.Hold(true)
+	c.fleet.Boxes.Freeze(true)
 	c.fleet.Unlist(a.Name)
 	// Not waited for: a process that is killed while it drains never ends.
 	c.ending.Go(func() { c.fleet.StopAgent(c.stopping(), a) })
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -32,9 +32,9 @@
 	return &Boxes{clock: k, lag: lag, history: []boxesAt{{at: k.Now().Add(-lag)}}}
 }
 
-// Hold makes the list go on showing what it shows now, or ends that. It stands
+// Freeze makes the list go on showing what it shows now, or ends that. It stands
 // in for a lag that is longer than a test.
-func (b *Boxes) Hold(on bool) {
+func (b *Boxes) Freeze(on bool) {
 	bs, _ := b.List(context.Background())
 	b.mu.Lock()
 	defer b.mu.Unlock()
