--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -33,11 +33,11 @@
 	retention time.Duration
 	limit     *rate.Limiter
 
-	mu       sync.Mutex
-	records  []hollowgrade.Record
-	earliest int64
-	out      bool
-	loses    int // appends whose answers are still to be lost
+	mu            sync.Mutex
+	records       []hollowgrade.Record
+	earliest      int64
+	out           bool
+	answersToLose int // appends whose answers are still to be lost
 }
 
 // NewLog returns an empty log that keeps records for the retention; for ever
@@ -57,7 +57,7 @@
 func (l *Log) LoseAnswers(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.loses = n
+	l.answersToLose = n
 }
 
 // Append implements [hollowgrade.Log].
@@ -73,8 +73,8 @@
 	}
 	o := l.next()
 	l.records = append(l.records, hollowgrade.Record{Offset: o, Time: now, Body: slices.Clone(body)})
-	if l.loses > 0 {
-		l.loses--
+	if l.answersToLose > 0 {
+		l.answersToLose--
 		return 0, ErrOutage
 	}
 	return o, nil
