--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -36,7 +36,7 @@
 	mu            sync.Mutex
 	records       []hollowgrade.Record
 	earliest      int64
-	out           bool
+	outage        bool
 	answersToLose int // appends whose answers are still to be lost
 }
 
@@ -50,7 +50,7 @@
 func (l *Log) SetOutage(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out = on
+	l.outage = on
 }
 
 // LoseAnswers makes the next n appends take effect and answer with an error.
@@ -64,7 +64,7 @@
 func (l *Log) Append(_ context.Context, body []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out {
+	if l.outage {
 		return 0, ErrOutage
 	}
 	now := l.clock.Now()
@@ -102,7 +102,7 @@
 func (l *Log) Read(_ context.Context, from int64, limit int) (p hollowgrade.Page, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out {
+	if l.outage {
 		return p, ErrOutage
 	}
 	l.retain()
