--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -105,7 +105,7 @@
 	if l.outage {
 		return p, ErrOutage
 	}
-	l.retain()
+	l.trimExpired()
 	p.Earliest, p.Next = l.earliest, l.next()
 	if from < l.earliest {
 		return p, hollowgrade.ErrTrimmed
@@ -116,7 +116,7 @@
 	return p, nil
 }
 
-func (l *Log) retain() {
+func (l *Log) trimExpired() {
 	if l.retention == 0 {
 		return
 	}
