--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -19,7 +19,7 @@
 	limit *rate.Limiter
 
 	mu      sync.Mutex
-	out     bool
+	outage  bool
 	fetches []standalone.FetchCall
 }
 
@@ -33,7 +33,7 @@
 func (s *Weights) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = on
+	s.outage = on
 }
 
 // Fetches returns what was fetched.
@@ -47,7 +47,7 @@
 func (s *Weights) Fetch(_ context.Context, box, model string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out {
+	if s.outage {
 		return ErrOutage
 	}
 	if !s.limit.AllowN(s.clock.Now(), 1) {
