--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -100,7 +100,7 @@
 }
 
 func mend(a string, b func(*cell) string) func(*cell) {
-	return func(c *cell) { c.fleet.Network.Mend(a, b(c)) }
+	return func(c *cell) { c.fleet.Network.Heal(a, b(c)) }
 }
 
 func cutUpstream(c *cell) {
@@ -115,7 +115,7 @@
 	if a := c.fleet.Agents[c.box]; a.Link != nil {
 		a.Link.SetCut(false)
 	} else {
-		c.fleet.Network.Mend(a.Name, UpstreamOf(a.Name))
+		c.fleet.Network.Heal(a.Name, UpstreamOf(a.Name))
 	}
 }
 
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -54,7 +54,7 @@
 	{"entry is cut from an agent", func(f *Fleet, i int) func() {
 		a, b := EntryName(i%2), f.Agents[i].Name
 		f.Network.Cut(a, b)
-		return func() { f.Network.Mend(a, b) }
+		return func() { f.Network.Heal(a, b) }
 	}},
 	{"log is out", func(f *Fleet, _ int) func() {
 		f.Log.SetOutage(true)
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Mend ends what Cut began.
-func (n *Network) Mend(a, b string) {
+// Heal ends what Cut began.
+func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, pair{a, b})
