--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -500,7 +500,7 @@
 func (f *Fleet) ReplaceAgent(i int) {
 	old := f.Agents[i]
 	f.mark(&old.replaced)
-	f.Network.Forget(old.Name)
+	f.Network.ResetFreezer(old.Name)
 	a := f.startBeside(old)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -100,9 +100,9 @@
 	return f
 }
 
-// Forget makes the next process at an address one that nothing has frozen. The
+// ResetFreezer makes the next process at an address one that nothing has frozen. The
 // former one stays as it is.
-func (n *Network) Forget(address string) {
+func (n *Network) ResetFreezer(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.frozen, address)
