--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -239,13 +239,13 @@
 }
 
 const (
-	packetBytes  = 32 << 10
-	packetsAloft = 256
+	packetBytes        = 32 << 10
+	maxPacketsInFlight = 256
 )
 
 // carry takes what one end writes to the other end.
 func (k *link) carry(in, out net.Conn, from, to string) {
-	ps := make(chan packet, packetsAloft)
+	ps := make(chan packet, maxPacketsInFlight)
 	go k.deliver(ps, out, to)
 	defer close(ps)
 	b := make([]byte, packetBytes)
