--- a/internal/standin/freeze.go
+++ b/internal/standin/freeze.go
@@ -110,7 +110,7 @@
 	}
 }
 
-func (l *LinkedEngine) pass() error {
+func (l *LinkedEngine) checkLink() error {
 	l.freezer.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,7 @@
 
 // Generate implements [hollowgrade.Engine].
 func (l *LinkedEngine) Generate(ctx context.Context, g hollowgrade.Generation) (hollowgrade.TokenStream, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -161,7 +161,7 @@
 
 // Load implements [hollowgrade.Engine].
 func (l *LinkedEngine) Load(ctx context.Context) (hollowgrade.EngineLoad, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return hollowgrade.EngineLoad{}, err
 	}
 	return l.Engine.Load(ctx)
@@ -169,7 +169,7 @@
 
 // Holdings implements [hollowgrade.Engine].
 func (l *LinkedEngine) Holdings(ctx context.Context) ([]hollowgrade.Holding, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return nil, err
 	}
 	return l.Engine.Holdings(ctx)
@@ -177,7 +177,7 @@
 
 // Cancel implements [hollowgrade.Engine].
 func (l *LinkedEngine) Cancel(ctx context.Context, id string) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Cancel(ctx, id)
@@ -185,7 +185,7 @@
 
 // Reserve implements [hollowgrade.Engine].
 func (l *LinkedEngine) Reserve(ctx context.Context, id string, tokens int, ttl time.Duration) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Reserve(ctx, id, tokens, ttl)
@@ -193,7 +193,7 @@
 
 // Export implements [hollowgrade.Engine].
 func (l *LinkedEngine) Export(ctx context.Context, id string) (string, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return "", err
 	}
 	return l.Engine.Export(ctx, id)
@@ -201,7 +201,7 @@
 
 // Release implements [hollowgrade.Engine].
 func (l *LinkedEngine) Release(ctx context.Context, id string) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Release(ctx, id)
