--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return
 	}
-	if !s.note(ServiceRun{RequestID: r.Header.Get("X-Request-Id"), Body: string(b), At: s.clock.Now()}) {
+	if !s.record(ServiceRun{RequestID: r.Header.Get("X-Request-Id"), Body: string(b), At: s.clock.Now()}) {
 		panic(http.ErrAbortHandler)
 	}
 	t := s.clock.NewTimer(s.delay)
@@ -81,7 +81,7 @@
 	})
 }
 
-func (s *Service) note(r ServiceRun) bool {
+func (s *Service) record(r ServiceRun) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
