--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -89,7 +89,7 @@
 	}
 	if r.Method == http.MethodPut {
 		var x hollowgrade.Box
-		if accept(w, r, &x) {
+		if decodeBody(w, r, &x) {
 			b.Set(x)
 			platformReply(w, struct{}{}, nil)
 		}
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -24,7 +24,7 @@
 		reply(w, hs, err)
 	case upstream.PathOrders:
 		var o hollowgrade.Order
-		if accept(w, r, &o) {
+		if decodeBody(w, r, &o) {
 			reply(w, struct{}{}, e.Order(r.Context(), o))
 		}
 	default:
@@ -34,7 +34,7 @@
 
 func (e *Engine) serveHolding(w http.ResponseWriter, r *http.Request) {
 	var c upstream.HoldingCall
-	if !accept(w, r, &c) {
+	if !decodeBody(w, r, &c) {
 		return
 	}
 	switch r.URL.Path {
@@ -55,7 +55,7 @@
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var c upstream.GenerateCall
-	if !accept(w, r, &c) {
+	if !decodeBody(w, r, &c) {
 		return
 	}
 	s, err := e.Generate(r.Context(), hollowgrade.Generation{
@@ -102,7 +102,7 @@
 	return err
 }
 
-func accept(w http.ResponseWriter, r *http.Request, v any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -60,7 +60,7 @@
 // ServeHTTP serves the store's protocol.
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var c standalone.FetchCall
-	if accept(w, r, &c) {
+	if decodeBody(w, r, &c) {
 		platformReply(w, struct{}{}, s.Fetch(r.Context(), c.Box, c.Model))
 	}
 }
