--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	say(messages, "starting %d entries, %d engines and their agents in %d data halls", o.Size.Entries, o.Size.Engines, o.Size.Halls)
+	printLine(messages, "starting %d entries, %d engines and their agents in %d data halls", o.Size.Entries, o.Size.Engines, o.Size.Halls)
 	f, err := NewFleet(ctx, o.Size, g)
 	defer func() {
 		c, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -64,9 +64,9 @@
 	if err = f.Prepare(ctx, m, surge, messages); err != nil {
 		return err
 	}
-	say(messages, "sending %d requests in %s, twice as fast from the event's start on", o.Requests, o.Duration)
+	printLine(messages, "sending %d requests in %s, twice as fast from the event's start on", o.Requests, o.Duration)
 	r := load.NewRunner(f.URLs(), true)
-	r.Progress = func(sent, ended int) { say(messages, "sent %d, ended %d", sent, ended) }
+	r.Progress = func(sent, ended int) { printLine(messages, "sent %d, ended %d", sent, ended) }
 	s, err := load.Summarise(r.Run(ctx, m.Draw(o.Requests, o.Duration, surge, o.Seed)))
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func say(w io.Writer, format string, args ...any) {
+func printLine(w io.Writer, format string, args ...any) {
 	fmt.Fprintf(w, format+"\n", args...)
 }
 
@@ -97,12 +97,12 @@
 			return err
 		}
 	}
-	say(messages, "published policies and an event, revision %d", last)
+	printLine(messages, "published policies and an event, revision %d", last)
 	at := f.clock.Now()
 	if err = f.await(ctx, last); err != nil {
 		return err
 	}
-	say(messages, "in force on %d boxes after %s", len(f.Entries)+len(f.Agents), f.clock.Since(at).Round(time.Millisecond))
+	printLine(messages, "in force on %d boxes after %s", len(f.Entries)+len(f.Agents), f.clock.Since(at).Round(time.Millisecond))
 	return nil
 }
 
@@ -209,12 +209,12 @@
 		j.SetIndent("", "  ")
 		return j.Encode(d)
 	}
-	say(w, "As the callers saw it: %d sent, %d accounted for, %d wrong answers; engine memory lost: %d tokens",
+	printLine(w, "As the callers saw it: %d sent, %d accounted for, %d wrong answers; engine memory lost: %d tokens",
 		s.Sent, s.Ended, s.Wrong, d.Lost)
 	for _, x := range s.Samples {
-		say(w, "  %s", x)
+		printLine(w, "  %s", x)
 	}
-	say(w, "\nAs the entries recorded it:")
+	printLine(w, "\nAs the entries recorded it:")
 	return r.WriteText(w)
 }
 
@@ -228,13 +228,13 @@
 // keep goes on serving until ctx ends.
 func (f *Fleet) keep(ctx context.Context, m load.Mix, w io.Writer) {
 	k := m.Organisations[0].Key
-	say(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
-	say(w, `curl -sN %s/v1/completions -H 'Authorization: Bearer %s' -H 'Hollowgrade-Kind: draft' -d '{"model":"%s","prompt":"Write a line","max_tokens":8,"stream":true}'`,
+	printLine(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
+	printLine(w, `curl -sN %s/v1/completions -H 'Authorization: Bearer %s' -H 'Hollowgrade-Kind: draft' -d '{"model":"%s","prompt":"Write a line","max_tokens":8,"stream":true}'`,
 		f.URLs()[0], k, Model)
 	report := "hollowgrade report"
 	for _, e := range f.Entries {
 		report += " --box " + e.Operators
 	}
-	say(w, "%s", report)
+	printLine(w, "%s", report)
 	<-ctx.Done()
 }
