--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -36,7 +36,7 @@
 		Duration: c.Duration,
 		JSON:     c.JSON,
 		Keep:     c.Keep,
-		Size:     demo.Today(),
+		Size:     demo.DefaultSize(),
 	}, s.out, messages, g)
 }
 
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -14,7 +14,7 @@
 
 // small is a fleet that a test can afford.
 func small() Size {
-	s := Today()
+	s := DefaultSize()
 	s.Entries, s.Engines, s.Services = 2, 4, map[string]int{"push": 1, "catalogue": 1}
 	return s
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -28,9 +28,9 @@
 	Engine   standin.EngineConfig
 }
 
-// Today returns the size of today's fleets: both users' services beside one
+// DefaultSize returns the size of today's fleets: both users' services beside one
 // pool.
-func Today() Size {
+func DefaultSize() Size {
 	return Size{
 		Entries:  3,
 		Engines:  18,
