--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -55,7 +55,7 @@
 
 	logURL, boxesURL, storeURL string
 	logger                     *log.Logger
-	tune                       func(*setting.Agent)
+	adjustAgent                func(*setting.Agent)
 	clock                      hollowgrade.Clock
 	servers                    []*http.Server
 	halls                      int
@@ -75,7 +75,7 @@
 
 // WithAgentSettings lets f change the settings of each agent.
 func WithAgentSettings(f func(*setting.Agent)) FleetOption {
-	return func(t *Fleet) { t.tune = f }
+	return func(t *Fleet) { t.adjustAgent = f }
 }
 
 // NewFleet starts a fleet. Stop must be called in the end, also after an
@@ -84,13 +84,13 @@
 	defer errs.Annotate(&err, "start fleet")
 	k := hollowgrade.SystemClock()
 	f = &Fleet{
-		Log:     standin.NewLog(0, k),
-		Boxes:   standin.NewBoxes(0, k),
-		Weights: standin.NewWeights(weightsEvery, weightsBurst, k),
-		logger:  g,
-		tune:    func(*setting.Agent) {},
-		clock:   k,
-		halls:   s.Halls,
+		Log:         standin.NewLog(0, k),
+		Boxes:       standin.NewBoxes(0, k),
+		Weights:     standin.NewWeights(weightsEvery, weightsBurst, k),
+		logger:      g,
+		adjustAgent: func(*setting.Agent) {},
+		clock:       k,
+		halls:       s.Halls,
 	}
 	for _, o := range os {
 		o(f)
@@ -186,7 +186,7 @@
 	s.Common = f.common(box, hall)
 	s.Peers = "127.0.0.1:0"
 	s.Linger = 0 // nobody else sends requests
-	f.tune(&s)
+	f.adjustAgent(&s)
 	return s
 }
 
