--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -99,7 +99,7 @@
 	}
 	printLine(messages, "published policies and an event, revision %d", last)
 	at := f.clock.Now()
-	if err = f.await(ctx, last); err != nil {
+	if err = f.awaitRevision(ctx, last); err != nil {
 		return err
 	}
 	printLine(messages, "in force on %d boxes after %s", len(f.Entries)+len(f.Agents), f.clock.Since(at).Round(time.Millisecond))
@@ -161,9 +161,9 @@
 
 const awaitEvery = 20 * time.Millisecond
 
-// await waits until a revision is in force on each box, each entry is ready,
+// awaitRevision waits until a revision is in force on each box, each entry is ready,
 // and each range of idempotency keys has a keeper.
-func (f *Fleet) await(ctx context.Context, revision int64) error {
+func (f *Fleet) awaitRevision(ctx context.Context, revision int64) error {
 	for !f.inForce(revision) {
 		if !hollowgrade.Sleep(ctx, f.clock, awaitEvery) {
 			return ctx.Err()
