--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	d := document{Callers: s, Fleet: r, Lost: f.lost()}
+	d := document{Callers: s, Fleet: r, Lost: f.lostTokens()}
 	if asJSON {
 		j := json.NewEncoder(w)
 		j.SetIndent("", "  ")
@@ -218,7 +218,7 @@
 	return r.WriteText(w)
 }
 
-func (f *Fleet) lost() (n int) {
+func (f *Fleet) lostTokens() (n int) {
 	for _, a := range f.Agents {
 		n += a.Agent.Lost()
 	}
