--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	if o.Keep {
-		f.keep(ctx, m, messages)
+		f.serveUntilDone(ctx, m, messages)
 	}
 	if s.Ended != s.Sent || s.Wrong > 0 {
 		return ErrUnaccounted
@@ -225,8 +225,8 @@
 	return n
 }
 
-// keep goes on serving until ctx ends.
-func (f *Fleet) keep(ctx context.Context, m load.Mix, w io.Writer) {
+// serveUntilDone goes on serving until ctx ends.
+func (f *Fleet) serveUntilDone(ctx context.Context, m load.Mix, w io.Writer) {
 	k := m.Organisations[0].Key
 	printLine(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
 	printLine(w, `curl -sN %s/v1/completions -H 'Authorization: Bearer %s' -H 'Hollowgrade-Kind: draft' -d '{"model":"%s","prompt":"Write a line","max_tokens":8,"stream":true}'`,
