--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -62,12 +62,12 @@
 }
 
 const (
-	serviceDelay   = 5 * time.Millisecond
-	weightsEvery   = 500 * time.Millisecond
-	weightsBurst   = 3
-	headerTimeout  = 5 * time.Second
-	demoPoll       = 250 * time.Millisecond
-	maxConnections = 16384
+	serviceDelay    = 5 * time.Millisecond
+	weightsInterval = 500 * time.Millisecond
+	weightsBurst    = 3
+	headerTimeout   = 5 * time.Second
+	demoPoll        = 250 * time.Millisecond
+	maxConnections  = 16384
 )
 
 // FleetOption changes a fleet as it is made.
@@ -86,7 +86,7 @@
 	f = &Fleet{
 		Log:         standin.NewLog(0, k),
 		Boxes:       standin.NewBoxes(0, k),
-		Weights:     standin.NewWeights(weightsEvery, weightsBurst, k),
+		Weights:     standin.NewWeights(weightsInterval, weightsBurst, k),
 		logger:      g,
 		adjustAgent: func(*setting.Agent) {},
 		clock:       k,
