--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -153,7 +153,7 @@
 	v := load.ReadStream(b)
 	a.Text, a.First = v.Text, v.First
 	switch {
-	case v.Whole:
+	case v.Complete:
 		a.Outcome = hollowgrade.Finished
 	case v.Failure.Outcome != "":
 		a.failed(entry.ErrorBody{Error: v.Failure})
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -196,7 +196,7 @@
 		s.FirstToken = v.First.Sub(began)
 	}
 	switch {
-	case v.Whole:
+	case v.Complete:
 		s.finished(v.Text, prompt, verify)
 	case v.Failure.Outcome != "":
 		s.Outcome, s.Code = v.Failure.Outcome, string(v.Failure.Code)
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -20,12 +20,12 @@
 
 // Stream is what a caller received of a streamed answer.
 type Stream struct {
-	Text    string
-	Tokens  int
-	First   time.Time         // when the first token came
-	Whole   bool              // whether the mark of a whole answer came
-	Failure entry.ErrorDetail // what the last event said, if it was a failure
-	Broken  string            // why it ended without either
+	Text     string
+	Tokens   int
+	First    time.Time         // when the first token came
+	Complete bool              // whether the mark of a whole answer came
+	Failure  entry.ErrorDetail // what the last event said, if it was a failure
+	Broken   string            // why it ended without either
 }
 
 // event is any event of a stream.
@@ -51,7 +51,7 @@
 			continue
 		}
 		if d == "[DONE]" {
-			s.Whole = true
+			s.Complete = true
 			return s
 		}
 		var e event
