--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -158,6 +158,6 @@
 	case v.Failure.Outcome != "":
 		a.failed(entry.ErrorBody{Error: v.Failure})
 	default:
-		a.Code = v.Broken
+		a.Code = v.BreakReason
 	}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -201,7 +201,7 @@
 	case v.Failure.Outcome != "":
 		s.Outcome, s.Code = v.Failure.Outcome, string(v.Failure.Code)
 	default:
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+v.Broken
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+v.BreakReason
 	}
 }
 
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -20,12 +20,12 @@
 
 // Stream is what a caller received of a streamed answer.
 type Stream struct {
-	Text     string
-	Tokens   int
-	First    time.Time         // when the first token came
-	Complete bool              // whether the mark of a whole answer came
-	Failure  entry.ErrorDetail // what the last event said, if it was a failure
-	Broken   string            // why it ended without either
+	Text        string
+	Tokens      int
+	First       time.Time         // when the first token came
+	Complete    bool              // whether the mark of a whole answer came
+	Failure     entry.ErrorDetail // what the last event said, if it was a failure
+	BreakReason string            // why it ended without either
 }
 
 // event is any event of a stream.
@@ -56,7 +56,7 @@
 		}
 		var e event
 		if err := json.Unmarshal([]byte(d), &e); err != nil {
-			s.Broken = "an event cannot be read"
+			s.BreakReason = "an event cannot be read"
 			return s
 		}
 		if e.Error.Outcome != "" {
@@ -71,6 +71,6 @@
 			s.Tokens++
 		}
 	}
-	s.Broken = "the stream broke off"
+	s.BreakReason = "the stream broke off"
 	return s
 }
