--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -36,7 +36,7 @@
 	entries []string // base URLs, taken in turn as a balancer would
 	verify  bool
 	client  *http.Client
-	turn    atomic.Uint64
+	next    atomic.Uint64
 
 	// Progress is called now and then with the number of requests that were
 	// sent and that have ended.
@@ -139,7 +139,7 @@
 }
 
 func (r *Runner) call(ctx context.Context, q Request, event string) (h *http.Request, prompt string, err error) {
-	base := r.entries[int(r.turn.Add(1))%len(r.entries)]
+	base := r.entries[int(r.next.Add(1))%len(r.entries)]
 	method, url := http.MethodPost, base+entry.CompletionsPath
 	var body []byte
 	if q.Kind.Service != "" {
