--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -106,7 +106,7 @@
 	s.Request = q
 	began := time.Now()
 	defer func() { s.Took = time.Since(began) }()
-	h, prompt, err := r.call(ctx, q, event)
+	h, prompt, err := r.newRequest(ctx, q, event)
 	if err != nil {
 		s.Outcome, s.Code = hollowgrade.NotRun, err.Error()
 		return s
@@ -138,7 +138,7 @@
 	return err.Error()
 }
 
-func (r *Runner) call(ctx context.Context, q Request, event string) (h *http.Request, prompt string, err error) {
+func (r *Runner) newRequest(ctx context.Context, q Request, event string) (h *http.Request, prompt string, err error) {
 	base := r.entries[int(r.next.Add(1))%len(r.entries)]
 	method, url := http.MethodPost, base+entry.CompletionsPath
 	var body []byte
