--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -121,7 +121,7 @@
 	s.Status, s.RequestID = res.StatusCode, res.Header.Get(entry.RequestHeader)
 	switch {
 	case res.StatusCode != http.StatusOK:
-		s.refused(res.Body)
+		s.readRefusal(res.Body)
 	case q.Kind.Service != "":
 		s.service(res.Body)
 	default:
@@ -170,7 +170,7 @@
 	return h, prompt, nil
 }
 
-func (s *Result) refused(b io.Reader) {
+func (s *Result) readRefusal(b io.Reader) {
 	var e entry.ErrorBody
 	if err := json.NewDecoder(b).Decode(&e); err != nil || e.Error.Outcome == "" {
 		s.Outcome, s.Wrong = hollowgrade.Unknown, "the refusal has no readable body"
