--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -123,7 +123,7 @@
 	case res.StatusCode != http.StatusOK:
 		s.readRefusal(res.Body)
 	case q.Kind.Service != "":
-		s.service(res.Body)
+		s.readService(res.Body)
 	default:
 		s.stream(res.Body, began, prompt, r.verify)
 	}
@@ -179,7 +179,7 @@
 	s.Outcome, s.Code = e.Error.Outcome, string(e.Error.Code)
 }
 
-func (s *Result) service(b io.Reader) {
+func (s *Result) readService(b io.Reader) {
 	v, err := io.ReadAll(b)
 	if err != nil {
 		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+reason(err)
