--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -125,7 +125,7 @@
 	case q.Kind.Service != "":
 		s.readService(res.Body)
 	default:
-		s.stream(res.Body, began, prompt, r.verify)
+		s.readStream(res.Body, began, prompt, r.verify)
 	}
 	return s
 }
@@ -188,8 +188,8 @@
 	s.Outcome, s.Tokens = hollowgrade.Finished, len(v)
 }
 
-// stream takes in a streamed answer.
-func (s *Result) stream(b io.Reader, began time.Time, prompt string, verify bool) {
+// readStream takes in a streamed answer.
+func (s *Result) readStream(b io.Reader, began time.Time, prompt string, verify bool) {
 	v := ReadStream(b)
 	s.Tokens = v.Tokens
 	if !v.First.IsZero() {
