--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -197,7 +197,7 @@
 	}
 	switch {
 	case v.Complete:
-		s.finished(v.Text, prompt, verify)
+		s.finish(v.Text, prompt, verify)
 	case v.Failure.Outcome != "":
 		s.Outcome, s.Code = v.Failure.Outcome, string(v.Failure.Code)
 	default:
@@ -205,7 +205,7 @@
 	}
 }
 
-func (s *Result) finished(text, prompt string, verify bool) {
+func (s *Result) finish(text, prompt string, verify bool) {
 	s.Outcome = hollowgrade.Finished
 	if verify && text != standin.Answer(prompt, s.Request.Kind.MaxTokens) {
 		s.Wrong = fmt.Sprintf("the answer of %d tokens is not the whole answer to this request", s.Tokens)
