--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -114,7 +114,7 @@
 	began = time.Now()
 	res, err := r.client.Do(h)
 	if err != nil {
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+reason(err)
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+rootCause(err)
 		return s
 	}
 	defer res.Body.Close()
@@ -130,8 +130,8 @@
 	return s
 }
 
-// reason shortens an error of the HTTP client, which repeats the address.
-func reason(err error) string {
+// rootCause shortens an error of the HTTP client, which repeats the address.
+func rootCause(err error) string {
 	for u := errors.Unwrap(err); u != nil; u = errors.Unwrap(err) {
 		err = u
 	}
@@ -182,7 +182,7 @@
 func (s *Result) readService(b io.Reader) {
 	v, err := io.ReadAll(b)
 	if err != nil {
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+reason(err)
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+rootCause(err)
 		return
 	}
 	s.Outcome, s.Tokens = hollowgrade.Finished, len(v)
