--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -32,13 +32,13 @@
 // runCaller sends requests until ctx ends. Each caller keeps its connections open.
 func (w *world) runCaller(ctx context.Context, seed uint64, caller int) {
 	r := rand.New(rand.NewPCG(seed, uint64(caller)+1))
-	transports := make([]*http.Transport, len(w.gates))
+	transports := make([]*http.Transport, len(w.gateways))
 	for i := range transports {
 		transports[i] = &http.Transport{}
 		defer transports[i].CloseIdleConnections()
 	}
 	for n := 0; ctx.Err() == nil; n++ {
-		g := r.IntN(len(w.gates))
+		g := r.IntN(len(w.gateways))
 		q := w.newRequest(r, seed, caller, n, g)
 		w.send(transports[g], q)
 		time.Sleep(time.Duration(r.Int64N(int64(2 * meanCallInterval))))
@@ -54,7 +54,7 @@
 		id:         fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
 		key:        fmt.Sprint("key-", r.IntN(totalKeys)),
 		gateway:    g,
-		instance:   w.gates[g].currentInstance(),
+		instance:   w.gateways[g].currentInstance(),
 		atMostOnce: kind == "once",
 		sent:       time.Now(),
 	}
@@ -84,7 +84,7 @@
 func (w *world) send(t *http.Transport, q *request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
-	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gates[q.gateway].callers+q.path, strings.NewReader(q.body))
+	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gateways[q.gateway].callers+q.path, strings.NewReader(q.body))
 	if err != nil {
 		w.t.Errorf("request %s: %v", q.id, err)
 		return
@@ -114,7 +114,7 @@
 // served sends one request that may run again and reports whether it was served.
 func (w *world) served(g int, id string) bool {
 	id = strings.ReplaceAll(id, " ", "-")
-	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gates[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
+	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
 	w.mu.Lock()
 	w.history.requests[id] = q
 	w.mu.Unlock()
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -30,8 +30,8 @@
 	t := &http.Transport{DisableKeepAlives: true}
 	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
 	for n, end := 0, time.Now().Add(s.duration); time.Now().Before(end); n++ {
-		g := r.IntN(len(w.gates))
-		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gates[g].currentInstance(), sent: time.Now()}
+		g := r.IntN(len(w.gateways))
+		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), sent: time.Now()}
 		w.mu.Lock()
 		w.history.requests[q.id] = q
 		w.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -124,13 +124,13 @@
 func (w *world) awaitServing(t *testing.T, when string) {
 	t.Helper()
 	until := time.Now().Add(recoveryTimeout)
-	for i := range w.gates {
+	for i := range w.gateways {
 		for n := 0; ; n++ {
 			if w.served(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
 				break
 			}
 			if time.Now().After(until) {
-				require.Fail(t, "RECOVER: a gateway does not serve", "%s, %s, logs in %s", w.gates[i].name, when, w.logs)
+				require.Fail(t, "RECOVER: a gateway does not serve", "%s, %s, logs in %s", w.gateways[i].name, when, w.logs)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -139,7 +139,7 @@
 
 // countLogged returns how often the gateways' logs have a text.
 func (w *world) countLogged(text string) (n int) {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		b, err := os.ReadFile(filepath.Join(w.logs, g.name+".log"))
 		if err != nil {
 			w.t.Errorf("log of %s: %v", g.name, err)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -67,11 +67,11 @@
 
 // world is all that a run has.
 type world struct {
-	t      testing.TB
-	binary string
-	logs   string
-	store  *platformtest.Store
-	gates  []*gateway
+	t        testing.TB
+	binary   string
+	logs     string
+	store    *platformtest.Store
+	gateways []*gateway
 
 	mu             sync.Mutex
 	history        *history
@@ -100,9 +100,9 @@
 	}
 	var seeds []string
 	for i := range z.gateways {
-		w.gates = append(w.gates, w.newGateway(i, &seeds))
+		w.gateways = append(w.gateways, w.newGateway(i, &seeds))
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		w.start(g)
 	}
 	return w
@@ -362,8 +362,8 @@
 // apply does one step and returns when it is over.
 func (w *world) apply(s step) {
 	from := time.Now()
-	i := s.which % len(w.gates)
-	g := w.gates[i]
+	i := s.which % len(w.gateways)
+	g := w.gateways[i]
 	// What it takes to recover belongs to the fault: a process to start, a view to
 	// be read again.
 	if s.what == suspendGateway {
@@ -371,7 +371,7 @@
 	}
 	over := from.Add(s.duration + 2*time.Second)
 	if s.what == turnAway {
-		over = over.Add(time.Duration(len(w.gates)) * turnAwayInterval)
+		over = over.Add(time.Duration(len(w.gateways)) * turnAwayInterval)
 	}
 	w.recordFault(s.what, i, from, over)
 	switch s.what {
@@ -472,8 +472,8 @@
 // readers are turned away in turn.
 func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
-	for i := range w.gates[minServedGateways:] {
-		x := w.gates[(s.which+i)%len(w.gates)]
+	for i := range w.gateways[minServedGateways:] {
+		x := w.gateways[(s.which+i)%len(w.gateways)]
 		g.Go(func() {
 			time.Sleep(time.Duration(i) * turnAwayInterval)
 			w.setModeFor(x.store, silence, s.duration)
@@ -576,7 +576,7 @@
 
 // resumeGateways ends all faults that last: each gateway runs.
 func (w *world) resumeGateways() {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		g.signal(syscall.SIGCONT)
 		w.start(g)
 	}
@@ -584,7 +584,7 @@
 
 // close ends what was started.
 func (w *world) close() {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		<-g.signal(syscall.SIGKILL)
 	}
 	w.crashes.Wait()
