--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// served sends one request that may run again and reports whether it was served.
-func (w *world) served(g int, id string) bool {
+// sendProbe sends one request that may run again and reports whether it was sendProbe.
+func (w *world) sendProbe(g int, id string) bool {
 	id = strings.ReplaceAll(id, " ", "-")
 	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
 	w.mu.Lock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -126,7 +126,7 @@
 	until := time.Now().Add(recoveryTimeout)
 	for i := range w.gateways {
 		for n := 0; ; n++ {
-			if w.served(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
+			if w.sendProbe(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
 				break
 			}
 			if time.Now().After(until) {
