--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -168,7 +168,7 @@
 	seen := map[kind]bool{}
 	for seed := range uint64(20) {
 		for _, s := range newPlan(seed, time.Minute) {
-			seen[s.what] = true
+			seen[s.kind] = true
 		}
 	}
 	require.Len(t, seen, int(kinds), "each kind comes")
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -41,8 +41,8 @@
 
 // announce lets a worker say something of itself for a while.
 func (w *world) announce(k *worker, s step) {
-	g := signal{leaving: s.what == leaveInAnswers, retryLater: s.what == askForRest}
-	if s.what == nameLimit {
+	g := signal{leaving: s.kind == leaveInAnswers, retryLater: s.kind == askForRest}
+	if s.kind == nameLimit {
 		g.limit = 0.5 + rand.New(rand.NewPCG(uint64(s.which), 2)).Float64()*3
 	}
 	if g.leaving {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -366,15 +366,15 @@
 	g := w.gateways[i]
 	// What it takes to recover belongs to the fault: a process to start, a view to
 	// be read again.
-	if s.what == suspendGateway {
+	if s.kind == suspendGateway {
 		s.duration += suspendExtraTime
 	}
 	over := from.Add(s.duration + 2*time.Second)
-	if s.what == turnAway {
+	if s.kind == turnAway {
 		over = over.Add(time.Duration(len(w.gateways)) * turnAwayInterval)
 	}
-	w.recordFault(s.what, i, from, over)
-	switch s.what {
+	w.recordFault(s.kind, i, from, over)
+	switch s.kind {
 	case killGateway, pauseGateway, suspendGateway, stopGateway, reloadGateway:
 		w.applyToProcess(g, s)
 	case silenceStore:
@@ -405,7 +405,7 @@
 
 // applyToProcess does a step that is done to a gateway's process.
 func (w *world) applyToProcess(g *gateway, s step) {
-	switch s.what {
+	switch s.kind {
 	case killGateway:
 		<-g.signal(syscall.SIGKILL)
 		time.Sleep(s.duration)
@@ -489,7 +489,7 @@
 }
 
 func (w *world) applyToWorkers(s step) {
-	switch s.what {
+	switch s.kind {
 	case harmfulRequest:
 		w.sendHarmful(s)
 		return
@@ -501,7 +501,7 @@
 	if k == nil {
 		return // a harmful request has ended all of them
 	}
-	switch s.what {
+	switch s.kind {
 	case delayWorker:
 		w.setModeFor(k.proxy, delay, s.duration)
 	case resetWorker:
@@ -555,7 +555,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	revoked, added := "", ""
-	if s.what == revokeKey && len(w.keys) > permanentKeys {
+	if s.kind == revokeKey && len(w.keys) > permanentKeys {
 		i := permanentKeys + s.which%(len(w.keys)-permanentKeys)
 		revoked = w.keys[i]
 		w.keys = slices.Delete(w.keys, i, i+1)
@@ -563,7 +563,7 @@
 		added = fmt.Sprintf("/added-%d/", w.version)
 		w.routes = append(w.routes, added)
 	}
-	if s.what == growConfig {
+	if s.kind == growConfig {
 		w.filler = min(w.filler+fillerRoutesPerStep, maxFillerRoutes)
 	}
 	w.writeConfig()
