--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -84,7 +84,7 @@
 		{"worker left just before", func(h *history, _ *request) { h.leavingSince["w"] = at(10 - 1.8) }, ""},
 		{"worker left long before, disturbed", func(h *history, _ *request) {
 			h.leavingSince["w"] = at(10 - 2.1)
-			h.spans = []span{{what: silenceStore, from: at(4), to: at(6)}}
+			h.spans = []span{{kind: silenceStore, from: at(4), to: at(6)}}
 		}, ""},
 		{"route gone again", func(h *history, q *request) {
 			q.probedRoute = "/once/"
@@ -105,11 +105,11 @@
 		}, "CONFIG"},
 		{"cut by a planned stop", func(h *history, q *request) {
 			q.status, q.complete, q.err = 0, false, "EOF"
-			h.spans = []span{{what: stopGateway, from: at(9), to: at(15)}}
+			h.spans = []span{{kind: stopGateway, from: at(9), to: at(15)}}
 		}, "LOST"},
 		{"cut by a kill", func(h *history, q *request) {
 			q.status, q.complete, q.err = 0, false, "EOF"
-			h.spans = []span{{what: stopGateway, from: at(9), to: at(15)}, {what: killGateway, from: at(10), to: at(11)}}
+			h.spans = []span{{kind: stopGateway, from: at(9), to: at(15)}, {kind: killGateway, from: at(10), to: at(11)}}
 		}, ""},
 		{"too many repeats", func(h *history, q *request) {
 			q.atMostOnce = false
@@ -122,7 +122,7 @@
 		{"harmful and sent on at once", func(h *history, _ *request) { addHarmful(h, 20, 0) }, ""},
 		{"harmful and sent on while the store is silent", func(h *history, _ *request) {
 			addHarmful(h, 3, 4)
-			h.spans = []span{{what: silenceStore, from: at(12), to: at(14)}}
+			h.spans = []span{{kind: silenceStore, from: at(12), to: at(14)}}
 		}, ""},
 		{"harmful and sent on without end", func(h *history, _ *request) { addHarmful(h, 30, 0) }, "BUDGET"},
 		{"left by its word long before", func(h *history, _ *request) { addSignal(h, signal{leaving: true}, 10.05-2.1) }, "DRAIN"},
@@ -133,11 +133,11 @@
 		}, ""},
 		{"left by its word, the store away since", func(h *history, _ *request) {
 			addSignal(h, signal{leaving: true}, 10.05-2.1)
-			h.spans = []span{{what: awayStore, from: at(8), to: at(11)}}
+			h.spans = []span{{kind: awayStore, from: at(8), to: at(11)}}
 		}, "DRAIN"},
 		{"left by its word, the gateway stood still", func(h *history, _ *request) {
 			addSignal(h, signal{leaving: true}, 10.05-2.1)
-			h.spans = []span{{what: pauseGateway, from: at(8), to: at(9)}}
+			h.spans = []span{{kind: pauseGateway, from: at(8), to: at(9)}}
 		}, ""},
 		{"rests and gets three", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 9, 3) }, "BUDGET"},
 		{"rests and gets two", func(h *history, _ *request) { addArrivals(h, signal{retryLater: true}, 9, 2) }, ""},
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -42,7 +42,7 @@
 
 // span is a time in which something was disturbed.
 type span struct {
-	what     kind
+	kind     kind
 	gateway  int // that it was done to, -1 if it was another thing
 	from, to time.Time
 }
@@ -65,7 +65,7 @@
 // undisturbed reports whether nothing was disturbed shortly before or within a time.
 func (h *history) undisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return !s.what.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
+		return !s.kind.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
@@ -231,7 +231,7 @@
 func (h *history) cutByPlannedStop() []string {
 	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
-			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
+			stopped := s.kind == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
 			if stopped && q.status == 0 && q.err != "" && !isConnectionRefused(q.err) && h.undisturbed(q.sent, q.ended) && h.runCounts()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -99,7 +99,7 @@
 // connected reports whether gateways heard workers and each other in a time.
 func (h *history) connected(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return slices.Contains(linkFaults, s.what) && s.from.Before(to) && s.to.Add(settleTime).After(from)
+		return slices.Contains(linkFaults, s.kind) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
