--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -26,7 +26,7 @@
 
 // sendHarmful sends one harmful request again and again.
 func (w *world) sendHarmful(s step) {
-	r := rand.New(rand.NewPCG(uint64(s.which), 1))
+	r := rand.New(rand.NewPCG(uint64(s.target), 1))
 	t := &http.Transport{DisableKeepAlives: true}
 	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
 	for n, end := 0, time.Now().Add(s.duration); time.Now().Before(end); n++ {
@@ -95,7 +95,7 @@
 
 // addInvalidEntries writes entries that name nothing, at a worker's address, and takes them away.
 func (w *world) addInvalidEntries(s step) {
-	k := w.worker(s.which)
+	k := w.worker(s.target)
 	if k == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 		`{"service":"s","address":"` + a + `","zone":"z1","version":"v1","slots":4,"state":"ready","coldLeftMs":0,"callSeq":0,"born":"x"}`,
 		"\xff\xfe{", `[]`,
 	} {
-		id := fmt.Sprint("strange-", s.which, "-", i)
+		id := fmt.Sprint("strange-", s.target, "-", i)
 		w.store.Put("keyed.servers", id, []byte(e))
 		w.store.Put("keyed.members", id, []byte(e))
 		defer w.store.Put("keyed.servers", id, nil)
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -68,11 +68,11 @@
 	at       time.Duration
 	duration time.Duration
 	kind     kind
-	which    int // gateway, worker or key, taken modulo their number
+	target   int // gateway, worker or key, taken modulo their number
 }
 
 func (s step) String() string {
-	return fmt.Sprintf("%5.2f s to %5.2f s  %s %d", s.at.Seconds(), (s.at + s.duration).Seconds(), s.kind, s.which)
+	return fmt.Sprintf("%5.2f s to %5.2f s  %s %d", s.at.Seconds(), (s.at + s.duration).Seconds(), s.kind, s.target)
 }
 
 const (
@@ -96,12 +96,12 @@
 	for at, n := span(minStepGap, maxStepGap), 0; at < length; n++ {
 		k := kind(r.IntN(int(kinds)))
 		for range 1 + r.IntN(maxSeries)*r.IntN(2) {
-			ss = append(ss, step{at: at, duration: span(minFaultTime, maxFaultTime), kind: k, which: r.IntN(1000)})
+			ss = append(ss, step{at: at, duration: span(minFaultTime, maxFaultTime), kind: k, target: r.IntN(1000)})
 			at += span(minStepGap, maxStepGap)
 		}
 		if n%drawsPerCalm == drawsPerCalm-1 {
 			at += calmPause
-			ss = append(ss, step{at: at, duration: minFaultTime, kind: plannedWork[r.IntN(len(plannedWork))], which: r.IntN(1000)})
+			ss = append(ss, step{at: at, duration: minFaultTime, kind: plannedWork[r.IntN(len(plannedWork))], target: r.IntN(1000)})
 			at += calmPause
 		}
 	}
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -43,7 +43,7 @@
 func (w *world) announce(k *worker, s step) {
 	g := signal{leaving: s.kind == leaveInAnswers, retryLater: s.kind == askForRest}
 	if s.kind == nameLimit {
-		g.limit = 0.5 + rand.New(rand.NewPCG(uint64(s.which), 2)).Float64()*3
+		g.limit = 0.5 + rand.New(rand.NewPCG(uint64(s.target), 2)).Float64()*3
 	}
 	if g.leaving {
 		w.replace(k)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -362,7 +362,7 @@
 // apply does one step and returns when it is over.
 func (w *world) apply(s step) {
 	from := time.Now()
-	i := s.which % len(w.gateways)
+	i := s.target % len(w.gateways)
 	g := w.gateways[i]
 	// What it takes to recover belongs to the fault: a process to start, a view to
 	// be read again.
@@ -473,7 +473,7 @@
 func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
 	for i := range w.gateways[minServedGateways:] {
-		x := w.gateways[(s.which+i)%len(w.gateways)]
+		x := w.gateways[(s.target+i)%len(w.gateways)]
 		g.Go(func() {
 			time.Sleep(time.Duration(i) * turnAwayInterval)
 			w.setModeFor(x.store, silence, s.duration)
@@ -497,7 +497,7 @@
 		w.addInvalidEntries(s)
 		return
 	}
-	k := w.worker(s.which)
+	k := w.worker(s.target)
 	if k == nil {
 		return // a harmful request has ended all of them
 	}
@@ -556,7 +556,7 @@
 	defer w.mu.Unlock()
 	revoked, added := "", ""
 	if s.kind == revokeKey && len(w.keys) > permanentKeys {
-		i := permanentKeys + s.which%(len(w.keys)-permanentKeys)
+		i := permanentKeys + s.target%(len(w.keys)-permanentKeys)
 		revoked = w.keys[i]
 		w.keys = slices.Delete(w.keys, i, i+1)
 	} else {
