--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -254,10 +254,10 @@
 		for rs[i].at.Sub(rs[from].at) > retryWindow {
 			from++
 		}
-		again, sent := 0, 0
+		repeats, sent := 0, 0
 		for _, x := range repeat[from : i+1] {
 			if x {
-				again++
+				repeats++
 			}
 		}
 		for _, q := range h.requests {
@@ -265,8 +265,8 @@
 				sent++
 			}
 		}
-		if float64(again) > retryRatio*float64(sent)+retrySlack {
-			return []string{fmt.Sprintf("BUDGET, %d repeats within %s, %d requests", again, retryWindow, sent)}
+		if float64(repeats) > retryRatio*float64(sent)+retrySlack {
+			return []string{fmt.Sprintf("BUDGET, %d repeats within %s, %d requests", repeats, retryWindow, sent)}
 		}
 		i += 9 // each tenth window shows it as well
 	}
