--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -184,8 +184,8 @@
 // countInWindow counts what reached the worker in the window that ends at a moment, from gateways that it had told.
 func (l *announcedLimit) countInWindow(end time.Time) (n int) {
 	for _, a := range l.arrivals {
-		told, ok := l.firstReceived[a.gateway]
-		if d := end.Sub(a.at); ok && end.Sub(told) >= signalApplyTime && d >= 0 && d < limitWindow {
+		first, ok := l.firstReceived[a.gateway]
+		if d := end.Sub(a.at); ok && end.Sub(first) >= signalApplyTime && d >= 0 && d < limitWindow {
 			n++
 		}
 	}
