--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -67,7 +67,7 @@
 
 // runSeed plays the plan of one seed.
 func runSeed(t *testing.T, binary string, seed uint64) {
-	w := newWorld(t, binary, size{*gateways, *workers, *callers})
+	w := newWorld(t, binary, worldSize{*gateways, *workers, *callers})
 	defer w.close()
 	p := newPlan(seed, *length)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -22,8 +22,8 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// size is how many processes and stand-ins a world has.
-type size struct {
+// worldSize is how many processes and stand-ins a world has.
+type worldSize struct {
 	gateways, workers, callers int
 }
 
@@ -85,7 +85,7 @@
 	crashes        sync.WaitGroup // of workers that end by a request
 }
 
-func newWorld(t testing.TB, binary string, z size) *world {
+func newWorld(t testing.TB, binary string, z worldSize) *world {
 	t.Helper()
 	w := &world{t: t, binary: binary, store: platformtest.NewStore(), history: newHistory(), signals: map[string]signal{}}
 	t.Cleanup(w.store.Close)
