--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// at returns a moment of a made-up history.
+// at returns a time in a synthetic history.
 func at(seconds float64) time.Time {
 	return time.Unix(1_000_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// addServed adds a request that ran once and was served.
+// addServed adds a request that ran once and was answered in full.
 func addServed(h *history, id string, sent float64) *request {
 	q := &request{
 		id: id, path: "/once/" + id, key: "k", body: "b", sent: at(sent), ended: at(sent + 0.1), atMostOnce: true,
@@ -25,7 +25,8 @@
 	return q
 }
 
-// addHarmful adds a harmful request that reached workers some times at first, and some later than it has to be known.
+// addHarmful adds a harmful request that reached workers first times in time, and late times after every gateway has to
+// know it.
 func addHarmful(h *history, first, late int) {
 	for i := range first + late {
 		t := at(10)
@@ -38,12 +39,12 @@
 	}
 }
 
-// addSignal adds that the worker addSignal a gateway something of itself.
+// addSignal adds a signal that the worker's answer carried to a gateway.
 func addSignal(h *history, g signal, seconds float64) {
 	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
-// addArrivals adds requests that reach the worker after it told a gateway something of itself, one each 0.1 s from 10.05 s on.
+// addArrivals adds a signal of the worker and then n requests that reach it, one each 0.1 s from 10.05 s on.
 func addArrivals(h *history, g signal, seconds float64, n int) {
 	addSignal(h, g, seconds)
 	for i := range n - 1 {
@@ -52,13 +53,13 @@
 	addSignal(h, signal{limit: g.limit}, 30)
 }
 
-// TestPlantedBreaches shows that each check finds a breach that was planted into a
-// history in which nothing else is wrong.
+// TestPlantedBreaches guards against a check that finds nothing, or too much: each case adds one violation, or one
+// allowed deviation, to a history without violations.
 func TestPlantedBreaches(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plant func(h *history, q *request)
-		want  string // beginning of the one line that tells it; nothing is wrong if empty
+		want  string // prefix of the one expected report; empty if no violation is expected
 	}{
 		{"none", func(*history, *request) {}, ""},
 		{"no signature", func(_ *history, q *request) { q.signed = false }, "MIXED"},
@@ -171,5 +172,5 @@
 			seen[s.kind] = true
 		}
 	}
-	require.Len(t, seen, int(kinds), "each kind comes")
+	require.Len(t, seen, int(kinds), "each kind occurs")
 }
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -15,7 +15,7 @@
 
 const (
 	requestTimeout   = 3500 * time.Millisecond
-	meanCallInterval = 25 * time.Millisecond // between two requests of a caller, on average
+	meanCallInterval = 25 * time.Millisecond // average pause between two requests of a caller
 )
 
 func hash(s string) uint64 {
@@ -24,12 +24,12 @@
 	return h.Sum64()
 }
 
-// isConnectionRefused reports whether an error says that nobody listened.
+// isConnectionRefused reports whether an error means that no process listened at the address.
 func isConnectionRefused(err string) bool {
 	return strings.Contains(err, "connection refused") || strings.Contains(err, "i/o timeout")
 }
 
-// runCaller sends requests until ctx ends. Each caller keeps its connections open.
+// runCaller sends random requests until ctx ends. Each caller reuses its connections.
 func (w *world) runCaller(ctx context.Context, seed uint64, caller int) {
 	r := rand.New(rand.NewPCG(seed, uint64(caller)+1))
 	transports := make([]*http.Transport, len(w.gateways))
@@ -45,7 +45,7 @@
 	}
 }
 
-// newRequest draws a request and notes it before it is sent.
+// newRequest draws a random request and records it before it is sent.
 func (w *world) newRequest(r *rand.Rand, seed uint64, caller, n, g int) *request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,7 +80,7 @@
 	return q
 }
 
-// send sends a request and notes what came of it.
+// send sends a request and records its answer.
 func (w *world) send(t *http.Transport, q *request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
@@ -90,7 +90,7 @@
 		return
 	}
 	h.Host = "h"
-	h.GetBody = nil // the transport must not send it again by itself
+	h.GetBody = nil // keeps the transport from retrying the request by itself
 	h.Header.Set("Attempt-Id", q.id)
 	h.Header.Set("Deadline-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	h.Header.Set("Authorization", "Bearer "+q.key)
@@ -111,7 +111,7 @@
 	}
 }
 
-// sendProbe sends one request that may run again and reports whether it was sendProbe.
+// sendProbe sends one request that is safe to repeat and reports whether it was answered in full.
 func (w *world) sendProbe(g int, id string) bool {
 	id = strings.ReplaceAll(id, " ", "-")
 	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -6,70 +6,69 @@
 	"time"
 )
 
-// The bounds that gateways are held to; the settings of the processes have the
-// same.
+// The bounds that the checks apply. The gateways' settings are generated from the same constants.
 const (
-	keyFreshness         = 5 * time.Second // a key admits nothing this long after it was revoked
-	maxDrainDelay        = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
-	maxApplyDelay        = 2 * time.Second // a change is in force this long after it was written
-	routeRevertTolerance = 250 * time.Millisecond
-	settleTime           = 3 * time.Second // what is bounded in time holds this long after a fault
-	stopGrace            = 4 * time.Second // of a planned stop
+	keyFreshness         = 5 * time.Second        // from a key's revocation until no request with it may run
+	maxDrainDelay        = 2 * time.Second        // from a worker's announcement that it leaves until it may get no new requests
+	maxApplyDelay        = 2 * time.Second        // from the write of a configuration change until it has to be in force
+	routeRevertTolerance = 250 * time.Millisecond // from a route's first success until a 404 is a violation
+	settleTime           = 3 * time.Second        // after a fault, during which bounds in time are not checked
+	stopGrace            = 4 * time.Second        // bounds a planned stop
 	retryRatio           = 0.2
 	retrySlack           = 16
 	retryWindow          = 10 * time.Second
 )
 
-// request is what a caller sent and got.
+// request is a caller's request and its answer.
 type request struct {
 	id, path, key, body string
-	gateway, instance   int // that it was sent to
+	gateway, instance   int // gateway that it was sent to, and the instance of its process
 	sent, ended         time.Time
-	status              int // 0 without an answer
+	status              int // 0 if no answer came
 	signed, complete    bool
-	answer, want        string // body that came, and what a worker would have sent
+	answer, want        string // received body, and the body that a worker would have sent
 	err                 string
-	atMostOnce          bool // may run once at the most
-	probedRoute         string
+	atMostOnce          bool   // it must not run twice
+	probedRoute         string // path prefix of the route that it tests; empty if none
 }
 
-// run is what a worker saw.
+// run is the arrival of a request at a worker.
 type run struct {
 	id, worker, path, body, organisation string
 	at                                   time.Time
 	refused, key                         bool
 }
 
-// span is a time in which something was disturbed.
+// span is a period in which a fault was in effect.
 type span struct {
 	kind     kind
-	gateway  int // that it was done to, -1 if it was another thing
+	gateway  int // index of the gateway that the step selects, also if the fault is done to something else
 	from, to time.Time
 }
 
-// history is all that was seen.
+// history is everything that callers and workers observed.
 type history struct {
 	requests     map[string]*request
 	runs         []run
 	spans        []span
-	revoked      map[string]time.Time // keys
-	leavingSince map[string]time.Time // workers
-	added        map[string]time.Time // paths of routes
-	received     []receivedSignal     // that workers told gateways in answers
+	revoked      map[string]time.Time // by key
+	leavingSince map[string]time.Time // by worker
+	added        map[string]time.Time // by path prefix of the route
+	received     []receivedSignal     // that workers sent to gateways in answers
 }
 
 func newHistory() *history {
 	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leavingSince: map[string]time.Time{}, added: map[string]time.Time{}}
 }
 
-// undisturbed reports whether nothing was disturbed shortly before or within a time.
+// undisturbed reports whether no unplanned fault was in effect between the two times or less than settleTime before.
 func (h *history) undisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return !s.kind.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
-// check returns the promises that were broken, one line each.
+// check returns the violations that it finds, one line each.
 func (h *history) check() (bs []string) {
 	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.ranWithRevokedKey, h.ranWhileDraining, h.revertedRoutes, h.lateRoutes, h.cutByPlannedStop, h.retryBudget, h.harmfulForwarded, h.runsAtUnlistedWorkers, h.ranAfterLeaving, h.ranDuringRetryDelay, h.overLimit} {
 		bs = append(bs, c()...)
@@ -77,7 +76,7 @@
 	return bs
 }
 
-// eachEnded calls a check for eachEnded request that has ended.
+// eachEnded calls a check for each request that has ended.
 func (h *history) eachEnded(c func(q *request) string) (bs []string) {
 	for _, q := range h.requests {
 		if q.ended.IsZero() {
@@ -96,7 +95,7 @@
 	return q.status >= 200 && q.status < 300
 }
 
-// wrongAnswers finds answers that are another request's, or not whole and look it.
+// wrongAnswers finds answers of another request, and incomplete answers that look complete or have a wrong beginning.
 func (h *history) wrongAnswers() []string {
 	return h.eachEnded(func(q *request) string {
 		switch {
@@ -111,7 +110,7 @@
 	})
 }
 
-// runCounts returns how often each request runCounts.
+// runCounts returns how often each request ran.
 func (h *history) runCounts() map[string]int {
 	n := map[string]int{}
 	for _, r := range h.runs {
@@ -132,7 +131,7 @@
 	})
 }
 
-// ranAfterRefusal finds requests that were called not run and ran.
+// ranAfterRefusal finds requests that ran although their answer says that they did not.
 func (h *history) ranAfterRefusal() []string {
 	n := h.runCounts()
 	return h.eachEnded(func(q *request) string {
@@ -156,7 +155,7 @@
 	return bs
 }
 
-// unrequestedRuns finds runs that nobody asked for so.
+// unrequestedRuns finds runs that no caller requested in this form.
 func (h *history) unrequestedRuns() []string {
 	return h.eachRun(func(r run, q *request) string {
 		switch {
@@ -193,8 +192,7 @@
 	})
 }
 
-// revertedRoutes finds probes that a gateway refused although it had served the same route
-// before in the same life.
+// revertedRoutes finds probes that a gateway refused although the same instance of it had served the route before.
 func (h *history) revertedRoutes() []string {
 	type place struct {
 		gateway, life int
@@ -216,7 +214,7 @@
 	})
 }
 
-// lateRoutes finds probes of a route that should be in force and is not.
+// lateRoutes finds probes of a route that is still not in force maxApplyDelay after it was written.
 func (h *history) lateRoutes() []string {
 	return h.eachEnded(func(q *request) string {
 		at, ok := h.added[q.probedRoute]
@@ -227,7 +225,7 @@
 	})
 }
 
-// cutByPlannedStop finds requests that a planned stop cutByPlannedStop off.
+// cutByPlannedStop finds requests whose connection a planned stop broke.
 func (h *history) cutByPlannedStop() []string {
 	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
@@ -240,7 +238,7 @@
 	})
 }
 
-// retryBudget finds windows with more repeats than are allowed.
+// retryBudget finds windows with more repeated runs than the retry budget allows.
 func (h *history) retryBudget() (bs []string) {
 	rs := slices.Clone(h.runs)
 	slices.SortFunc(rs, func(a, b run) int { return a.at.Compare(b.at) })
@@ -268,7 +266,7 @@
 		if float64(repeats) > retryRatio*float64(sent)+retrySlack {
 			return []string{fmt.Sprintf("BUDGET, %d repeats within %s, %d requests", repeats, retryWindow, sent)}
 		}
-		i += 9 // each tenth window shows it as well
+		i += 9 // checking every tenth window is enough to find an excess
 	}
 	return nil
 }
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// harmful begins the ids of requests that end the workers which run them. Those of one
-	// step share path and body.
+	// harmful is the prefix of the ids of requests that crash the workers which run them. The requests
+	// of one step have the same path and body.
 	harmful         = "harm"
-	harmfulInterval = 60 * time.Millisecond // that one comes again, at any gateway
-	crashDelay      = 50 * time.Millisecond // that a worker lives on once it runs one
+	harmfulInterval = 60 * time.Millisecond // between two requests of a step, each to a random gateway
+	crashDelay      = 50 * time.Millisecond // from the arrival at a worker to its crash
 	workerDownTime  = 700 * time.Millisecond
 	// A harmful request has to be known everywhere touchAfter the third end; these may follow
 	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
@@ -24,7 +24,7 @@
 	maxHarmful     = 24
 )
 
-// sendHarmful sends one harmful request again and again.
+// sendHarmful sends the same harmful request repeatedly, under a new id each time.
 func (w *world) sendHarmful(s step) {
 	r := rand.New(rand.NewPCG(uint64(s.target), 1))
 	t := &http.Transport{DisableKeepAlives: true}
@@ -41,22 +41,22 @@
 	time.Sleep(workerDownTime)
 }
 
-// restartMode is how a worker comes back that a request has ended.
+// restartMode is how a worker restarts after a request has crashed it.
 type restartMode uint64
 
 const (
-	replaceWorker  restartMode = iota // in its place
-	restartMoved                      // itself, in a new life at another address
-	restartInPlace                    // the same at its address, which has gone on taking connections and closed each
+	replaceWorker  restartMode = iota // a new worker replaces it
+	restartMoved                      // the same id, a new instance at another address
+	restartInPlace                    // the same id at its address, which meanwhile accepted connections and reset each
 	restartModes
 )
 
-// crashAndRestart lets a worker end with all that it has, and come back.
+// crashAndRestart ends a worker with all its requests, and restarts it after workerDownTime.
 func (w *world) crashAndRestart(k *worker, how restartMode) {
 	w.mu.Lock()
 	if !slices.Contains(w.workers, k) {
 		w.mu.Unlock()
-		return // it has ended already
+		return // it has crashed already
 	}
 	w.workers = slices.DeleteFunc(w.workers, func(x *worker) bool { return x == k })
 	w.mu.Unlock()
@@ -82,7 +82,7 @@
 	w.register(b, "ready")
 }
 
-// crashAsync lets the worker that answers a request end: it waits for its answers, so another has to do it.
+// crashAsync crashes a worker in another goroutine: closing it waits for its answers, one of which is the caller.
 func (w *world) crashAsync(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// addInvalidEntries writes entries that name nothing, at a worker's address, and takes them away.
+// addInvalidEntries writes invalid registry entries that have a worker's address, and removes them later.
 func (w *world) addInvalidEntries(s step) {
 	k := w.worker(s.target)
 	if k == nil {
@@ -115,7 +115,7 @@
 	time.Sleep(s.duration)
 }
 
-// runsAtUnlistedWorkers finds runs at workers that only strange entries name.
+// runsAtUnlistedWorkers finds runs at workers that only invalid entries name.
 func (h *history) runsAtUnlistedWorkers() []string {
 	return h.eachRun(func(r run, _ *request) string {
 		if strings.HasPrefix(r.worker, "strange") {
@@ -125,9 +125,9 @@
 	})
 }
 
-// harmfulForwarded finds harmful requests that are sent on after they had to be known.
+// harmfulForwarded finds harmful requests that gateways forwarded too often, or after they had to know them.
 func (h *history) harmfulForwarded() (bs []string) {
-	at := map[string][]time.Time{} // when each of them reached workers, by body
+	at := map[string][]time.Time{} // arrival times at workers, by body
 	for _, r := range h.runs {
 		if strings.HasPrefix(r.id, harmful) && !r.refused {
 			at[r.body] = append(at[r.body], r.at)
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -12,35 +12,35 @@
 type kind int
 
 const (
-	killGateway kind = iota // SIGKILL, started again after a while
+	killGateway kind = iota // SIGKILL, restarted after a while
 	pauseGateway
-	stopGateway // SIGTERM, started again after its end
+	stopGateway // SIGTERM, restarted after its exit
 	reloadGateway
-	silenceStore // for one gateway
-	resetStore   // for one gateway
+	silenceStore // stalls one gateway's link to the store
+	resetStore   // resets one gateway's connections to the store
 	busyStore
 	awayStore
-	loseAnswers // of the store
+	loseAnswers // the store applies writes and drops its answers
 	compactStore
 	delayWorker
 	resetWorker
 	silenceWorker
-	deafenWorker // requests arrive, answers do not
-	crashWorker  // another one takes its place
-	drainWorker  // the same, announced
+	deafenWorker // stalls answers, requests arrive
+	crashWorker  // a new worker replaces it
+	drainWorker  // the same, announced in the registry
 	revokeKey
 	addRoute
-	growConfig   // by routes that make it large
-	silencePeers // of one gateway, as others reach it
+	growConfig   // adds many routes
+	silencePeers // stalls the link on which other gateways reach one
 	resetPeers
 	delayPeers
-	harmfulRequest // that ends the workers which run it comes again and again
-	strangeEntries // of another writer, in the registry and among gateways
-	suspendGateway // with its machine: its steady clock stands still
-	turnAway       // all gateways but two are silent towards the store, one after another
-	nameLimit      // a worker names in its answers how many requests a second it takes
-	leaveInAnswers // a worker says there that it leaves, and the registry does not
-	askForRest     // a worker turns requests away and asks for rest
+	harmfulRequest // repeats a request that crashes the workers which run it
+	strangeEntries // another writer adds invalid entries to the registry and the gateway list
+	suspendGateway // suspends its machine: its monotonic clock stops
+	turnAway       // stalls the links of all gateways but two to the store, one after another
+	nameLimit      // a worker announces a limit of requests a second in its answers
+	leaveInAnswers // a worker announces in its answers only, not in the registry, that it leaves
+	askForRest     // a worker refuses requests with a Retry-After header
 	kinds
 )
 
@@ -56,7 +56,7 @@
 	return kindNames[k]
 }
 
-// plannedWork disturbs no promise; everything else does.
+// plannedWork has the kinds during which all guarantees hold; the others suspend those that are bounded in time.
 var plannedWork = []kind{stopGateway, reloadGateway, drainWorker, revokeKey, addRoute, growConfig, nameLimit, leaveInAnswers, askForRest}
 
 func (k kind) planned() bool {
@@ -68,7 +68,7 @@
 	at       time.Duration
 	duration time.Duration
 	kind     kind
-	target   int // gateway, worker or key, taken modulo their number
+	target   int // index of a gateway, worker or key, modulo their number
 }
 
 func (s step) String() string {
@@ -76,18 +76,17 @@
 }
 
 const (
-	// The pauses between steps are shorter than most faults last, so that these
-	// overlap.
+	// Gaps between steps are shorter than most faults, so that faults overlap.
 	minStepGap, maxStepGap     = 50 * time.Millisecond, 900 * time.Millisecond
 	minFaultTime, maxFaultTime = 300 * time.Millisecond, 3 * time.Second
-	// After some faults nothing is disturbed for a while but by one piece of planned
-	// work, so that promises for calm times are tested as well.
+	// After every drawsPerCalm draws a calm period has one step of planned work only, so that the bounds
+	// in time are tested as well.
 	drawsPerCalm = 12
 	calmPause    = 5 * time.Second
-	maxSeries    = 3 // steps of one kind in a row, now and then
+	maxSeries    = 3 // most steps of one kind in a row
 )
 
-// newPlan returns the steps that a seed stands for.
+// newPlan generates the steps of a seed.
 func newPlan(seed uint64, length time.Duration) (ss []step) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	span := func(least, most time.Duration) time.Duration {
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -12,26 +12,26 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// The bounds of what may reach a worker that says something of itself in its answers.
+// The bounds on the requests that may reach a worker whose answers carry a signal.
 const (
 	limitWindow         = 4 * time.Second
 	limitFactor         = 1.5
 	limitBurst          = 5
-	limitSettleTime     = settleTime             // from when on after it was named first
-	signalApplyTime     = 500 * time.Millisecond // a gateway that was told so long ago keeps to it
+	limitSettleTime     = settleTime             // from the first announcement of a limit until it is checked
+	signalApplyTime     = 500 * time.Millisecond // from the receipt of a signal until the gateway has to follow it
 	maxDuringRetryDelay = 2
-	retryDelay          = 2500 * time.Millisecond // that is asked for
-	signalExtraTime     = 6 * time.Second         // by how much more than other faults it lasts
+	retryDelay          = 2500 * time.Millisecond // sent in Retry-After
+	signalExtraTime     = 6 * time.Second         // added to the duration of the step
 )
 
-// signal is what a worker says of itself in its answers.
+// signal is what a worker announces in the headers of its answers.
 type signal struct {
-	limit      float64 // 0 if it names none
+	limit      float64 // requests a second, 0 if it announces none
 	leaving    bool
-	retryLater bool // it turns requests away and asks for rest
+	retryLater bool // it refuses requests with a Retry-After header
 }
 
-// receivedSignal is a signal that a gateway was told in an answer.
+// receivedSignal is a signal that a gateway received in an answer.
 type receivedSignal struct {
 	signal
 	worker            string
@@ -39,7 +39,7 @@
 	at                time.Time
 }
 
-// announce lets a worker say something of itself for a while.
+// announce lets a worker send the signal of a step for the duration of the step.
 func (w *world) announce(k *worker, s step) {
 	g := signal{leaving: s.kind == leaveInAnswers, retryLater: s.kind == askForRest}
 	if s.kind == nameLimit {
@@ -55,7 +55,7 @@
 		return
 	}
 	w.store.Put("keyed.servers", k.ID, nil)
-	time.Sleep(stopGrace) // what it has is finished
+	time.Sleep(stopGrace) // its requests finish
 	k.Close()
 }
 
@@ -76,7 +76,7 @@
 	w.signals[k.ID] = g
 }
 
-// recordSignal notes what a worker tells the gateway of a request as it begins to answer.
+// recordSignal records the signal that a worker sends to the request's gateway, before it answers.
 func (w *world) recordSignal(b platformtest.Behaviour) platformtest.Behaviour {
 	return func(k *platformtest.Worker, c net.Conn, r *http.Request) {
 		w.mu.Lock()
@@ -89,21 +89,22 @@
 	}
 }
 
-// What a gateway has been told by a worker holds whatever befalls the store; a gateway that stood still, or a link that was
-// disturbed, excuses it.
+// linkFaults are the faults that excuse a gateway from following a signal: they stop it or disturb its links to workers
+// and peers. Faults of the store excuse nothing, because a signal comes in an answer.
 var linkFaults = []kind{
 	killGateway, pauseGateway, suspendGateway, stopGateway, silencePeers, resetPeers, delayPeers,
 	delayWorker, resetWorker, silenceWorker, deafenWorker, crashWorker, harmfulRequest,
 }
 
-// connected reports whether gateways heard workers and each other in a time.
+// connected reports whether no fault of linkFaults was in effect between the two times or less than settleTime before.
 func (h *history) connected(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return slices.Contains(linkFaults, s.kind) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
-// eachRunAfterSignal calls a check for each run that came to a worker after a word of it to the same life of the gateway that sent it.
+// eachRunAfterSignal calls c for each run at a worker that the same instance of a gateway sent after it had received a signal
+// of the worker.
 func (h *history) eachRunAfterSignal(of func(w receivedSignal) bool, c func(w receivedSignal, r run)) {
 	for _, w := range h.received {
 		if !of(w) {
@@ -118,7 +119,8 @@
 	}
 }
 
-// ranAfterLeaving finds requests that reached a worker long after its answer had told their gateway that it leaves.
+// ranAfterLeaving finds requests that reached a worker more than maxDrainDelay after it had announced to their gateway that
+// it leaves.
 func (h *history) ranAfterLeaving() (bs []string) {
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
 		if r.at.Sub(w.at) > maxDrainDelay && h.connected(w.at, r.at) && len(bs) == 0 {
@@ -128,7 +130,7 @@
 	return bs
 }
 
-// ranDuringRetryDelay finds gateways that sent more to a worker than they may while it rests.
+// ranDuringRetryDelay finds gateways that sent too many requests to a worker within the retry delay that it had sent.
 func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.retryLater }, func(w receivedSignal, r run) {
@@ -141,11 +143,11 @@
 	return bs
 }
 
-// announcedLimit is what a worker that named a limit told, and what reached it until it named it last.
+// announcedLimit is the limit that a worker announced, and the requests that reached it up to its last announcement.
 type announcedLimit struct {
-	limit         float64 // the largest
+	limit         float64 // the largest announced, requests a second
 	first, last   time.Time
-	firstReceived map[int]time.Time // by gateway, the first word
+	firstReceived map[int]time.Time // by gateway
 	arrivals      []arrival
 }
 
@@ -155,7 +157,7 @@
 	gateway int
 }
 
-// announcedLimits returns those of all workers.
+// announcedLimits returns the limits by worker.
 func (h *history) announcedLimits() map[string]*announcedLimit {
 	ls := map[string]*announcedLimit{}
 	for _, w := range h.received {
@@ -181,7 +183,8 @@
 	return ls
 }
 
-// countInWindow counts what reached the worker in the window that ends at a moment, from gateways that it had told.
+// countInWindow counts the requests that reached the worker in the window that ends at a time, from gateways that had
+// received the limit by then.
 func (l *announcedLimit) countInWindow(end time.Time) (n int) {
 	for _, a := range l.arrivals {
 		first, ok := l.firstReceived[a.gateway]
@@ -192,7 +195,7 @@
 	return n
 }
 
-// overLimit finds workers that got more than the limit allows that they name.
+// overLimit finds workers that got more requests than their announced limit allows.
 func (h *history) overLimit() (bs []string) {
 	for k, l := range h.announcedLimits() {
 		for _, a := range l.arrivals {
