--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -18,8 +18,9 @@
 	harmfulInterval = 60 * time.Millisecond // between two requests of a step, each to a random gateway
 	crashDelay      = 50 * time.Millisecond // from the arrival at a worker to its crash
 	workerDownTime  = 700 * time.Millisecond
-	// A harmful request has to be known everywhere touchAfter the third end; these may follow
-	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
+	// Every gateway has to know a harmful request settleTime after the third crash; maxLateHarmful more
+	// may follow. Gateways that fail, or reach neither the store nor each other, may each have to detect
+	// it on their own, which maxHarmful allows for.
 	maxLateHarmful = 3
 	maxHarmful     = 24
 )
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -20,7 +20,7 @@
 	resetStore   // resets one gateway's connections to the store
 	busyStore
 	awayStore
-	loseAnswers // the store applies writes and drops its answers
+	loseAnswers // the store executes calls and drops its answers
 	compactStore
 	delayWorker
 	resetWorker
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,31 +11,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linkMode is how a proxy treats bytes.
+// linkMode is how a proxy treats the bytes of its connections.
 type linkMode int32
 
 const (
 	pass linkMode = iota
 	delay
-	silence // nothing gets through until it ends
-	deafen  // nothing comes back until it ends
+	silence // stalls both directions until the mode ends
+	deafen  // stalls the direction towards the dialling side
 )
 
 const (
 	linkDelay        = 150 * time.Millisecond
-	modePollInterval = 10 * time.Millisecond // how often held bytes look whether they may go on
+	modePollInterval = 10 * time.Millisecond // interval at which a stalled copy checks the mode
 )
 
-// proxy leads connections to a target and harms them on request.
+// proxy forwards connections to a target and injects faults into them.
 type proxy struct {
 	listener net.Listener
 	mode     atomic.Int32
-	rate     float64 // bytes a second towards the dialling side, 0 for no bound
+	rate     float64 // bytes a second towards the dialling side, 0 for no limit
 
 	mu        sync.Mutex
-	to        string // where connections are led
+	to        string // target of new connections
 	conns     map[net.Conn]bool
-	busyUntil time.Time // when the link has carried what it was given
+	busyUntil time.Time // when the link has sent all bytes passed to throttle
 }
 
 func newProxy(t testing.TB, target string) *proxy {
@@ -53,7 +53,7 @@
 	return p.listener.Addr().String()
 }
 
-// setTarget leads connections elsewhere from now on.
+// setTarget changes the target of new connections.
 func (p *proxy) setTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +70,7 @@
 	p.mode.Store(int32(w))
 }
 
-// reset breaks all connections off.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 	u, err := d.DialContext(context.Background(), "tcp", p.target())
 	if err != nil {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // as a machine without a listener does
+			_ = t.SetLinger(0) // resets the connection, as a box without a listener does
 		}
 		_ = c.Close()
 		return
@@ -115,7 +115,7 @@
 	p.copy(c, u, true)
 }
 
-// throttle waits until the link, which all connections share, has carried n bytes.
+// throttle waits until the link, which all connections share, has sent n bytes.
 func (p *proxy) throttle(n int) {
 	if p.rate <= 0 {
 		return
@@ -130,7 +130,7 @@
 	time.Sleep(d)
 }
 
-// copy passes bytes on in one direction until either side ends.
+// copy forwards bytes in one direction until either side closes. back is true towards the dialling side.
 func (p *proxy) copy(to, from net.Conn, back bool) {
 	defer func() {
 		_ = to.Close()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,19 +19,19 @@
 var (
 	seeds  = flag.String("seeds", "1", "seeds to play, as numbers and ranges: 1,5,10-59")
 	length = flag.Duration("length", 15*time.Second, "how long faults are made for each seed")
-	// Of six gateways four read the store, and two have large values from these.
+	// Of six gateways four read the store, and two get large values from them.
 	gateways = flag.Int("gateways", 6, "gateways of each run")
 	workers  = flag.Int("workers", 5, "workers of each run")
 	callers  = flag.Int("callers", 10, "callers of each run")
 )
 
-// recoveryTimeout is how soon all is served again once nothing is disturbed.
+// recoveryTimeout bounds the time from the end of all faults until each gateway serves requests.
 const recoveryTimeout = 12 * time.Second
 
-// checkInterval is how often promises are checked while a run goes on.
+// checkInterval is the interval at which the history is checked during a run.
 const checkInterval = time.Second
 
-// build builds the program that is tested.
+// build builds the tested program.
 func build(t testing.TB) string {
 	t.Helper()
 	b := filepath.Join(t.TempDir(), "hollowgrade")
@@ -65,7 +65,7 @@
 	}
 }
 
-// runSeed plays the plan of one seed.
+// runSeed runs the plan of one seed under load and checks the history.
 func runSeed(t *testing.T, binary string, seed uint64) {
 	w := newWorld(t, binary, worldSize{*gateways, *workers, *callers})
 	defer w.close()
@@ -94,7 +94,7 @@
 	w.report(t, seed, p, bs)
 }
 
-// watch checks promises until all faults are over or one is broken.
+// watch checks the history until all steps are over, and returns the violations of the first check that finds some.
 func (w *world) watch(fs *sync.WaitGroup) (bs []string) {
 	over := make(chan struct{})
 	go func() {
@@ -107,7 +107,7 @@
 			return w.check()
 		case <-time.After(checkInterval):
 			if bs = w.check(); len(bs) > 0 {
-				<-over // faults use the world
+				<-over // the steps still use the world
 				return bs
 			}
 		}
@@ -120,7 +120,7 @@
 	return w.history.check()
 }
 
-// awaitServing waits until each gateway serves.
+// awaitServing waits until each gateway has answered a request.
 func (w *world) awaitServing(t *testing.T, when string) {
 	t.Helper()
 	until := time.Now().Add(recoveryTimeout)
@@ -137,7 +137,7 @@
 	}
 }
 
-// countLogged returns how often the gateways' logs have a text.
+// countLogged counts the occurrences of a text in the gateways' logs.
 func (w *world) countLogged(text string) (n int) {
 	for _, g := range w.gateways {
 		b, err := os.ReadFile(filepath.Join(w.logs, g.name+".log"))
@@ -149,7 +149,7 @@
 	return n
 }
 
-// report says what a run came to. Logs are kept when something was broken.
+// report logs the figures of a run and fails the test if there are violations, in which case the logs are kept.
 func (w *world) report(t *testing.T, seed uint64, p []step, bs []string) {
 	t.Helper()
 	bs = append(bs, w.check()...)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -22,27 +22,27 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// worldSize is how many processes and stand-ins a world has.
+// worldSize is the number of processes and stand-ins in a world.
 type worldSize struct {
 	gateways, workers, callers int
 }
 
 const (
-	events        = 12 // of a stream
+	events        = 12 // events of a stream
 	permanentKeys = 3  // keys that are never revoked
 	totalKeys     = 40 // keys in all
 	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
-	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
+	// maxFillerRoutes has 0.6 MB, which takes a quarter of a second at this rate.
 	narrowLinkBytesPerSecond = 20e6 / 8
 	fillerRoutesPerStep      = 1400
 	maxFillerRoutes          = 4200
-	wideLinkEvery            = 3 // gateways, of which one has a link without a bound
-	minServedGateways        = 2 // gateways that the store serves while others are turned away in turn
+	wideLinkEvery            = 3 // one in so many gateways has a link without a limit
+	minServedGateways        = 2 // gateways that keep their link to the store while those of others are silenced
 	turnAwayInterval         = 400 * time.Millisecond
 	narrowLinkMbits          = 20
 )
 
-// gateway is one real process, and the proxy through which it sees the store.
+// gateway is one real process, with the proxies through which it reaches the store and peers reach it.
 type gateway struct {
 	mu       sync.Mutex
 	name     string
@@ -50,22 +50,22 @@
 	callers  string
 	ready    string
 	store    *proxy
-	peers    *proxy    // through which others reach it
-	cmd      *exec.Cmd // nil while it is down
+	peers    *proxy    // through which peers reach it
+	cmd      *exec.Cmd // nil until the first start
 	exited   chan struct{}
 	instance int
 
-	suspended time.Duration // in all; the process reads it from a file
+	suspended time.Duration // total; the process reads it from a file
 }
 
-// worker is a stand-in behind a proxy, whose address the registry has.
+// worker is a stand-in worker behind a proxy; the registry has the proxy's address.
 type worker struct {
 	*platformtest.Worker
 	proxy     *proxy
-	startTime time.Time // of a later life under the same id
+	startTime time.Time // of a later instance with the same id
 }
 
-// world is all that a run has.
+// world is the environment of a run.
 type world struct {
 	t        testing.TB
 	binary   string
@@ -76,13 +76,13 @@
 	mu             sync.Mutex
 	history        *history
 	workers        []*worker
-	workersStarted int // workers
+	workersStarted int // for the ids of workers
 	version        int
 	keys           []string
-	routes         []string // that were added
-	filler         int      // further routes, which nobody calls
+	routes         []string // paths of the added routes
+	filler         int      // number of further routes, which no caller uses
 	signals        map[string]signal
-	crashes        sync.WaitGroup // of workers that end by a request
+	crashes        sync.WaitGroup // pending crashes and restarts of workers
 }
 
 func newWorld(t testing.TB, binary string, z worldSize) *world {
@@ -108,12 +108,11 @@
 	return w
 }
 
-// Ports of gateways are taken from below those that the system gives to outgoing
-// connections, or one of these has a port by the time when its gateway starts
-// again. Each run takes a part of them for itself, since others may run beside it.
+// Gateways' ports are below the system's range for outgoing connections, or one of these could take the port
+// of a gateway before it restarts. Each run locks a part of them, as other runs may go on at the same time.
 const firstPort, portsPerRun, maxParallelRuns = 12_000, 2_000, 10
 
-// ownPorts returns the first port of this run's part, which is locked until the process ends.
+// ownPorts returns the first port of this run's part, which stays locked until the process exits.
 var ownPorts = sync.OnceValues(func() (first int, err error) {
 	d := filepath.Join(os.TempDir(), "hollowgrade-soak-ports")
 	if err = os.MkdirAll(d, 0o755); err != nil {
@@ -128,7 +127,7 @@
 			portsLock = f
 			return firstPort + i*portsPerRun, nil
 		}
-		_ = f.Close() // another run has it
+		_ = f.Close() // locked by another run
 	}
 	return 0, fmt.Errorf("%d runs have all ports", maxParallelRuns)
 })
@@ -136,8 +135,7 @@
 // portsLock is held open for as long as the process runs.
 var portsLock *os.File
 
-// usedPorts has the ports that were handed out: one is free until its gateway starts, and was handed out
-// twice.
+// usedPorts has the ports that were assigned: a port stays free until its gateway starts, and could be assigned twice.
 var usedPorts = map[int]bool{}
 
 func freeAddress(t testing.TB) string {
@@ -200,8 +198,7 @@
 	return g
 }
 
-// start starts a gateway's process, unless another fault that overlaps has done
-// so. It is ended by its own id.
+// start starts a gateway's process, unless an overlapping step has already done so.
 func (w *world) start(g *gateway) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -224,19 +221,19 @@
 	g.cmd, g.exited = c, done
 	g.instance++
 	go func() {
-		_ = c.Wait() // how it ended is in its log
+		_ = c.Wait() // its log has the reason of its exit
 		_ = out.Close()
 		close(done)
 	}()
 }
 
-// signal sends a signal to a gateway's process, if it has one, and returns a
-// channel that is closed when that has ended.
+// signal sends a signal to a gateway's process, if it has one, and returns a channel that is closed when the
+// process has exited.
 func (g *gateway) signal(s syscall.Signal) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd != nil {
-		_ = g.cmd.Process.Signal(s) // it may have ended already
+		_ = g.cmd.Process.Signal(s) // it may have exited already
 	}
 	return g.exited
 }
@@ -247,7 +244,7 @@
 	return g.instance
 }
 
-// running reports whether the process runs. The lock is held.
+// running reports whether the process runs. g.mu must be held.
 func (g *gateway) running() bool {
 	if g.cmd == nil {
 		return false
@@ -260,8 +257,7 @@
 	}
 }
 
-// writeConfig writes the configuration anew. The lock is held, or nobody else has
-// the world yet.
+// writeConfig writes a new version of the configuration. w.mu must be held, unless the world isn't shared yet.
 func (w *world) writeConfig() {
 	w.version++
 	var routes []string
@@ -282,7 +278,7 @@
  "tenants":[{"name":"o","apiKeys":["%s"]}]}`, w.version, strings.Join(routes, ","), strings.Join(w.keys, `","`))))
 }
 
-// addWorker starts a worker and lists it.
+// addWorker starts a worker and registers it.
 func (w *world) addWorker() {
 	id := fmt.Sprint("i-", w.workersStarted)
 	w.workersStarted++
@@ -301,8 +297,7 @@
 	w.store.PutJSON("keyed.servers", k.ID, r)
 }
 
-// behave answers a request as its id says, so that a seed's load misbehaves the
-// same way again.
+// behave answers a request according to a hash of its id, so that the load of a seed meets the same failures in each run.
 func (w *world) behave(k *platformtest.Worker, c net.Conn, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	luck := hash(k.ID+id) % 100
@@ -352,20 +347,19 @@
 	}
 }
 
-// recordFault notes a fault, so that what is bounded in time is not held to it.
+// recordFault records a fault, so that bounds in time aren't checked while it is in effect.
 func (w *world) recordFault(k kind, gateway int, from, to time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history.spans = append(w.history.spans, span{k, gateway, from, to})
 }
 
-// apply does one step and returns when it is over.
+// apply executes one step and returns when it is over.
 func (w *world) apply(s step) {
 	from := time.Now()
 	i := s.target % len(w.gateways)
 	g := w.gateways[i]
-	// What it takes to recover belongs to the fault: a process to start, a view to
-	// be read again.
+	// The recorded fault includes the time of the recovery: a process starts, a view is read again.
 	if s.kind == suspendGateway {
 		s.duration += suspendExtraTime
 	}
@@ -403,7 +397,7 @@
 	}
 }
 
-// applyToProcess does a step that is done to a gateway's process.
+// applyToProcess executes a step that affects a gateway's process.
 func (w *world) applyToProcess(g *gateway, s step) {
 	switch s.kind {
 	case killGateway:
@@ -423,26 +417,26 @@
 	}
 }
 
-// suspendedFileEnv is where a process of a build for the soak looks for how long its machine was suspended.
+// suspendedFileEnv names the file from which a process built with the soak tag reads how long its machine was suspended.
 const suspendedFileEnv = "HOLLOWGRADE_SUSPENDED"
 
-// suspendExtraTime is how much longer a machine is suspended than other faults last: keys that are taken away
-// meanwhile have to be of no use when it goes on.
+// suspendExtraTime is added to the duration of suspensions, so that keys which are revoked meanwhile have to be refused
+// when the machine resumes.
 const suspendExtraTime = 4 * time.Second
 
-// suspendedPath returns the path of the file for a gateway.
+// suspendedPath returns the path of the gateway's file for suspendedFileEnv.
 func (g *gateway) suspendedPath() string {
 	return g.config + ".suspended"
 }
 
-// suspend stops a gateway with its machine.
+// suspend simulates a suspension of the gateway's machine.
 func (w *world) suspend(g *gateway, d time.Duration) {
 	begin := time.Now()
 	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	g.mu.Lock()
 	g.suspended += time.Since(begin)
-	part := g.suspendedPath() + ".part" // the file is there as a whole or not at all
+	part := g.suspendedPath() + ".part" // renaming makes the write atomic
 	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspendedPath()))
 	g.mu.Unlock()
 	if err != nil {
@@ -451,7 +445,7 @@
 	g.signal(syscall.SIGCONT)
 }
 
-// stop ends a gateway as the platform does, and starts it again.
+// stop stops a gateway as the platform does, SIGTERM and after stopGrace SIGKILL, and restarts it.
 func (w *world) stop(g *gateway) {
 	done := g.signal(syscall.SIGTERM)
 	select {
@@ -468,8 +462,8 @@
 	p.set(pass)
 }
 
-// silenceInTurn lets the store answer all gateways but two no more, one after another, so that those that stand in for
-// readers are turned away in turn.
+// silenceInTurn silences the links of all gateways but two to the store, one after another, so that the gateways that
+// take over as readers lose the store too.
 func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
 	for i := range w.gateways[minServedGateways:] {
@@ -499,7 +493,7 @@
 	}
 	k := w.worker(s.target)
 	if k == nil {
-		return // a harmful request has ended all of them
+		return // harmful requests have crashed all of them
 	}
 	switch s.kind {
 	case delayWorker:
@@ -523,7 +517,7 @@
 		w.mu.Unlock()
 		time.Sleep(maxDrainDelay + s.duration)
 		w.store.Put("keyed.servers", k.ID, nil)
-		time.Sleep(stopGrace) // what it has is finished
+		time.Sleep(stopGrace) // its requests finish
 		k.Close()
 	case nameLimit, leaveInAnswers, askForRest:
 		w.announce(k, s)
@@ -532,7 +526,7 @@
 	}
 }
 
-// worker returns one of the workers that there are now, or nil.
+// worker returns one of the present workers, or nil if there is none.
 func (w *world) worker(which int) *worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -542,7 +536,7 @@
 	return w.workers[which%len(w.workers)]
 }
 
-// replace puts a new worker in the place of one that leaves.
+// replace removes a worker that leaves or crashes and adds a new one.
 func (w *world) replace(k *worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -574,7 +568,7 @@
 	}
 }
 
-// resumeGateways ends all faults that last: each gateway runs.
+// resumeGateways resumes paused gateways and starts those that are down.
 func (w *world) resumeGateways() {
 	for _, g := range w.gateways {
 		g.signal(syscall.SIGCONT)
@@ -582,7 +576,7 @@
 	}
 }
 
-// close ends what was started.
+// close stops all processes and workers.
 func (w *world) close() {
 	for _, g := range w.gateways {
 		<-g.signal(syscall.SIGKILL)
@@ -592,6 +586,6 @@
 	ks := slices.Clone(w.workers)
 	w.mu.Unlock()
 	for _, k := range ks {
-		k.Close() // waits for answers under way, and these need the lock
+		k.Close() // waits for pending answers, which need w.mu
 	}
 }
