--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,31 +19,30 @@
 	"github.com/hollowgrade/hollowgrade/measure"
 )
 
-// Options are what a user of the demo can choose.
+// Options are the demo's options.
 type Options struct {
 	Seed     uint64
 	Requests int
 	Duration time.Duration
-	JSON     bool // print one JSON document in the place of text
-	Keep     bool // go on listening until ctx ends
+	JSON     bool // print the report as one JSON document
+	Keep     bool // serve until ctx ends
 	Size     Size
 }
 
-// ErrUnaccounted says that a request has no end that its caller could see, or a
-// wrong answer.
+// ErrUnaccounted reports that a request has no outcome that its caller received, or a wrong answer.
 var ErrUnaccounted = errors.New("not every request is accounted for with its own whole answer")
 
 // eventName is the event of the demo's load.
 const eventName = "evening"
 
-// The event starts when a quarter of the time has passed and is over at three
-// quarters. Between the two, requests arrive at a higher rate.
+// surgeFactor multiplies the request rate during the event, which lasts from a quarter to three
+// quarters of the load's duration.
 const (
 	surgeFactor = 2.0
 	stopTimeout = 10 * time.Second
 )
 
-// Run runs the demo. The report goes to out, progress to messages.
+// Run runs the demo. It writes the report to out and progress to messages.
 func Run(ctx context.Context, o Options, out, messages io.Writer, g *log.Logger) (err error) {
 	defer errs.Annotate(&err, "demo")
 	m, err := load.ParseMix(examples.Mix(eventName))
@@ -87,8 +86,8 @@
 	fmt.Fprintf(w, format+"\n", args...)
 }
 
-// Prepare publishes all that the mix needs, and waits until it is in force
-// everywhere.
+// Prepare publishes the configuration that the mix needs, and waits until it is in force on all
+// boxes.
 func (f *Fleet) Prepare(ctx context.Context, m load.Mix, s load.Surge, messages io.Writer) (err error) {
 	defer errs.Annotate(&err, "prepare")
 	var last int64
@@ -111,8 +110,8 @@
 	body       any
 }
 
-// items lists what is published: policies, models, services, organisations,
-// objectives and the event.
+// items returns the published configuration: policies, models, services, organisations, objectives
+// and the event.
 func items(m load.Mix, s load.Surge, now time.Time) (is []item) {
 	for _, p := range []string{"sao-bien", "korrigan"} {
 		is = append(is, item{config.PolicyKind, p, config.Policy{Name: p, Text: examples.Policy(p)}})
@@ -161,8 +160,8 @@
 
 const awaitEvery = 20 * time.Millisecond
 
-// awaitRevision waits until a revision is in force on each box, each entry is ready,
-// and each range of idempotency keys has a keeper.
+// awaitRevision waits until a revision is in force on each box, each entry is ready, and each range
+// of idempotency keys has a keeper.
 func (f *Fleet) awaitRevision(ctx context.Context, revision int64) error {
 	for !f.inForce(revision) {
 		if !hollowgrade.Sleep(ctx, f.clock, awaitEvery) {
@@ -193,7 +192,7 @@
 	Lost    int            `json:"memory_lost_tokens"`
 }
 
-// print prints the callers' view and the fleet's own.
+// print prints the results as the callers and as the entries recorded them.
 func (f *Fleet) print(w io.Writer, s load.Summary, asJSON bool) error {
 	var ss []measure.Snapshot
 	for _, e := range f.Entries {
@@ -225,7 +224,7 @@
 	return n
 }
 
-// serveUntilDone goes on serving until ctx ends.
+// serveUntilDone prints how to call the fleet, and returns when ctx ends.
 func (f *Fleet) serveUntilDone(ctx context.Context, m load.Mix, w io.Writer) {
 	k := m.Organisations[0].Key
 	printLine(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// small is a fleet that a test can afford.
+// small returns a fleet size that is small enough for a test.
 func small() Size {
 	s := DefaultSize()
 	s.Entries, s.Engines, s.Services = 2, 4, map[string]int{"push": 1, "catalogue": 1}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,5 +1,5 @@
-// Package demo runs every role and every stand-in in one process, over real
-// TCP on loopback, and takes one event from its publication to its report.
+// Package demo runs every role and every stand-in in one process, over TCP on loopback, and runs
+// one event from its publication to its report.
 package demo
 
 import (
@@ -19,17 +19,16 @@
 	"github.com/hollowgrade/hollowgrade/setting"
 )
 
-// Size says how much of what a fleet has.
+// Size is the size of a fleet.
 type Size struct {
 	Entries  int
 	Engines  int
-	Services map[string]int // upstreams of each plain service
+	Services map[string]int // number of upstreams by plain service
 	Halls    int
 	Engine   standin.EngineConfig
 }
 
-// DefaultSize returns the size of today's fleets: both users' services beside one
-// pool.
+// DefaultSize returns the size of a present fleet: both users' services and one engine pool.
 func DefaultSize() Size {
 	return Size{
 		Entries:  3,
@@ -70,16 +69,15 @@
 	maxConnections  = 16384
 )
 
-// FleetOption changes a fleet as it is made.
+// FleetOption configures a fleet before it starts.
 type FleetOption func(*Fleet)
 
-// WithAgentSettings lets f change the settings of each agent.
+// WithAgentSettings applies f to the settings of each agent.
 func WithAgentSettings(f func(*setting.Agent)) FleetOption {
 	return func(t *Fleet) { t.adjustAgent = f }
 }
 
-// NewFleet starts a fleet. Stop must be called in the end, also after an
-// error.
+// NewFleet starts a fleet. Stop must be called in the end, also after an error.
 func NewFleet(ctx context.Context, s Size, g *log.Logger, os ...FleetOption) (f *Fleet, err error) {
 	defer errs.Annotate(&err, "start fleet")
 	k := hollowgrade.SystemClock()
@@ -124,7 +122,7 @@
 	return f, nil
 }
 
-// serve serves a stand-in on a free port of loopback and returns its URL.
+// serve serves a stand-in on a free loopback port and returns its URL.
 func (f *Fleet) serve(h http.Handler) (url string, err error) {
 	l, err := standin.Listen("127.0.0.1:0")
 	if err != nil {
@@ -185,7 +183,7 @@
 	s := setting.DefaultAgent()
 	s.Common = f.common(box, hall)
 	s.Peers = "127.0.0.1:0"
-	s.Linger = 0 // nobody else sends requests
+	s.Linger = 0 // no other box sends requests
 	f.adjustAgent(&s)
 	return s
 }
@@ -227,7 +225,7 @@
 	return us
 }
 
-// stopAll stops processes at the same time.
+// stopAll stops nodes concurrently.
 func stopAll(ctx context.Context, ns []*node.Node) error {
 	errs := make([]error, len(ns))
 	var g sync.WaitGroup
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -1,6 +1,5 @@
-// Package load sends an open-loop load to a running entry and accounts for
-// every request: requests leave when the schedule says, however slow the
-// answers are.
+// Package load sends an open-loop load to running entries and accounts for every request: requests
+// are sent on schedule, however slow the answers are.
 package load
 
 import (
@@ -21,10 +20,10 @@
 type Mix struct {
 	Organisations []Organisation `toml:"organisation"`
 	Kinds         []Kind         `toml:"kind"`
-	Event         string         `toml:"event"` // named in each request, if set
+	Event         string         `toml:"event"` // sent with each request, if set
 }
 
-// Organisation sends a part of the requests.
+// Organisation is a caller's organisation, with its share of the requests.
 type Organisation struct {
 	Name   string  `toml:"name"`
 	Key    string  `toml:"key"` // bearer key
@@ -35,14 +34,14 @@
 type Kind struct {
 	Name      string          `toml:"name"`
 	Weight    float64         `toml:"weight"`
-	Model     string          `toml:"model"`   // or a service
-	Service   string          `toml:"service"` // or a model
-	Method    string          `toml:"method"`  // of a call to a service
-	Prompt    []int           `toml:"prompt"`  // lengths in tokens, one is drawn
+	Model     string          `toml:"model"`   // either this or Service is set
+	Service   string          `toml:"service"` // either this or Model is set
+	Method    string          `toml:"method"`  // HTTP method of a call to a service
+	Prompt    []int           `toml:"prompt"`  // lengths in tokens, one of which is drawn
 	MaxTokens int             `toml:"max_tokens"`
 	Allowed   config.Duration `toml:"allowed"`
-	Keyed     bool            `toml:"keyed"`  // with an idempotency key
-	Shared    float64         `toml:"shared"` // part of the prompt that is the same for an organisation
+	Keyed     bool            `toml:"keyed"`  // sent with an idempotency key
+	Shared    float64         `toml:"shared"` // fraction of the prompt that all requests of an organisation and this kind have in common
 }
 
 // ReadMix reads a mix from a file.
@@ -81,7 +80,7 @@
 // Request is one planned request.
 type Request struct {
 	Index        int
-	At           time.Duration // after the beginning
+	At           time.Duration // after the start of the load
 	Kind         Kind
 	Organisation Organisation
 	Prompt       int // tokens
@@ -89,21 +88,20 @@
 	seed         uint64
 }
 
-// Plan is the schedule of a load: the whole of it is drawn before it begins,
-// so that the same seed gives the same load whatever is measured.
+// Plan is the schedule of a load. It is drawn completely before the load starts, so that a seed
+// gives the same load whatever the fleet does.
 type Plan struct {
 	Requests []Request
 	Event    string
 }
 
-// Surge makes a part of the load arrive at a higher rate.
+// Surge is a period in which requests arrive at a higher rate.
 type Surge struct {
 	From, To time.Duration
 	Factor   float64
 }
 
-// Draw plans n requests over a duration. The surge's part of the time gets its
-// factor of the rate.
+// Draw plans n requests over a duration. During the surge the rate is multiplied by its factor.
 func (m Mix) Draw(n int, d time.Duration, s Surge, seed uint64) Plan {
 	r := rand.New(rand.NewPCG(seed, seed))
 	p := Plan{Event: m.Event}
@@ -144,8 +142,7 @@
 	return ts[len(ts)-1]
 }
 
-// arrival draws a time from the density that is 1 outside the surge and its
-// factor inside.
+// arrival draws an arrival time from a density that is 1 outside the surge and its factor inside.
 func arrival(r *rand.Rand, d time.Duration, s Surge) time.Duration {
 	extra := max(s.Factor-1, 0) * float64(s.To-s.From)
 	x := r.Float64() * (float64(d) + extra)
@@ -161,8 +158,8 @@
 
 const bytesPerToken = 4
 
-// PromptText makes the prompt of a planned request. The shared part at its
-// beginning is the same for all requests of an organisation and a kind.
+// PromptText returns the prompt of a planned request. All requests of an organisation and a kind
+// share its beginning.
 func (q Request) PromptText() string {
 	b := make([]byte, 0, q.Prompt*bytesPerToken)
 	common := int(float64(q.Prompt)*q.Kind.Shared) * bytesPerToken
@@ -177,7 +174,7 @@
 	return h
 }
 
-// fill appends pseudo-random words up to the length.
+// fill appends pseudo-random words until b has the length in bytes.
 func fill(b []byte, length int, seed uint64) []byte {
 	const letters = "abcdefghijklmnopqrstuvwxyz     "
 	x := seed | 1
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/measure"
 )
 
-// Result is what became of one planned request, as its caller saw it.
+// Result is the result of one planned request from its caller's point of view.
 type Result struct {
 	Request    Request
 	Outcome    hollowgrade.Outcome
@@ -27,26 +27,25 @@
 	FirstToken time.Duration
 	Took       time.Duration
 	Tokens     int
-	Wrong      string // why the answer is not the whole answer to this request
+	Wrong      string // why the answer isn't the complete answer to this request; empty if it is
 	RequestID  string
 }
 
 // Runner sends plans.
 type Runner struct {
-	entries []string // base URLs, taken in turn as a balancer would
+	entries []string // base URLs, used round-robin as a load balancer would
 	verify  bool
 	client  *http.Client
 	next    atomic.Uint64
 
-	// Progress is called now and then with the number of requests that were
-	// sent and that have ended.
+	// Progress is called each progressEvery with the number of requests that were sent and of those
+	// that have ended.
 	Progress func(sent, ended int)
 }
 
 const idleConns = 4096
 
-// NewRunner returns a runner. With verify, each answer is compared with the one
-// that the stand-in engine gives.
+// NewRunner returns a runner. With verify, it compares each answer with the stand-in engine's.
 func NewRunner(entries []string, verify bool) *Runner {
 	t := &http.Transport{MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConns, DisableCompression: true}
 	return &Runner{entries: entries, verify: verify, client: &http.Client{Transport: t}, Progress: func(int, int) {}}
@@ -130,7 +129,7 @@
 	return s
 }
 
-// rootCause shortens an error of the HTTP client, which repeats the address.
+// rootCause returns the text of the innermost error: the HTTP client's own error repeats the address.
 func rootCause(err error) string {
 	for u := errors.Unwrap(err); u != nil; u = errors.Unwrap(err) {
 		err = u
@@ -188,7 +187,7 @@
 	s.Outcome, s.Tokens = hollowgrade.Finished, len(v)
 }
 
-// readStream takes in a streamed answer.
+// readStream reads a streamed answer.
 func (s *Result) readStream(b io.Reader, began time.Time, prompt string, verify bool) {
 	v := ReadStream(b)
 	s.Tokens = v.Tokens
@@ -212,7 +211,7 @@
 	}
 }
 
-// Summary is what a run comes to.
+// Summary is the summary of a run.
 type Summary struct {
 	Sent    int            `json:"sent"`
 	Ended   int            `json:"accounted_for"`
@@ -221,7 +220,7 @@
 	Report  measure.Report `json:"report"`
 }
 
-// Summarise makes a summary from the callers' point of view.
+// Summarise summarises results from the callers' point of view.
 func Summarise(rs []Result) (s Summary, err error) {
 	r := measure.NewRecorder("callers", hollowgrade.SystemClock())
 	for _, v := range rs {
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -18,14 +18,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Stream is what a caller received of a streamed answer.
+// Stream is the part of a streamed answer that a caller received.
 type Stream struct {
 	Text        string
 	Tokens      int
-	First       time.Time         // when the first token came
-	Complete    bool              // whether the mark of a whole answer came
-	Failure     entry.ErrorDetail // what the last event said, if it was a failure
-	BreakReason string            // why it ended without either
+	First       time.Time         // when the first token arrived
+	Complete    bool              // whether the end marker arrived
+	Failure     entry.ErrorDetail // of the last event, if it was a failure
+	BreakReason string            // why it ended without end marker and failure
 }
 
 // event is any event of a stream.
--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -25,8 +25,8 @@
 	return q
 }
 
-// addHarmful adds a harmful request that reached workers first times in time, and late times after every gateway has to
-// know it.
+// addHarmful adds a harmful request that reached workers first times in time, and late times after
+// every gateway has to know it.
 func addHarmful(h *history, first, late int) {
 	for i := range first + late {
 		t := at(10)
@@ -44,7 +44,8 @@
 	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
-// addArrivals adds a signal of the worker and then n requests that reach it, one each 0.1 s from 10.05 s on.
+// addArrivals adds a signal of the worker and then n requests that reach it, one each 0.1 s from
+// 10.05 s on.
 func addArrivals(h *history, g signal, seconds float64, n int) {
 	addSignal(h, g, seconds)
 	for i := range n - 1 {
@@ -53,8 +54,8 @@
 	addSignal(h, signal{limit: g.limit}, 30)
 }
 
-// TestPlantedBreaches guards against a check that finds nothing, or too much: each case adds one violation, or one
-// allowed deviation, to a history without violations.
+// TestPlantedBreaches guards against a check that finds nothing, or too much: each case adds one
+// violation, or one allowed deviation, to a history without violations.
 func TestPlantedBreaches(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -61,7 +61,8 @@
 	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leavingSince: map[string]time.Time{}, added: map[string]time.Time{}}
 }
 
-// undisturbed reports whether no unplanned fault was in effect between the two times or less than settleTime before.
+// undisturbed reports whether no unplanned fault was in effect between the two times or less than
+// settleTime before.
 func (h *history) undisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return !s.kind.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
@@ -95,7 +96,8 @@
 	return q.status >= 200 && q.status < 300
 }
 
-// wrongAnswers finds answers of another request, and incomplete answers that look complete or have a wrong beginning.
+// wrongAnswers finds answers of another request, and incomplete answers that look complete or have
+// a wrong beginning.
 func (h *history) wrongAnswers() []string {
 	return h.eachEnded(func(q *request) string {
 		switch {
@@ -192,7 +194,8 @@
 	})
 }
 
-// revertedRoutes finds probes that a gateway refused although the same instance of it had served the route before.
+// revertedRoutes finds probes that a gateway refused although the same instance of it had served
+// the route before.
 func (h *history) revertedRoutes() []string {
 	type place struct {
 		gateway, life int
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// harmful is the prefix of the ids of requests that crash the workers which run them. The requests
-	// of one step have the same path and body.
+	// harmful is the prefix of the ids of requests that crash the workers which run them. The
+	// requests of one step have the same path and body.
 	harmful         = "harm"
 	harmfulInterval = 60 * time.Millisecond // between two requests of a step, each to a random gateway
 	crashDelay      = 50 * time.Millisecond // from the arrival at a worker to its crash
 	workerDownTime  = 700 * time.Millisecond
-	// Every gateway has to know a harmful request settleTime after the third crash; maxLateHarmful more
-	// may follow. Gateways that fail, or reach neither the store nor each other, may each have to detect
-	// it on their own, which maxHarmful allows for.
+	// Every gateway has to know a harmful request settleTime after the third crash; maxLateHarmful
+	// more may follow. Gateways that fail, or reach neither the store nor each other, may each have
+	// to detect it on their own, which maxHarmful allows for.
 	maxLateHarmful = 3
 	maxHarmful     = 24
 )
@@ -83,7 +83,8 @@
 	w.register(b, "ready")
 }
 
-// crashAsync crashes a worker in another goroutine: closing it waits for its answers, one of which is the caller.
+// crashAsync crashes a worker in another goroutine: closing it waits for its answers, one of which
+// is the caller.
 func (w *world) crashAsync(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +95,8 @@
 	}
 }
 
-// addInvalidEntries writes invalid registry entries that have a worker's address, and removes them later.
+// addInvalidEntries writes invalid registry entries that have a worker's address, and removes them
+// later.
 func (w *world) addInvalidEntries(s step) {
 	k := w.worker(s.target)
 	if k == nil {
@@ -126,7 +128,8 @@
 	})
 }
 
-// harmfulForwarded finds harmful requests that gateways forwarded too often, or after they had to know them.
+// harmfulForwarded finds harmful requests that gateways forwarded too often, or after they had to
+// know them.
 func (h *history) harmfulForwarded() (bs []string) {
 	at := map[string][]time.Time{} // arrival times at workers, by body
 	for _, r := range h.runs {
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -56,7 +56,8 @@
 	return kindNames[k]
 }
 
-// plannedWork has the kinds during which all guarantees hold; the others suspend those that are bounded in time.
+// plannedWork has the kinds during which all guarantees hold; the others suspend those that are
+// bounded in time.
 var plannedWork = []kind{stopGateway, reloadGateway, drainWorker, revokeKey, addRoute, growConfig, nameLimit, leaveInAnswers, askForRest}
 
 func (k kind) planned() bool {
@@ -79,8 +80,8 @@
 	// Gaps between steps are shorter than most faults, so that faults overlap.
 	minStepGap, maxStepGap     = 50 * time.Millisecond, 900 * time.Millisecond
 	minFaultTime, maxFaultTime = 300 * time.Millisecond, 3 * time.Second
-	// After every drawsPerCalm draws a calm period has one step of planned work only, so that the bounds
-	// in time are tested as well.
+	// After every drawsPerCalm draws a calm period has one step of planned work only, so that the
+	// bounds in time are tested as well.
 	drawsPerCalm = 12
 	calmPause    = 5 * time.Second
 	maxSeries    = 3 // most steps of one kind in a row
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -130,7 +130,8 @@
 	time.Sleep(d)
 }
 
-// copy forwards bytes in one direction until either side closes. back is true towards the dialling side.
+// copy forwards bytes in one direction until either side closes. back is true towards the dialling
+// side.
 func (p *proxy) copy(to, from net.Conn, back bool) {
 	defer func() {
 		_ = to.Close()
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -89,22 +89,24 @@
 	}
 }
 
-// linkFaults are the faults that excuse a gateway from following a signal: they stop it or disturb its links to workers
-// and peers. Faults of the store excuse nothing, because a signal comes in an answer.
+// linkFaults are the faults that excuse a gateway from following a signal: they stop it or disturb
+// its links to workers and peers. Faults of the store excuse nothing, because a signal comes in an
+// answer.
 var linkFaults = []kind{
 	killGateway, pauseGateway, suspendGateway, stopGateway, silencePeers, resetPeers, delayPeers,
 	delayWorker, resetWorker, silenceWorker, deafenWorker, crashWorker, harmfulRequest,
 }
 
-// connected reports whether no fault of linkFaults was in effect between the two times or less than settleTime before.
+// connected reports whether no fault of linkFaults was in effect between the two times or less than
+// settleTime before.
 func (h *history) connected(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
 		return slices.Contains(linkFaults, s.kind) && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
-// eachRunAfterSignal calls c for each run at a worker that the same instance of a gateway sent after it had received a signal
-// of the worker.
+// eachRunAfterSignal calls c for each run at a worker that the same instance of a gateway sent
+// after it had received a signal of the worker.
 func (h *history) eachRunAfterSignal(of func(w receivedSignal) bool, c func(w receivedSignal, r run)) {
 	for _, w := range h.received {
 		if !of(w) {
@@ -119,8 +121,8 @@
 	}
 }
 
-// ranAfterLeaving finds requests that reached a worker more than maxDrainDelay after it had announced to their gateway that
-// it leaves.
+// ranAfterLeaving finds requests that reached a worker more than maxDrainDelay after it had
+// announced to their gateway that it leaves.
 func (h *history) ranAfterLeaving() (bs []string) {
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.leaving }, func(w receivedSignal, r run) {
 		if r.at.Sub(w.at) > maxDrainDelay && h.connected(w.at, r.at) && len(bs) == 0 {
@@ -130,7 +132,8 @@
 	return bs
 }
 
-// ranDuringRetryDelay finds gateways that sent too many requests to a worker within the retry delay that it had sent.
+// ranDuringRetryDelay finds gateways that sent too many requests to a worker within the retry delay
+// that it had sent.
 func (h *history) ranDuringRetryDelay() (bs []string) {
 	n := map[receivedSignal]int{}
 	h.eachRunAfterSignal(func(w receivedSignal) bool { return w.retryLater }, func(w receivedSignal, r run) {
@@ -143,7 +146,8 @@
 	return bs
 }
 
-// announcedLimit is the limit that a worker announced, and the requests that reached it up to its last announcement.
+// announcedLimit is the limit that a worker announced, and the requests that reached it up to its
+// last announcement.
 type announcedLimit struct {
 	limit         float64 // the largest announced, requests a second
 	first, last   time.Time
@@ -183,8 +187,8 @@
 	return ls
 }
 
-// countInWindow counts the requests that reached the worker in the window that ends at a time, from gateways that had
-// received the limit by then.
+// countInWindow counts the requests that reached the worker in the window that ends at a time, from
+// gateways that had received the limit by then.
 func (l *announcedLimit) countInWindow(end time.Time) (n int) {
 	for _, a := range l.arrivals {
 		first, ok := l.firstReceived[a.gateway]
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -94,7 +94,8 @@
 	w.report(t, seed, p, bs)
 }
 
-// watch checks the history until all steps are over, and returns the violations of the first check that finds some.
+// watch checks the history until all steps are over, and returns the violations of the first check
+// that finds some.
 func (w *world) watch(fs *sync.WaitGroup) (bs []string) {
 	over := make(chan struct{})
 	go func() {
@@ -149,7 +150,8 @@
 	return n
 }
 
-// report logs the figures of a run and fails the test if there are violations, in which case the logs are kept.
+// report logs the figures of a run and fails the test if there are violations, in which case the
+// logs are kept.
 func (w *world) report(t *testing.T, seed uint64, p []step, bs []string) {
 	t.Helper()
 	bs = append(bs, w.check()...)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -42,7 +42,8 @@
 	narrowLinkMbits          = 20
 )
 
-// gateway is one real process, with the proxies through which it reaches the store and peers reach it.
+// gateway is one real process, with the proxies through which it reaches the store and peers reach
+// it.
 type gateway struct {
 	mu       sync.Mutex
 	name     string
@@ -108,8 +109,9 @@
 	return w
 }
 
-// Gateways' ports are below the system's range for outgoing connections, or one of these could take the port
-// of a gateway before it restarts. Each run locks a part of them, as other runs may go on at the same time.
+// Gateways' ports are below the system's range for outgoing connections, or one of these could take
+// the port of a gateway before it restarts. Each run locks a part of them, as other runs may go on
+// at the same time.
 const firstPort, portsPerRun, maxParallelRuns = 12_000, 2_000, 10
 
 // ownPorts returns the first port of this run's part, which stays locked until the process exits.
@@ -135,7 +137,8 @@
 // portsLock is held open for as long as the process runs.
 var portsLock *os.File
 
-// usedPorts has the ports that were assigned: a port stays free until its gateway starts, and could be assigned twice.
+// usedPorts has the ports that were assigned: a port stays free until its gateway starts, and could
+// be assigned twice.
 var usedPorts = map[int]bool{}
 
 func freeAddress(t testing.TB) string {
@@ -227,8 +230,8 @@
 	}()
 }
 
-// signal sends a signal to a gateway's process, if it has one, and returns a channel that is closed when the
-// process has exited.
+// signal sends a signal to a gateway's process, if it has one, and returns a channel that is closed
+// when the process has exited.
 func (g *gateway) signal(s syscall.Signal) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -257,7 +260,8 @@
 	}
 }
 
-// writeConfig writes a new version of the configuration. w.mu must be held, unless the world isn't shared yet.
+// writeConfig writes a new version of the configuration. w.mu must be held, unless the world isn't
+// shared yet.
 func (w *world) writeConfig() {
 	w.version++
 	var routes []string
@@ -297,7 +301,8 @@
 	w.store.PutJSON("keyed.servers", k.ID, r)
 }
 
-// behave answers a request according to a hash of its id, so that the load of a seed meets the same failures in each run.
+// behave answers a request according to a hash of its id, so that the load of a seed meets the same
+// failures in each run.
 func (w *world) behave(k *platformtest.Worker, c net.Conn, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	luck := hash(k.ID+id) % 100
@@ -417,11 +422,12 @@
 	}
 }
 
-// suspendedFileEnv names the file from which a process built with the soak tag reads how long its machine was suspended.
+// suspendedFileEnv names the file from which a process built with the soak tag reads how long its
+// machine was suspended.
 const suspendedFileEnv = "HOLLOWGRADE_SUSPENDED"
 
-// suspendExtraTime is added to the duration of suspensions, so that keys which are revoked meanwhile have to be refused
-// when the machine resumes.
+// suspendExtraTime is added to the duration of suspensions, so that keys which are revoked
+// meanwhile have to be refused when the machine resumes.
 const suspendExtraTime = 4 * time.Second
 
 // suspendedPath returns the path of the gateway's file for suspendedFileEnv.
@@ -462,8 +468,8 @@
 	p.set(pass)
 }
 
-// silenceInTurn silences the links of all gateways but two to the store, one after another, so that the gateways that
-// take over as readers lose the store too.
+// silenceInTurn silences the links of all gateways but two to the store, one after another, so that
+// the gateways that take over as readers lose the store too.
 func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
 	for i := range w.gateways[minServedGateways:] {
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -11,13 +11,12 @@
 	"github.com/hollowgrade/hollowgrade/standalone"
 )
 
-// Boxes is a stand-in for the platform's list of boxes. What it shows is as old
-// as its lag.
+// Boxes is a stand-in for the platform's list of boxes. It shows the list as it was lag ago.
 type Boxes struct {
 	clock hollowgrade.Clock
 
 	mu      sync.Mutex
-	frozen  []hollowgrade.Box // shown while it is not nil
+	frozen  []hollowgrade.Box // returned in the place of the history if not nil
 	lag     time.Duration
 	history []boxesAt
 }
@@ -32,8 +31,8 @@
 	return &Boxes{clock: k, lag: lag, history: []boxesAt{{at: k.Now().Add(-lag)}}}
 }
 
-// Freeze makes the list go on showing what it shows now, or ends that. It stands
-// in for a lag that is longer than a test.
+// Freeze stops or resumes updates of the list that List returns. It stands in for a lag that is
+// longer than a test.
 func (b *Boxes) Freeze(on bool) {
 	bs, _ := b.List(context.Background())
 	b.mu.Lock()
@@ -44,14 +43,14 @@
 	}
 }
 
-// Set enters a box or changes it.
+// Set adds or changes a box.
 func (b *Boxes) Set(x hollowgrade.Box) {
 	b.change(func(bs []hollowgrade.Box) []hollowgrade.Box {
 		return append(without(bs, x.Name), x)
 	})
 }
 
-// Remove takes a box off the list.
+// Remove removes a box.
 func (b *Boxes) Remove(name string) {
 	b.change(func(bs []hollowgrade.Box) []hollowgrade.Box { return without(bs, name) })
 }
@@ -81,7 +80,7 @@
 	return slices.Clone(b.history[0].boxes), nil
 }
 
-// ServeHTTP serves the list, and takes boxes in by PUT.
+// ServeHTTP serves the list, and adds or changes a box on PUT.
 func (b *Boxes) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != standalone.PathBoxes {
 		http.NotFound(w, r)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the systems around hollowgrade: a
-// model engine, a plain service, the platform's log, box list and weight
-// store. The demo, the examples and the tests use them; no role does.
+// Package standin has small stand-ins for the systems around hollowgrade: a model engine, a plain
+// service, the network, and the platform's log, box list and weight store. The demo, the examples and
+// the tests use them; no role does.
 package standin
 
 import (
@@ -21,7 +21,7 @@
 // BytesPerToken is the length of a token in the stand-in engine's tokenizer.
 const BytesPerToken = 4
 
-// The errors that an engine answers with.
+// The errors that an engine returns.
 var (
 	ErrEngineDown  = errors.New("engine is down")
 	ErrNoMemory    = errors.New("not enough memory")
@@ -35,16 +35,16 @@
 // EngineConfig gives the size and the speed of a stand-in engine.
 type EngineConfig struct {
 	Models       []string
-	MemoryTokens int           // what its memory holds
-	StepTokens   int           // tokens that one step may work on
+	MemoryTokens int           // capacity of the memory
+	StepTokens   int           // token budget of a step
 	PrefillRate  float64       // prompt tokens a second
 	StepBase     time.Duration // time of a step without prefill
-	MaxRunning   int           // sequences in one batch
-	LoadLag      time.Duration // age of what Load reports
+	MaxRunning   int           // most sequences in a batch
+	LoadLag      time.Duration // age of the load that Load returns
 }
 
-// DefaultEngine returns the size that the demo uses. The longest prompts, of a
-// million tokens, need more than twice its memory.
+// DefaultEngine returns the configuration that the demo uses. The longest prompts, of a million
+// tokens, need more than twice its memory.
 func DefaultEngine(models ...string) EngineConfig {
 	return EngineConfig{
 		Models:       models,
@@ -57,10 +57,9 @@
 	}
 }
 
-// Engine is a stand-in for a model engine with continuous batching. Each step
-// gives one token to each decoding sequence, and what is left of the step's
-// budget to prefills in the order in which they were admitted: a long prefill
-// holds up those admitted after it, as in the engines that are in use.
+// Engine is a stand-in for a model engine with continuous batching. Each step decodes one token for
+// each decoding sequence, and spends the rest of its budget on prefills in the order of their
+// admission: a long prefill delays later ones, as in real engines.
 type Engine struct {
 	config EngineConfig
 	clock  hollowgrade.Clock
@@ -81,11 +80,11 @@
 	runs     []Run
 }
 
-// Run is one entry of the engine's own record of what ran, which the checkers
-// of the fault tests compare with what callers were told.
+// Run is one entry of the engine's record of the sequences that it accepted, which fault tests
+// compare with the answers that callers received.
 type Run struct {
 	ID     string
-	At     time.Time // when the engine took it
+	At     time.Time // when the engine accepted it
 	Tokens int       // tokens generated
 	Ended  bool
 }
@@ -102,16 +101,16 @@
 	digest    xxhash.Digest
 	hash      uint64
 	blocks    []uint64
-	prompt    int // tokens still counted to this sequence's own prefill
+	prompt    int // tokens to prefill, with those of Prefix
 	prefilled int
 	generated int // tokens of the answer, with those of Prefix
-	need      int
+	need      int // tokens of memory
 	run       int // index into Engine.runs
 	out       chan hollowgrade.Token
-	err       error // why out was closed; set before it is
+	err       error // why out was closed; set before that
 }
 
-// NewEngine returns an engine and starts its loop.
+// NewEngine returns an engine with its loop running.
 func NewEngine(c EngineConfig, k hollowgrade.Clock) *Engine {
 	e := &Engine{
 		config:   c,
@@ -132,7 +131,8 @@
 	close(e.stopped)
 }
 
-// Kill makes the engine lose all that it holds and refuse calls until Revive.
+// Kill simulates a crash: the engine loses its sequences, holdings and cache, and refuses calls until
+// Restart.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,14 +146,14 @@
 	e.cache.init()
 }
 
-// Restart ends what Kill began.
+// Restart makes an engine accept calls again after Kill.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 }
 
-// Freeze stops the engine's steps, or lets them go on.
+// Freeze stops or resumes the engine's steps.
 func (e *Engine) Freeze(on bool) {
 	e.mu.Lock()
 	e.frozen = on
@@ -161,7 +161,7 @@
 	e.notify()
 }
 
-// Runs returns the record of what ran.
+// Runs returns the record of all accepted sequences.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -292,8 +292,8 @@
 	}
 }
 
-// plan admits what fits, assigns the step's budget and returns the step's
-// time. It returns false if there is nothing to do.
+// plan admits the sequences that fit, assigns the step's budget and returns the step's time. It
+// returns false if there is nothing to do.
 func (e *Engine) plan() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -337,7 +337,7 @@
 	}
 }
 
-// deliver gives out the tokens of the step that has ended.
+// deliver sends the tokens of the step that has ended, and releases finished sequences.
 func (e *Engine) deliver() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -357,7 +357,7 @@
 	e.running = kept
 }
 
-// advance produces one token and reports whether the sequence is done.
+// advance generates one token and reports whether the sequence is finished.
 func (e *Engine) advance(s *sequence) bool {
 	if s.HoldOnly {
 		return true
@@ -382,8 +382,9 @@
 	}
 }
 
-// AnswerToken returns the token at an offset of the answer to the prompt with
-// the given xxhash, so that tests can tell a whole answer and whose it is.
+// AnswerToken returns the token at an offset of the answer to the prompt with the given xxhash.
+// Tokens depend on both, so that tests can verify that an answer is complete and belongs to its
+// prompt.
 func AnswerToken(digest uint64, offset int) string {
 	var b [16]byte
 	for i := range 8 {
@@ -393,7 +394,7 @@
 	return strconv.FormatUint(xxhash.Sum64(b[:])&0xffffff, 36) + " "
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(prompt string, tokens int) string {
 	h := xxhash.Sum64String(prompt)
 	var b []byte
@@ -425,10 +426,10 @@
 	return s.engine.Cancel(context.Background(), s.sequence.ID)
 }
 
-const blockTokens = 256 // unit of the prefix cache
+const blockTokens = 256 // block size of the prefix cache
 
-// chain returns the chained hashes of the whole blocks of a prompt that comes
-// after a prefix whose chained hash is h, and the hash after all of it.
+// chain returns the chained hashes of the full blocks of a prompt that follows a prefix with the
+// chained hash h, and the last hash (h if there is no full block).
 func chain(h uint64, prompt string) (bs []uint64, last uint64) {
 	const size = blockTokens * BytesPerToken
 	for ; len(prompt) >= size; prompt = prompt[size:] {
@@ -449,7 +450,7 @@
 	c.at = map[uint64]*list.Element{}
 }
 
-// hit returns how many of the leading blocks are in the cache.
+// hit returns the number of leading blocks that are cached.
 func (c *prefixCache) hit(bs []uint64) int {
 	for i, b := range bs {
 		l, ok := c.at[b]
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -113,7 +113,7 @@
 func reply(w http.ResponseWriter, v any, err error) {
 	switch {
 	case errors.Is(err, ErrEngineDown):
-		// A dead engine answers nobody; the connection breaks.
+		// A crashed engine sends no answer: this closes the connection.
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, ErrNoMemory):
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -64,8 +64,8 @@
 	return formatHandle(h)
 }
 
-// A handle carries the state of the prompt's hash, so that another engine can
-// go on from it without asking the first one.
+// formatHandle encodes the state of the prompt's hash into a handle, so that another engine can
+// continue from it without a call to the first one.
 func formatHandle(h *holding) (string, error) {
 	b, err := h.digest.MarshalBinary()
 	if err != nil {
@@ -126,7 +126,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// Used returns how many tokens of memory are taken.
+// Used returns the used memory in tokens.
 func (e *Engine) Used() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,8 +145,8 @@
 	return e.loads[0], nil
 }
 
-// recordLoad notes the present load, and forgets those that are older than the lag
-// but for the newest of them.
+// recordLoad records the current load, and drops entries older than the lag except the newest of
+// them.
 func (e *Engine) recordLoad() {
 	now := e.clock.Now()
 	e.loads = append(e.loads, hollowgrade.EngineLoad{
--- a/internal/standin/freeze.go
+++ b/internal/standin/freeze.go
@@ -8,15 +8,14 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Freezer stops a process at each point where it meets the outside: its timers,
-// its connections and its upstream. It stands in for SIGSTOP where time is
-// virtual.
+// Freezer blocks a process wherever it interacts with the outside: in its timers, its connections
+// and the calls of its upstream. It stands in for SIGSTOP in tests with virtual time.
 type Freezer struct {
 	mu     sync.Mutex
 	thawed chan struct{} // nil while nothing is frozen
 }
 
-// Set freezes the process or lets it go on.
+// Set freezes or resumes the process.
 func (f *Freezer) Set(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +28,7 @@
 	}
 }
 
-// Wait returns once the process is not frozen.
+// Wait blocks while the process is frozen.
 func (f *Freezer) Wait() {
 	for {
 		f.mu.Lock()
@@ -82,8 +81,8 @@
 	return t.ch
 }
 
-// Engine returns the engine as the process sees it: calls wait while it is
-// frozen, and fail while the link is cut.
+// Engine returns the engine as the process sees it: calls block while the process is frozen, and
+// fail while the link is cut.
 func (f *Freezer) Engine(e *Engine) *LinkedEngine {
 	return &LinkedEngine{Engine: e, freezer: f}
 }
@@ -98,8 +97,8 @@
 	cancels map[string]context.CancelFunc
 }
 
-// SetCut cuts the link to the engine, or mends it. Streams that are open break,
-// and the engine cancels them as it notices that their reader is gone.
+// SetCut cuts or restores the link to the engine. Open streams break, and the engine cancels their
+// sequences, as it does when a reader disconnects.
 func (l *LinkedEngine) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -23,11 +23,10 @@
 	ErrTooFast = errors.New("the rate limit is reached")
 )
 
-// appendsPerSecond is what the platform says of its log.
+// appendsPerSecond is the platform's documented rate limit of its log.
 const appendsPerSecond = 100
 
-// Log is a stand-in for the platform's append-only log. Its faults are set by
-// tests.
+// Log is a stand-in for the platform's append-only log. Tests inject its faults.
 type Log struct {
 	clock     hollowgrade.Clock
 	retention time.Duration
@@ -37,11 +36,10 @@
 	records       []hollowgrade.Record
 	earliest      int64
 	outage        bool
-	answersToLose int // appends whose answers are still to be lost
+	answersToLose int // number of appends whose answers are still to be dropped
 }
 
-// NewLog returns an empty log that keeps records for the retention; for ever
-// if that is 0.
+// NewLog returns an empty log that keeps records for the retention, or forever if it is 0.
 func NewLog(retention time.Duration, k hollowgrade.Clock) *Log {
 	return &Log{clock: k, retention: retention, limit: rate.NewLimiter(appendsPerSecond, appendsPerSecond)}
 }
@@ -53,7 +51,7 @@
 	l.outage = on
 }
 
-// LoseAnswers makes the next n appends take effect and answer with an error.
+// LoseAnswers makes the next n appends take effect but answer with an error.
 func (l *Log) LoseAnswers(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,8 +82,7 @@
 	return l.earliest + int64(len(l.records))
 }
 
-// Trim drops the records before the offset, as the passing of the retention
-// does.
+// Trim drops the records before the offset, as if their retention had expired.
 func (l *Log) Trim(before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +125,7 @@
 	l.trim(l.earliest + int64(i))
 }
 
-// maxRecordBytes bounds one record.
+// maxRecordBytes bounds the body of one record.
 const maxRecordBytes = 8 << 20
 
 // ServeHTTP serves the log's protocol.
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// Network is a stand-in for the network between boxes. It runs in the virtual
-// time of a test, gives each pair of places a delay, and can cut links and
-// freeze boxes.
+// Network is a stand-in for the network between boxes. It runs in a test's virtual time, delays
+// packets for each pair of addresses, and can cut links and freeze boxes.
 type Network struct {
 	delay func(from, to string) time.Duration
 
@@ -24,7 +23,7 @@
 
 type pair struct{ a, b string }
 
-// NewNetwork returns a network with the delay, one way, between two addresses.
+// NewNetwork returns a network with the given one-way delay between two addresses.
 func NewNetwork(delay func(from, to string) time.Duration) *Network {
 	return &Network{
 		delay:     delay,
@@ -35,7 +34,7 @@
 	}
 }
 
-// errRefused is what dialling an address without a listener gives.
+// errRefused is the error of dialling an address without a listener.
 var errRefused = errors.New("connection refused")
 
 // Listen opens a listener at an address, which is any name.
@@ -68,7 +67,7 @@
 	cut := n.isCut(from, to)
 	n.mu.Unlock()
 	if cut {
-		// Packets vanish; only the dialler's patience ends it.
+		// Packets are dropped, so that the dial ends only with the caller's timeout.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -88,7 +87,7 @@
 	}
 }
 
-// Freezer returns what stops the box at an address.
+// Freezer returns the freezer of the box at an address.
 func (n *Network) Freezer(address string) *Freezer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,8 +99,8 @@
 	return f
 }
 
-// ResetFreezer makes the next process at an address one that nothing has frozen. The
-// former one stays as it is.
+// ResetFreezer gives the next process at an address a new freezer, so that it starts unfrozen. The
+// former process keeps its state.
 func (n *Network) ResetFreezer(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,8 +111,7 @@
 	n.Freezer(address).Wait()
 }
 
-// Cut breaks all connections between two addresses and lets none come about
-// until Mend.
+// Cut breaks all connections between two addresses and prevents new ones until Heal.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,7 +123,7 @@
 	}
 }
 
-// Heal ends what Cut began.
+// Heal restores the link between two addresses after Cut.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,8 +135,7 @@
 	return n.cut[pair{a, b}] || n.cut[pair{b, a}]
 }
 
-// Kill breaks all connections of an address and closes its listener, as the
-// death of its process does.
+// Kill breaks all connections of an address and closes its listener, as a crash of its process does.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -197,8 +194,8 @@
 // String implements [net.Addr].
 func (a Address) String() string { return string(a) }
 
-// link is one connection: two pipes, and two goroutines for each direction
-// that carry what is written, delayed.
+// link is one connection: two pipes, and two goroutines for each direction that forward the data
+// with a delay.
 type link struct {
 	network  *Network
 	from, to string
@@ -243,7 +240,7 @@
 	maxPacketsInFlight = 256
 )
 
-// carry takes what one end writes to the other end.
+// carry reads from one end, and queues the data for deliver, which writes it to the other end.
 func (k *link) carry(in, out net.Conn, from, to string) {
 	ps := make(chan packet, maxPacketsInFlight)
 	go k.deliver(ps, out, to)
@@ -266,7 +263,7 @@
 	}
 }
 
-// deliver ends the connection once everything that was sent has arrived.
+// deliver writes each packet once its delay has passed, and closes the connection after the last.
 func (k *link) deliver(ps <-chan packet, out net.Conn, to string) {
 	defer k.close()
 	for p := range ps {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -11,8 +11,8 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Service is a stand-in for a plain service. It answers each call with what it
-// received, after a delay, and keeps a record of what ran.
+// Service is a stand-in for a plain service. It echoes each call after a delay, and records the
+// calls.
 type Service struct {
 	clock hollowgrade.Clock
 	delay time.Duration
@@ -37,19 +37,19 @@
 	Body         string `json:"body"`
 }
 
-// NewService returns a service that takes the delay for each call.
+// NewService returns a service that answers each call after the delay.
 func NewService(delay time.Duration, k hollowgrade.Clock) *Service {
 	return &Service{clock: k, delay: delay}
 }
 
-// SetDown makes the service break connections, or ends that.
+// SetDown makes the service close connections without an answer, or ends that.
 func (s *Service) SetDown(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = on
 }
 
-// Runs returns the calls that ran.
+// Runs returns the recorded calls.
 func (s *Service) Runs() []ServiceRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -23,8 +23,7 @@
 	fetches []standalone.FetchCall
 }
 
-// NewWeights returns a store that allows one fetch for each interval, and a
-// few at once.
+// NewWeights returns a store that allows one fetch for each interval, and bursts of the given size.
 func NewWeights(interval time.Duration, burst int, k hollowgrade.Clock) *Weights {
 	return &Weights{clock: k, limit: rate.NewLimiter(rate.Every(interval), burst)}
 }
@@ -36,7 +35,7 @@
 	s.outage = on
 }
 
-// Fetches returns what was fetched.
+// Fetches returns the fetches that were allowed.
 func (s *Weights) Fetches() []standalone.FetchCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
