--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -64,7 +64,7 @@
 	switch kind {
 	case "stream":
 		q.want = ""
-		for i := range events {
+		for i := range streamEvents {
 			q.want += platformtest.Event(i + 1)
 		}
 	case "probe":
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -28,7 +28,7 @@
 }
 
 const (
-	events        = 12 // events of a stream
+	streamEvents  = 12 // events of a stream
 	permanentKeys = 3  // keys that are never revoked
 	totalKeys     = 40 // keys in all
 	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
@@ -346,9 +346,9 @@
 	case !strings.HasPrefix(id, "stream"):
 		return platformtest.Answer(http.StatusOK, "answer to "+id)
 	case luck < 20:
-		return platformtest.Stream(events, int(luck)-7)
+		return platformtest.Stream(streamEvents, int(luck)-7)
 	default:
-		return platformtest.Stream(events, 0)
+		return platformtest.Stream(streamEvents, 0)
 	}
 }
 
