--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -33,7 +33,7 @@
 		if i >= first {
 			t = at(10).Add(crashDelay + settleTime + time.Second)
 		}
-		q := &request{id: fmt.Sprint(harmful, "-1-", i), path: "/again/" + harmful, body: harmful + "-1", sent: t, ended: t, status: 502}
+		q := &request{id: fmt.Sprint(harmfulPrefix, "-1-", i), path: "/again/" + harmfulPrefix, body: harmfulPrefix + "-1", sent: t, ended: t, status: 502}
 		h.requests[q.id] = q
 		h.runs = append(h.runs, run{id: q.id, worker: "w", path: q.path, body: q.body, organisation: "o", at: t})
 	}
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// harmful is the prefix of the ids of requests that crash the workers which run them. The
+	// harmfulPrefix is the prefix of the ids of requests that crash the workers which run them. The
 	// requests of one step have the same path and body.
-	harmful         = "harm"
+	harmfulPrefix   = "harm"
 	harmfulInterval = 60 * time.Millisecond // between two requests of a step, each to a random gateway
 	crashDelay      = 50 * time.Millisecond // from the arrival at a worker to its crash
 	workerDownTime  = 700 * time.Millisecond
@@ -29,7 +29,7 @@
 func (w *world) sendHarmful(s step) {
 	r := rand.New(rand.NewPCG(uint64(s.target), 1))
 	t := &http.Transport{DisableKeepAlives: true}
-	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
+	name := fmt.Sprint(harmfulPrefix, "-", s.at.Milliseconds())
 	for n, end := 0, time.Now().Add(s.duration); time.Now().Before(end); n++ {
 		g := r.IntN(len(w.gateways))
 		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), sent: time.Now()}
@@ -133,7 +133,7 @@
 func (h *history) harmfulForwarded() (bs []string) {
 	at := map[string][]time.Time{} // arrival times at workers, by body
 	for _, r := range h.runs {
-		if strings.HasPrefix(r.id, harmful) && !r.refused {
+		if strings.HasPrefix(r.id, harmfulPrefix) && !r.refused {
 			at[r.body] = append(at[r.body], r.at)
 		}
 	}
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -316,7 +316,7 @@
 	refuses := w.signals[k.ID].retryLater
 	w.history.runs = append(w.history.runs, run{
 		id: id, worker: k.ID, path: r.URL.Path, body: body, organisation: r.Header.Get("Tenant"), at: time.Now(),
-		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmful) || r.Header.Get("Expect-Instance") != k.ID, key: r.Header.Get("Authorization") != "",
+		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, key: r.Header.Get("Authorization") != "",
 	})
 	w.mu.Unlock()
 	switch {
@@ -324,7 +324,7 @@
 		platformtest.Misdirected(k, c, r)
 	case refuses:
 		w.recordSignal(platformtest.Shed)(k, c, r)
-	case strings.HasPrefix(id, harmful):
+	case strings.HasPrefix(id, harmfulPrefix):
 		time.Sleep(crashDelay)
 		w.crashAsync(k, restartMode(luck%uint64(restartModes)))
 	case luck < 3:
