--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -31,8 +31,8 @@
 // checkInterval is the interval at which the history is checked during a run.
 const checkInterval = time.Second
 
-// build builds the tested program.
-func build(t testing.TB) string {
+// buildBinary builds the tested program.
+func buildBinary(t testing.TB) string {
 	t.Helper()
 	b := filepath.Join(t.TempDir(), "hollowgrade")
 	out, err := exec.Command("go", "build", "-tags", "soak", "-o", b, "../../cmd/hollowgrade").CombinedOutput()
@@ -59,7 +59,7 @@
 }
 
 func TestSoak(t *testing.T) {
-	b := build(t)
+	b := buildBinary(t)
 	for _, s := range parseSeeds(t, *seeds) {
 		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) { runSeed(t, b, s) })
 	}
