--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -79,7 +79,7 @@
 		{"changed path", func(h *history, _ *request) { h.runs[0].path = "/once/y" }, "UNASKED"},
 		{"changed body", func(h *history, _ *request) { h.runs[0].body = "" }, "UNASKED"},
 		{"another organisation", func(h *history, _ *request) { h.runs[0].organisation = "p" }, "UNASKED"},
-		{"key handed on", func(h *history, _ *request) { h.runs[0].key = true }, "UNASKED"},
+		{"key handed on", func(h *history, _ *request) { h.runs[0].keyForwarded = true }, "UNASKED"},
 		{"key revoked long before", func(h *history, _ *request) { h.revoked["k"] = at(10 - 5.1) }, "CONFIG"},
 		{"key revoked just before", func(h *history, _ *request) { h.revoked["k"] = at(10 - 4.9) }, ""},
 		{"worker left long before", func(h *history, _ *request) { h.leavingSince["w"] = at(10 - 2.1) }, "DRAIN"},
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -36,7 +36,7 @@
 type run struct {
 	id, worker, path, body, organisation string
 	at                                   time.Time
-	refused, key                         bool
+	refused, keyForwarded                bool
 }
 
 // span is a period in which a fault was in effect.
@@ -165,8 +165,8 @@
 			return "UNASKED, no caller sent it"
 		case r.path != q.path || r.body != q.body:
 			return fmt.Sprintf("UNASKED, changed to %s %q", r.path, r.body)
-		case r.organisation != "o" || r.key:
-			return fmt.Sprintf("UNASKED, organisation %q, key handed on: %t", r.organisation, r.key)
+		case r.organisation != "o" || r.keyForwarded:
+			return fmt.Sprintf("UNASKED, organisation %q, key handed on: %t", r.organisation, r.keyForwarded)
 		}
 		return ""
 	})
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -316,7 +316,7 @@
 	refuses := w.signals[k.ID].retryLater
 	w.history.runs = append(w.history.runs, run{
 		id: id, worker: k.ID, path: r.URL.Path, body: body, organisation: r.Header.Get("Tenant"), at: time.Now(),
-		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, key: r.Header.Get("Authorization") != "",
+		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, keyForwarded: r.Header.Get("Authorization") != "",
 	})
 	w.mu.Unlock()
 	switch {
