--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -84,7 +84,7 @@
 func (w *world) send(t *http.Transport, q *request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
-	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gateways[q.gateway].callers+q.path, strings.NewReader(q.body))
+	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gateways[q.gateway].callersAddress+q.path, strings.NewReader(q.body))
 	if err != nil {
 		w.t.Errorf("request %s: %v", q.id, err)
 		return
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -45,16 +45,16 @@
 // gateway is one real process, with the proxies through which it reaches the store and peers reach
 // it.
 type gateway struct {
-	mu       sync.Mutex
-	name     string
-	config   string
-	callers  string
-	ready    string
-	store    *proxy
-	peers    *proxy    // through which peers reach it
-	cmd      *exec.Cmd // nil until the first start
-	exited   chan struct{}
-	instance int
+	mu             sync.Mutex
+	name           string
+	config         string
+	callersAddress string
+	ready          string
+	store          *proxy
+	peers          *proxy    // through which peers reach it
+	cmd            *exec.Cmd // nil until the first start
+	exited         chan struct{}
+	instance       int
 
 	suspended time.Duration // total; the process reads it from a file
 }
@@ -165,11 +165,11 @@
 
 func (w *world) newGateway(i int, seeds *[]string) *gateway {
 	g := &gateway{
-		name:    fmt.Sprint("box-", i),
-		callers: freeAddress(w.t),
-		ready:   freeAddress(w.t),
-		store:   newProxy(w.t, w.store.Address()),
-		config:  filepath.Join(w.logs, fmt.Sprint("box-", i, ".toml")),
+		name:           fmt.Sprint("box-", i),
+		callersAddress: freeAddress(w.t),
+		ready:          freeAddress(w.t),
+		store:          newProxy(w.t, w.store.Address()),
+		config:         filepath.Join(w.logs, fmt.Sprint("box-", i, ".toml")),
 	}
 	peers := freeAddress(w.t)
 	g.peers = newProxy(w.t, peers)
@@ -195,7 +195,7 @@
 retry_ratio = %g
 retry_slack = %d
 retry_window = %q
-`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
+`, g.name, g.callersAddress, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
 		retryRatio, retrySlack, retryWindow)
 	require.NoError(w.t, os.WriteFile(g.config, []byte(text), 0o600))
 	return g
