--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -49,7 +49,7 @@
 	name           string
 	config         string
 	callersAddress string
-	ready          string
+	readyAddress   string
 	store          *proxy
 	peers          *proxy    // through which peers reach it
 	cmd            *exec.Cmd // nil until the first start
@@ -167,7 +167,7 @@
 	g := &gateway{
 		name:           fmt.Sprint("box-", i),
 		callersAddress: freeAddress(w.t),
-		ready:          freeAddress(w.t),
+		readyAddress:   freeAddress(w.t),
 		store:          newProxy(w.t, w.store.Address()),
 		config:         filepath.Join(w.logs, fmt.Sprint("box-", i, ".toml")),
 	}
@@ -195,7 +195,7 @@
 retry_ratio = %g
 retry_slack = %d
 retry_window = %q
-`, g.name, g.callersAddress, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
+`, g.name, g.callersAddress, g.readyAddress, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
 		retryRatio, retrySlack, retryWindow)
 	require.NoError(w.t, os.WriteFile(g.config, []byte(text), 0o600))
 	return g
