--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -305,7 +305,7 @@
 // failures in each run.
 func (w *world) behave(k *platformtest.Worker, c net.Conn, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
-	luck := hash(k.ID+id) % 100
+	draw := hash(k.ID+id) % 100
 	body := ""
 	for i, q := range k.Seen() {
 		if q == r {
@@ -316,7 +316,7 @@
 	refuses := w.signals[k.ID].retryLater
 	w.history.runs = append(w.history.runs, run{
 		id: id, worker: k.ID, path: r.URL.Path, body: body, organisation: r.Header.Get("Tenant"), at: time.Now(),
-		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, keyForwarded: r.Header.Get("Authorization") != "",
+		refused: refuses || draw < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, keyForwarded: r.Header.Get("Authorization") != "",
 	})
 	w.mu.Unlock()
 	switch {
@@ -326,18 +326,18 @@
 		w.recordSignal(platformtest.Shed)(k, c, r)
 	case strings.HasPrefix(id, harmfulPrefix):
 		time.Sleep(crashDelay)
-		w.crashAsync(k, restartMode(luck%uint64(restartModes)))
-	case luck < 3:
+		w.crashAsync(k, restartMode(draw%uint64(restartModes)))
+	case draw < 3:
 		w.recordSignal(platformtest.Shed)(k, c, r)
-	case luck < 5:
+	case draw < 5:
 		platformtest.Reset(k, c, r)
-	case luck < 7:
+	case draw < 7:
 		w.recordSignal(platformtest.Answer(http.StatusInternalServerError, "no"))(k, c, r)
-	case luck < 8:
+	case draw < 8:
 		platformtest.Hang(k, c, r)
 	default:
-		time.Sleep(time.Duration(luck) * time.Millisecond)
-		w.recordSignal(answer(id, luck))(k, c, r)
+		time.Sleep(time.Duration(draw) * time.Millisecond)
+		w.recordSignal(answer(id, draw))(k, c, r)
 	}
 }
 
