--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -341,12 +341,12 @@
 	}
 }
 
-func answer(id string, luck uint64) platformtest.Behaviour {
+func answer(id string, draw uint64) platformtest.Behaviour {
 	switch {
 	case !strings.HasPrefix(id, "stream"):
 		return platformtest.Answer(http.StatusOK, "answer to "+id)
-	case luck < 20:
-		return platformtest.Stream(streamEvents, int(luck)-7)
+	case draw < 20:
+		return platformtest.Stream(streamEvents, int(draw)-7)
 	default:
 		return platformtest.Stream(streamEvents, 0)
 	}
