--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -213,8 +213,8 @@
 	n.mu.Lock()
 	n.conns[k] = struct{}{}
 	n.mu.Unlock()
-	go k.carry(a2, b1, from, to)
-	go k.carry(b1, a2, to, from)
+	go k.forward(a2, b1, from, to)
+	go k.forward(b1, a2, to, from)
 	return a1, b2, k
 }
 
@@ -240,8 +240,8 @@
 	maxPacketsInFlight = 256
 )
 
-// carry reads from one end, and queues the data for deliver, which writes it to the other end.
-func (k *link) carry(in, out net.Conn, from, to string) {
+// forward reads from one end, and queues the data for deliver, which writes it to the other end.
+func (k *link) forward(in, out net.Conn, from, to string) {
 	ps := make(chan packet, maxPacketsInFlight)
 	go k.deliver(ps, out, to)
 	defer close(ps)
