--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -49,7 +49,7 @@
 // Dial returns a function that opens connections from an address.
 func (n *Network) Dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
-		n.wait(from)
+		n.waitUnfrozen(from)
 		t := time.NewTimer(2 * n.delay(from, to))
 		defer t.Stop()
 		select {
@@ -107,7 +107,7 @@
 	delete(n.frozen, address)
 }
 
-func (n *Network) wait(address string) {
+func (n *Network) waitUnfrozen(address string) {
 	n.Freezer(address).Wait()
 }
 
@@ -249,7 +249,7 @@
 	for {
 		c, err := in.Read(b)
 		if c > 0 {
-			k.network.wait(from)
+			k.network.waitUnfrozen(from)
 			p := packet{data: slices.Clone(b[:c]), at: time.Now().Add(k.delay)}
 			select {
 			case ps <- p:
@@ -276,7 +276,7 @@
 				return
 			}
 		}
-		k.network.wait(to)
+		k.network.waitUnfrozen(to)
 		if _, err := out.Write(p.data); err != nil {
 			return
 		}
