--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -58,11 +58,11 @@
 	results := make([]Result, len(p.Requests))
 	var sent, ended atomic.Int64
 	var g sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	stop := make(chan struct{})
 	go r.report(stop, &sent, &ended)
 	for i, q := range p.Requests {
-		if !sleepUntil(ctx, began.Add(q.At)) {
+		if !sleepUntil(ctx, start.Add(q.At)) {
 			results[i] = Result{Request: q, Outcome: hollowgrade.NotRun, Code: "not sent"}
 			continue
 		}
