--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -103,14 +103,14 @@
 
 func (r *Runner) send(ctx context.Context, q Request, event string) (s Result) {
 	s.Request = q
-	began := time.Now()
-	defer func() { s.Took = time.Since(began) }()
+	start := time.Now()
+	defer func() { s.Took = time.Since(start) }()
 	h, prompt, err := r.newRequest(ctx, q, event)
 	if err != nil {
 		s.Outcome, s.Code = hollowgrade.NotRun, err.Error()
 		return s
 	}
-	began = time.Now()
+	start = time.Now()
 	res, err := r.client.Do(h)
 	if err != nil {
 		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+rootCause(err)
@@ -124,7 +124,7 @@
 	case q.Kind.Service != "":
 		s.readService(res.Body)
 	default:
-		s.readStream(res.Body, began, prompt, r.verify)
+		s.readStream(res.Body, start, prompt, r.verify)
 	}
 	return s
 }
