--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -188,11 +188,11 @@
 }
 
 // readStream reads a streamed answer.
-func (s *Result) readStream(b io.Reader, began time.Time, prompt string, verify bool) {
+func (s *Result) readStream(b io.Reader, start time.Time, prompt string, verify bool) {
 	v := ReadStream(b)
 	s.Tokens = v.Tokens
 	if !v.First.IsZero() {
-		s.FirstToken = v.First.Sub(began)
+		s.FirstToken = v.First.Sub(start)
 	}
 	switch {
 	case v.Complete:
