--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -73,14 +73,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.awaitServing(t, "at the start")
-	begin := time.Now()
+	start := time.Now()
 	var cs, fs sync.WaitGroup
 	for i := range *callers {
 		cs.Go(func() { w.runCaller(ctx, seed, i) })
 	}
 	for _, s := range p {
 		fs.Go(func() {
-			time.Sleep(s.at - time.Since(begin))
+			time.Sleep(s.at - time.Since(start))
 			w.apply(s)
 		})
 	}
