--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -437,11 +437,11 @@
 
 // suspend simulates a suspension of the gateway's machine.
 func (w *world) suspend(g *gateway, d time.Duration) {
-	begin := time.Now()
+	start := time.Now()
 	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	g.mu.Lock()
-	g.suspended += time.Since(begin)
+	g.suspended += time.Since(start)
 	part := g.suspendedPath() + ".part" // renaming makes the write atomic
 	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspendedPath()))
 	g.mu.Unlock()
