--- a/internal/soak/breach_test.go
+++ b/internal/soak/breach_test.go
@@ -44,8 +44,8 @@
 	h.received = append(h.received, receivedSignal{signal: g, worker: "w", at: at(seconds)})
 }
 
-// addArrivals adds a signal of the worker and then n requests that reach it, one each 0.1 s from
-// 10.05 s on.
+// addArrivals adds a signal of the worker, n-1 requests that reach it every 0.1 s after the case's
+// own request at 10.05 s, and a last announcement of its limit at 30 s.
 func addArrivals(h *history, g signal, seconds float64, n int) {
 	addSignal(h, g, seconds)
 	for i := range n - 1 {
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -80,7 +80,7 @@
 	return q
 }
 
-// send sends a request and records its answer.
+// send sends a request and records its answer or error.
 func (w *world) send(t *http.Transport, q *request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -84,7 +84,7 @@
 	// bounds in time are tested as well.
 	drawsPerCalm = 12
 	calmPause    = 5 * time.Second
-	maxSeries    = 3 // most steps of one kind in a row
+	maxSeries    = 3 // maximum of steps of one kind in a row
 )
 
 // newPlan generates the steps of a seed.
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -76,7 +76,7 @@
 	w.signals[k.ID] = g
 }
 
-// recordSignal records the signal that a worker sends to the request's gateway, before it answers.
+// recordSignal wraps a behaviour, and records the signal that its answer carries to the gateway.
 func (w *world) recordSignal(b platformtest.Behaviour) platformtest.Behaviour {
 	return func(k *platformtest.Worker, c net.Conn, r *http.Request) {
 		w.mu.Lock()
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -28,7 +28,7 @@
 }
 
 const (
-	streamEvents  = 12 // events of a stream
+	streamEvents  = 12 // in each stream
 	permanentKeys = 3  // keys that are never revoked
 	totalKeys     = 40 // keys in all
 	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -32,7 +32,7 @@
 	ErrDuplicateID = errors.New("id is in use")
 )
 
-// EngineConfig gives the size and the speed of a stand-in engine.
+// EngineConfig is the size and the speed of a stand-in engine.
 type EngineConfig struct {
 	Models       []string
 	MemoryTokens int           // capacity of the memory
