--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,38 +19,37 @@
 	"github.com/hollowgrade/hollowgrade/measure"
 )
 
-// Options are what a user of the demo can choose.
+// Options are the demo's options.
 type Options struct {
 	Seed     uint64
 	Requests int
 	Duration time.Duration
-	JSON     bool // print one JSON document in the place of text
-	Keep     bool // go on listening until ctx ends
+	JSON     bool // print the report as one JSON document
+	Keep     bool // serve until ctx ends
 	Size     Size
 }
 
-// ErrUnaccounted says that a request has no end that its caller could see, or a
-// wrong answer.
+// ErrUnaccounted reports that a request has no outcome that its caller received, or a wrong answer.
 var ErrUnaccounted = errors.New("not every request is accounted for with its own whole answer")
 
 // eventName is the event of the demo's load.
 const eventName = "evening"
 
-// The event starts when a quarter of the time has passed and is over at three
-// quarters. Between the two, requests arrive at a higher rate.
+// surgeFactor multiplies the request rate during the event, which lasts from a quarter to three
+// quarters of the load's duration.
 const (
 	surgeFactor = 2.0
 	stopTimeout = 10 * time.Second
 )
 
-// Run runs the demo. The report goes to out, progress to messages.
+// Run runs the demo. It writes the report to out and progress to messages.
 func Run(ctx context.Context, o Options, out, messages io.Writer, g *log.Logger) (err error) {
 	defer errs.Annotate(&err, "demo")
 	m, err := load.ParseMix(examples.Mix(eventName))
 	if err != nil {
 		return err
 	}
-	say(messages, "starting %d entries, %d engines and their agents in %d data halls", o.Size.Entries, o.Size.Engines, o.Size.Halls)
+	printLine(messages, "starting %d entries, %d engines and their agents in %d data halls", o.Size.Entries, o.Size.Engines, o.Size.Halls)
 	f, err := NewFleet(ctx, o.Size, g)
 	defer func() {
 		c, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -64,9 +63,9 @@
 	if err = f.Prepare(ctx, m, surge, messages); err != nil {
 		return err
 	}
-	say(messages, "sending %d requests in %s, twice as fast from the event's start on", o.Requests, o.Duration)
+	printLine(messages, "sending %d requests in %s, twice as fast from the event's start on", o.Requests, o.Duration)
 	r := load.NewRunner(f.URLs(), true)
-	r.Progress = func(sent, ended int) { say(messages, "sent %d, ended %d", sent, ended) }
+	r.Progress = func(sent, ended int) { printLine(messages, "sent %d, ended %d", sent, ended) }
 	s, err := load.Summarise(r.Run(ctx, m.Draw(o.Requests, o.Duration, surge, o.Seed)))
 	if err != nil {
 		return err
@@ -75,7 +74,7 @@
 		return err
 	}
 	if o.Keep {
-		f.keep(ctx, m, messages)
+		f.serveUntilDone(ctx, m, messages)
 	}
 	if s.Ended != s.Sent || s.Wrong > 0 {
 		return ErrUnaccounted
@@ -83,12 +82,12 @@
 	return nil
 }
 
-func say(w io.Writer, format string, args ...any) {
+func printLine(w io.Writer, format string, args ...any) {
 	fmt.Fprintf(w, format+"\n", args...)
 }
 
-// Prepare publishes all that the mix needs, and waits until it is in force
-// everywhere.
+// Prepare publishes the configuration that the mix needs, and waits until it is in force on all
+// boxes.
 func (f *Fleet) Prepare(ctx context.Context, m load.Mix, s load.Surge, messages io.Writer) (err error) {
 	defer errs.Annotate(&err, "prepare")
 	var last int64
@@ -97,12 +96,12 @@
 			return err
 		}
 	}
-	say(messages, "published policies and an event, revision %d", last)
+	printLine(messages, "published policies and an event, revision %d", last)
 	at := f.clock.Now()
-	if err = f.await(ctx, last); err != nil {
+	if err = f.awaitRevision(ctx, last); err != nil {
 		return err
 	}
-	say(messages, "in force on %d boxes after %s", len(f.Entries)+len(f.Agents), f.clock.Since(at).Round(time.Millisecond))
+	printLine(messages, "in force on %d boxes after %s", len(f.Entries)+len(f.Agents), f.clock.Since(at).Round(time.Millisecond))
 	return nil
 }
 
@@ -111,8 +110,8 @@
 	body       any
 }
 
-// items lists what is published: policies, models, services, organisations,
-// objectives and the event.
+// items returns the published configuration: policies, models, services, organisations, objectives
+// and the event.
 func items(m load.Mix, s load.Surge, now time.Time) (is []item) {
 	for _, p := range []string{"sao-bien", "korrigan"} {
 		is = append(is, item{config.PolicyKind, p, config.Policy{Name: p, Text: examples.Policy(p)}})
@@ -161,9 +160,9 @@
 
 const awaitEvery = 20 * time.Millisecond
 
-// await waits until a revision is in force on each box, each entry is ready,
-// and each range of idempotency keys has a keeper.
-func (f *Fleet) await(ctx context.Context, revision int64) error {
+// awaitRevision waits until a revision is in force on each box, each entry is ready, and each range
+// of idempotency keys has a keeper.
+func (f *Fleet) awaitRevision(ctx context.Context, revision int64) error {
 	for !f.inForce(revision) {
 		if !hollowgrade.Sleep(ctx, f.clock, awaitEvery) {
 			return ctx.Err()
@@ -193,7 +192,7 @@
 	Lost    int            `json:"memory_lost_tokens"`
 }
 
-// print prints the callers' view and the fleet's own.
+// print prints the results as the callers and as the entries recorded them.
 func (f *Fleet) print(w io.Writer, s load.Summary, asJSON bool) error {
 	var ss []measure.Snapshot
 	for _, e := range f.Entries {
@@ -203,38 +202,38 @@
 	if err != nil {
 		return err
 	}
-	d := document{Callers: s, Fleet: r, Lost: f.lost()}
+	d := document{Callers: s, Fleet: r, Lost: f.lostTokens()}
 	if asJSON {
 		j := json.NewEncoder(w)
 		j.SetIndent("", "  ")
 		return j.Encode(d)
 	}
-	say(w, "As the callers saw it: %d sent, %d accounted for, %d wrong answers; engine memory lost: %d tokens",
+	printLine(w, "As the callers saw it: %d sent, %d accounted for, %d wrong answers; engine memory lost: %d tokens",
 		s.Sent, s.Ended, s.Wrong, d.Lost)
 	for _, x := range s.Samples {
-		say(w, "  %s", x)
+		printLine(w, "  %s", x)
 	}
-	say(w, "\nAs the entries recorded it:")
+	printLine(w, "\nAs the entries recorded it:")
 	return r.WriteText(w)
 }
 
-func (f *Fleet) lost() (n int) {
+func (f *Fleet) lostTokens() (n int) {
 	for _, a := range f.Agents {
 		n += a.Agent.OrphanTokens()
 	}
 	return n
 }
 
-// keep goes on serving until ctx ends.
-func (f *Fleet) keep(ctx context.Context, m load.Mix, w io.Writer) {
+// serveUntilDone prints how to call the fleet, and returns when ctx ends.
+func (f *Fleet) serveUntilDone(ctx context.Context, m load.Mix, w io.Writer) {
 	k := m.Organisations[0].Key
-	say(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
-	say(w, `curl -sN %s/v1/completions -H 'Authorization: Bearer %s' -H 'Hollowgrade-Kind: draft' -d '{"model":"%s","prompt":"Write a line","max_tokens":8,"stream":true}'`,
+	printLine(w, "listening on %s, a key is %s; try:", f.URLs()[0], k)
+	printLine(w, `curl -sN %s/v1/completions -H 'Authorization: Bearer %s' -H 'Hollowgrade-Kind: draft' -d '{"model":"%s","prompt":"Write a line","max_tokens":8,"stream":true}'`,
 		f.URLs()[0], k, Model)
 	report := "hollowgrade report"
 	for _, e := range f.Entries {
 		report += " --box " + e.Operators
 	}
-	say(w, "%s", report)
+	printLine(w, "%s", report)
 	<-ctx.Done()
 }
--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -153,11 +153,11 @@
 	v := load.ReadStream(b)
 	a.Text, a.First = v.Text, v.First
 	switch {
-	case v.Whole:
+	case v.Complete:
 		a.Outcome = hollowgrade.Finished
 	case v.Failure.Outcome != "":
 		a.setFailure(entry.ErrorBody{Error: v.Failure})
 	default:
-		a.Code = v.Broken
+		a.Code = v.BreakReason
 	}
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -500,7 +500,7 @@
 func (f *Fleet) ReplaceAgent(i int) {
 	old := f.Agents[i]
 	f.setFlag(&old.replaced)
-	f.Network.Forget(old.Name)
+	f.Network.ResetFreezer(old.Name)
 	a := f.startProcess(old)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -88,7 +88,7 @@
 	{name: "freeze upstream", inject: freezeUpstream(true), repair: freezeUpstream(false), duration: longFault, entryReplies: true},
 	{name: "log down", inject: func(c *cell) { c.fleet.Log.SetOutage(true) }, repair: func(c *cell) { c.fleet.Log.SetOutage(false) }, duration: longFault, entryReplies: true},
 	{name: "log loses answers of racing operators", inject: raceOperators, repair: noRepair, entryReplies: true},
-	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Hold(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
+	{name: "list lags behind a replaced agent", inject: func(c *cell) { c.fleet.Boxes.Freeze(true); c.fleet.KillAgent(c.box) }, repair: replaceAgent, duration: shortFault, entryReplies: true},
 	{name: "drain entry", inject: func(c *cell) { c.plannedStops.Go(func() { _ = c.fleet.Entries[0].Stop(c.stopContext()) }) }, repair: noRepair, entryReplies: true, planned: true},
 	{name: "drain agent", inject: drainAgent, repair: noRepair, entryReplies: true, planned: true},
 }
@@ -100,7 +100,7 @@
 }
 
 func restoreLink(a string, b func(*cell) string) func(*cell) {
-	return func(c *cell) { c.fleet.Network.Mend(a, b(c)) }
+	return func(c *cell) { c.fleet.Network.Heal(a, b(c)) }
 }
 
 func cutUpstream(c *cell) {
@@ -115,7 +115,7 @@
 	if a := c.fleet.Agents[c.box]; a.Link != nil {
 		a.Link.SetCut(false)
 	} else {
-		c.fleet.Network.Mend(a.Name, UpstreamOf(a.Name))
+		c.fleet.Network.Heal(a.Name, UpstreamOf(a.Name))
 	}
 }
 
@@ -142,7 +142,7 @@
 func drainAgent(c *cell) {
 	a := c.fleet.Agents[c.box]
 	c.leavingSince[a.Name] = time.Now()
-	c.fleet.Boxes.Hold(true)
+	c.fleet.Boxes.Freeze(true)
 	c.fleet.Unlist(a.Name)
 	// Not waited for: a process that is killed while it drains never ends.
 	c.plannedStops.Go(func() { c.fleet.StopAgent(c.stopContext(), a) })
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/measure"
 )
 
-// Result is what became of one planned request, as its caller saw it.
+// Result is the result of one planned request from its caller's point of view.
 type Result struct {
 	Request    Request
 	Outcome    hollowgrade.Outcome
@@ -27,26 +27,25 @@
 	FirstToken time.Duration
 	Took       time.Duration
 	Tokens     int
-	Wrong      string // why the answer is not the whole answer to this request
+	Wrong      string // why the answer isn't the complete answer to this request; empty if it is
 	RequestID  string
 }
 
 // Runner sends plans.
 type Runner struct {
-	entries []string // base URLs, taken in turn as a balancer would
+	entries []string // base URLs, used round-robin as a load balancer would
 	verify  bool
 	client  *http.Client
-	turn    atomic.Uint64
+	next    atomic.Uint64
 
-	// Progress is called now and then with the number of requests that were
-	// sent and that have ended.
+	// Progress is called each progressEvery with the number of requests that were sent and of those
+	// that have ended.
 	Progress func(sent, ended int)
 }
 
 const idleConns = 4096
 
-// NewRunner returns a runner. With verify, each answer is compared with the one
-// that the stand-in engine gives.
+// NewRunner returns a runner. With verify, it compares each answer with the stand-in engine's.
 func NewRunner(entries []string, verify bool) *Runner {
 	t := &http.Transport{MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConns, DisableCompression: true}
 	return &Runner{entries: entries, verify: verify, client: &http.Client{Transport: t}, Progress: func(int, int) {}}
@@ -59,11 +58,11 @@
 	results := make([]Result, len(p.Requests))
 	var sent, ended atomic.Int64
 	var g sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	stop := make(chan struct{})
 	go r.report(stop, &sent, &ended)
 	for i, q := range p.Requests {
-		if !sleepUntil(ctx, began.Add(q.At)) {
+		if !sleepUntil(ctx, start.Add(q.At)) {
 			results[i] = Result{Request: q, Outcome: hollowgrade.NotRun, Code: "not sent"}
 			continue
 		}
@@ -104,42 +103,42 @@
 
 func (r *Runner) send(ctx context.Context, q Request, event string) (s Result) {
 	s.Request = q
-	began := time.Now()
-	defer func() { s.Took = time.Since(began) }()
-	h, prompt, err := r.call(ctx, q, event)
+	start := time.Now()
+	defer func() { s.Took = time.Since(start) }()
+	h, prompt, err := r.newRequest(ctx, q, event)
 	if err != nil {
 		s.Outcome, s.Code = hollowgrade.NotRun, err.Error()
 		return s
 	}
-	began = time.Now()
+	start = time.Now()
 	res, err := r.client.Do(h)
 	if err != nil {
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+reason(err)
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+rootCause(err)
 		return s
 	}
 	defer res.Body.Close()
 	s.Status, s.RequestID = res.StatusCode, res.Header.Get(entry.RequestHeader)
 	switch {
 	case res.StatusCode != http.StatusOK:
-		s.refused(res.Body)
+		s.readRefusal(res.Body)
 	case q.Kind.Service != "":
-		s.service(res.Body)
+		s.readService(res.Body)
 	default:
-		s.stream(res.Body, began, prompt, r.verify)
+		s.readStream(res.Body, start, prompt, r.verify)
 	}
 	return s
 }
 
-// reason shortens an error of the HTTP client, which repeats the address.
-func reason(err error) string {
+// rootCause returns the text of the innermost error: the HTTP client's own error repeats the address.
+func rootCause(err error) string {
 	for u := errors.Unwrap(err); u != nil; u = errors.Unwrap(err) {
 		err = u
 	}
 	return err.Error()
 }
 
-func (r *Runner) call(ctx context.Context, q Request, event string) (h *http.Request, prompt string, err error) {
-	base := r.entries[int(r.turn.Add(1))%len(r.entries)]
+func (r *Runner) newRequest(ctx context.Context, q Request, event string) (h *http.Request, prompt string, err error) {
+	base := r.entries[int(r.next.Add(1))%len(r.entries)]
 	method, url := http.MethodPost, base+entry.CompletionsPath
 	var body []byte
 	if q.Kind.Service != "" {
@@ -170,7 +169,7 @@
 	return h, prompt, nil
 }
 
-func (s *Result) refused(b io.Reader) {
+func (s *Result) readRefusal(b io.Reader) {
 	var e entry.ErrorBody
 	if err := json.NewDecoder(b).Decode(&e); err != nil || e.Error.Outcome == "" {
 		s.Outcome, s.Wrong = hollowgrade.Unknown, "the refusal has no readable body"
@@ -179,40 +178,40 @@
 	s.Outcome, s.Code = e.Error.Outcome, string(e.Error.Code)
 }
 
-func (s *Result) service(b io.Reader) {
+func (s *Result) readService(b io.Reader) {
 	v, err := io.ReadAll(b)
 	if err != nil {
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+reason(err)
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+rootCause(err)
 		return
 	}
 	s.Outcome, s.Tokens = hollowgrade.Finished, len(v)
 }
 
-// stream takes in a streamed answer.
-func (s *Result) stream(b io.Reader, began time.Time, prompt string, verify bool) {
+// readStream reads a streamed answer.
+func (s *Result) readStream(b io.Reader, start time.Time, prompt string, verify bool) {
 	v := ReadStream(b)
 	s.Tokens = v.Tokens
 	if !v.First.IsZero() {
-		s.FirstToken = v.First.Sub(began)
+		s.FirstToken = v.First.Sub(start)
 	}
 	switch {
-	case v.Whole:
-		s.finished(v.Text, prompt, verify)
+	case v.Complete:
+		s.finish(v.Text, prompt, verify)
 	case v.Failure.Outcome != "":
 		s.Outcome, s.Code = v.Failure.Outcome, string(v.Failure.Code)
 	default:
-		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+v.Broken
+		s.Outcome, s.Code = hollowgrade.Unknown, "connection: "+v.BreakReason
 	}
 }
 
-func (s *Result) finished(text, prompt string, verify bool) {
+func (s *Result) finish(text, prompt string, verify bool) {
 	s.Outcome = hollowgrade.Finished
 	if verify && text != standin.Answer(prompt, s.Request.Kind.MaxTokens) {
 		s.Wrong = fmt.Sprintf("the answer of %d tokens is not the whole answer to this request", s.Tokens)
 	}
 }
 
-// Summary is what a run comes to.
+// Summary is the summary of a run.
 type Summary struct {
 	Sent    int            `json:"sent"`
 	Ended   int            `json:"accounted_for"`
@@ -221,7 +220,7 @@
 	Report  measure.Report `json:"report"`
 }
 
-// Summarise makes a summary from the callers' point of view.
+// Summarise summarises results from the callers' point of view.
 func Summarise(rs []Result) (s Summary, err error) {
 	r := measure.NewRecorder("callers", hollowgrade.SystemClock())
 	for _, v := range rs {
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -18,14 +18,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Stream is what a caller received of a streamed answer.
+// Stream is the part of a streamed answer that a caller received.
 type Stream struct {
-	Text    string
-	Tokens  int
-	First   time.Time         // when the first token came
-	Whole   bool              // whether the mark of a whole answer came
-	Failure entry.ErrorDetail // what the last event said, if it was a failure
-	Broken  string            // why it ended without either
+	Text        string
+	Tokens      int
+	First       time.Time         // when the first token arrived
+	Complete    bool              // whether the end marker arrived
+	Failure     entry.ErrorDetail // of the last event, if it was a failure
+	BreakReason string            // why it ended without end marker and failure
 }
 
 // event is any event of a stream.
@@ -51,12 +51,12 @@
 			continue
 		}
 		if d == "[DONE]" {
-			s.Whole = true
+			s.Complete = true
 			return s
 		}
 		var e event
 		if err := json.Unmarshal([]byte(d), &e); err != nil {
-			s.Broken = "an event cannot be read"
+			s.BreakReason = "an event cannot be read"
 			return s
 		}
 		if e.Error.Outcome != "" {
@@ -71,6 +71,6 @@
 			s.Tokens++
 		}
 	}
-	s.Broken = "the stream broke off"
+	s.BreakReason = "the stream broke off"
 	return s
 }
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	patience  = 3500 * time.Millisecond
-	callPause = 25 * time.Millisecond // between two requests of a caller, on average
+	requestTimeout   = 3500 * time.Millisecond
+	meanCallInterval = 25 * time.Millisecond // average pause between two requests of a caller
 )
 
 func hash(s string) uint64 {
@@ -24,39 +24,39 @@
 	return h.Sum64()
 }
 
-// refusedConnection reports whether an error says that nobody listened.
-func refusedConnection(err string) bool {
+// isConnectionRefused reports whether an error means that no process listened at the address.
+func isConnectionRefused(err string) bool {
 	return strings.Contains(err, "connection refused") || strings.Contains(err, "i/o timeout")
 }
 
-// call sends requests until ctx ends. Each caller keeps its connections open.
-func (w *world) call(ctx context.Context, seed uint64, caller int) {
+// runCaller sends random requests until ctx ends. Each caller reuses its connections.
+func (w *world) runCaller(ctx context.Context, seed uint64, caller int) {
 	r := rand.New(rand.NewPCG(seed, uint64(caller)+1))
-	transports := make([]*http.Transport, len(w.gates))
+	transports := make([]*http.Transport, len(w.gateways))
 	for i := range transports {
 		transports[i] = &http.Transport{}
 		defer transports[i].CloseIdleConnections()
 	}
 	for n := 0; ctx.Err() == nil; n++ {
-		g := r.IntN(len(w.gates))
+		g := r.IntN(len(w.gateways))
 		q := w.newRequest(r, seed, caller, n, g)
 		w.send(transports[g], q)
-		time.Sleep(time.Duration(r.Int64N(int64(2 * callPause))))
+		time.Sleep(time.Duration(r.Int64N(int64(2 * meanCallInterval))))
 	}
 }
 
-// newRequest draws a request and notes it before it is sent.
+// newRequest draws a random request and records it before it is sent.
 func (w *world) newRequest(r *rand.Rand, seed uint64, caller, n, g int) *request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	kind := []string{"once", "again", "stream", "probe"}[r.IntN(4)]
 	q := &request{
-		id:      fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
-		key:     fmt.Sprint("key-", r.IntN(keysGiven)),
-		gateway: g,
-		life:    w.gates[g].lives(),
-		once:    kind == "once",
-		sent:    time.Now(),
+		id:         fmt.Sprintf("%s-%d-%d-%d", kind, seed, caller, n),
+		key:        fmt.Sprint("key-", r.IntN(totalKeys)),
+		gateway:    g,
+		instance:   w.gateways[g].currentInstance(),
+		atMostOnce: kind == "once",
+		sent:       time.Now(),
 	}
 	q.path = "/" + kind + "/" + q.id
 	q.body = strings.Repeat(q.id+" ", r.IntN(200))
@@ -64,7 +64,7 @@
 	switch kind {
 	case "stream":
 		q.want = ""
-		for i := range events {
+		for i := range streamEvents {
 			q.want += platformtest.Event(i + 1)
 		}
 	case "probe":
@@ -72,27 +72,27 @@
 			q.path = "/again/" + q.id
 			break
 		}
-		q.probe = w.routes[len(w.routes)-1-r.IntN(min(len(w.routes), 3))]
-		q.path = q.probe + q.id
+		q.probedRoute = w.routes[len(w.routes)-1-r.IntN(min(len(w.routes), 3))]
+		q.path = q.probedRoute + q.id
 		q.key = "key-0"
 	}
 	w.history.requests[q.id] = q
 	return q
 }
 
-// send sends a request and notes what came of it.
+// send sends a request and records its answer or error.
 func (w *world) send(t *http.Transport, q *request) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience+2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+2*time.Second)
 	defer cancel()
-	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gates[q.gateway].callers+q.path, strings.NewReader(q.body))
+	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gateways[q.gateway].callersAddress+q.path, strings.NewReader(q.body))
 	if err != nil {
 		w.t.Errorf("request %s: %v", q.id, err)
 		return
 	}
 	h.Host = "h"
-	h.GetBody = nil // the transport must not send it again by itself
+	h.GetBody = nil // keeps the transport from retrying the request by itself
 	h.Header.Set("Attempt-Id", q.id)
-	h.Header.Set("Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+	h.Header.Set("Deadline-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	h.Header.Set("Authorization", "Bearer "+q.key)
 	a, err := t.RoundTrip(h)
 	body := []byte(nil)
@@ -102,19 +102,19 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	q.ended, q.whole, q.answer = time.Now(), err == nil, string(body)
+	q.ended, q.complete, q.answer = time.Now(), err == nil, string(body)
 	if a != nil {
-		q.status, q.sealed = a.StatusCode, a.Header.Get("Response-Seal") != ""
+		q.status, q.signed = a.StatusCode, a.Header.Get("Response-Seal") != ""
 	}
 	if err != nil {
 		q.err = err.Error()
 	}
 }
 
-// served sends one request that may run again and reports whether it was served.
-func (w *world) served(g int, id string) bool {
+// sendProbe sends one request that is safe to repeat and reports whether it was answered in full.
+func (w *world) sendProbe(g int, id string) bool {
 	id = strings.ReplaceAll(id, " ", "-")
-	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, life: w.gates[g].lives(), want: "answer to " + id, sent: time.Now()}
+	q := &request{id: id, path: "/again/" + id, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), want: "answer to " + id, sent: time.Now()}
 	w.mu.Lock()
 	w.history.requests[id] = q
 	w.mu.Unlock()
@@ -122,5 +122,5 @@
 	w.send(t, q)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return success(q) && q.whole
+	return success(q) && q.complete
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -6,79 +6,79 @@
 	"time"
 )
 
-// The bounds that gateways are held to; the settings of the processes have the
-// same.
+// The bounds that the checks apply. The gateways' settings are generated from the same constants.
 const (
-	keyFreshness = 5 * time.Second // a key admits nothing this long after it was revoked
-	drainWithin  = 2 * time.Second // a worker gets nothing new this long after it said that it leaves
-	applyWithin  = 2 * time.Second // a change is in force this long after it was written
-	backSlack    = 250 * time.Millisecond
-	touchAfter   = 3 * time.Second // what is bounded in time holds this long after a fault
-	grace        = 4 * time.Second // of a planned stop
-	retryRatio   = 0.2
-	retrySlack   = 16
-	retryWindow  = 10 * time.Second
+	keyFreshness         = 5 * time.Second        // from a key's revocation until no request with it may run
+	maxDrainDelay        = 2 * time.Second        // from a worker's announcement that it leaves until it may get no new requests
+	maxApplyDelay        = 2 * time.Second        // from the write of a configuration change until it has to be in force
+	routeRevertTolerance = 250 * time.Millisecond // from a route's first success until a 404 is a violation
+	settleTime           = 3 * time.Second        // after a fault, during which bounds in time are not checked
+	stopGrace            = 4 * time.Second        // bounds a planned stop
+	retryRatio           = 0.2
+	retrySlack           = 16
+	retryWindow          = 10 * time.Second
 )
 
-// request is what a caller sent and got.
+// request is a caller's request and its answer.
 type request struct {
 	id, path, key, body string
-	gateway, life       int // that it was sent to
+	gateway, instance   int // gateway that it was sent to, and the instance of its process
 	sent, ended         time.Time
-	status              int // 0 without an answer
-	sealed, whole       bool
-	answer, want        string // body that came, and what a worker would have sent
+	status              int // 0 if no answer came
+	signed, complete    bool
+	answer, want        string // received body, and the body that a worker would have sent
 	err                 string
-	once                bool // may run once at the most
-	probe               string
+	atMostOnce          bool   // it must not run twice
+	probedRoute         string // path prefix of the route that it tests; empty if none
 }
 
-// run is what a worker saw.
+// run is the arrival of a request at a worker.
 type run struct {
 	id, worker, path, body, organisation string
 	at                                   time.Time
-	refused, key                         bool
+	refused, keyForwarded                bool
 }
 
-// span is a time in which something was disturbed.
+// span is a period in which a fault was in effect.
 type span struct {
-	what     kind
-	gateway  int // that it was done to, -1 if it was another thing
+	kind     kind
+	gateway  int // index of the gateway that the step selects, also if the fault is done to something else
 	from, to time.Time
 }
 
-// history is all that was seen.
+// history is everything that callers and workers observed.
 type history struct {
-	requests map[string]*request
-	runs     []run
-	spans    []span
-	revoked  map[string]time.Time // keys
-	leaving  map[string]time.Time // workers
-	added    map[string]time.Time // paths of routes
-	words    []word               // that workers told gateways in answers
+	requests     map[string]*request
+	runs         []run
+	spans        []span
+	revoked      map[string]time.Time // by key
+	leavingSince map[string]time.Time // by worker
+	added        map[string]time.Time // by path prefix of the route
+	received     []receivedSignal     // that workers sent to gateways in answers
 }
 
 func newHistory() *history {
-	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leaving: map[string]time.Time{}, added: map[string]time.Time{}}
+	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, leavingSince: map[string]time.Time{}, added: map[string]time.Time{}}
 }
 
-// calm reports whether nothing was disturbed shortly before or within a time.
-func (h *history) calm(from, to time.Time) bool {
+// undisturbed reports whether no unplanned fault was in effect between the two times or less than
+// settleTime before.
+func (h *history) undisturbed(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.spans, func(s span) bool {
-		return !s.what.planned() && s.from.Before(to) && s.to.Add(touchAfter).After(from)
+		return !s.kind.planned() && s.from.Before(to) && s.to.Add(settleTime).After(from)
 	})
 }
 
-// check returns the promises that were broken, one line each.
+// check returns the violations that it finds, one line each.
 func (h *history) check() (bs []string) {
-	for _, c := range []func() []string{h.mixed, h.ranMore, h.refused, h.unasked, h.revokedRan, h.drained, h.gone, h.late, h.cut, h.budget, h.harm, h.strangers, h.leftByWord, h.rested, h.limited} {
+	for _, c := range []func() []string{h.wrongAnswers, h.repeatedRuns, h.ranAfterRefusal, h.unrequestedRuns, h.ranWithRevokedKey, h.ranWhileDraining, h.revertedRoutes, h.lateRoutes, h.cutByPlannedStop, h.retryBudget, h.harmfulForwarded, h.runsAtUnlistedWorkers, h.ranAfterLeaving, h.ranDuringRetryDelay, h.overLimit} {
 		bs = append(bs, c()...)
 	}
 	return bs
 }
 
-// each calls a check for each request that has ended.
-func (h *history) each(c func(q *request) string) (bs []string) {
+// eachEnded calls a check for each request that has ended.
+func (h *history) eachEnded(c func(q *request) string) (bs []string) {
 	for _, q := range h.requests {
 		if q.ended.IsZero() {
 			continue
@@ -96,23 +96,24 @@
 	return q.status >= 200 && q.status < 300
 }
 
-// mixed finds answers that are another request's, or not whole and look it.
-func (h *history) mixed() []string {
-	return h.each(func(q *request) string {
+// wrongAnswers finds answers of another request, and incomplete answers that look complete or have
+// a wrong beginning.
+func (h *history) wrongAnswers() []string {
+	return h.eachEnded(func(q *request) string {
 		switch {
-		case success(q) && !q.sealed:
+		case success(q) && !q.signed:
 			return "MIXED, no worker's signature"
-		case success(q) && q.whole && q.answer != q.want:
+		case success(q) && q.complete && q.answer != q.want:
 			return fmt.Sprintf("MIXED, got %q", q.answer)
-		case success(q) && !q.whole && len(q.answer) <= len(q.want) && q.answer != q.want[:len(q.answer)]:
+		case success(q) && !q.complete && len(q.answer) <= len(q.want) && q.answer != q.want[:len(q.answer)]:
 			return fmt.Sprintf("ORDER, got %q", q.answer)
 		}
 		return ""
 	})
 }
 
-// ran returns how often each request ran.
-func (h *history) ran() map[string]int {
+// runCounts returns how often each request ran.
+func (h *history) runCounts() map[string]int {
 	n := map[string]int{}
 	for _, r := range h.runs {
 		if !r.refused {
@@ -122,21 +123,21 @@
 	return n
 }
 
-func (h *history) ranMore() []string {
-	n := h.ran()
-	return h.each(func(q *request) string {
-		if q.once && n[q.id] > 1 {
+func (h *history) repeatedRuns() []string {
+	n := h.runCounts()
+	return h.eachEnded(func(q *request) string {
+		if q.atMostOnce && n[q.id] > 1 {
 			return fmt.Sprintf("TWICE, ran %d times", n[q.id])
 		}
 		return ""
 	})
 }
 
-// refused finds requests that were called not run and ran.
-func (h *history) refused() []string {
-	n := h.ran()
-	return h.each(func(q *request) string {
-		if q.once && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
+// ranAfterRefusal finds requests that ran although their answer says that they did not.
+func (h *history) ranAfterRefusal() []string {
+	n := h.runCounts()
+	return h.eachEnded(func(q *request) string {
+		if q.atMostOnce && n[q.id] > 0 && slices.Contains([]int{408, 421, 429, 503}, q.status) {
 			return "REFUSED, yet it ran"
 		}
 		return ""
@@ -156,22 +157,22 @@
 	return bs
 }
 
-// unasked finds runs that nobody asked for so.
-func (h *history) unasked() []string {
+// unrequestedRuns finds runs that no caller requested in this form.
+func (h *history) unrequestedRuns() []string {
 	return h.eachRun(func(r run, q *request) string {
 		switch {
 		case q == nil:
 			return "UNASKED, no caller sent it"
 		case r.path != q.path || r.body != q.body:
 			return fmt.Sprintf("UNASKED, changed to %s %q", r.path, r.body)
-		case r.organisation != "o" || r.key:
-			return fmt.Sprintf("UNASKED, organisation %q, key handed on: %t", r.organisation, r.key)
+		case r.organisation != "o" || r.keyForwarded:
+			return fmt.Sprintf("UNASKED, organisation %q, key handed on: %t", r.organisation, r.keyForwarded)
 		}
 		return ""
 	})
 }
 
-func (h *history) revokedRan() []string {
+func (h *history) ranWithRevokedKey() []string {
 	return h.eachRun(func(_ run, q *request) string {
 		if q == nil {
 			return ""
@@ -183,56 +184,56 @@
 	})
 }
 
-func (h *history) drained() []string {
+func (h *history) ranWhileDraining() []string {
 	return h.eachRun(func(r run, _ *request) string {
-		at, ok := h.leaving[r.worker]
-		if ok && r.at.After(at.Add(drainWithin)) && h.calm(at, r.at) {
+		at, ok := h.leavingSince[r.worker]
+		if ok && r.at.After(at.Add(maxDrainDelay)) && h.undisturbed(at, r.at) {
 			return fmt.Sprintf("DRAIN, %s after it began to leave", r.at.Sub(at))
 		}
 		return ""
 	})
 }
 
-// gone finds probes that a gateway refused although it had served the same route
-// before in the same life.
-func (h *history) gone() []string {
+// revertedRoutes finds probes that a gateway refused although the same instance of it had served
+// the route before.
+func (h *history) revertedRoutes() []string {
 	type place struct {
 		gateway, life int
 		path          string
 	}
 	first := map[place]time.Time{}
 	for _, q := range h.requests {
-		p := place{q.gateway, q.life, q.probe}
-		if t, ok := first[p]; q.probe != "" && success(q) && (!ok || q.ended.Before(t)) {
+		p := place{q.gateway, q.instance, q.probedRoute}
+		if t, ok := first[p]; q.probedRoute != "" && success(q) && (!ok || q.ended.Before(t)) {
 			first[p] = q.ended
 		}
 	}
-	return h.each(func(q *request) string {
-		t, ok := first[place{q.gateway, q.life, q.probe}]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(t.Add(backSlack)) {
+	return h.eachEnded(func(q *request) string {
+		t, ok := first[place{q.gateway, q.instance, q.probedRoute}]
+		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(t.Add(routeRevertTolerance)) {
 			return "CONFIG, it has gone back"
 		}
 		return ""
 	})
 }
 
-// late finds probes of a route that should be in force and is not.
-func (h *history) late() []string {
-	return h.each(func(q *request) string {
-		at, ok := h.added[q.probe]
-		if q.probe != "" && ok && q.status == 404 && q.sent.After(at.Add(applyWithin)) && h.calm(at, q.ended) {
+// lateRoutes finds probes of a route that is still not in force maxApplyDelay after it was written.
+func (h *history) lateRoutes() []string {
+	return h.eachEnded(func(q *request) string {
+		at, ok := h.added[q.probedRoute]
+		if q.probedRoute != "" && ok && q.status == 404 && q.sent.After(at.Add(maxApplyDelay)) && h.undisturbed(at, q.ended) {
 			return fmt.Sprintf("CONFIG, not in force %s after it was written", q.sent.Sub(at))
 		}
 		return ""
 	})
 }
 
-// cut finds requests that a planned stop cut off.
-func (h *history) cut() []string {
-	return h.each(func(q *request) string {
+// cutByPlannedStop finds requests whose connection a planned stop broke.
+func (h *history) cutByPlannedStop() []string {
+	return h.eachEnded(func(q *request) string {
 		for _, s := range h.spans {
-			stopped := s.what == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(grace))
-			if stopped && q.status == 0 && q.err != "" && !refusedConnection(q.err) && h.calm(q.sent, q.ended) && h.ran()[q.id] > 0 {
+			stopped := s.kind == stopGateway && s.gateway == q.gateway && q.ended.After(s.from) && q.sent.Before(s.to) && q.ended.Before(s.from.Add(stopGrace))
+			if stopped && q.status == 0 && q.err != "" && !isConnectionRefused(q.err) && h.undisturbed(q.sent, q.ended) && h.runCounts()[q.id] > 0 {
 				return "LOST, a planned stop cut it off"
 			}
 		}
@@ -240,8 +241,8 @@
 	})
 }
 
-// budget finds windows with more repeats than are allowed.
-func (h *history) budget() (bs []string) {
+// retryBudget finds windows with more repeated runs than the retry budget allows.
+func (h *history) retryBudget() (bs []string) {
 	rs := slices.Clone(h.runs)
 	slices.SortFunc(rs, func(a, b run) int { return a.at.Compare(b.at) })
 	seen := map[string]bool{}
@@ -254,10 +255,10 @@
 		for rs[i].at.Sub(rs[from].at) > retryWindow {
 			from++
 		}
-		again, sent := 0, 0
+		repeats, sent := 0, 0
 		for _, x := range repeat[from : i+1] {
 			if x {
-				again++
+				repeats++
 			}
 		}
 		for _, q := range h.requests {
@@ -265,10 +266,10 @@
 				sent++
 			}
 		}
-		if float64(again) > retryRatio*float64(sent)+retrySlack {
-			return []string{fmt.Sprintf("BUDGET, %d repeats within %s, %d requests", again, retryWindow, sent)}
+		if float64(repeats) > retryRatio*float64(sent)+retrySlack {
+			return []string{fmt.Sprintf("BUDGET, %d repeats within %s, %d requests", repeats, retryWindow, sent)}
 		}
-		i += 9 // each tenth window shows it as well
+		i += 9 // checking every tenth window is enough to find an excess
 	}
 	return nil
 }
--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -12,90 +12,93 @@
 )
 
 const (
-	// harmful begins the ids of requests that end the workers which run them. Those of one
-	// step share path and body.
-	harmful      = "harm"
-	harmfulEvery = 60 * time.Millisecond // that one comes again, at any gateway
-	harmfulTime  = 50 * time.Millisecond // that a worker lives on once it runs one
-	downTime     = 700 * time.Millisecond
-	// A harmful request has to be known everywhere touchAfter the third end; these may follow
-	// it. While gateways are lost or see neither the store nor each other, each of them may find it out for itself.
-	harmfulLate = 3
-	harmfulMost = 24
+	// harmfulPrefix is the prefix of the ids of requests that crash the workers which run them. The
+	// requests of one step have the same path and body.
+	harmfulPrefix   = "harm"
+	harmfulInterval = 60 * time.Millisecond // between two requests of a step, each to a random gateway
+	crashDelay      = 50 * time.Millisecond // from the arrival at a worker to its crash
+	workerDownTime  = 700 * time.Millisecond
+	// Every gateway has to know a harmful request settleTime after the third crash; maxLateHarmful
+	// more may follow. Gateways that fail, or reach neither the store nor each other, may each have
+	// to detect it on their own, which maxHarmful allows for.
+	maxLateHarmful = 3
+	maxHarmful     = 24
 )
 
-// harm sends one harmful request again and again.
-func (w *world) harm(s step) {
-	r := rand.New(rand.NewPCG(uint64(s.which), 1))
+// sendHarmful sends the same harmful request repeatedly, under a new id each time.
+func (w *world) sendHarmful(s step) {
+	r := rand.New(rand.NewPCG(uint64(s.target), 1))
 	t := &http.Transport{DisableKeepAlives: true}
-	name := fmt.Sprint(harmful, "-", s.at.Milliseconds())
-	for n, end := 0, time.Now().Add(s.lasts); time.Now().Before(end); n++ {
-		g := r.IntN(len(w.gates))
-		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, life: w.gates[g].lives(), sent: time.Now()}
+	name := fmt.Sprint(harmfulPrefix, "-", s.at.Milliseconds())
+	for n, end := 0, time.Now().Add(s.duration); time.Now().Before(end); n++ {
+		g := r.IntN(len(w.gateways))
+		q := &request{id: fmt.Sprint(name, "-", n), path: "/again/" + name, body: name, key: "key-0", gateway: g, instance: w.gateways[g].currentInstance(), sent: time.Now()}
 		w.mu.Lock()
 		w.history.requests[q.id] = q
 		w.mu.Unlock()
 		go w.send(t, q)
-		time.Sleep(harmfulEvery)
+		time.Sleep(harmfulInterval)
 	}
-	time.Sleep(downTime)
+	time.Sleep(workerDownTime)
 }
 
-// returns is how a worker comes back that a request has ended.
-type returns uint64
+// restartMode is how a worker restarts after a request has crashed it.
+type restartMode uint64
 
 const (
-	another returns = iota // in its place
-	again                  // itself, in a new life at another address
-	behind                 // the same at its address, which has gone on taking connections and closed each
-	ways
+	replaceWorker  restartMode = iota // a new worker replaces it
+	restartMoved                      // the same id, a new instance at another address
+	restartInPlace                    // the same id at its address, which meanwhile accepted connections and reset each
+	restartModes
 )
 
-// endWorker lets a worker end with all that it has, and come back.
-func (w *world) endWorker(k *worker, how returns) {
+// crashAndRestart ends a worker with all its requests, and restarts it after workerDownTime.
+func (w *world) crashAndRestart(k *worker, how restartMode) {
 	w.mu.Lock()
 	if !slices.Contains(w.workers, k) {
 		w.mu.Unlock()
-		return // it has ended already
+		return // it has crashed already
 	}
 	w.workers = slices.DeleteFunc(w.workers, func(x *worker) bool { return x == k })
 	w.mu.Unlock()
-	if how != behind {
+	if how != restartInPlace {
 		k.proxy.close()
 	}
 	k.Close()
-	time.Sleep(downTime)
+	time.Sleep(workerDownTime)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if how == another {
+	if how == replaceWorker {
 		w.store.Put("keyed.servers", k.ID, nil)
 		w.addWorker()
 		return
 	}
-	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, born: time.Now()}
-	if how == behind {
-		b.proxy.lead(b.Address())
+	b := &worker{Worker: platformtest.NewWorker(k.ID, w.behave), proxy: k.proxy, startTime: time.Now()}
+	if how == restartInPlace {
+		b.proxy.setTarget(b.Address())
 	} else {
 		b.proxy = newProxy(w.t, b.Address())
 	}
 	w.workers = append(w.workers, b)
-	w.list(b, "ready")
+	w.register(b, "ready")
 }
 
-// endIn lets the worker that answers a request end: it waits for its answers, so another has to do it.
-func (w *world) endIn(k *platformtest.Worker, how returns) {
+// crashAsync crashes a worker in another goroutine: closing it waits for its answers, one of which
+// is the caller.
+func (w *world) crashAsync(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range w.workers {
 		if x.Worker == k {
-			w.ends.Go(func() { w.endWorker(x, how) })
+			w.crashes.Go(func() { w.crashAndRestart(x, how) })
 		}
 	}
 }
 
-// stranger writes entries that name nothing, at a worker's address, and takes them away.
-func (w *world) stranger(s step) {
-	k := w.worker(s.which)
+// addInvalidEntries writes invalid registry entries that have a worker's address, and removes them
+// later.
+func (w *world) addInvalidEntries(s step) {
+	k := w.worker(s.target)
 	if k == nil {
 		return
 	}
@@ -106,17 +109,17 @@
 		`{"service":"s","address":"` + a + `","zone":"z1","version":"v1","slots":4,"state":"ready","coldLeftMs":0,"callSeq":0,"born":"x"}`,
 		"\xff\xfe{", `[]`,
 	} {
-		id := fmt.Sprint("strange-", s.which, "-", i)
+		id := fmt.Sprint("strange-", s.target, "-", i)
 		w.store.Put("keyed.servers", id, []byte(e))
 		w.store.Put("keyed.members", id, []byte(e))
 		defer w.store.Put("keyed.servers", id, nil)
 		defer w.store.Put("keyed.members", id, nil)
 	}
-	time.Sleep(s.lasts)
+	time.Sleep(s.duration)
 }
 
-// strangers finds runs at workers that only strange entries name.
-func (h *history) strangers() []string {
+// runsAtUnlistedWorkers finds runs at workers that only invalid entries name.
+func (h *history) runsAtUnlistedWorkers() []string {
 	return h.eachRun(func(r run, _ *request) string {
 		if strings.HasPrefix(r.worker, "strange") {
 			return "ENTRIES, it names no worker"
@@ -125,11 +128,12 @@
 	})
 }
 
-// harm finds harmful requests that are sent on after they had to be known.
-func (h *history) harm() (bs []string) {
-	at := map[string][]time.Time{} // when each of them reached workers, by body
+// harmfulForwarded finds harmful requests that gateways forwarded too often, or after they had to
+// know them.
+func (h *history) harmfulForwarded() (bs []string) {
+	at := map[string][]time.Time{} // arrival times at workers, by body
 	for _, r := range h.runs {
-		if strings.HasPrefix(r.id, harmful) && !r.refused {
+		if strings.HasPrefix(r.id, harmfulPrefix) && !r.refused {
 			at[r.body] = append(at[r.body], r.at)
 		}
 	}
@@ -137,11 +141,11 @@
 		slices.SortFunc(ts, func(a, b time.Time) int { return a.Compare(b) })
 		late := 0
 		for _, t := range ts {
-			if third := ts[min(2, len(ts)-1)].Add(harmfulTime); t.After(third.Add(touchAfter)) && h.calm(third, t) {
+			if third := ts[min(2, len(ts)-1)].Add(crashDelay); t.After(third.Add(settleTime)) && h.undisturbed(third, t) {
 				late++
 			}
 		}
-		if late > harmfulLate || len(ts) > harmfulMost {
+		if late > maxLateHarmful || len(ts) > maxHarmful {
 			bs = append(bs, fmt.Sprintf("BUDGET, harmful request %s was sent %d times, %d of them late", body, len(ts), late))
 		}
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,31 +11,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// way is how a proxy treats bytes.
-type way int32
+// linkMode is how a proxy treats the bytes of its connections.
+type linkMode int32
 
 const (
-	pass way = iota
+	pass linkMode = iota
 	delay
-	silence // nothing gets through until it ends
-	deafen  // nothing comes back until it ends
+	silence // stalls both directions until the mode ends
+	deafen  // stalls the direction towards the dialling side
 )
 
 const (
-	delayFor = 150 * time.Millisecond
-	lookAt   = 10 * time.Millisecond // how often held bytes look whether they may go on
+	linkDelay        = 150 * time.Millisecond
+	modePollInterval = 10 * time.Millisecond // interval at which a stalled copy checks the mode
 )
 
-// proxy leads connections to a target and harms them on request.
+// proxy forwards connections to a target and injects faults into them.
 type proxy struct {
 	listener net.Listener
-	way      atomic.Int32
-	rate     float64 // bytes a second towards the dialling side, 0 for no bound
+	mode     atomic.Int32
+	rate     float64 // bytes a second towards the dialling side, 0 for no limit
 
-	mu    sync.Mutex
-	to    string // where connections are led
-	conns map[net.Conn]bool
-	free  time.Time // when the link has carried what it was given
+	mu        sync.Mutex
+	to        string // target of new connections
+	conns     map[net.Conn]bool
+	busyUntil time.Time // when the link has sent all bytes passed to throttle
 }
 
 func newProxy(t testing.TB, target string) *proxy {
@@ -53,8 +53,8 @@
 	return p.listener.Addr().String()
 }
 
-// lead leads connections elsewhere from now on.
-func (p *proxy) lead(target string) {
+// setTarget changes the target of new connections.
+func (p *proxy) setTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.to = target
@@ -66,11 +66,11 @@
 	return p.to
 }
 
-func (p *proxy) set(w way) {
-	p.way.Store(int32(w))
+func (p *proxy) set(w linkMode) {
+	p.mode.Store(int32(w))
 }
 
-// reset breaks all connections off.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 	u, err := d.DialContext(context.Background(), "tcp", p.target())
 	if err != nil {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // as a machine without a listener does
+			_ = t.SetLinger(0) // resets the connection, as a box without a listener does
 		}
 		_ = c.Close()
 		return
@@ -115,22 +115,23 @@
 	p.copy(c, u, true)
 }
 
-// carry waits until the link, which all connections share, has carried n bytes.
-func (p *proxy) carry(n int) {
+// throttle waits until the link, which all connections share, has sent n bytes.
+func (p *proxy) throttle(n int) {
 	if p.rate <= 0 {
 		return
 	}
 	p.mu.Lock()
-	if now := time.Now(); p.free.Before(now) {
-		p.free = now
+	if now := time.Now(); p.busyUntil.Before(now) {
+		p.busyUntil = now
 	}
-	p.free = p.free.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
-	d := time.Until(p.free)
+	p.busyUntil = p.busyUntil.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
+	d := time.Until(p.busyUntil)
 	p.mu.Unlock()
 	time.Sleep(d)
 }
 
-// copy passes bytes on in one direction until either side ends.
+// copy forwards bytes in one direction until either side closes. back is true towards the dialling
+// side.
 func (p *proxy) copy(to, from net.Conn, back bool) {
 	defer func() {
 		_ = to.Close()
@@ -143,14 +144,14 @@
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		for w := way(p.way.Load()); w == silence || w == deafen && back; w = way(p.way.Load()) {
-			time.Sleep(lookAt)
+		for w := linkMode(p.mode.Load()); w == silence || w == deafen && back; w = linkMode(p.mode.Load()) {
+			time.Sleep(modePollInterval)
 		}
-		if way(p.way.Load()) == delay {
-			time.Sleep(delayFor)
+		if linkMode(p.mode.Load()) == delay {
+			time.Sleep(linkDelay)
 		}
 		if back {
-			p.carry(n)
+			p.throttle(n)
 		}
 		if _, werr := to.Write(b[:n]); err != nil || werr != nil {
 			return
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,20 +19,20 @@
 var (
 	seeds  = flag.String("seeds", "1", "seeds to play, as numbers and ranges: 1,5,10-59")
 	length = flag.Duration("length", 15*time.Second, "how long faults are made for each seed")
-	// Of six gateways four read the store, and two have large values from these.
+	// Of six gateways four read the store, and two get large values from them.
 	gateways = flag.Int("gateways", 6, "gateways of each run")
 	workers  = flag.Int("workers", 5, "workers of each run")
 	callers  = flag.Int("callers", 10, "callers of each run")
 )
 
-// recoverWithin is how soon all is served again once nothing is disturbed.
-const recoverWithin = 12 * time.Second
+// recoveryTimeout bounds the time from the end of all faults until each gateway serves requests.
+const recoveryTimeout = 12 * time.Second
 
-// lookEvery is how often promises are checked while a run goes on.
-const lookEvery = time.Second
+// checkInterval is the interval at which the history is checked during a run.
+const checkInterval = time.Second
 
-// build builds the program that is tested.
-func build(t testing.TB) string {
+// buildBinary builds the tested program.
+func buildBinary(t testing.TB) string {
 	t.Helper()
 	b := filepath.Join(t.TempDir(), "hollowgrade")
 	out, err := exec.Command("go", "build", "-tags", "soak", "-o", b, "../../cmd/hollowgrade").CombinedOutput()
@@ -59,34 +59,34 @@
 }
 
 func TestSoak(t *testing.T) {
-	b := build(t)
+	b := buildBinary(t)
 	for _, s := range parseSeeds(t, *seeds) {
-		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) { play(t, b, s) })
+		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) { runSeed(t, b, s) })
 	}
 }
 
-// play plays the plan of one seed.
-func play(t *testing.T, binary string, seed uint64) {
-	w := newWorld(t, binary, size{*gateways, *workers, *callers})
+// runSeed runs the plan of one seed under load and checks the history.
+func runSeed(t *testing.T, binary string, seed uint64) {
+	w := newWorld(t, binary, worldSize{*gateways, *workers, *callers})
 	defer w.close()
 	p := newPlan(seed, *length)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.awaitServing(t, "at the start")
-	begin := time.Now()
+	start := time.Now()
 	var cs, fs sync.WaitGroup
 	for i := range *callers {
-		cs.Go(func() { w.call(ctx, seed, i) })
+		cs.Go(func() { w.runCaller(ctx, seed, i) })
 	}
 	for _, s := range p {
 		fs.Go(func() {
-			time.Sleep(s.at - time.Since(begin))
+			time.Sleep(s.at - time.Since(start))
 			w.apply(s)
 		})
 	}
 	bs := w.watch(&fs)
 	if len(bs) == 0 {
-		w.heal()
+		w.resumeGateways()
 		w.awaitServing(t, "after the last fault")
 	}
 	cancel()
@@ -94,7 +94,8 @@
 	w.report(t, seed, p, bs)
 }
 
-// watch checks promises until all faults are over or one is broken.
+// watch checks the history until all steps are over, and returns the violations of the first check
+// that finds some.
 func (w *world) watch(fs *sync.WaitGroup) (bs []string) {
 	over := make(chan struct{})
 	go func() {
@@ -105,9 +106,9 @@
 		select {
 		case <-over:
 			return w.check()
-		case <-time.After(lookEvery):
+		case <-time.After(checkInterval):
 			if bs = w.check(); len(bs) > 0 {
-				<-over // faults use the world
+				<-over // the steps still use the world
 				return bs
 			}
 		}
@@ -120,26 +121,26 @@
 	return w.history.check()
 }
 
-// awaitServing waits until each gateway serves.
+// awaitServing waits until each gateway has answered a request.
 func (w *world) awaitServing(t *testing.T, when string) {
 	t.Helper()
-	until := time.Now().Add(recoverWithin)
-	for i := range w.gates {
+	until := time.Now().Add(recoveryTimeout)
+	for i := range w.gateways {
 		for n := 0; ; n++ {
-			if w.served(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
+			if w.sendProbe(i, fmt.Sprintf("again-%d-%d-%s", i, n, when)) {
 				break
 			}
 			if time.Now().After(until) {
-				require.Fail(t, "RECOVER: a gateway does not serve", "%s, %s, logs in %s", w.gates[i].name, when, w.logs)
+				require.Fail(t, "RECOVER: a gateway does not serve", "%s, %s, logs in %s", w.gateways[i].name, when, w.logs)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-// logged returns how often the gateways' logs have a text.
-func (w *world) logged(text string) (n int) {
-	for _, g := range w.gates {
+// countLogged counts the occurrences of a text in the gateways' logs.
+func (w *world) countLogged(text string) (n int) {
+	for _, g := range w.gateways {
 		b, err := os.ReadFile(filepath.Join(w.logs, g.name+".log"))
 		if err != nil {
 			w.t.Errorf("log of %s: %v", g.name, err)
@@ -149,7 +150,8 @@
 	return n
 }
 
-// report says what a run came to. Logs are kept when something was broken.
+// report logs the figures of a run and fails the test if there are violations, in which case the
+// logs are kept.
 func (w *world) report(t *testing.T, seed uint64, p []step, bs []string) {
 	t.Helper()
 	bs = append(bs, w.check()...)
@@ -157,15 +159,15 @@
 	defer w.mu.Unlock()
 	ok := 0
 	for _, q := range w.history.requests {
-		if success(q) && q.whole {
+		if success(q) && q.complete {
 			ok++
 		}
 	}
 	t.Logf("seed %d: %d faults, %d requests, %d served, %d arrivals at workers, %d large values from peers, %d suspensions, %d promises broken",
-		seed, len(p), len(w.history.requests), ok, len(w.history.runs), w.logged("value received"), w.logged("machine was suspended"), len(bs))
+		seed, len(p), len(w.history.requests), ok, len(w.history.runs), w.countLogged("value received"), w.countLogged("machine was suspended"), len(bs))
 	if len(bs) == 0 && !t.Failed() {
 		require.NoError(t, os.RemoveAll(w.logs))
 		return
 	}
-	require.Empty(t, bs, "seed %d, logs in %s, plan:\n%s", seed, w.logs, describe(p))
+	require.Empty(t, bs, "seed %d, logs in %s, plan:\n%s", seed, w.logs, formatPlan(p))
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -22,139 +22,140 @@
 	"github.com/hollowgrade/hollowgrade/platform/platformtest"
 )
 
-// size is how many processes and stand-ins a world has.
-type size struct {
+// worldSize is the number of processes and stand-ins in a world.
+type worldSize struct {
 	gateways, workers, callers int
 }
 
 const (
-	events    = 12 // of a stream
-	keysKept  = 3  // keys that are never revoked
-	keysGiven = 40 // keys in all
-	// narrow is the rate of some gateways' links, 20 Mbit/s. A configuration with
-	// mostFiller routes has 0.6 MB, and takes a quarter of a second there.
-	narrow        = 20e6 / 8
-	fillerAtATime = 1400
-	mostFiller    = 4200
-	wideEvery     = 3 // gateways, of which one has a link without a bound
-	servedStill   = 2 // gateways that the store serves while others are turned away in turn
-	turnEvery     = 400 * time.Millisecond
-	narrowMbits   = 20
+	streamEvents  = 12 // in each stream
+	permanentKeys = 3  // keys that are never revoked
+	totalKeys     = 40 // keys in all
+	// narrowLinkBytesPerSecond is the rate of some gateways' links, 20 Mbit/s. A configuration with
+	// maxFillerRoutes has 0.6 MB, which takes a quarter of a second at this rate.
+	narrowLinkBytesPerSecond = 20e6 / 8
+	fillerRoutesPerStep      = 1400
+	maxFillerRoutes          = 4200
+	wideLinkEvery            = 3 // one in so many gateways has a link without a limit
+	minServedGateways        = 2 // gateways that keep their link to the store while those of others are silenced
+	turnAwayInterval         = 400 * time.Millisecond
+	narrowLinkMbits          = 20
 )
 
-// gateway is one real process, and the proxy through which it sees the store.
+// gateway is one real process, with the proxies through which it reaches the store and peers reach
+// it.
 type gateway struct {
-	mu      sync.Mutex
-	name    string
-	config  string
-	callers string
-	ready   string
-	store   *proxy
-	peers   *proxy    // through which others reach it
-	cmd     *exec.Cmd // nil while it is down
-	exited  chan struct{}
-	life    int
-
-	suspended time.Duration // in all; the process reads it from a file
+	mu             sync.Mutex
+	name           string
+	config         string
+	callersAddress string
+	readyAddress   string
+	store          *proxy
+	peers          *proxy    // through which peers reach it
+	cmd            *exec.Cmd // nil until the first start
+	exited         chan struct{}
+	instance       int
+
+	suspended time.Duration // total; the process reads it from a file
 }
 
-// worker is a stand-in behind a proxy, whose address the registry has.
+// worker is a stand-in worker behind a proxy; the registry has the proxy's address.
 type worker struct {
 	*platformtest.Worker
-	proxy *proxy
-	born  time.Time // of a later life under the same id
+	proxy     *proxy
+	startTime time.Time // of a later instance with the same id
 }
 
-// world is all that a run has.
+// world is the environment of a run.
 type world struct {
-	t      testing.TB
-	binary string
-	logs   string
-	store  *platformtest.Store
-	gates  []*gateway
-
-	mu      sync.Mutex
-	history *history
-	workers []*worker
-	made    int // workers
-	version int
-	keys    []string
-	routes  []string // that were added
-	filler  int      // further routes, which nobody calls
-	signals map[string]signal
-	ends    sync.WaitGroup // of workers that end by a request
+	t        testing.TB
+	binary   string
+	logs     string
+	store    *platformtest.Store
+	gateways []*gateway
+
+	mu             sync.Mutex
+	history        *history
+	workers        []*worker
+	workersStarted int // for the ids of workers
+	version        int
+	keys           []string
+	routes         []string // paths of the added routes
+	filler         int      // number of further routes, which no caller uses
+	signals        map[string]signal
+	crashes        sync.WaitGroup // pending crashes and restarts of workers
 }
 
-func newWorld(t testing.TB, binary string, z size) *world {
+func newWorld(t testing.TB, binary string, z worldSize) *world {
 	t.Helper()
 	w := &world{t: t, binary: binary, store: platformtest.NewStore(), history: newHistory(), signals: map[string]signal{}}
 	t.Cleanup(w.store.Close)
 	w.logs = filepath.Join(os.TempDir(), "hollowgrade-soak", fmt.Sprint(os.Getpid(), "-", time.Now().UnixNano()))
 	require.NoError(t, os.MkdirAll(w.logs, 0o755))
-	for i := range keysGiven {
+	for i := range totalKeys {
 		w.keys = append(w.keys, fmt.Sprint("key-", i))
 	}
-	w.configure()
+	w.writeConfig()
 	for range z.workers {
 		w.addWorker()
 	}
 	var seeds []string
 	for i := range z.gateways {
-		w.gates = append(w.gates, w.newGateway(i, &seeds))
+		w.gateways = append(w.gateways, w.newGateway(i, &seeds))
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		w.start(g)
 	}
 	return w
 }
 
-// Ports of gateways are taken from below those that the system gives to outgoing
-// connections, or one of these has a port by the time when its gateway starts
-// again. Each run takes a part of them for itself, since others may run beside it.
-const firstPort, portsOfRun, runsBeside = 12_000, 2_000, 10
+// Gateways' ports are below the system's range for outgoing connections, or one of these could take
+// the port of a gateway before it restarts. Each run locks a part of them, as other runs may go on
+// at the same time.
+const firstPort, portsPerRun, maxParallelRuns = 12_000, 2_000, 10
 
-// ownPorts returns the first port of this run's part, which is locked until the process ends.
+// ownPorts returns the first port of this run's part, which stays locked until the process exits.
 var ownPorts = sync.OnceValues(func() (first int, err error) {
 	d := filepath.Join(os.TempDir(), "hollowgrade-soak-ports")
 	if err = os.MkdirAll(d, 0o755); err != nil {
 		return 0, err
 	}
-	for i := range runsBeside {
+	for i := range maxParallelRuns {
 		f, err := os.OpenFile(filepath.Join(d, fmt.Sprint(i)), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return 0, err
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
 			portsLock = f
-			return firstPort + i*portsOfRun, nil
+			return firstPort + i*portsPerRun, nil
 		}
-		_ = f.Close() // another run has it
+		_ = f.Close() // locked by another run
 	}
-	return 0, fmt.Errorf("%d runs have all ports", runsBeside)
+	return 0, fmt.Errorf("%d runs have all ports", maxParallelRuns)
 })
 
 // portsLock is held open for as long as the process runs.
 var portsLock *os.File
 
-// given has the ports that were handed out: one is free until its gateway starts, and was handed out
-// twice.
-var given = map[int]bool{}
+// usedPorts has the ports that were assigned: a port stays free until its gateway starts, and could
+// be assigned twice.
+var usedPorts = map[int]bool{}
 
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	first, err := ownPorts()
 	require.NoError(t, err)
 	var k net.ListenConfig
-	for range portsOfRun {
-		p := first + rand.IntN(portsOfRun)
+	for range portsPerRun {
+		p := first + rand.IntN(portsPerRun)
 		a := fmt.Sprint("127.0.0.1:", p)
-		if given[p] {
+		if usedPorts[p] {
 			continue
 		}
 		l, err := k.Listen(context.Background(), "tcp", a)
 		if err == nil {
 			require.NoError(t, l.Close())
-			given[p] = true
+			usedPorts[p] = true
 			return a
 		}
 	}
@@ -164,17 +165,17 @@
 
 func (w *world) newGateway(i int, seeds *[]string) *gateway {
 	g := &gateway{
-		name:    fmt.Sprint("box-", i),
-		callers: freeAddress(w.t),
-		ready:   freeAddress(w.t),
-		store:   newProxy(w.t, w.store.Address()),
-		config:  filepath.Join(w.logs, fmt.Sprint("box-", i, ".toml")),
+		name:           fmt.Sprint("box-", i),
+		callersAddress: freeAddress(w.t),
+		readyAddress:   freeAddress(w.t),
+		store:          newProxy(w.t, w.store.Address()),
+		config:         filepath.Join(w.logs, fmt.Sprint("box-", i, ".toml")),
 	}
 	peers := freeAddress(w.t)
 	g.peers = newProxy(w.t, peers)
 	link := 0
-	if i%wideEvery != 0 {
-		g.store.rate, g.peers.rate, link = narrow, narrow, narrowMbits
+	if i%wideLinkEvery != 0 {
+		g.store.rate, g.peers.rate, link = narrowLinkBytesPerSecond, narrowLinkBytesPerSecond, narrowLinkMbits
 	}
 	*seeds = append(*seeds, g.peers.address())
 	text := fmt.Sprintf(`role = "gateway"
@@ -194,14 +195,13 @@
 retry_ratio = %g
 retry_slack = %d
 retry_window = %q
-`, g.name, g.callers, g.ready, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, applyWithin, grace,
+`, g.name, g.callersAddress, g.readyAddress, peers, g.peers.address(), link, strings.Join(*seeds, `", "`), g.store.address(), keyFreshness, maxApplyDelay, stopGrace,
 		retryRatio, retrySlack, retryWindow)
 	require.NoError(w.t, os.WriteFile(g.config, []byte(text), 0o600))
 	return g
 }
 
-// start starts a gateway's process, unless another fault that overlaps has done
-// so. It is ended by its own id.
+// start starts a gateway's process, unless an overlapping step has already done so.
 func (w *world) start(g *gateway) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,39 +215,39 @@
 	}
 	c := exec.Command(w.binary, "gateway", "--config", g.config)
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(os.Environ(), suspendedFile+"="+g.suspensions())
+	c.Env = append(os.Environ(), suspendedFileEnv+"="+g.suspendedPath())
 	if err = c.Start(); err != nil {
 		w.t.Errorf("start %s: %v", g.name, err)
 		return
 	}
 	done := make(chan struct{})
 	g.cmd, g.exited = c, done
-	g.life++
+	g.instance++
 	go func() {
-		_ = c.Wait() // how it ended is in its log
+		_ = c.Wait() // its log has the reason of its exit
 		_ = out.Close()
 		close(done)
 	}()
 }
 
-// signal sends a signal to a gateway's process, if it has one, and returns a
-// channel that is closed when that has ended.
+// signal sends a signal to a gateway's process, if it has one, and returns a channel that is closed
+// when the process has exited.
 func (g *gateway) signal(s syscall.Signal) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd != nil {
-		_ = g.cmd.Process.Signal(s) // it may have ended already
+		_ = g.cmd.Process.Signal(s) // it may have exited already
 	}
 	return g.exited
 }
 
-func (g *gateway) lives() int {
+func (g *gateway) currentInstance() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.instance
 }
 
-// running reports whether the process runs. The lock is held.
+// running reports whether the process runs. g.mu must be held.
 func (g *gateway) running() bool {
 	if g.cmd == nil {
 		return false
@@ -260,9 +260,9 @@
 	}
 }
 
-// configure writes the configuration anew. The lock is held, or nobody else has
-// the world yet.
-func (w *world) configure() {
+// writeConfig writes a new version of the configuration. w.mu must be held, unless the world isn't
+// shared yet.
+func (w *world) writeConfig() {
 	w.version++
 	var routes []string
 	route := func(path, more string) {
@@ -282,30 +282,30 @@
  "tenants":[{"name":"o","apiKeys":["%s"]}]}`, w.version, strings.Join(routes, ","), strings.Join(w.keys, `","`))))
 }
 
-// addWorker starts a worker and lists it.
+// addWorker starts a worker and registers it.
 func (w *world) addWorker() {
-	id := fmt.Sprint("i-", w.made)
-	w.made++
+	id := fmt.Sprint("i-", w.workersStarted)
+	w.workersStarted++
 	k := &worker{Worker: platformtest.NewWorker(id, w.behave)}
 	k.proxy = newProxy(w.t, k.Address())
 	w.workers = append(w.workers, k)
-	w.list(k, "ready")
+	w.register(k, "ready")
 }
 
-func (w *world) list(k *worker, state string) {
+func (w *world) register(k *worker, state string) {
 	r := k.Record("s", state)
 	r["address"] = k.proxy.address()
-	if !k.born.IsZero() {
-		r["born"] = k.born.UnixMilli()
+	if !k.startTime.IsZero() {
+		r["born"] = k.startTime.UnixMilli()
 	}
 	w.store.PutJSON("keyed.servers", k.ID, r)
 }
 
-// behave answers a request as its id says, so that a seed's load misbehaves the
-// same way again.
+// behave answers a request according to a hash of its id, so that the load of a seed meets the same
+// failures in each run.
 func (w *world) behave(k *platformtest.Worker, c net.Conn, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
-	luck := hash(k.ID+id) % 100
+	draw := hash(k.ID+id) % 100
 	body := ""
 	for i, q := range k.Requests() {
 		if q == r {
@@ -313,88 +313,87 @@
 		}
 	}
 	w.mu.Lock()
-	refuses := w.signals[k.ID].rest
+	refuses := w.signals[k.ID].retryLater
 	w.history.runs = append(w.history.runs, run{
 		id: id, worker: k.ID, path: r.URL.Path, body: body, organisation: r.Header.Get("Tenant"), at: time.Now(),
-		refused: refuses || luck < 3 && !strings.HasPrefix(id, harmful) || r.Header.Get("Expect-Instance") != k.ID, key: r.Header.Get("Authorization") != "",
+		refused: refuses || draw < 3 && !strings.HasPrefix(id, harmfulPrefix) || r.Header.Get("Expect-Instance") != k.ID, keyForwarded: r.Header.Get("Authorization") != "",
 	})
 	w.mu.Unlock()
 	switch {
 	case r.Header.Get("Expect-Instance") != k.ID:
 		platformtest.Misdirected(k, c, r)
 	case refuses:
-		w.saying(platformtest.Shed)(k, c, r)
-	case strings.HasPrefix(id, harmful):
-		time.Sleep(harmfulTime)
-		w.endIn(k, returns(luck%uint64(ways)))
-	case luck < 3:
-		w.saying(platformtest.Shed)(k, c, r)
-	case luck < 5:
+		w.recordSignal(platformtest.Shed)(k, c, r)
+	case strings.HasPrefix(id, harmfulPrefix):
+		time.Sleep(crashDelay)
+		w.crashAsync(k, restartMode(draw%uint64(restartModes)))
+	case draw < 3:
+		w.recordSignal(platformtest.Shed)(k, c, r)
+	case draw < 5:
 		platformtest.Reset(k, c, r)
-	case luck < 7:
-		w.saying(platformtest.Answer(http.StatusInternalServerError, "no"))(k, c, r)
-	case luck < 8:
+	case draw < 7:
+		w.recordSignal(platformtest.Answer(http.StatusInternalServerError, "no"))(k, c, r)
+	case draw < 8:
 		platformtest.Hang(k, c, r)
 	default:
-		time.Sleep(time.Duration(luck) * time.Millisecond)
-		w.saying(answer(id, luck))(k, c, r)
+		time.Sleep(time.Duration(draw) * time.Millisecond)
+		w.recordSignal(answer(id, draw))(k, c, r)
 	}
 }
 
-func answer(id string, luck uint64) platformtest.Behaviour {
+func answer(id string, draw uint64) platformtest.Behaviour {
 	switch {
 	case !strings.HasPrefix(id, "stream"):
 		return platformtest.Answer(http.StatusOK, "answer to "+id)
-	case luck < 20:
-		return platformtest.Stream(events, int(luck)-7)
+	case draw < 20:
+		return platformtest.Stream(streamEvents, int(draw)-7)
 	default:
-		return platformtest.Stream(events, 0)
+		return platformtest.Stream(streamEvents, 0)
 	}
 }
 
-// disturb notes a fault, so that what is bounded in time is not held to it.
-func (w *world) disturb(k kind, gateway int, from, to time.Time) {
+// recordFault records a fault, so that bounds in time aren't checked while it is in effect.
+func (w *world) recordFault(k kind, gateway int, from, to time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history.spans = append(w.history.spans, span{k, gateway, from, to})
 }
 
-// apply does one step and returns when it is over.
+// apply executes one step and returns when it is over.
 func (w *world) apply(s step) {
 	from := time.Now()
-	i := s.which % len(w.gates)
-	g := w.gates[i]
-	// What it takes to recover belongs to the fault: a process to start, a view to
-	// be read again.
-	if s.what == suspendGateway {
-		s.lasts += suspendMore
-	}
-	over := from.Add(s.lasts + 2*time.Second)
-	if s.what == turnAway {
-		over = over.Add(time.Duration(len(w.gates)) * turnEvery)
-	}
-	w.disturb(s.what, i, from, over)
-	switch s.what {
+	i := s.target % len(w.gateways)
+	g := w.gateways[i]
+	// The recorded fault includes the time of the recovery: a process starts, a view is read again.
+	if s.kind == suspendGateway {
+		s.duration += suspendExtraTime
+	}
+	over := from.Add(s.duration + 2*time.Second)
+	if s.kind == turnAway {
+		over = over.Add(time.Duration(len(w.gateways)) * turnAwayInterval)
+	}
+	w.recordFault(s.kind, i, from, over)
+	switch s.kind {
 	case killGateway, pauseGateway, suspendGateway, stopGateway, reloadGateway:
 		w.applyToProcess(g, s)
 	case silenceStore:
-		w.during(g.store, silence, s.lasts)
+		w.setModeFor(g.store, silence, s.duration)
 	case resetStore:
 		g.store.reset()
 	case turnAway:
-		w.turnAway(s)
+		w.silenceInTurn(s)
 	case silencePeers:
-		w.during(g.peers, silence, s.lasts)
+		w.setModeFor(g.peers, silence, s.duration)
 	case resetPeers:
 		g.peers.reset()
 	case delayPeers:
-		w.during(g.peers, delay, s.lasts)
+		w.setModeFor(g.peers, delay, s.duration)
 	case busyStore:
-		w.mode(platformtest.Busy, s.lasts)
+		w.setStoreMode(platformtest.Busy, s.duration)
 	case awayStore:
-		w.mode(platformtest.Unavailable, s.lasts)
+		w.setStoreMode(platformtest.Unavailable, s.duration)
 	case loseAnswers:
-		w.mode(platformtest.LosingAnswers, s.lasts)
+		w.setStoreMode(platformtest.LosingAnswers, s.duration)
 	case compactStore:
 		w.store.Compact("keyed.op")
 		w.store.Compact("keyed.servers")
@@ -403,19 +402,19 @@
 	}
 }
 
-// applyToProcess does a step that is done to a gateway's process.
+// applyToProcess executes a step that affects a gateway's process.
 func (w *world) applyToProcess(g *gateway, s step) {
-	switch s.what {
+	switch s.kind {
 	case killGateway:
 		<-g.signal(syscall.SIGKILL)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		w.start(g)
 	case pauseGateway:
 		g.signal(syscall.SIGSTOP)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		g.signal(syscall.SIGCONT)
 	case suspendGateway:
-		w.suspend(g, s.lasts)
+		w.suspend(g, s.duration)
 	case stopGateway:
 		w.stop(g)
 	case reloadGateway:
@@ -423,27 +422,28 @@
 	}
 }
 
-// suspendedFile is where a process of a build for the soak looks for how long its machine was suspended.
-const suspendedFile = "HOLLOWGRADE_SUSPENDED"
+// suspendedFileEnv names the file from which a process built with the soak tag reads how long its
+// machine was suspended.
+const suspendedFileEnv = "HOLLOWGRADE_SUSPENDED"
 
-// suspendMore is how much longer a machine is suspended than other faults last: keys that are taken away
-// meanwhile have to be of no use when it goes on.
-const suspendMore = 4 * time.Second
+// suspendExtraTime is added to the duration of suspensions, so that keys which are revoked
+// meanwhile have to be refused when the machine resumes.
+const suspendExtraTime = 4 * time.Second
 
-// suspensions returns the path of the file for a gateway.
-func (g *gateway) suspensions() string {
+// suspendedPath returns the path of the gateway's file for suspendedFileEnv.
+func (g *gateway) suspendedPath() string {
 	return g.config + ".suspended"
 }
 
-// suspend stops a gateway with its machine.
+// suspend simulates a suspension of the gateway's machine.
 func (w *world) suspend(g *gateway, d time.Duration) {
-	begin := time.Now()
+	start := time.Now()
 	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	g.mu.Lock()
-	g.suspended += time.Since(begin)
-	part := g.suspensions() + ".part" // the file is there as a whole or not at all
-	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspensions()))
+	g.suspended += time.Since(start)
+	part := g.suspendedPath() + ".part" // renaming makes the write atomic
+	err := errors.Join(os.WriteFile(part, []byte(g.suspended.String()), 0o600), os.Rename(part, g.suspendedPath()))
 	g.mu.Unlock()
 	if err != nil {
 		w.t.Errorf("suspend %s: %v", g.name, err)
@@ -451,88 +451,88 @@
 	g.signal(syscall.SIGCONT)
 }
 
-// stop ends a gateway as the platform does, and starts it again.
+// stop stops a gateway as the platform does, SIGTERM and after stopGrace SIGKILL, and restarts it.
 func (w *world) stop(g *gateway) {
 	done := g.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(grace):
+	case <-time.After(stopGrace):
 		<-g.signal(syscall.SIGKILL)
 	}
 	w.start(g)
 }
 
-func (w *world) during(p *proxy, y way, d time.Duration) {
+func (w *world) setModeFor(p *proxy, y linkMode, d time.Duration) {
 	p.set(y)
 	time.Sleep(d)
 	p.set(pass)
 }
 
-// turnAway lets the store answer all gateways but two no more, one after another, so that those that stand in for
-// readers are turned away in turn.
-func (w *world) turnAway(s step) {
+// silenceInTurn silences the links of all gateways but two to the store, one after another, so that
+// the gateways that take over as readers lose the store too.
+func (w *world) silenceInTurn(s step) {
 	var g sync.WaitGroup
-	for i := range w.gates[servedStill:] {
-		x := w.gates[(s.which+i)%len(w.gates)]
+	for i := range w.gateways[minServedGateways:] {
+		x := w.gateways[(s.target+i)%len(w.gateways)]
 		g.Go(func() {
-			time.Sleep(time.Duration(i) * turnEvery)
-			w.during(x.store, silence, s.lasts)
+			time.Sleep(time.Duration(i) * turnAwayInterval)
+			w.setModeFor(x.store, silence, s.duration)
 		})
 	}
 	g.Wait()
 }
 
-func (w *world) mode(m platformtest.Mode, d time.Duration) {
+func (w *world) setStoreMode(m platformtest.Mode, d time.Duration) {
 	w.store.SetMode(m)
 	time.Sleep(d)
 	w.store.SetMode(platformtest.Serving)
 }
 
 func (w *world) applyToWorkers(s step) {
-	switch s.what {
+	switch s.kind {
 	case harmfulRequest:
-		w.harm(s)
+		w.sendHarmful(s)
 		return
 	case strangeEntries:
-		w.stranger(s)
+		w.addInvalidEntries(s)
 		return
 	}
-	k := w.worker(s.which)
+	k := w.worker(s.target)
 	if k == nil {
-		return // a harmful request has ended all of them
+		return // harmful requests have crashed all of them
 	}
-	switch s.what {
+	switch s.kind {
 	case delayWorker:
-		w.during(k.proxy, delay, s.lasts)
+		w.setModeFor(k.proxy, delay, s.duration)
 	case resetWorker:
 		k.proxy.reset()
 	case silenceWorker:
-		w.during(k.proxy, silence, s.lasts)
+		w.setModeFor(k.proxy, silence, s.duration)
 	case deafenWorker:
-		w.during(k.proxy, deafen, s.lasts)
+		w.setModeFor(k.proxy, deafen, s.duration)
 	case crashWorker:
 		w.replace(k)
 		k.Close()
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		w.store.Put("keyed.servers", k.ID, nil)
 	case drainWorker:
 		w.replace(k)
-		w.list(k, "draining")
+		w.register(k, "draining")
 		w.mu.Lock()
-		w.history.leaving[k.ID] = time.Now()
+		w.history.leavingSince[k.ID] = time.Now()
 		w.mu.Unlock()
-		time.Sleep(drainWithin + s.lasts)
+		time.Sleep(maxDrainDelay + s.duration)
 		w.store.Put("keyed.servers", k.ID, nil)
-		time.Sleep(grace) // what it has is finished
+		time.Sleep(stopGrace) // its requests finish
 		k.Close()
 	case nameLimit, leaveInAnswers, askForRest:
-		w.signal(k, s)
+		w.announce(k, s)
 	case revokeKey, addRoute, growConfig:
-		w.change(s)
+		w.changeConfig(s)
 	}
 }
 
-// worker returns one of the workers that there are now, or nil.
+// worker returns one of the present workers, or nil if there is none.
 func (w *world) worker(which int) *worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -542,7 +542,7 @@
 	return w.workers[which%len(w.workers)]
 }
 
-// replace puts a new worker in the place of one that leaves.
+// replace removes a worker that leaves or crashes and adds a new one.
 func (w *world) replace(k *worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -550,23 +550,23 @@
 	w.addWorker()
 }
 
-// change writes a new version of the configuration.
-func (w *world) change(s step) {
+// changeConfig writes a new version of the configuration.
+func (w *world) changeConfig(s step) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	revoked, added := "", ""
-	if s.what == revokeKey && len(w.keys) > keysKept {
-		i := keysKept + s.which%(len(w.keys)-keysKept)
+	if s.kind == revokeKey && len(w.keys) > permanentKeys {
+		i := permanentKeys + s.target%(len(w.keys)-permanentKeys)
 		revoked = w.keys[i]
 		w.keys = slices.Delete(w.keys, i, i+1)
 	} else {
 		added = fmt.Sprintf("/added-%d/", w.version)
 		w.routes = append(w.routes, added)
 	}
-	if s.what == growConfig {
-		w.filler = min(w.filler+fillerAtATime, mostFiller)
+	if s.kind == growConfig {
+		w.filler = min(w.filler+fillerRoutesPerStep, maxFillerRoutes)
 	}
-	w.configure()
+	w.writeConfig()
 	if revoked != "" {
 		w.history.revoked[revoked] = time.Now()
 	} else {
@@ -574,24 +574,24 @@
 	}
 }
 
-// heal ends all faults that last: each gateway runs.
-func (w *world) heal() {
-	for _, g := range w.gates {
+// resumeGateways resumes paused gateways and starts those that are down.
+func (w *world) resumeGateways() {
+	for _, g := range w.gateways {
 		g.signal(syscall.SIGCONT)
 		w.start(g)
 	}
 }
 
-// close ends what was started.
+// close stops all processes and workers.
 func (w *world) close() {
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		<-g.signal(syscall.SIGKILL)
 	}
-	w.ends.Wait()
+	w.crashes.Wait()
 	w.mu.Lock()
 	ks := slices.Clone(w.workers)
 	w.mu.Unlock()
 	for _, k := range ks {
-		k.Close() // waits for answers under way, and these need the lock
+		k.Close() // waits for pending answers, which need w.mu
 	}
 }
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -21,7 +21,7 @@
 		return ErrEngineDown
 	}
 	e.expire()
-	if _, ok := e.held[id]; ok {
+	if _, ok := e.holdings[id]; ok {
 		return ErrDuplicateID
 	}
 	if e.used+tokens > e.config.MemoryTokens {
@@ -29,7 +29,7 @@
 	}
 	e.used += tokens
 	e.cache.shrink(e.config.MemoryTokens - e.used)
-	e.held[id] = &holding{
+	e.holdings[id] = &holding{
 		Holding: hollowgrade.Holding{ID: id, Kind: hollowgrade.HeldReservation, Tokens: tokens},
 		expires: e.clock.Now().Add(ttl),
 	}
@@ -38,7 +38,7 @@
 
 func (e *Engine) expire() {
 	now := e.clock.Now()
-	for _, h := range e.held {
+	for _, h := range e.holdings {
 		if !h.expires.IsZero() && now.After(h.expires) {
 			e.drop(h)
 		}
@@ -47,7 +47,7 @@
 
 func (e *Engine) drop(h *holding) {
 	e.used -= h.Tokens
-	delete(e.held, h.ID)
+	delete(e.holdings, h.ID)
 }
 
 // Export implements [hollowgrade.Engine].
@@ -57,15 +57,15 @@
 	if e.down {
 		return "", ErrEngineDown
 	}
-	h, ok := e.held[id]
+	h, ok := e.holdings[id]
 	if !ok || h.Kind != hollowgrade.HeldExport {
 		return "", ErrNoHolding
 	}
 	return formatHandle(h)
 }
 
-// A handle carries the state of the prompt's hash, so that another engine can
-// go on from it without asking the first one.
+// formatHandle encodes the state of the prompt's hash into a handle, so that another engine can
+// continue from it without a call to the first one.
 func formatHandle(h *holding) (string, error) {
 	b, err := h.digest.MarshalBinary()
 	if err != nil {
@@ -94,10 +94,10 @@
 	if e.down {
 		return ErrEngineDown
 	}
-	if h, ok := e.held[id]; ok {
+	if h, ok := e.holdings[id]; ok {
 		e.drop(h)
 	}
-	e.poke()
+	e.notify()
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	}
 	e.expire()
 	var hs []hollowgrade.Holding
-	for _, h := range slices.SortedFunc(maps.Values(e.held), byID) {
+	for _, h := range slices.SortedFunc(maps.Values(e.holdings), byID) {
 		hs = append(hs, h.Holding)
 	}
 	for _, s := range e.running {
@@ -126,7 +126,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// Used returns how many tokens of memory are taken.
+// Used returns the used memory in tokens.
 func (e *Engine) Used() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,13 +141,13 @@
 	if e.down {
 		return hollowgrade.EngineLoad{}, ErrEngineDown
 	}
-	e.report()
+	e.recordLoad()
 	return e.loads[0], nil
 }
 
-// report notes the present load, and forgets those that are older than the lag
-// but for the newest of them.
-func (e *Engine) report() {
+// recordLoad records the current load, and drops entries older than the lag except the newest of
+// them.
+func (e *Engine) recordLoad() {
 	now := e.clock.Now()
 	e.loads = append(e.loads, hollowgrade.EngineLoad{
 		Running:     len(e.running),
--- a/internal/standin/freeze.go
+++ b/internal/standin/freeze.go
@@ -8,15 +8,14 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Freezer stops a process at each point where it meets the outside: its timers,
-// its connections and its upstream. It stands in for SIGSTOP where time is
-// virtual.
+// Freezer blocks a process wherever it interacts with the outside: in its timers, its connections
+// and the calls of its upstream. It stands in for SIGSTOP in tests with virtual time.
 type Freezer struct {
 	mu     sync.Mutex
 	thawed chan struct{} // nil while nothing is frozen
 }
 
-// Set freezes the process or lets it go on.
+// Set freezes or resumes the process.
 func (f *Freezer) Set(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +28,7 @@
 	}
 }
 
-// Wait returns once the process is not frozen.
+// Wait blocks while the process is frozen.
 func (f *Freezer) Wait() {
 	for {
 		f.mu.Lock()
@@ -82,8 +81,8 @@
 	return t.ch
 }
 
-// Engine returns the engine as the process sees it: calls wait while it is
-// frozen, and fail while the link is cut.
+// Engine returns the engine as the process sees it: calls block while the process is frozen, and
+// fail while the link is cut.
 func (f *Freezer) Engine(e *Engine) *LinkedEngine {
 	return &LinkedEngine{Engine: e, freezer: f}
 }
@@ -98,8 +97,8 @@
 	cancels map[string]context.CancelFunc
 }
 
-// SetCut cuts the link to the engine, or mends it. Streams that are open break,
-// and the engine cancels them as it notices that their reader is gone.
+// SetCut cuts or restores the link to the engine. Open streams break, and the engine cancels their
+// sequences, as it does when a reader disconnects.
 func (l *LinkedEngine) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +109,7 @@
 	}
 }
 
-func (l *LinkedEngine) pass() error {
+func (l *LinkedEngine) checkLink() error {
 	l.freezer.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +121,7 @@
 
 // Generate implements [hollowgrade.Engine].
 func (l *LinkedEngine) Generate(ctx context.Context, g hollowgrade.Generation) (hollowgrade.TokenStream, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -161,7 +160,7 @@
 
 // Load implements [hollowgrade.Engine].
 func (l *LinkedEngine) Load(ctx context.Context) (hollowgrade.EngineLoad, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return hollowgrade.EngineLoad{}, err
 	}
 	return l.Engine.Load(ctx)
@@ -169,7 +168,7 @@
 
 // Holdings implements [hollowgrade.Engine].
 func (l *LinkedEngine) Holdings(ctx context.Context) ([]hollowgrade.Holding, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return nil, err
 	}
 	return l.Engine.Holdings(ctx)
@@ -177,7 +176,7 @@
 
 // Cancel implements [hollowgrade.Engine].
 func (l *LinkedEngine) Cancel(ctx context.Context, id string) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Cancel(ctx, id)
@@ -185,7 +184,7 @@
 
 // Reserve implements [hollowgrade.Engine].
 func (l *LinkedEngine) Reserve(ctx context.Context, id string, tokens int, ttl time.Duration) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Reserve(ctx, id, tokens, ttl)
@@ -193,7 +192,7 @@
 
 // Export implements [hollowgrade.Engine].
 func (l *LinkedEngine) Export(ctx context.Context, id string) (string, error) {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return "", err
 	}
 	return l.Engine.Export(ctx, id)
@@ -201,7 +200,7 @@
 
 // Release implements [hollowgrade.Engine].
 func (l *LinkedEngine) Release(ctx context.Context, id string) error {
-	if err := l.pass(); err != nil {
+	if err := l.checkLink(); err != nil {
 		return err
 	}
 	return l.Engine.Release(ctx, id)
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -23,25 +23,23 @@
 	ErrTooFast = errors.New("the rate limit is reached")
 )
 
-// appendsPerSecond is what the platform says of its log.
+// appendsPerSecond is the platform's documented rate limit of its log.
 const appendsPerSecond = 100
 
-// Log is a stand-in for the platform's append-only log. Its faults are set by
-// tests.
+// Log is a stand-in for the platform's append-only log. Tests inject its faults.
 type Log struct {
 	clock     hollowgrade.Clock
 	retention time.Duration
 	limit     *rate.Limiter
 
-	mu       sync.Mutex
-	records  []hollowgrade.Record
-	earliest int64
-	out      bool
-	loses    int // appends whose answers are still to be lost
+	mu            sync.Mutex
+	records       []hollowgrade.Record
+	earliest      int64
+	outage        bool
+	answersToLose int // number of appends whose answers are still to be dropped
 }
 
-// NewLog returns an empty log that keeps records for the retention; for ever
-// if that is 0.
+// NewLog returns an empty log that keeps records for the retention, or forever if it is 0.
 func NewLog(retention time.Duration, k hollowgrade.Clock) *Log {
 	return &Log{clock: k, retention: retention, limit: rate.NewLimiter(appendsPerSecond, appendsPerSecond)}
 }
@@ -50,21 +48,21 @@
 func (l *Log) SetOutage(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out = on
+	l.outage = on
 }
 
-// LoseAnswers makes the next n appends take effect and answer with an error.
+// LoseAnswers makes the next n appends take effect but answer with an error.
 func (l *Log) LoseAnswers(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.loses = n
+	l.answersToLose = n
 }
 
 // Append implements [hollowgrade.Log].
 func (l *Log) Append(_ context.Context, body []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out {
+	if l.outage {
 		return 0, ErrOutage
 	}
 	now := l.clock.Now()
@@ -73,8 +71,8 @@
 	}
 	o := l.next()
 	l.records = append(l.records, hollowgrade.Record{Offset: o, Time: now, Body: slices.Clone(body)})
-	if l.loses > 0 {
-		l.loses--
+	if l.answersToLose > 0 {
+		l.answersToLose--
 		return 0, ErrOutage
 	}
 	return o, nil
@@ -84,8 +82,7 @@
 	return l.earliest + int64(len(l.records))
 }
 
-// Trim drops the records before the offset, as the passing of the retention
-// does.
+// Trim drops the records before the offset, as if their retention had expired.
 func (l *Log) Trim(before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,10 +99,10 @@
 func (l *Log) Read(_ context.Context, from int64, limit int) (p hollowgrade.Page, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out {
+	if l.outage {
 		return p, ErrOutage
 	}
-	l.retain()
+	l.trimExpired()
 	p.Earliest, p.Next = l.earliest, l.next()
 	if from < l.earliest {
 		return p, hollowgrade.ErrTrimmed
@@ -116,7 +113,7 @@
 	return p, nil
 }
 
-func (l *Log) retain() {
+func (l *Log) trimExpired() {
 	if l.retention == 0 {
 		return
 	}
@@ -128,7 +125,7 @@
 	l.trim(l.earliest + int64(i))
 }
 
-// maxRecordBytes bounds one record.
+// maxRecordBytes bounds the body of one record.
 const maxRecordBytes = 8 << 20
 
 // ServeHTTP serves the log's protocol.
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// Network is a stand-in for the network between boxes. It runs in the virtual
-// time of a test, gives each pair of places a delay, and can cut links and
-// freeze boxes.
+// Network is a stand-in for the network between boxes. It runs in a test's virtual time, delays
+// packets for each pair of addresses, and can cut links and freeze boxes.
 type Network struct {
 	delay func(from, to string) time.Duration
 
@@ -24,7 +23,7 @@
 
 type pair struct{ a, b string }
 
-// NewNetwork returns a network with the delay, one way, between two addresses.
+// NewNetwork returns a network with the given one-way delay between two addresses.
 func NewNetwork(delay func(from, to string) time.Duration) *Network {
 	return &Network{
 		delay:     delay,
@@ -35,7 +34,7 @@
 	}
 }
 
-// errRefused is what dialling an address without a listener gives.
+// errRefused is the error of dialling an address without a listener.
 var errRefused = errors.New("connection refused")
 
 // Listen opens a listener at an address, which is any name.
@@ -50,7 +49,7 @@
 // Dial returns a function that opens connections from an address.
 func (n *Network) Dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
-		n.wait(from)
+		n.waitUnfrozen(from)
 		t := time.NewTimer(2 * n.delay(from, to))
 		defer t.Stop()
 		select {
@@ -68,7 +67,7 @@
 	cut := n.isCut(from, to)
 	n.mu.Unlock()
 	if cut {
-		// Packets vanish; only the dialler's patience ends it.
+		// Packets are dropped, so that the dial ends only with the caller's timeout.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -88,7 +87,7 @@
 	}
 }
 
-// Freezer returns what stops the box at an address.
+// Freezer returns the freezer of the box at an address.
 func (n *Network) Freezer(address string) *Freezer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,20 +99,19 @@
 	return f
 }
 
-// Forget makes the next process at an address one that nothing has frozen. The
-// former one stays as it is.
-func (n *Network) Forget(address string) {
+// ResetFreezer gives the next process at an address a new freezer, so that it starts unfrozen. The
+// former process keeps its state.
+func (n *Network) ResetFreezer(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.frozen, address)
 }
 
-func (n *Network) wait(address string) {
+func (n *Network) waitUnfrozen(address string) {
 	n.Freezer(address).Wait()
 }
 
-// Cut breaks all connections between two addresses and lets none come about
-// until Mend.
+// Cut breaks all connections between two addresses and prevents new ones until Heal.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,8 +123,8 @@
 	}
 }
 
-// Mend ends what Cut began.
-func (n *Network) Mend(a, b string) {
+// Heal restores the link between two addresses after Cut.
+func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, pair{a, b})
@@ -137,8 +135,7 @@
 	return n.cut[pair{a, b}] || n.cut[pair{b, a}]
 }
 
-// Kill breaks all connections of an address and closes its listener, as the
-// death of its process does.
+// Kill breaks all connections of an address and closes its listener, as a crash of its process does.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -197,8 +194,8 @@
 // String implements [net.Addr].
 func (a Address) String() string { return string(a) }
 
-// link is one connection: two pipes, and two goroutines for each direction
-// that carry what is written, delayed.
+// link is one connection: two pipes, and two goroutines for each direction that forward the data
+// with a delay.
 type link struct {
 	network  *Network
 	from, to string
@@ -216,8 +213,8 @@
 	n.mu.Lock()
 	n.conns[k] = struct{}{}
 	n.mu.Unlock()
-	go k.carry(a2, b1, from, to)
-	go k.carry(b1, a2, to, from)
+	go k.forward(a2, b1, from, to)
+	go k.forward(b1, a2, to, from)
 	return a1, b2, k
 }
 
@@ -239,20 +236,20 @@
 }
 
 const (
-	packetBytes  = 32 << 10
-	packetsAloft = 256
+	packetBytes        = 32 << 10
+	maxPacketsInFlight = 256
 )
 
-// carry takes what one end writes to the other end.
-func (k *link) carry(in, out net.Conn, from, to string) {
-	ps := make(chan packet, packetsAloft)
+// forward reads from one end, and queues the data for deliver, which writes it to the other end.
+func (k *link) forward(in, out net.Conn, from, to string) {
+	ps := make(chan packet, maxPacketsInFlight)
 	go k.deliver(ps, out, to)
 	defer close(ps)
 	b := make([]byte, packetBytes)
 	for {
 		c, err := in.Read(b)
 		if c > 0 {
-			k.network.wait(from)
+			k.network.waitUnfrozen(from)
 			p := packet{data: slices.Clone(b[:c]), at: time.Now().Add(k.delay)}
 			select {
 			case ps <- p:
@@ -266,7 +263,7 @@
 	}
 }
 
-// deliver ends the connection once everything that was sent has arrived.
+// deliver writes each packet once its delay has passed, and closes the connection after the last.
 func (k *link) deliver(ps <-chan packet, out net.Conn, to string) {
 	defer k.close()
 	for p := range ps {
@@ -279,7 +276,7 @@
 				return
 			}
 		}
-		k.network.wait(to)
+		k.network.waitUnfrozen(to)
 		if _, err := out.Write(p.data); err != nil {
 			return
 		}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -19,12 +19,11 @@
 	limit *rate.Limiter
 
 	mu      sync.Mutex
-	out     bool
+	outage  bool
 	fetches []standalone.FetchCall
 }
 
-// NewWeights returns a store that allows one fetch for each interval, and a
-// few at once.
+// NewWeights returns a store that allows one fetch for each interval, and bursts of the given size.
 func NewWeights(interval time.Duration, burst int, k hollowgrade.Clock) *Weights {
 	return &Weights{clock: k, limit: rate.NewLimiter(rate.Every(interval), burst)}
 }
@@ -33,10 +32,10 @@
 func (s *Weights) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = on
+	s.outage = on
 }
 
-// Fetches returns what was fetched.
+// Fetches returns the fetches that were allowed.
 func (s *Weights) Fetches() []standalone.FetchCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +46,7 @@
 func (s *Weights) Fetch(_ context.Context, box, model string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out {
+	if s.outage {
 		return ErrOutage
 	}
 	if !s.limit.AllowN(s.clock.Now(), 1) {
@@ -60,7 +59,7 @@
 // ServeHTTP serves the store's protocol.
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var c standalone.FetchCall
-	if accept(w, r, &c) {
+	if decodeBody(w, r, &c) {
 		platformReply(w, struct{}{}, s.Fetch(r.Context(), c.Box, c.Model))
 	}
 }
