--- a/cmd/hollowgrade-standin/main.go
+++ b/cmd/hollowgrade-standin/main.go
@@ -1,5 +1,5 @@
-// Command hollowgrade-standin runs a stand-in for one of the systems around
-// hollowgrade, for examples and tests. It is no part of the product.
+// Command hollowgrade-standin runs a stand-in for one of the systems around hollowgrade, for
+// examples and tests. It is not part of the product.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	Listen string `help:"Address to listen on." default:"127.0.0.1:0"`
 }
 
-// serve prints the address, so that the caller need not choose a port.
+// serve prints its address, so that the caller needn't choose a port.
 func (l listen) serve(h http.Handler) error {
 	n, err := standin.Listen(l.Listen)
 	if err != nil {
--- a/cmd/hollowgrade/main.go
+++ b/cmd/hollowgrade/main.go
@@ -1,5 +1,5 @@
-// Command hollowgrade is the serving layer: entry, agent and the operators'
-// tools in one binary. See the README and 'hollowgrade --help'.
+// Command hollowgrade is the serving layer: entry, agent, gateway and the operators' tools in one
+// binary. See the README and 'hollowgrade --help'.
 package main
 
 import (
--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -22,7 +22,7 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// binaries are built once for all tests of this package.
+// binaries holds the paths of the commands, which are built once for all tests of this package.
 var binaries struct {
 	hollowgrade, standin string
 }
@@ -45,7 +45,7 @@
 	os.Exit(code)
 }
 
-// process is a child process whose lines can be waited for.
+// process is a child process whose output can be awaited line by line.
 type process struct {
 	*exec.Cmd
 	lines chan string
@@ -63,7 +63,7 @@
 		for s := bufio.NewScanner(out); s.Scan(); {
 			select {
 			case p.lines <- s.Text():
-			default: // nobody waits for so many lines, and the process must not wait for us
+			default: // drop the line: a full buffer must not block the process
 			}
 		}
 	}()
@@ -74,7 +74,7 @@
 	return p
 }
 
-// await returns the first line that holds the text.
+// await returns the first line that contains the text.
 func (p *process) await(t testing.TB, text string) string {
 	t.Helper()
 	for l := range p.lines {
@@ -94,7 +94,7 @@
 	return fmt.Sprint(m[name])
 }
 
-// fleet is a whole fleet, each part a process of its own.
+// fleet is a whole fleet of which each part is a separate process.
 type fleet struct {
 	platform string
 	entries  []*process
@@ -105,7 +105,7 @@
 	killed   map[int]bool
 }
 
-// startFleet starts entries, and engines each with its agent.
+// startFleet starts entries, and engines with an agent each.
 func startFleet(t testing.TB, entries, engines int, step string) *fleet {
 	t.Helper()
 	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), killed: map[int]bool{}}
@@ -149,8 +149,7 @@
 	require.Equal(t, http.StatusOK, res.StatusCode)
 }
 
-// publish publishes the example policy and an organisation by the operators'
-// commands.
+// publish publishes the example policy and an organisation with the operators' commands.
 func (f *fleet) publish(t testing.TB) {
 	t.Helper()
 	run(t, "policy", "publish", "--platform-log", f.platform, "default", "../../examples/policies/korrigan.expr")
@@ -164,8 +163,8 @@
 	return string(out)
 }
 
-// awaitReady asks the readiness path until each entry is connected. Each answer
-// is awaited, so the loop is bounded by the entries' own progress.
+// awaitReady polls the readiness path until each entry is connected. Each response is awaited, so
+// the rate of the loop is bounded.
 func (f *fleet) awaitReady(t testing.TB) {
 	t.Helper()
 	for _, c := range f.callers {
@@ -183,8 +182,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// servingEngine returns the number of the engine that holds a sequence now. Each look
-// is an answer awaited.
+// servingEngine polls the engines until one holds a sequence, and returns its number.
 func (f *fleet) servingEngine(t testing.TB) int {
 	t.Helper()
 	for {
@@ -243,8 +241,7 @@
 	require.Equal(t, standin.Answer(prompt, tokens), text(t, res.Body))
 }
 
-// firstEvent reads up to the first event, so that the stream is certainly in
-// its middle afterwards.
+// firstEvent waits for the first event, so that the stream is in progress afterwards.
 func firstEvent(t *testing.T, res *http.Response) io.Reader {
 	t.Helper()
 	b := bufio.NewReader(res.Body)
@@ -305,8 +302,8 @@
 		b := firstEvent(t, res)
 		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGSTOP))
-		// The stream goes on elsewhere, or waits for the agent: either way it
-		// is whole. A new one is answered meanwhile.
+		// The stream continues elsewhere or waits for the agent; either way it
+		// is complete. A new one is answered meanwhile.
 		requireAnswer(t, "Meanwhile", 12, f.complete(t, 0, "Meanwhile", 12))
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGCONT))
 		require.Equal(t, standin.Answer("Half time", longAnswerTokens), text(t, b))
--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -20,8 +20,8 @@
 const (
 	manyStreams = 2000
 	manyEngines = 18
-	slowStep    = "34ms" // between two tokens of an answer
-	probes      = 300    // requests for the added time
+	slowStep    = "34ms" // time between two tokens of an answer
+	probes      = 300    // requests that measure the added latency
 )
 
 func streamsMix(tokens int) load.Mix {
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// direct calls an engine without hollowgrade and returns the whole time.
+// direct calls an engine without hollowgrade and returns the total time.
 func direct(b *testing.B, url string, i int) time.Duration {
 	b.Helper()
 	at := time.Now()
@@ -66,9 +66,8 @@
 	return float64(ds[int(q*float64(len(ds)-1))].Microseconds()) / 1000
 }
 
-// BenchmarkStreams opens 2,000 streams at once through one entry in front of 18
-// agents and engines, each a process of its own on this machine, and checks
-// each answer.
+// BenchmarkStreams opens 2,000 streams at once through one entry in front of 18 agents and engines,
+// each a separate process on this machine, and checks each answer.
 func BenchmarkStreams(b *testing.B) {
 	f := startFleet(b, 1, manyEngines, slowStep)
 	r := load.NewRunner(f.callers, true)
