--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -10,14 +10,14 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// What the baseline with helpers does: the best of the trials before there was
-// a shared view.
+// Parameters of the baseline with helpers, which were the best of the values tried without a view
+// shared between gateways.
 const (
 	baselineSplitTokens = 9_000
 	baselineHelpers     = 16
 )
 
-// baseline decides as the baselines do, by what its own gateway has open.
+// baseline decides as the baselines do, by the requests that its own gateway has open.
 type baseline struct {
 	decisions string
 	ids       []string
@@ -51,7 +51,7 @@
 	return d, true
 }
 
-// addPrefill changes the reading that the gateway has given to a plan's engines.
+// addPrefill adds to the prefill that the gateway has assigned to a plan's engines.
 func (n *baseline) addPrefill(d core.Plan, work time.Duration) {
 	n.prefill[d.Upstream] += work
 	for _, h := range d.Helpers {
--- a/experiment/burst_test.go
+++ b/experiment/burst_test.go
@@ -12,8 +12,7 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// servedInTime returns the part of the calls of a kind that were served within their
-// goals.
+// servedInTime returns the share of the requests of a kind that were served within their goals.
 func servedInTime(f File, v Variant, kind string) float64 {
 	all, served := 0, 0
 	for _, r := range Simulate(f, v) {
@@ -28,9 +27,9 @@
 	return float64(served) / float64(max(all, 1))
 }
 
-// Sixty gateways in a burst of short calls, 330 a second, each deciding on what it has
-// heard of the others up to 25 ms before. A third of the calls were late where gateways
-// did not allow for what they had not heard yet.
+// Guards against late answers when many gateways place a burst of short calls on old load reports:
+// sixty gateways get 330 calls a second, and each decides on what the others reported up to 25 ms
+// before. A third of the calls were late where gateways did not allow for load not yet reported.
 func TestManyGatewaysServeABurstOfShortCalls(t *testing.T) {
 	f, err := Read(filepath.Join(examplesDir, "sixty-gateways.toml"))
 	require.NoError(t, err)
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -6,61 +6,60 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// job is one request on its way.
+// job is one request in progress.
 type job struct {
 	kind         *Kind
 	prompt       int
 	answer       int // tokens
 	arrived      time.Duration
-	partsLeft    int // of its prompt that are not read yet
+	partsLeft    int // of its prompt that are not prefilled yet
 	split        bool
-	keptTokens   int // tokens of its prompt that other engines keep
+	keptTokens   int // tokens of its prompt in memory at each keeper
 	keepers      []*simulatedEngine
-	tries        int // at getting it placed
-	decider      int // that placed it last
+	tries        int // placement attempts
+	decider      int // index of the gateway that placed it last
 	written      int
-	first        time.Duration // when its first event came
-	last         time.Duration // when its last event came
-	pause        time.Duration // longest between two events
+	first        time.Duration // time of the first event
+	last         time.Duration // time of the last event
+	pause        time.Duration // longest time between two events
 	onFirstEvent func()
 	onDone       func(now time.Duration)
 }
 
-// part is a piece of a prompt that an engine has to read.
+// part is a part of a prompt that one engine prefills.
 type part struct {
 	job      *job
 	work     time.Duration
-	upstream *simulatedEngine // engine that writes the answer
+	upstream *simulatedEngine // engine that decodes the answer
 }
 
-// simulatedEngine is one engine: it plays passes, each over all that waits.
+// simulatedEngine is one engine. It runs in passes, each of which includes all pending prefill.
 type simulatedEngine struct {
 	id          string
 	figures     *engine.Figures
 	sim         *simulation
 	prefills    []part
 	decoding    []*job
-	slotQueue   []*job    // read, waiting for a slot
-	memoryQueue []arrival // that wait for memory
-	usedTokens  int       // tokens of memory that calls hold
+	slotQueue   []*job    // prefilled, waiting for a slot
+	memoryQueue []arrival // calls that wait for memory
+	usedTokens  int       // memory in use by calls
 	busy        bool
 	pace        float64
 }
 
-// arrival is a call that waits to be let in, and what lets its prompt be read.
+// arrival is a call that waits for admission, with the function that starts its prefill.
 type arrival struct {
 	job          *job
 	startPrefill func()
 }
 
-// enqueue lets a call in once its memory is free. Its prompt is read from then on, by
-// helpers as well.
+// enqueue admits a call once its memory is free. Its prefill starts then, also at its helpers.
 func (p *simulatedEngine) enqueue(j *job, startPrefill func()) {
 	p.memoryQueue = append(p.memoryQueue, arrival{j, startPrefill})
 	p.admit()
 }
 
-// admit lets those in that wait, as far as memory goes.
+// admit admits waiting calls in order while memory suffices.
 func (p *simulatedEngine) admit() {
 	for len(p.memoryQueue) > 0 && p.hasMemory(p.memoryQueue[0].job.ownTokens()) {
 		a := p.memoryQueue[0]
@@ -70,29 +69,29 @@
 	}
 }
 
-// hasMemory reports whether the engine has memory for some more tokens.
+// hasMemory reports whether the engine has memory for the given number of tokens.
 func (p *simulatedEngine) hasMemory(tokens int) bool {
 	return p.usedTokens == 0 || p.figures.Capacity <= 0 || p.usedTokens+tokens <= p.figures.Capacity
 }
 
-// releaseMemory gives memory back.
+// releaseMemory releases memory and admits waiting calls.
 func (p *simulatedEngine) releaseMemory(tokens int) {
 	p.usedTokens -= tokens
 	p.admit()
 }
 
-// ownTokens returns how many tokens of a call are kept at the engine that answers it.
+// ownTokens returns how many tokens of a call are kept in memory at the engine that answers it.
 func (j *job) ownTokens() int {
 	return j.prompt - j.keptTokens*len(j.keepers) + j.answer
 }
 
-// addPrefill gives a part of a prompt to the engine.
+// addPrefill adds a part of a prompt to the engine's pending prefill.
 func (p *simulatedEngine) addPrefill(x part) {
 	p.prefills = append(p.prefills, x)
 	p.startPass()
 }
 
-// startPass begins a pass if none is under way.
+// startPass starts a pass unless one is running.
 func (p *simulatedEngine) startPass() {
 	if p.busy {
 		return
@@ -115,8 +114,8 @@
 	p.sim.schedule(p.passTime(prefills, decoding), func() { p.endPass(decoding) })
 }
 
-// startDecoding lets those write in the pass that begins whose prompts are read by it alone,
-// as far as there are slots, and returns the other parts.
+// startDecoding lets requests whose whole prompt is prefilled in this pass decode in it too, while
+// slots are free, and returns the other parts.
 func (p *simulatedEngine) startDecoding(prefills []part) (rest []part) {
 	for _, x := range prefills {
 		if x.upstream != p || x.job.partsLeft > 1 || len(p.slotQueue) > 0 || len(p.decoding) >= p.figures.Slots {
@@ -129,8 +128,8 @@
 	return rest
 }
 
-// finishPrefill notes that parts are read. Who has none left writes from the next pass
-// of its engine on.
+// finishPrefill records that parts are prefilled. A request with none left decodes from its
+// engine's next pass on.
 func (p *simulatedEngine) finishPrefill(parts []part) {
 	for _, x := range parts {
 		if x.job.partsLeft--; x.job.partsLeft == 0 {
@@ -140,7 +139,7 @@
 	}
 }
 
-// prefillTime returns how long the reading of parts takes.
+// prefillTime returns how long the prefill of parts takes.
 func (p *simulatedEngine) prefillTime(prefills []part) (d time.Duration) {
 	for _, x := range prefills {
 		d += x.work
@@ -148,7 +147,7 @@
 	return time.Duration(p.pace * float64(d))
 }
 
-// passTime returns how long a passTime takes.
+// passTime returns the duration of a pass.
 func (p *simulatedEngine) passTime(prefills []part, decoding []*job) (d time.Duration) {
 	if len(decoding) > 0 {
 		s := engine.State{Decoding: len(decoding)}
@@ -163,8 +162,8 @@
 	return p.prefillTime(prefills) + time.Duration(p.pace*float64(d))
 }
 
-// endPass ends a pass: each request that writes has an event more. The engine counts
-// as busy until its own lists are in order again.
+// endPass ends a pass: each request that decodes has another event. The engine stays busy until its
+// lists are updated, so that no callback starts a pass before.
 func (p *simulatedEngine) endPass(decoding []*job) {
 	now := p.sim.now
 	p.decoding = nil
@@ -179,7 +178,7 @@
 	p.startPass()
 }
 
-// recordEvent notes an recordEvent of a request.
+// recordEvent records an event of a request.
 func (p *simulatedEngine) recordEvent(j *job, now time.Duration) {
 	j.written += p.figures.Stride
 	if j.first == 0 {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// A request alone takes what the model predicts, within a pass.
+// A single request takes as long as the model predicts, give or take a pass.
 func TestEnginesPlayTheModel(t *testing.T) {
 	f := loadExample(t)
 	f.Bursts = nil
@@ -78,7 +78,7 @@
 	require.Less(t, worthShare(Simulate(f, v)), before)
 }
 
-// The order of the variants is that of the users' bench (docs/MEASUREMENTS.md).
+// The variants must rank as in the users' measurement (docs/MEASUREMENTS.md).
 func TestRanking(t *testing.T) {
 	r := Compare(loadExample(t))
 	w := map[string]float64{}
--- a/experiment/file.go
+++ b/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment plays a fleet of model engines in virtual time, on the
-// decisions that gateways really make, and compares ways of deciding side by
-// side. Engines play the arithmetic of package engine.
+// Package experiment simulates a fleet of model engines in virtual time, with the real decision
+// code of the gateways, and compares ways of deciding. The engines behave as the model of package
+// engine predicts.
 package experiment
 
 import (
@@ -17,12 +17,12 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// File says what is played.
+// File defines an experiment.
 type File struct {
 	Seed     uint64          `toml:"seed"`
 	Duration config.Duration `toml:"duration"` // of arrivals
 	Gateways int             `toml:"gateways"`
-	View     config.Duration `toml:"view"` // how late gateways hear of each other's load
+	View     config.Duration `toml:"view"` // interval of the load updates between gateways, and so their maximum age
 	Engines  Engines         `toml:"engines"`
 	Kinds    []Kind          `toml:"kind"`
 	Bursts   []Burst         `toml:"burst"`
@@ -30,7 +30,7 @@
 	Variants []Variant       `toml:"variant"`
 }
 
-// Engines is the pool.
+// Engines defines the engines, which are all alike.
 type Engines struct {
 	Count          int             `toml:"count"`
 	Slots          int             `toml:"slots"`
@@ -46,7 +46,7 @@
 	UsualAnswer    int             `toml:"usual_answer"`
 }
 
-// figures returns the same as package engine has it.
+// figures converts the settings to those of package engine.
 func (e Engines) figures() *engine.Figures {
 	return &engine.Figures{
 		Slots:           e.Slots,
@@ -66,22 +66,22 @@
 // Kind is one kind of request.
 type Kind struct {
 	Name      string          `toml:"name"`
-	Rate      float64         `toml:"rate"`   // a second
+	Rate      float64         `toml:"rate"`   // requests per second
 	Prompt    float64         `toml:"prompt"` // mean tokens
-	Spread    float64         `toml:"spread"` // standard deviation over mean; sizes are log-normal
+	Spread    float64         `toml:"spread"` // standard deviation divided by the mean; sizes are log-normal
 	PromptMax float64         `toml:"prompt_max"`
-	Tail      float64         `toml:"tail"`   // share of the prompts that are TailX times as long as the others
-	TailX     float64         `toml:"tail_x"` // 0 counts as 1
-	Answer    float64         `toml:"answer"` // mean tokens
-	Goal      config.Duration `toml:"goal"`   // until the first event
-	Pause     config.Duration `toml:"pause"`  // longest between events
-	Allowed   config.Duration `toml:"allowed"`
+	Tail      float64         `toml:"tail"`    // share of the prompts that are TailX times as long as the others
+	TailX     float64         `toml:"tail_x"`  // 0 counts as 1
+	Answer    float64         `toml:"answer"`  // mean tokens
+	Goal      config.Duration `toml:"goal"`    // maximum time to the first event
+	Pause     config.Duration `toml:"pause"`   // maximum time between events
+	Allowed   config.Duration `toml:"allowed"` // timeout
 	Worth     float64         `toml:"worth"`
 	Late      float64         `toml:"late"`    // worth of a late answer
-	Retries   int             `toml:"retries"` // times that a caller comes back after a refusal
+	Retries   int             `toml:"retries"` // maximum retries after a refusal
 }
 
-// Burst multiplies the rate of a kind for a while.
+// Burst multiplies the rate of a kind for some time.
 type Burst struct {
 	Kind string          `toml:"kind"`
 	X    float64         `toml:"x"`
@@ -89,7 +89,7 @@
 	For  config.Duration `toml:"for"`
 }
 
-// Slow makes engines slower for a while, which nobody is told.
+// Slow makes engines slower for some time, without notice to the gateways.
 type Slow struct {
 	Engines int             `toml:"engines"`
 	X       float64         `toml:"x"`
@@ -101,7 +101,7 @@
 const (
 	Worth         = "worth"          // as gateways do
 	LeastRequests = "least_requests" // fewest open requests of this gateway
-	LeastPrefill  = "least_reading"  // least reading given by this gateway; 16 helpers for long prompts
+	LeastPrefill  = "least_reading"  // least prefill assigned by this gateway; 16 helpers for long prompts
 	RoundRobin    = "round_robin"
 )
 
@@ -109,13 +109,13 @@
 type Variant struct {
 	Name      string `toml:"name"`
 	Decisions string `toml:"decisions"`
-	Alone     bool   `toml:"alone"` // gateways hear nothing of each other
-	// Perfect lets one decider that knows all at once decide for all gateways: what
-	// is lost against it is lost for want of information.
+	Alone     bool   `toml:"alone"` // gateways exchange no updates
+	// Perfect simulates a single decider that knows the whole load, in place of all gateways. The
+	// difference to it is what the gateways lose for lack of information.
 	Perfect bool              `toml:"perfect"`
-	Unasked bool              `toml:"unasked"` // engines are not asked how fast they are
-	Pricing placement.Pricing `toml:"pricing"` // how long prompts are priced; empty for the usual way
-	Without []string          `toml:"without"` // mechanisms of package placement that are left out
+	Unasked bool              `toml:"unasked"` // engines are not asked for their pace
+	Pricing placement.Pricing `toml:"pricing"` // how long prompts are priced; empty for the default
+	Without []string          `toml:"without"` // mechanisms of package placement to disable
 }
 
 // gateways returns how many processes decide.
@@ -126,7 +126,7 @@
 	return f.Gateways
 }
 
-// Read reads and checks a file.
+// Read reads and checks an experiment file.
 func Read(path string) (f File, err error) {
 	defer errs.Annotate(&err, "%s", path)
 	b, err := os.ReadFile(path)
@@ -140,7 +140,7 @@
 	return f, f.check()
 }
 
-// check reports what cannot be played.
+// check returns an error if the file can't be simulated.
 func (f File) check() error {
 	switch {
 	case f.Duration <= 0:
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// check reports what cannot be played of a variant.
+// check returns an error if the variant can't be simulated.
 func (v Variant) check() error {
 	for _, m := range v.Without {
 		if !slices.Contains(placement.Mechanisms(), placement.Mechanism(m)) {
--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -12,12 +12,12 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// outcomes are what the callers of some requests got.
+// outcomes counts the results of some requests.
 type outcomes struct {
 	all, inTime, refusedAgain int
 }
 
-// countOutcomes plays a file under some seeds, and returns what the callers of a kind got.
+// countOutcomes simulates a file with some seeds and counts the outcomes of the requests of a kind.
 func countOutcomes(f File, v Variant, seeds int, kind string) (o outcomes) {
 	for range seeds {
 		for _, r := range Simulate(f, v) {
@@ -37,13 +37,14 @@
 	return o
 }
 
-// 30 gateways before 60 engines, 4.4 archives a second, of which some take as long to read as twenty others.
-// Once one of those was placed, the mean of what engines had to read refused the others, twice.
+// Guards against refusing the callers beside the longest prompts. 30 gateways place 4.4 archives a
+// second on 60 engines, and some archives take as long to prefill as twenty others. With pricing by
+// the mean backlog, one such prompt had the others refused, and refused again at their retries.
 func TestCallersBesideTheLongestPromptsAreServed(t *testing.T) {
 	f, err := Read(filepath.Join(examplesDir, "long-archives.toml"))
 	require.NoError(t, err)
 	f.Duration = config.Duration(8 * time.Second)
-	f.Kinds = f.Kinds[1:] // short prompts are placed by other rules, and take most of the time that a play takes
+	f.Kinds = f.Kinds[1:] // short prompts are placed by other rules and take most of the simulation's run time
 	f.Bursts = []Burst{{Kind: "archive", X: 2.7, For: f.Duration}}
 	const seeds = 6
 	var before, after outcomes
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -21,16 +21,16 @@
 	Variants []Summary `json:"variants"`
 }
 
-// Summary is what a variant came to.
+// Summary is the outcome of a variant.
 type Summary struct {
 	Name          string          `json:"name"`
-	Worth         float64         `json:"worth"` // earned over owed
+	Worth         float64         `json:"worth"` // earned divided by owed
 	Kinds         []KindSummary   `json:"kinds"`
 	Lengths       []LengthSummary `json:"lengths"`
-	WorthOverTime []float64       `json:"worth_by_second"` // of arrivals in steps of [step]; -1 where none arrived
+	WorthOverTime []float64       `json:"worth_by_second"` // by time of arrival, per [worthStep]; -1 where none arrived
 }
 
-// KindSummary is a part of a [Summary].
+// KindSummary is the part of a [Summary] for one kind of request.
 type KindSummary struct {
 	Kind     string  `json:"kind"`
 	Requests int     `json:"requests"`
@@ -41,16 +41,16 @@
 	PauseP95 float64 `json:"pause_p95_ms"`
 }
 
-// LengthSummary is a part of a [Summary].
+// LengthSummary is the part of a [Summary] for one range of prompt lengths.
 type LengthSummary struct {
 	Length   string  `json:"length"`
 	FirstP95 float64 `json:"first_p95_ms"`
 }
 
-// worthStep is the width of a point of worth over time.
+// worthStep is the interval between the points of worth over time.
 const worthStep = 2 * time.Second
 
-// Compare plays all variants.
+// Compare simulates all variants.
 func Compare(f File) Report {
 	r := Report{Seed: f.Seed}
 	for _, v := range f.Variants {
@@ -100,7 +100,7 @@
 	return x
 }
 
-// worthShare returns earned over owed, -1 if nothing was owed.
+// worthShare returns earned divided by owed, or -1 if nothing was owed.
 func worthShare(rs []Result) float64 {
 	owed, earned := 0.0, 0.0
 	for _, r := range rs {
@@ -155,7 +155,7 @@
 
 var plot = template.Must(template.New("plot").Parse(plotText))
 
-// The plot's measures in pixels.
+// Dimensions of a plot in pixels.
 const (
 	plotWidth  = 640.0
 	plotHeight = 220.0
@@ -172,8 +172,7 @@
 
 var colours = []string{"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9"}
 
-// WriteSVG writes two plots: worth over time, and the time to the first event
-// by prompt length.
+// WriteSVG writes two plots: worth over time, and the time to the first event by prompt length.
 func (r Report) WriteSVG(w io.Writer) error {
 	d := struct {
 		Worth, First []curve
@@ -191,7 +190,7 @@
 	return plot.Execute(w, d)
 }
 
-// label is the name of a place on an axis.
+// label is a label on an axis.
 type label struct {
 	Text string
 	X    float64
@@ -212,7 +211,7 @@
 	return plotLeft + plotWidth*float64(slices.Index(bs, length))/float64(len(bs)-1)
 }
 
-// The axis of first events is logarithmic, from 10 ms to 100 s.
+// The axis of the time to the first event is logarithmic, from 10 ms to 100 s.
 const (
 	axisLow          = 1.0
 	axisTens         = 4.0
--- a/experiment/set.go
+++ b/experiment/set.go
@@ -17,14 +17,14 @@
 
 // NamedFile is a file of a set.
 type NamedFile struct {
-	Name string // the file's, without its ending
+	Name string // file name without its extension
 	File File
 }
 
-// fileExtension is that of experiments.
+// fileExtension is the extension of experiment files.
 const fileExtension = ".toml"
 
-// ReadSet reads and checks a file, or all experiments of a folder.
+// ReadSet reads and checks one file, or all experiments in a folder.
 func ReadSet(path string) (ns []NamedFile, err error) {
 	defer errs.Annotate(&err, "read experiments")
 	paths := []string{path}
@@ -48,22 +48,22 @@
 	return ns, nil
 }
 
-// Run is one variant of one file under one seed, and what it came to.
+// Run is the simulation of one variant of one file with one seed.
 type Run struct {
 	File    string  `json:"file"`
 	Variant string  `json:"variant"`
 	Seed    uint64  `json:"seed"`
-	Worth   float64 `json:"worth"` // earned over owed
+	Worth   float64 `json:"worth"` // earned divided by owed
 }
 
-// SetReport is what a set came to.
+// SetReport holds the runs of a set.
 type SetReport struct {
-	Runs []Run `json:"runs"` // by file, variant and seed
+	Runs []Run `json:"runs"` // ordered by file, variant and seed
 }
 
-// SimulateSet plays all variants of all files under some seeds, counted from each
-// file's own, as many at a time as there are workers. Progress is told of each run
-// that has ended, and how many there are.
+// SimulateSet simulates all variants of all files with consecutive seeds, which start at each
+// file's own. As many runs as there are workers are simulated at a time. After each run, progress
+// is called with the numbers of completed and of all runs.
 func SimulateSet(ns []NamedFile, seeds, workers int, progress func(completed, all int)) SetReport {
 	var r SetReport
 	var tasks []func() float64
@@ -101,7 +101,7 @@
 	return r
 }
 
-// Mean is the worth of a variant over some runs.
+// Mean is the mean worth of a variant over some runs.
 type Mean struct {
 	File    string
 	Variant string
@@ -109,7 +109,7 @@
 	Spread  float64 // standard deviation between seeds
 }
 
-// Means returns the worth of each variant on each file, in the order of the runs.
+// Means returns the mean worth of each variant of each file, in the order of the runs.
 func (r SetReport) Means() (ms []Mean) {
 	for len(r.Runs) > 0 {
 		a := r.Runs[0]
@@ -156,7 +156,7 @@
 	return t.Flush()
 }
 
-// appendUnique adds a word to a list unless it is there.
+// appendUnique appends a string to a list unless it is already there.
 func appendUnique(l []string, s string) []string {
 	if slices.Contains(l, s) {
 		return l
--- a/experiment/set_test.go
+++ b/experiment/set_test.go
@@ -15,8 +15,8 @@
 
 const examplesDir = "../examples/experiments"
 
-// Deployments of every kind of the set: what gateways decide earns more than the
-// fewest requests do, on each of them.
+// On each deployment of the set, the gateways' decisions must earn more than placement by the
+// fewest open requests.
 func TestNoDeploymentIsWorseThanLeastRequests(t *testing.T) {
 	ns, err := ReadSet(examplesDir)
 	require.NoError(t, err)
@@ -80,8 +80,7 @@
 	require.Less(t, worthShare(Simulate(f, f.Variants[0])), split)
 }
 
-// Callers that are refused come back once, and their goal counts from their first
-// try.
+// Refused callers retry once, and their goal counts from their first attempt.
 func TestRefusedCallersComeBack(t *testing.T) {
 	f := loadExample(t)
 	f.Duration = config.Duration(12 * time.Second)
@@ -95,7 +94,7 @@
 			again++
 		}
 		if r.Tries == 2 && r.First > 0 {
-			require.GreaterOrEqual(t, r.First, time.Second, "they are told to come back in a second or later")
+			require.GreaterOrEqual(t, r.First, time.Second, "the retry delay is at least a second")
 		}
 	}
 	require.Positive(t, again)
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -21,14 +21,14 @@
 // service is the name of the pool in decisions.
 const service = "engines"
 
-// event is something that happens at a moment.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at  time.Duration
-	seq int // keeps events of one moment in order
+	seq int // keeps simultaneous events in order
 	do  func()
 }
 
-// events is a heap by time.
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -52,12 +52,12 @@
 type simulation struct {
 	file           File
 	variant        Variant
-	loadRandom     *rand.Rand // draws the load, which is the same for all variants
-	decisionRandom *rand.Rand // draws what depends on decisions
+	loadRandom     *rand.Rand // for the load, which is the same for all variants
+	decisionRandom *rand.Rand // for draws that depend on decisions
 	now            time.Duration
 	seq            int
 	events         events
-	updates        int // words of load so far
+	updates        int // load updates sent so far
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
 	gateways       []decider
@@ -65,12 +65,12 @@
 	results        []Result
 }
 
-// Result is one request that has ended.
+// Result is the outcome of one request.
 type Result struct {
 	Kind    string        `json:"kind"`
 	Prompt  int           `json:"prompt"`
 	Arrived time.Duration `json:"arrived"`
-	First   time.Duration `json:"first"` // zero if none came
+	First   time.Duration `json:"first"` // time to the first event; zero if there was none
 	Pause   time.Duration `json:"pause"`
 	Refused bool          `json:"refused"`
 	Tries   int           `json:"tries"`
@@ -78,13 +78,13 @@
 	Earned  float64       `json:"earned"`
 }
 
-// schedule lets something happen later.
+// schedule runs a function after the given virtual time.
 func (p *simulation) schedule(d time.Duration, do func()) {
 	p.seq++
 	heap.Push(&p.events, event{p.now + d, p.seq, do})
 }
 
-// Simulate plays one variant. The same file gives the same result.
+// Simulate simulates one variant. It is deterministic: the same file gives the same result.
 func Simulate(f File, v Variant) []Result {
 	p := &simulation{
 		file:           f,
@@ -120,7 +120,7 @@
 	return p.results
 }
 
-// drainTime is how much longer than the arrivals a run lasts at the most.
+// drainTime is the maximum time that a run continues after the last arrival.
 const drainTime = 30 * time.Second
 
 func (p *simulation) run() {
@@ -135,7 +135,7 @@
 	}
 }
 
-// scheduleArrivals lets the requests of a kind scheduleArrivals, one after the other.
+// scheduleArrivals schedules the next request of a kind, which schedules the one after it.
 func (p *simulation) scheduleArrivals(k *Kind) {
 	rate := k.Rate
 	for _, b := range p.file.Bursts {
@@ -148,7 +148,7 @@
 		return
 	}
 	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
-	// Rates change with bursts, so a long gap is drawn anew.
+	// Bursts change the rate, so a long gap is drawn again.
 	if gap > time.Second {
 		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
@@ -162,7 +162,7 @@
 	})
 }
 
-// drawSize draws a drawSize with the given mean and spread.
+// drawSize draws a log-normal size with the given mean and relative standard deviation.
 func (p *simulation) drawSize(mean, spread, most float64) int {
 	s2 := math.Log(1 + spread*spread)
 	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
@@ -172,10 +172,10 @@
 	return max(int(n), 1)
 }
 
-// answerSpread is the spread of the length of answers.
+// answerSpread is the standard deviation of answer lengths divided by their mean.
 const answerSpread = 0.6
 
-// drawPrompt draws the length of a drawPrompt.
+// drawPrompt draws the length of a prompt.
 func (p *simulation) drawPrompt(k *Kind) int {
 	mean := k.Prompt
 	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
@@ -194,18 +194,18 @@
 	p.place(j)
 }
 
-// owed is the worth of a request by its size, as users count it.
+// owed returns the worth of a request, which grows with its size as in the users' measurement.
 func (j *job) owed() float64 {
 	size := float64(j.prompt+10*j.answer) / (j.kind.Prompt + 10*j.kind.Answer)
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
-// maxRetryDelayShare is the part of the time that a caller has left for which it waits at
-// the most before it comes back.
+// maxRetryDelayShare is the maximum delay of a retry as a share of the time that the caller has
+// left.
 const maxRetryDelayShare = 1.0 / 3
 
-// retry lets the caller of a refused request come back as it was told, if it
-// still means to.
+// retry schedules the retry of a refused request after the given delay, unless the caller has no
+// retries left.
 func (p *simulation) retry(j *job, after time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
@@ -215,10 +215,11 @@
 	p.schedule(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
-// refusedRetryPenalty is the part of its worth that a request costs whose caller came back for nothing.
+// refusedRetryPenalty is the share of its worth that a request costs if it is refused after a
+// retry.
 const refusedRetryPenalty = 0.3
 
-// refused returns what a request came to that was refused for good.
+// refused returns the result of a request that was refused and isn't retried.
 func (j *job) refused() Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
 	if j.tries > 1 {
@@ -252,11 +253,11 @@
 	})
 }
 
-// paceRequestTime is how long an engine takes to say how fast it is.
+// paceRequestTime is how long an engine takes to report its pace.
 const paceRequestTime = 5 * time.Millisecond
 
-// requestOverduePaces lets a gateway ask the engines of a call whose first event is overdue how fast they
-// are.
+// requestOverduePaces lets a gateway request the paces of the engines of a call whose first event
+// is overdue.
 func (p *simulation) requestOverduePaces(g decider, d core.Plan) {
 	if p.variant.Unasked {
 		return
@@ -266,8 +267,8 @@
 	}
 }
 
-// requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
-// slow.
+// requestPace lets a gateway request an engine's pace, report it to the other gateways, and request
+// it again while the engine is slow.
 func (p *simulation) requestPace(g decider, id string) {
 	p.schedule(paceRequestTime, func() {
 		pace := p.engines[id].pace
@@ -283,7 +284,7 @@
 	})
 }
 
-// sendPace lets the other gateways hear how fast an engine said that it is.
+// sendPace reports an engine's pace to the other gateways.
 func (p *simulation) sendPace(from decider, id string, pace float64) {
 	for _, g := range p.gateways {
 		if g != from && !p.variant.Alone {
@@ -292,8 +293,8 @@
 	}
 }
 
-// send gives a call to its engine, unless memory that it needs at others is not free:
-// its caller comes back then.
+// send sends a call to its engine. If other engines lack the memory that it needs there, the
+// attempt is rejected and its caller retries.
 func (p *simulation) send(j *job, d core.Plan) {
 	j.keptTokens, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
@@ -310,14 +311,14 @@
 	upstream.enqueue(j, func() { p.prefill(j, d, upstream) })
 }
 
-// rejectAttempt ends an attempt of which nothing has run.
+// rejectAttempt ends an attempt that has not started on any engine.
 func (p *simulation) rejectAttempt(j *job, d core.Plan) {
 	delete(p.open, j)
 	p.gateways[j.decider].done(d)
 	p.retry(j, time.Second)
 }
 
-// releaseMemory gives back what a call that has ended held.
+// releaseMemory releases the memory of a call that has ended.
 func (p *simulation) releaseMemory(j *job, d core.Plan) {
 	p.engines[d.Upstream].releaseMemory(j.ownTokens())
 	for _, k := range j.keepers {
@@ -325,7 +326,7 @@
 	}
 }
 
-// prefill lets the engines of a plan prefill a prompt.
+// prefill starts the prefill of a prompt on the engines of a plan.
 func (p *simulation) prefill(j *job, d core.Plan, upstream *simulatedEngine) {
 	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
@@ -336,7 +337,7 @@
 	}
 }
 
-// result judges a request that has ended.
+// result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.first-j.arrived, 0), Pause: j.pause, Tries: j.tries, Owed: j.owed()}
 	switch {
@@ -361,12 +362,12 @@
 	p.schedule((s.At + s.For).Std(), set(1))
 }
 
-// completeUpdateEvery is how many words of a gateway tell all that it has given, so that
-// what it said does not expire.
+// completeUpdateEvery is the number of load updates of which one is complete, so that the gateway's
+// reports don't expire at its peers.
 const completeUpdateEvery = 20
 
-// sendUpdates lets gateways hear of each other's load: of what changed, and now and
-// then of all.
+// sendUpdates sends each gateway's load to the others: the changes, or all of it in a complete
+// update.
 func (p *simulation) sendUpdates() {
 	complete := p.updates%completeUpdateEvery == 0
 	p.updates++
@@ -393,9 +394,9 @@
 	done(d core.Plan)
 	changes(whole bool) map[hollowgrade.Life]core.Share
 	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
-	// suspects returns the engines of a plan that are to be asked how fast they are.
+	// suspects returns the engines of a plan that should be asked for their pace.
 	suspects(d core.Plan) []string
-	// receivePace takes an engine's word on that, and reports whether others are to be told.
+	// receivePace applies an engine's pace and returns whether to report it to other gateways.
 	receivePace(id string, pace float64, age time.Duration, box string) (tell bool)
 	stillSlow(id string) bool
 }
@@ -419,7 +420,7 @@
 	return g
 }
 
-// policy returns what the variant decides by.
+// policy returns the placement policy of the variant.
 func (p *simulation) policy() *placement.Policy {
 	ms := make([]placement.Mechanism, 0, len(p.variant.Without))
 	for _, m := range p.variant.Without {
@@ -432,7 +433,7 @@
 	return placement.New(os...)
 }
 
-// gateway decides as gateways do.
+// gateway decides with the gateways' own code.
 type gateway struct {
 	fleet   *core.Fleet
 	service core.Service
--- a/experiment/slow_test.go
+++ b/experiment/slow_test.go
@@ -11,11 +11,10 @@
 	"github.com/hollowgrade/hollowgrade/config"
 )
 
-// seeds is how many loads of one kind are played where chance weighs.
+// seeds is the number of loads that are simulated where the outcome depends on chance.
 const seeds = 4
 
-// meanServedInTime returns the part of the calls of a kind that were served within their goals, over
-// some seeds.
+// meanServedInTime returns the mean of servedInTime over some seeds.
 func meanServedInTime(f File, v Variant, kind string) (mean float64) {
 	part := make([]float64, seeds)
 	var g sync.WaitGroup
@@ -33,9 +32,9 @@
 	return mean
 }
 
-// A sixth of the engines are five times as slow from the third second on, without failing: in
-// the account of gateways that do not ask they look idle, and nearly each long prompt has a
-// part at one of them.
+// Guards against sending work to engines that are slow but don't fail: a sixth of the engines
+// become five times as slow after three seconds. Gateways that don't ask for their pace take them
+// for idle, and nearly each long prompt has a part at one of them.
 func TestSlowEnginesAreAllowedFor(t *testing.T) {
 	f, err := Read(filepath.Join(examplesDir, "some-slow.toml"))
 	require.NoError(t, err)
