--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -27,7 +27,7 @@
 // randomFigures returns the published figures of one of two kinds of engines.
 func randomFigures(r *rand.Rand) *engine.Figures {
 	f := &engine.Figures{
-		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerDecoding: 5 * time.Microsecond,
+		Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerRequest: 5 * time.Microsecond,
 		StepPerContext: 2540 * time.Nanosecond, PrefillRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Chunk: 2048,
 		Stride: 46, Hop: 100 * time.Microsecond, UsualPrompt: 13_000, UsualAnswer: 1540,
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -13,7 +13,7 @@
 	Slots           int
 	Capacity        int           // tokens that fit into its memory
 	Step            time.Duration // duration of a decode step without requests
-	StepPerDecoding time.Duration // added by each request that decodes
+	StepPerRequest  time.Duration // added by each request that decodes
 	StepPerContext  time.Duration // added by each 1,000 tokens of their context
 	PrefillRate     float64       // prompt tokens per second
 	PerMillionPairs time.Duration // prefill time of a million pairs of a prompt token and an earlier one
@@ -81,7 +81,7 @@
 // PassTime returns the duration of a pass without prefill, which is the interval between events
 // while requests decode.
 func (f *Figures) PassTime(s State) time.Duration {
-	step := f.Step + time.Duration(s.Decoding)*f.StepPerDecoding +
+	step := f.Step + time.Duration(s.Decoding)*f.StepPerRequest +
 		time.Duration(float64(s.Context)/contextTokensPerFigure*float64(f.StepPerContext))
 	return s.scale(time.Duration(max(f.Stride, 1)) * step)
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -8,7 +8,7 @@
 )
 
 var testFigures = Figures{
-	Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerDecoding: 5 * time.Microsecond,
+	Slots: 16, Capacity: 450_000, Step: 925 * time.Microsecond, StepPerRequest: 5 * time.Microsecond,
 	StepPerContext: 2540 * time.Nanosecond, PrefillRate: 256_000, PerMillionPairs: 91_700 * time.Nanosecond, Chunk: 2048, Stride: 46,
 }
 
--- a/experiment/file.go
+++ b/experiment/file.go
@@ -52,7 +52,7 @@
 		Slots:           e.Slots,
 		Capacity:        e.Capacity,
 		Step:            e.Step.Std(),
-		StepPerDecoding: e.StepPerWriter.Std(),
+		StepPerRequest:  e.StepPerWriter.Std(),
 		StepPerContext:  e.StepPerContext.Std(),
 		PrefillRate:     e.ReadRate,
 		PerMillionPairs: e.PerMillion.Std(),
--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -13,7 +13,7 @@
 // per pair.
 func slowFigures() *engine.Figures {
 	return &engine.Figures{
-		Slots: 12, Capacity: 344_250, Step: 1310 * time.Microsecond, StepPerDecoding: 917 * time.Nanosecond, StepPerContext: 2130 * time.Nanosecond,
+		Slots: 12, Capacity: 344_250, Step: 1310 * time.Microsecond, StepPerRequest: 917 * time.Nanosecond, StepPerContext: 2130 * time.Nanosecond,
 		PrefillRate: 154_000, PerMillionPairs: 162 * time.Microsecond, Chunk: 2048, Stride: 38, Hop: 100 * time.Microsecond, UsualPrompt: 14_000, UsualAnswer: 1270,
 	}
 }
