--- a/engine/engine.go
+++ b/engine/engine.go
@@ -89,8 +89,8 @@
 // TimeToFirstEvent returns the predicted time to the first event of a request that adds prefill to
 // the engine: the backlog, its own prefill, half a pass until it is admitted, and the pass that
 // writes the event.
-func (f *Figures) TimeToFirstEvent(s State, reading time.Duration) time.Duration {
-	return s.PrefillBacklog + s.scale(reading) + f.PassTime(s)*3/2
+func (f *Figures) TimeToFirstEvent(s State, prefill time.Duration) time.Duration {
+	return s.PrefillBacklog + s.scale(prefill) + f.PassTime(s)*3/2
 }
 
 // LongestPause returns the longest pause between events of a request that decodes there when
