--- a/engine/engine.go
+++ b/engine/engine.go
@@ -95,6 +95,6 @@
 
 // LongestPause returns the longest pause between events of a request that decodes there when
 // prefill is added: one pass does the whole backlog.
-func (f *Figures) LongestPause(s State, reading time.Duration) time.Duration {
-	return f.PassTime(s) + s.PrefillBacklog + s.scale(reading)
+func (f *Figures) LongestPause(s State, prefill time.Duration) time.Duration {
+	return f.PassTime(s) + s.PrefillBacklog + s.scale(prefill)
 }
