--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -17,7 +17,7 @@
 	keptTokens   int // tokens of its prompt in memory at each keeper
 	keepers      []*simulatedEngine
 	tries        int // placement attempts
-	decider      int // index of the gateway that placed it last
+	gateway      int // index of the gateway that placed it last
 	written      int
 	first        time.Duration // time of the first event
 	last         time.Duration // time of the last event
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -229,8 +229,8 @@
 }
 
 func (p *simulation) place(j *job) {
-	j.decider = p.decisionRandom.IntN(len(p.gateways))
-	g := p.gateways[j.decider]
+	j.gateway = p.decisionRandom.IntN(len(p.gateways))
+	g := p.gateways[j.gateway]
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
@@ -314,7 +314,7 @@
 // rejectAttempt ends an attempt that has not started on any engine.
 func (p *simulation) rejectAttempt(j *job, d core.Plan) {
 	delete(p.open, j)
-	p.gateways[j.decider].done(d)
+	p.gateways[j.gateway].done(d)
 	p.retry(j, time.Second)
 }
 
