--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -19,7 +19,7 @@
 	tries        int // placement attempts
 	gateway      int // index of the gateway that placed it last
 	written      int
-	first        time.Duration // time of the first event
+	firstEvent   time.Duration // time of the first event
 	last         time.Duration // time of the last event
 	pause        time.Duration // longest time between two events
 	onFirstEvent func()
@@ -181,8 +181,8 @@
 // recordEvent records an event of a request.
 func (p *simulatedEngine) recordEvent(j *job, now time.Duration) {
 	j.written += p.figures.Stride
-	if j.first == 0 {
-		j.first = now
+	if j.firstEvent == 0 {
+		j.firstEvent = now
 		j.onFirstEvent()
 	} else {
 		j.pause = max(j.pause, now-j.last)
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -247,7 +247,7 @@
 	}
 	p.schedule(d.Hold, func() { p.send(j, d) })
 	p.schedule(d.Hold+core.Overdue(d.PredictedFirst), func() {
-		if p.open[j] && j.first == 0 {
+		if p.open[j] && j.firstEvent == 0 {
 			p.requestOverduePaces(g, d)
 		}
 	})
@@ -339,7 +339,7 @@
 
 // result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.first-j.arrived, 0), Pause: j.pause, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.pause, Tries: j.tries, Owed: j.owed()}
 	switch {
 	case now-j.arrived > j.kind.Allowed.Std():
 	case r.First <= j.kind.Goal.Std() && j.pause <= j.kind.Pause.Std():
