--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -20,7 +20,7 @@
 	gateway      int // index of the gateway that placed it last
 	written      int
 	firstEvent   time.Duration // time of the first event
-	last         time.Duration // time of the last event
+	lastEvent    time.Duration // time of the last event
 	pause        time.Duration // longest time between two events
 	onFirstEvent func()
 	onDone       func(now time.Duration)
@@ -185,7 +185,7 @@
 		j.firstEvent = now
 		j.onFirstEvent()
 	} else {
-		j.pause = max(j.pause, now-j.last)
+		j.pause = max(j.pause, now-j.lastEvent)
 	}
-	j.last = now
+	j.lastEvent = now
 }
