--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -21,7 +21,7 @@
 	written      int
 	firstEvent   time.Duration // time of the first event
 	lastEvent    time.Duration // time of the last event
-	pause        time.Duration // longest time between two events
+	longestPause time.Duration // longest time between two events
 	onFirstEvent func()
 	onDone       func(now time.Duration)
 }
@@ -185,7 +185,7 @@
 		j.firstEvent = now
 		j.onFirstEvent()
 	} else {
-		j.pause = max(j.pause, now-j.lastEvent)
+		j.longestPause = max(j.longestPause, now-j.lastEvent)
 	}
 	j.lastEvent = now
 }
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -339,10 +339,10 @@
 
 // result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.pause, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.owed()}
 	switch {
 	case now-j.arrived > j.kind.Allowed.Std():
-	case r.First <= j.kind.Goal.Std() && j.pause <= j.kind.Pause.Std():
+	case r.First <= j.kind.Goal.Std() && j.longestPause <= j.kind.Pause.Std():
 		r.Earned = r.Owed
 	default:
 		r.Earned = r.Owed * j.kind.Late / j.kind.Worth
