--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -8,22 +8,22 @@
 
 // job is one request in progress.
 type job struct {
-	kind         *Kind
-	prompt       int
-	answer       int // tokens
-	arrived      time.Duration
-	partsLeft    int // of its prompt that are not prefilled yet
-	split        bool
-	keptTokens   int // tokens of its prompt in memory at each keeper
-	keepers      []*simulatedEngine
-	tries        int // placement attempts
-	gateway      int // index of the gateway that placed it last
-	written      int
-	firstEvent   time.Duration // time of the first event
-	lastEvent    time.Duration // time of the last event
-	longestPause time.Duration // longest time between two events
-	onFirstEvent func()
-	onDone       func(now time.Duration)
+	kind          *Kind
+	prompt        int
+	answer        int // tokens
+	arrived       time.Duration
+	partsLeft     int // of its prompt that are not prefilled yet
+	split         bool
+	keptTokens    int // tokens of its prompt in memory at each keeper
+	keepers       []*simulatedEngine
+	tries         int // placement attempts
+	gateway       int // index of the gateway that placed it last
+	writtenTokens int
+	firstEvent    time.Duration // time of the first event
+	lastEvent     time.Duration // time of the last event
+	longestPause  time.Duration // longest time between two events
+	onFirstEvent  func()
+	onDone        func(now time.Duration)
 }
 
 // part is a part of a prompt that one engine prefills.
@@ -152,7 +152,7 @@
 	if len(decoding) > 0 {
 		s := engine.State{Decoding: len(decoding)}
 		for _, j := range decoding {
-			s.Context += j.prompt + j.written
+			s.Context += j.prompt + j.writtenTokens
 			if j.split {
 				d += p.figures.HopTime(p.figures.Stride)
 			}
@@ -168,7 +168,7 @@
 	now := p.sim.now
 	p.decoding = nil
 	for _, j := range decoding {
-		if p.recordEvent(j, now); j.written < j.answer {
+		if p.recordEvent(j, now); j.writtenTokens < j.answer {
 			p.decoding = append(p.decoding, j)
 		} else {
 			j.onDone(now)
@@ -180,7 +180,7 @@
 
 // recordEvent records an event of a request.
 func (p *simulatedEngine) recordEvent(j *job, now time.Duration) {
-	j.written += p.figures.Stride
+	j.writtenTokens += p.figures.Stride
 	if j.firstEvent == 0 {
 		j.firstEvent = now
 		j.onFirstEvent()
