--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -10,7 +10,7 @@
 type job struct {
 	kind          *Kind
 	prompt        int
-	answer        int // tokens
+	answerTokens  int // tokens
 	arrived       time.Duration
 	partsLeft     int // of its prompt that are not prefilled yet
 	split         bool
@@ -82,7 +82,7 @@
 
 // ownTokens returns how many tokens of a call are kept in memory at the engine that answers it.
 func (j *job) ownTokens() int {
-	return j.prompt - j.keptTokens*len(j.keepers) + j.answer
+	return j.prompt - j.keptTokens*len(j.keepers) + j.answerTokens
 }
 
 // addPrefill adds a part of a prompt to the engine's pending prefill.
@@ -168,7 +168,7 @@
 	now := p.sim.now
 	p.decoding = nil
 	for _, j := range decoding {
-		if p.recordEvent(j, now); j.writtenTokens < j.answer {
+		if p.recordEvent(j, now); j.writtenTokens < j.answerTokens {
 			p.decoding = append(p.decoding, j)
 		} else {
 			j.onDone(now)
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -186,17 +186,17 @@
 
 func (p *simulation) startRequest(k *Kind) {
 	j := &job{
-		kind:    k,
-		prompt:  p.drawPrompt(k),
-		answer:  p.drawSize(k.Answer, answerSpread, 0),
-		arrived: p.now,
+		kind:         k,
+		prompt:       p.drawPrompt(k),
+		answerTokens: p.drawSize(k.Answer, answerSpread, 0),
+		arrived:      p.now,
 	}
 	p.place(j)
 }
 
 // owed returns the worth of a request, which grows with its size as in the users' measurement.
 func (j *job) owed() float64 {
-	size := float64(j.prompt+10*j.answer) / (j.kind.Prompt + 10*j.kind.Answer)
+	size := float64(j.prompt+10*j.answerTokens) / (j.kind.Prompt + 10*j.kind.Answer)
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
@@ -441,7 +441,7 @@
 
 func (g *gateway) decide(j *job, left time.Duration) (core.Plan, bool) {
 	r := core.Route{Goal: j.kind.Goal.Std(), PauseGoal: j.kind.Pause.Std(), Timeout: j.kind.Allowed.Std()}
-	c := hollowgrade.Call{PromptTokens: j.prompt, MaxTokens: j.answer, Patience: left}
+	c := hollowgrade.Call{PromptTokens: j.prompt, MaxTokens: j.answerTokens, Patience: left}
 	return g.fleet.Plan(g.service, r, c, left)
 }
 
