--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -41,11 +41,11 @@
 			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.open[a], n.open[b]))
 		})
 		d.Upstream = ids[0]
-		if j.prompt >= baselineSplitTokens {
+		if j.promptTokens >= baselineSplitTokens {
 			d.Helpers = ids[1:min(1+baselineHelpers, len(ids))]
 		}
 	}
-	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
+	d.PredictedFirst = n.figures.PrefillTime(j.promptTokens, 1+len(d.Helpers))
 	n.open[d.Upstream]++
 	n.addPrefill(d, d.PredictedFirst)
 	return d, true
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -9,7 +9,7 @@
 // job is one request in progress.
 type job struct {
 	kind          *Kind
-	prompt        int
+	promptTokens  int
 	answerTokens  int // tokens
 	arrived       time.Duration
 	partsLeft     int // of its prompt that are not prefilled yet
@@ -82,7 +82,7 @@
 
 // ownTokens returns how many tokens of a call are kept in memory at the engine that answers it.
 func (j *job) ownTokens() int {
-	return j.prompt - j.keptTokens*len(j.keepers) + j.answerTokens
+	return j.promptTokens - j.keptTokens*len(j.keepers) + j.answerTokens
 }
 
 // addPrefill adds a part of a prompt to the engine's pending prefill.
@@ -152,7 +152,7 @@
 	if len(decoding) > 0 {
 		s := engine.State{Decoding: len(decoding)}
 		for _, j := range decoding {
-			s.Context += j.prompt + j.writtenTokens
+			s.Context += j.promptTokens + j.writtenTokens
 			if j.split {
 				d += p.figures.HopTime(p.figures.Stride)
 			}
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -187,7 +187,7 @@
 func (p *simulation) startRequest(k *Kind) {
 	j := &job{
 		kind:         k,
-		prompt:       p.drawPrompt(k),
+		promptTokens: p.drawPrompt(k),
 		answerTokens: p.drawSize(k.Answer, answerSpread, 0),
 		arrived:      p.now,
 	}
@@ -196,7 +196,7 @@
 
 // owed returns the worth of a request, which grows with its size as in the users' measurement.
 func (j *job) owed() float64 {
-	size := float64(j.prompt+10*j.answerTokens) / (j.kind.Prompt + 10*j.kind.Answer)
+	size := float64(j.promptTokens+10*j.answerTokens) / (j.kind.Prompt + 10*j.kind.Answer)
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
@@ -221,7 +221,7 @@
 
 // refused returns the result of a request that was refused and isn't retried.
 func (j *job) refused() Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
 	if j.tries > 1 {
 		r.Earned = -refusedRetryPenalty * r.Owed
 	}
@@ -330,7 +330,7 @@
 func (p *simulation) prefill(j *job, d core.Plan, upstream *simulatedEngine) {
 	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := upstream.figures.PrefillTime(j.prompt, j.partsLeft)
+	work := upstream.figures.PrefillTime(j.promptTokens, j.partsLeft)
 	upstream.addPrefill(part{j, work, upstream})
 	for _, h := range d.Helpers {
 		p.engines[h].addPrefill(part{j, work, upstream})
@@ -339,7 +339,7 @@
 
 // result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.owed()}
 	switch {
 	case now-j.arrived > j.kind.Allowed.Std():
 	case r.First <= j.kind.Goal.Std() && j.longestPause <= j.kind.Pause.Std():
@@ -441,7 +441,7 @@
 
 func (g *gateway) decide(j *job, left time.Duration) (core.Plan, bool) {
 	r := core.Route{Goal: j.kind.Goal.Std(), PauseGoal: j.kind.Pause.Std(), Timeout: j.kind.Allowed.Std()}
-	c := hollowgrade.Call{PromptTokens: j.prompt, MaxTokens: j.answerTokens, Patience: left}
+	c := hollowgrade.Call{PromptTokens: j.promptTokens, MaxTokens: j.answerTokens, Patience: left}
 	return g.fleet.Plan(g.service, r, c, left)
 }
 
