--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -61,7 +61,7 @@
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
 	gateways       []decider
-	open           map[*job]bool
+	openJobs       map[*job]bool
 	results        []Result
 }
 
@@ -93,7 +93,7 @@
 		decisionRandom: rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
 		clock:          clockwork.NewFakeClock(),
 		engines:        map[string]*simulatedEngine{},
-		open:           map[*job]bool{},
+		openJobs:       map[*job]bool{},
 	}
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
@@ -113,7 +113,7 @@
 		p.schedule(f.View.Std(), p.sendUpdates)
 	}
 	p.run()
-	for j := range p.open {
+	for j := range p.openJobs {
 		p.results = append(p.results, j.result(math.MaxInt64))
 	}
 	slices.SortStableFunc(p.results, func(a, b Result) int { return cmp.Compare(a.Arrived, b.Arrived) })
@@ -237,17 +237,17 @@
 		p.retry(j, d.RetryAfter)
 		return
 	}
-	p.open[j] = true
+	p.openJobs[j] = true
 	j.onFirstEvent = func() { g.began(d) }
 	j.onDone = func(now time.Duration) {
-		delete(p.open, j)
+		delete(p.openJobs, j)
 		g.done(d)
 		p.releaseMemory(j, d)
 		p.results = append(p.results, j.result(now))
 	}
 	p.schedule(d.Hold, func() { p.send(j, d) })
 	p.schedule(d.Hold+core.Overdue(d.PredictedFirst), func() {
-		if p.open[j] && j.firstEvent == 0 {
+		if p.openJobs[j] && j.firstEvent == 0 {
 			p.requestOverduePaces(g, d)
 		}
 	})
@@ -313,7 +313,7 @@
 
 // rejectAttempt ends an attempt that has not started on any engine.
 func (p *simulation) rejectAttempt(j *job, d core.Plan) {
-	delete(p.open, j)
+	delete(p.openJobs, j)
 	p.gateways[j.gateway].done(d)
 	p.retry(j, time.Second)
 }
