--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -19,12 +19,12 @@
 
 // baseline decides as the baselines do, by the requests that its own gateway has open.
 type baseline struct {
-	decisions string
-	ids       []string
-	next      int
-	open      map[string]int
-	prefill   map[string]time.Duration
-	figures   *engine.Figures
+	decisions    string
+	ids          []string
+	next         int
+	openRequests map[string]int
+	prefill      map[string]time.Duration
+	figures      *engine.Figures
 }
 
 func (n *baseline) decide(j *job, _ time.Duration) (core.Plan, bool) {
@@ -34,11 +34,11 @@
 		d.Upstream = n.ids[n.next%len(n.ids)]
 		n.next++
 	case LeastRequests:
-		d.Upstream = slices.MinFunc(n.ids, func(a, b string) int { return cmp.Compare(n.open[a], n.open[b]) })
+		d.Upstream = slices.MinFunc(n.ids, func(a, b string) int { return cmp.Compare(n.openRequests[a], n.openRequests[b]) })
 	default:
 		ids := slices.Clone(n.ids)
 		slices.SortStableFunc(ids, func(a, b string) int {
-			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.open[a], n.open[b]))
+			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.openRequests[a], n.openRequests[b]))
 		})
 		d.Upstream = ids[0]
 		if j.promptTokens >= baselineSplitTokens {
@@ -46,7 +46,7 @@
 		}
 	}
 	d.PredictedFirst = n.figures.PrefillTime(j.promptTokens, 1+len(d.Helpers))
-	n.open[d.Upstream]++
+	n.openRequests[d.Upstream]++
 	n.addPrefill(d, d.PredictedFirst)
 	return d, true
 }
@@ -64,7 +64,7 @@
 }
 
 func (n *baseline) done(d core.Plan) {
-	n.open[d.Upstream]--
+	n.openRequests[d.Upstream]--
 }
 
 func (n *baseline) changes(bool) map[hollowgrade.Life]core.Share {
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -403,7 +403,7 @@
 
 func (p *simulation) newDecider(number uint64, ids []string) decider {
 	if p.variant.Decisions != Worth {
-		return &baseline{decisions: p.variant.Decisions, ids: ids, open: map[string]int{}, prefill: map[string]time.Duration{}, figures: p.file.Engines.figures()}
+		return &baseline{decisions: p.variant.Decisions, ids: ids, openRequests: map[string]int{}, prefill: map[string]time.Duration{}, figures: p.file.Engines.figures()}
 	}
 	f := core.NewFleet(p.clock, log.New(io.Discard), core.WithPolicy(p.policy()))
 	f.SetRandom(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
