--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -18,8 +18,8 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// service is the name of the pool in decisions.
-const service = "engines"
+// serviceName is the name of the pool in decisions.
+const serviceName = "engines"
 
 // event is a function that runs at a point in virtual time.
 type event struct {
@@ -409,9 +409,9 @@
 	f.SetRandom(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
 	f.SetPeers(func() int { return p.file.gateways(p.variant) - 1 })
 	for _, id := range ids {
-		f.Put(hollowgrade.Upstream{ID: id, Service: service, Slots: p.file.Engines.Slots})
+		f.Put(hollowgrade.Upstream{ID: id, Service: serviceName, Slots: p.file.Engines.Slots})
 	}
-	g := &gateway{fleet: f, service: core.Service{Name: service, Engine: p.file.Engines.figures()}}
+	g := &gateway{fleet: f, service: core.Service{Name: serviceName, Engine: p.file.Engines.figures()}}
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) {
 		for _, u := range us {
 			p.requestPace(g, u.ID)
