--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -28,20 +28,20 @@
 	do  func()
 }
 
-// events is a heap ordered by time.
-type events []event
+// eventHeap is a heap ordered by time.
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements [heap.Interface].
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements [heap.Interface].
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -56,7 +56,7 @@
 	decisionRandom *rand.Rand // for draws that depend on decisions
 	now            time.Duration
 	seq            int
-	events         events
+	events         eventHeap
 	updates        int // load updates sent so far
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
