--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -25,7 +25,7 @@
 type event struct {
 	at  time.Duration
 	seq int // keeps simultaneous events in order
-	do  func()
+	run func()
 }
 
 // eventHeap is a heap ordered by time.
@@ -131,7 +131,7 @@
 		}
 		p.clock.Advance(e.at - p.now)
 		p.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
