--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -163,11 +163,11 @@
 }
 
 // drawSize draws a log-normal size with the given mean and relative standard deviation.
-func (p *simulation) drawSize(mean, spread, most float64) int {
+func (p *simulation) drawSize(mean, spread, limit float64) int {
 	s2 := math.Log(1 + spread*spread)
 	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
-	if most > 0 {
-		n = min(n, most)
+	if limit > 0 {
+		n = min(n, limit)
 	}
 	return max(int(n), 1)
 }
