--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(ns) > 1 || c.Seeds > 1 {
-		return c.playSet(s, ns)
+		return c.simulateSet(s, ns)
 	}
 	r := experiment.Compare(ns[0].File)
 	if c.SVG != "" {
@@ -45,8 +45,8 @@
 	return r.WriteText(s.out)
 }
 
-// playSet simulates several files or seeds.
-func (c *experimentCommand) playSet(s *streams, ns []experiment.NamedFile) error {
+// simulateSet simulates several files or seeds.
+func (c *experimentCommand) simulateSet(s *streams, ns []experiment.NamedFile) error {
 	r := experiment.SimulateSet(ns, max(c.Seeds, 1), c.Workers, func(ended, all int) {
 		fmt.Fprintf(s.err, "\r%d of %d runs", ended, all)
 	})
