--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	manyStreams = 2000
-	manyEngines = 18
-	slowStep    = "34ms" // time between two tokens of an answer
-	probes      = 300    // requests that measure the added latency
+	manyStreams   = 2000
+	manyEngines   = 18
+	slowStep      = "34ms" // time between two tokens of an answer
+	latencyProbes = 300    // requests that measure the added latency
 )
 
 func streamsMix(tokens int) load.Mix {
@@ -72,7 +72,7 @@
 	f := startFleet(b, 1, manyEngines, slowStep)
 	r := load.NewRunner(f.callers, true)
 	var through, straight []time.Duration
-	for i := range probes {
+	for i := range latencyProbes {
 		v := r.Run(context.Background(), streamsMix(4).Draw(1, time.Nanosecond, load.Surge{}, uint64(i)))[0]
 		require.Empty(b, v.Wrong)
 		through = append(through, v.Took)
