--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// direct calls an engine without hollowgrade and returns the total time.
-func direct(b *testing.B, url string, i int) time.Duration {
+// generateDirectly calls an engine without hollowgrade and returns the total time.
+func generateDirectly(b *testing.B, url string, i int) time.Duration {
 	b.Helper()
 	at := time.Now()
 	s, err := upstream.NewEngine(url, upstream.Transport(nil)).Generate(context.Background(), hollowgrade.Generation{
@@ -76,7 +76,7 @@
 		v := r.Run(context.Background(), streamsMix(4).Draw(1, time.Nanosecond, load.Surge{}, uint64(i)))[0]
 		require.Empty(b, v.Wrong)
 		through = append(through, v.Took)
-		straight = append(straight, direct(b, f.urls[i%len(f.urls)], i))
+		straight = append(straight, generateDirectly(b, f.urls[i%len(f.urls)], i))
 	}
 	idle := rss(b, f.entries[0])
 	for range b.N {
