--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	manyStreams   = 2000
-	manyEngines   = 18
-	slowStep      = "34ms" // time between two tokens of an answer
-	latencyProbes = 300    // requests that measure the added latency
+	manyStreams     = 2000
+	manyEngines     = 18
+	manyStreamsStep = "34ms" // time between two tokens of an answer
+	latencyProbes   = 300    // requests that measure the added latency
 )
 
 func streamsMix(tokens int) load.Mix {
@@ -69,7 +69,7 @@
 // BenchmarkStreams opens 2,000 streams at once through one entry in front of 18 agents and engines,
 // each a separate process on this machine, and checks each answer.
 func BenchmarkStreams(b *testing.B) {
-	f := startFleet(b, 1, manyEngines, slowStep)
+	f := startFleet(b, 1, manyEngines, manyStreamsStep)
 	r := load.NewRunner(f.callers, true)
 	var through, straight []time.Duration
 	for i := range latencyProbes {
