--- a/cmd/hollowgrade-standin/main.go
+++ b/cmd/hollowgrade-standin/main.go
@@ -45,8 +45,8 @@
 }
 
 const (
-	weightsEvery = 500 * time.Millisecond
-	weightsBurst = 3
+	weightsInterval = 500 * time.Millisecond
+	weightsBurst    = 3
 )
 
 // Run runs the command.
@@ -57,7 +57,7 @@
 	m.Handle(standalone.PathAppend, l)
 	m.Handle(standalone.PathRead, l)
 	m.Handle(standalone.PathBoxes, standin.NewBoxes(c.Lag, k))
-	m.Handle(standalone.PathFetch, standin.NewWeights(weightsEvery, weightsBurst, k))
+	m.Handle(standalone.PathFetch, standin.NewWeights(weightsInterval, weightsBurst, k))
 	return c.serve(m)
 }
 
