--- a/setting/doc.go
+++ b/setting/doc.go
@@ -38,19 +38,19 @@
 
 // Docs returns the documentation of a role's settings, ordered by group and key.
 func Docs(r hollowgrade.Role) []Doc {
-	ds := docs(r, reflect.TypeOf(Roles()[r]).Elem(), nil)
+	ds := collectDocs(r, reflect.TypeOf(Roles()[r]).Elem(), nil)
 	slices.SortStableFunc(ds, func(a, b Doc) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Key, b.Key))
 	})
 	return ds
 }
 
-func docs(r hollowgrade.Role, t reflect.Type, at []int) (ds []Doc) {
+func collectDocs(r hollowgrade.Role, t reflect.Type, at []int) (ds []Doc) {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		x := append(slices.Clone(at), i)
 		if f.Anonymous {
-			ds = append(ds, docs(r, f.Type, x)...)
+			ds = append(ds, collectDocs(r, f.Type, x)...)
 			continue
 		}
 		n := f.Tag.Get("name")
@@ -167,7 +167,7 @@
 // checkBounds checks all values of a settings struct.
 func checkBounds(s any) error {
 	v := reflect.ValueOf(s).Elem()
-	for _, d := range docs("", v.Type(), nil) {
+	for _, d := range collectDocs("", v.Type(), nil) {
 		if err := d.checkValue(v.FieldByIndex(d.field)); err != nil {
 			return err
 		}
@@ -178,7 +178,7 @@
 // setDefaults sets each setting to its default.
 func setDefaults(s any) {
 	v := reflect.ValueOf(s).Elem()
-	for _, d := range docs("", v.Type(), nil) {
+	for _, d := range collectDocs("", v.Type(), nil) {
 		if d.Default == "" {
 			continue
 		}
