--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -58,8 +58,8 @@
 // keys would expire now and then while the store rejects some gateways. A gateway runs with it all
 // the same.
 func (g Gateway) CheckFreshness() error {
-	if least := feed.MinViewAge + freshnessMargin; g.KeyFreshness < least {
-		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, least)
+	if minimum := feed.MinViewAge + freshnessMargin; g.KeyFreshness < minimum {
+		return fmt.Errorf("%s is %s, the smallest that can be held is %s", freshnessKey, g.KeyFreshness, minimum)
 	}
 	return nil
 }
