--- a/experiment/report.go
+++ b/experiment/report.go
@@ -67,7 +67,7 @@
 	for _, b := range measure.BucketNames() {
 		x := filter(rs, func(r Result) bool { return measure.Bucket(r.Prompt) == b && r.First > 0 })
 		if len(x) > 0 {
-			s.Lengths = append(s.Lengths, LengthSummary{b, quantile(x, 0.95, func(r Result) time.Duration { return r.First })})
+			s.Lengths = append(s.Lengths, LengthSummary{b, quantileMillis(x, 0.95, func(r Result) time.Duration { return r.First })})
 		}
 	}
 	for at := time.Duration(0); at < f.Duration.Std(); at += worthStep {
@@ -85,9 +85,9 @@
 		Requests: len(rs),
 		Worth:    worthShare(rs),
 		Refused:  len(filter(rs, func(r Result) bool { return r.Refused })),
-		FirstP50: quantile(began, 0.5, first),
-		FirstP95: quantile(began, 0.95, first),
-		PauseP95: quantile(began, 0.95, func(r Result) time.Duration { return r.Pause }),
+		FirstP50: quantileMillis(began, 0.5, first),
+		FirstP95: quantileMillis(began, 0.95, first),
+		PauseP95: quantileMillis(began, 0.95, func(r Result) time.Duration { return r.Pause }),
 	}
 }
 
@@ -113,8 +113,8 @@
 	return earned / owed
 }
 
-// quantile returns a quantile in ms.
-func quantile(rs []Result, q float64, of func(Result) time.Duration) float64 {
+// quantileMillis returns a quantileMillis in ms.
+func quantileMillis(rs []Result, q float64, of func(Result) time.Duration) float64 {
 	if len(rs) == 0 {
 		return 0
 	}
