--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -79,9 +79,9 @@
 }
 
 // schedule runs a function after the given virtual time.
-func (p *simulation) schedule(d time.Duration, do func()) {
+func (p *simulation) schedule(d time.Duration, run func()) {
 	p.seq++
-	heap.Push(&p.events, event{p.now + d, p.seq, do})
+	heap.Push(&p.events, event{p.now + d, p.seq, run})
 }
 
 // Simulate simulates one variant. It is deterministic: the same file gives the same result.
