--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -206,13 +206,13 @@
 
 // retry schedules the retry of a refused request after the given delay, unless the caller has no
 // retries left.
-func (p *simulation) retry(j *job, after time.Duration) {
+func (p *simulation) retry(j *job, delay time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
 		p.results = append(p.results, j.refused())
 		return
 	}
-	p.schedule(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
+	p.schedule(min(delay, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
 }
 
 // refusedRetryPenalty is the share of its worth that a request costs if it is refused after a
