--- a/experiment/set.go
+++ b/experiment/set.go
@@ -80,15 +80,15 @@
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	next := make(chan int)
-	ended := 0
+	completed := 0
 	for range max(workers, 1) {
 		g.Go(func() {
 			for i := range next {
 				w := tasks[i]()
 				mu.Lock()
 				r.Runs[i].Worth = w
-				ended++
-				progress(ended, len(tasks))
+				completed++
+				progress(completed, len(tasks))
 				mu.Unlock()
 			}
 		})
