--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -285,9 +285,9 @@
 }
 
 // sendPace reports an engine's pace to the other gateways.
-func (p *simulation) sendPace(from decider, id string, pace float64) {
+func (p *simulation) sendPace(sender decider, id string, pace float64) {
 	for _, g := range p.gateways {
-		if g != from && !p.variant.Alone {
+		if g != sender && !p.variant.Alone {
 			g.receivePace(id, pace, p.file.View.Std(), "another")
 		}
 	}
