--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -209,7 +209,7 @@
 func (p *simulation) retry(j *job, delay time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
-		p.results = append(p.results, j.refused())
+		p.results = append(p.results, j.refusedResult())
 		return
 	}
 	p.schedule(min(delay, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
@@ -219,8 +219,8 @@
 // retry.
 const refusedRetryPenalty = 0.3
 
-// refused returns the result of a request that was refused and isn't retried.
-func (j *job) refused() Result {
+// refusedResult returns the result of a request that was refusedResult and isn't retried.
+func (j *job) refusedResult() Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
 	if j.tries > 1 {
 		r.Earned = -refusedRetryPenalty * r.Owed
