--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -194,8 +194,8 @@
 	p.place(j)
 }
 
-// owed returns the worth of a request, which grows with its size as in the users' measurement.
-func (j *job) owed() float64 {
+// worth returns the worth of a request, which grows with its size as in the users' measurement.
+func (j *job) worth() float64 {
 	size := float64(j.promptTokens+10*j.answerTokens) / (j.kind.Prompt + 10*j.kind.Answer)
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
@@ -221,7 +221,7 @@
 
 // refusedResult returns the result of a request that was refusedResult and isn't retried.
 func (j *job) refusedResult() Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.worth()}
 	if j.tries > 1 {
 		r.Earned = -refusedRetryPenalty * r.Owed
 	}
@@ -339,7 +339,7 @@
 
 // result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.worth()}
 	switch {
 	case now-j.arrived > j.kind.Allowed.Std():
 	case r.First <= j.kind.Goal.Std() && j.longestPause <= j.kind.Pause.Std():
