--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -191,7 +191,7 @@
 		answerTokens: p.drawSize(k.Answer, answerSpread, 0),
 		arrived:      p.now,
 	}
-	p.place(j)
+	p.placeRequest(j)
 }
 
 // worth returns the worth of a request, which grows with its size as in the users' measurement.
@@ -212,7 +212,7 @@
 		p.results = append(p.results, j.refusedResult())
 		return
 	}
-	p.schedule(min(delay, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
+	p.schedule(min(delay, time.Duration(maxRetryDelayShare*float64(left))), func() { p.placeRequest(j) })
 }
 
 // refusedRetryPenalty is the share of its worth that a request costs if it is refused after a
@@ -228,7 +228,7 @@
 	return r
 }
 
-func (p *simulation) place(j *job) {
+func (p *simulation) placeRequest(j *job) {
 	j.gateway = p.decisionRandom.IntN(len(p.gateways))
 	g := p.gateways[j.gateway]
 	j.tries++
