--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -14,7 +14,7 @@
 
 // outcomes counts the results of some requests.
 type outcomes struct {
-	all, inTime, refusedAgain int
+	total, inTime, refusedAgain int
 }
 
 // countOutcomes simulates a file with some seeds and counts the outcomes of the requests of a kind.
@@ -24,7 +24,7 @@
 			if r.Kind != kind {
 				continue
 			}
-			o.all++
+			o.total++
 			if r.Earned >= r.Owed {
 				o.inTime++
 			}
