--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -131,13 +131,13 @@
 	a := start(t, binaries.hollowgrade, "agent", "--box", box, "--hall", "hall-1", "--peers", "127.0.0.1:0", "--max-running", "128",
 		"--platform-log", f.platform, "--platform-list", f.platform, "--engine", u, "--models", "copy-1", "--log-poll", "50ms")
 	f.engines, f.agents, f.urls = append(f.engines, e), append(f.agents, a), append(f.urls, u)
-	put(t, f.platform, hollowgrade.Box{
+	registerBox(t, f.platform, hollowgrade.Box{
 		Name: box, Role: hollowgrade.AgentRole, Hall: "hall-1",
 		Peer: field(t, a.await(t, "agent starts"), "peers"), State: hollowgrade.BoxLive,
 	})
 }
 
-func put(t testing.TB, platform string, b hollowgrade.Box) {
+func registerBox(t testing.TB, platform string, b hollowgrade.Box) {
 	t.Helper()
 	j, err := json.Marshal(b)
 	require.NoError(t, err)
