--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -211,8 +211,8 @@
 	return res
 }
 
-// text reads a stream to its end and returns its text.
-func text(t *testing.T, r io.Reader) string {
+// readText reads a stream to its end and returns its readText.
+func readText(t *testing.T, r io.Reader) string {
 	t.Helper()
 	var b strings.Builder
 	for s := bufio.NewScanner(r); s.Scan(); {
@@ -238,7 +238,7 @@
 	t.Helper()
 	defer res.Body.Close()
 	require.Equal(t, http.StatusOK, res.StatusCode)
-	require.Equal(t, standin.Answer(prompt, tokens), text(t, res.Body))
+	require.Equal(t, standin.Answer(prompt, tokens), readText(t, res.Body))
 }
 
 // firstEvent waits for the first event, so that the stream is in progress afterwards.
@@ -291,7 +291,7 @@
 				}
 				require.NoError(t, p.Process.Kill())
 				f.killed[n] = true
-				require.Equal(t, standin.Answer(prompt, longAnswerTokens), text(t, b))
+				require.Equal(t, standin.Answer(prompt, longAnswerTokens), readText(t, b))
 				require.NoError(t, res.Body.Close())
 			}
 		})
@@ -306,7 +306,7 @@
 		// is complete. A new one is answered meanwhile.
 		requireAnswer(t, "Meanwhile", 12, f.complete(t, 0, "Meanwhile", 12))
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGCONT))
-		require.Equal(t, standin.Answer("Half time", longAnswerTokens), text(t, b))
+		require.Equal(t, standin.Answer("Half time", longAnswerTokens), readText(t, b))
 		require.NoError(t, res.Body.Close())
 	})
 	t.Run("SIGKILL of an entry loses its streams, and the other entry serves on", func(t *testing.T) {
