--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -152,11 +152,11 @@
 // publish publishes the example policy and an organisation with the operators' commands.
 func (f *fleet) publish(t testing.TB) {
 	t.Helper()
-	run(t, "policy", "publish", "--platform-log", f.platform, "default", "../../examples/policies/korrigan.expr")
-	run(t, "config", "publish", "--platform-log", f.platform, "../../examples/local/fleet.toml")
+	runCommand(t, "policy", "publish", "--platform-log", f.platform, "default", "../../examples/policies/korrigan.expr")
+	runCommand(t, "config", "publish", "--platform-log", f.platform, "../../examples/local/fleet.toml")
 }
 
-func run(t testing.TB, args ...string) string {
+func runCommand(t testing.TB, args ...string) string {
 	t.Helper()
 	out, err := exec.Command(binaries.hollowgrade, args...).CombinedOutput()
 	require.NoError(t, err, string(out))
