--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -71,11 +71,11 @@
 func BenchmarkStreams(b *testing.B) {
 	f := startFleet(b, 1, manyEngines, manyStreamsStep)
 	r := load.NewRunner(f.callers, true)
-	var through, direct []time.Duration
+	var proxied, direct []time.Duration
 	for i := range latencyProbes {
 		v := r.Run(context.Background(), streamsMix(4).Draw(1, time.Nanosecond, load.Surge{}, uint64(i)))[0]
 		require.Empty(b, v.Wrong)
-		through = append(through, v.Took)
+		proxied = append(proxied, v.Took)
 		direct = append(direct, generateDirectly(b, f.urls[i%len(f.urls)], i))
 	}
 	idle := rss(b, f.entries[0])
@@ -95,6 +95,6 @@
 		b.ReportMetric(float64(s.Report.Finished()*200)/took.Seconds(), "tokens/s")
 		b.ReportMetric((<-peak-idle)/manyStreams, "B/stream")
 	}
-	b.ReportMetric(quantile(through, 0.5)-quantile(direct, 0.5), "added-p50-ms")
-	b.ReportMetric(quantile(through, 0.99)-quantile(direct, 0.99), "added-p99-ms")
+	b.ReportMetric(quantile(proxied, 0.5)-quantile(direct, 0.5), "added-p50-ms")
+	b.ReportMetric(quantile(proxied, 0.99)-quantile(direct, 0.99), "added-p99-ms")
 }
