--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -215,7 +215,7 @@
 	return writeStatus(s.out, ss, len(as))
 }
 
-func writeStatus(w io.Writer, ss []node.Status, asked int) error {
+func writeStatus(w io.Writer, ss []node.Status, total int) error {
 	var newest int64
 	for _, v := range ss {
 		newest = max(newest, v.Revision)
@@ -237,6 +237,6 @@
 		return err
 	}
 	fmt.Fprintf(w, "revision %d is in force on %d of %d boxes; %d are behind, %d did not answer\n",
-		newest, len(ss)-behind, asked, behind, asked-len(ss))
+		newest, len(ss)-behind, total, behind, total-len(ss))
 	return nil
 }
