--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -43,7 +43,7 @@
 	return strings.TrimPrefix(s.URL, "http://"), lifted
 }
 
-func run(args ...string) (code int, out, messages string) {
+func runCommandLine(args ...string) (code int, out, messages string) {
 	var o, m bytes.Buffer
 	code = Run(args, &o, &m)
 	return code, o.String(), m.String()
@@ -53,7 +53,7 @@
 	knows, lifted := startOperatorsServer(t, true)
 	empty, _ := startOperatorsServer(t, false)
 	t.Run("lists what any box knows, once", func(t *testing.T) {
-		code, out, _ := run("quarantine", "list", "--box", knows, "--box", empty, "--box", knows)
+		code, out, _ := runCommandLine("quarantine", "list", "--box", knows, "--box", empty, "--box", knows)
 		require.Equal(t, exitOK, code)
 		require.Equal(t, 1, strings.Count(out, someFingerprint))
 		for _, part := range []string{"club-2", "captions", "box-1", "i-1 i-2"} {
@@ -61,20 +61,20 @@
 		}
 	})
 	t.Run("leaves out a box that does not answer", func(t *testing.T) {
-		code, out, messages := run("quarantine", "list", "--box", "127.0.0.1:1", "--box", knows, "--json")
+		code, out, messages := runCommandLine("quarantine", "list", "--box", "127.0.0.1:1", "--box", knows, "--json")
 		require.Equal(t, exitOK, code)
 		require.Contains(t, messages, "left out")
 		require.Contains(t, out, `"fingerprint"`)
 	})
 	t.Run("lifts at the first box that has it", func(t *testing.T) {
-		code, out, _ := run("quarantine", "lift", "--box", empty, "--box", knows, someFingerprint)
+		code, out, _ := runCommandLine("quarantine", "lift", "--box", empty, "--box", knows, someFingerprint)
 		require.Equal(t, exitOK, code)
 		require.Equal(t, 1, *lifted)
 		require.Contains(t, out, knows)
 	})
 	t.Run("says what is wrong in one line", func(t *testing.T) {
 		for _, args := range [][]string{{"quarantine", "list"}, {"quarantine", "lift", someFingerprint}, {"quarantine", "lift", "--box", empty, someFingerprint}} {
-			code, _, messages := run(args...)
+			code, _, messages := runCommandLine(args...)
 			require.Equal(t, exitFailure, code)
 			require.Equal(t, 1, strings.Count(messages, "\n"), messages)
 		}
