--- a/setting/doc.go
+++ b/setting/doc.go
@@ -45,10 +45,10 @@
 	return ds
 }
 
-func collectDocs(r hollowgrade.Role, t reflect.Type, at []int) (ds []Doc) {
+func collectDocs(r hollowgrade.Role, t reflect.Type, path []int) (ds []Doc) {
 	for i := range t.NumField() {
 		f := t.Field(i)
-		x := append(slices.Clone(at), i)
+		x := append(slices.Clone(path), i)
 		if f.Anonymous {
 			ds = append(ds, collectDocs(r, f.Type, x)...)
 			continue
