--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -211,7 +211,7 @@
 	return res
 }
 
-// readText reads a stream to its end and returns its readText.
+// readText reads a stream to its end and returns its text.
 func readText(t *testing.T, r io.Reader) string {
 	t.Helper()
 	var b strings.Builder
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -10,7 +10,7 @@
 type job struct {
 	kind          *Kind
 	promptTokens  int
-	answerTokens  int // tokens
+	answerTokens  int
 	arrived       time.Duration
 	partsLeft     int // of its prompt that are not prefilled yet
 	split         bool
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -113,7 +113,7 @@
 	return earned / owed
 }
 
-// quantileMillis returns a quantileMillis in ms.
+// quantileMillis returns a quantile of a duration.
 func quantileMillis(rs []Result, q float64, of func(Result) time.Duration) float64 {
 	if len(rs) == 0 {
 		return 0
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -18,7 +18,7 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// serviceName is the name of the pool in decisions.
+// serviceName is the name of the engines' service in decisions.
 const serviceName = "engines"
 
 // event is a function that runs at a point in virtual time.
@@ -28,7 +28,7 @@
 	run func()
 }
 
-// eventHeap is a heap ordered by time.
+// eventHeap is a heap of events ordered by time.
 type eventHeap []event
 
 func (e eventHeap) Len() int { return len(e) }
@@ -78,7 +78,7 @@
 	Earned  float64       `json:"earned"`
 }
 
-// schedule runs a function after the given virtual time.
+// schedule runs a function after a period of virtual time.
 func (p *simulation) schedule(d time.Duration, run func()) {
 	p.seq++
 	heap.Push(&p.events, event{p.now + d, p.seq, run})
@@ -219,7 +219,7 @@
 // retry.
 const refusedRetryPenalty = 0.3
 
-// refusedResult returns the result of a request that was refusedResult and isn't retried.
+// refusedResult returns the result of a request that was refused and isn't retried.
 func (j *job) refusedResult() Result {
 	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.worth()}
 	if j.tries > 1 {
