--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -22,7 +22,7 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// binaries are built once for all tests of this package.
+// binaries holds the paths of the commands, which are built once for all tests of this package.
 var binaries struct {
 	hollowgrade, standin string
 }
@@ -45,7 +45,7 @@
 	os.Exit(code)
 }
 
-// process is a child process whose lines can be waited for.
+// process is a child process whose output can be awaited line by line.
 type process struct {
 	*exec.Cmd
 	lines chan string
@@ -63,7 +63,7 @@
 		for s := bufio.NewScanner(out); s.Scan(); {
 			select {
 			case p.lines <- s.Text():
-			default: // nobody waits for so many lines, and the process must not wait for us
+			default: // drop the line: a full buffer must not block the process
 			}
 		}
 	}()
@@ -74,7 +74,7 @@
 	return p
 }
 
-// await returns the first line that holds the text.
+// await returns the first line that contains the text.
 func (p *process) await(t testing.TB, text string) string {
 	t.Helper()
 	for l := range p.lines {
@@ -94,7 +94,7 @@
 	return fmt.Sprint(m[name])
 }
 
-// fleet is a whole fleet, each part a process of its own.
+// fleet is a whole fleet of which each part is a separate process.
 type fleet struct {
 	platform string
 	entries  []*process
@@ -105,7 +105,7 @@
 	killed   map[int]bool
 }
 
-// startFleet starts entries, and engines each with its agent.
+// startFleet starts entries, and engines with an agent each.
 func startFleet(t testing.TB, entries, engines int, step string) *fleet {
 	t.Helper()
 	f := &fleet{platform: start(t, binaries.standin, "platform").await(t, "http://"), killed: map[int]bool{}}
@@ -131,13 +131,13 @@
 	a := start(t, binaries.hollowgrade, "agent", "--box", box, "--hall", "hall-1", "--peers", "127.0.0.1:0", "--max-running", "128",
 		"--platform-log", f.platform, "--platform-list", f.platform, "--engine", u, "--models", "copy-1", "--log-poll", "50ms")
 	f.engines, f.agents, f.urls = append(f.engines, e), append(f.agents, a), append(f.urls, u)
-	put(t, f.platform, hollowgrade.Box{
+	registerBox(t, f.platform, hollowgrade.Box{
 		Name: box, Role: hollowgrade.AgentRole, Hall: "hall-1",
 		Peer: field(t, a.await(t, "agent starts"), "peers"), State: hollowgrade.BoxLive,
 	})
 }
 
-func put(t testing.TB, platform string, b hollowgrade.Box) {
+func registerBox(t testing.TB, platform string, b hollowgrade.Box) {
 	t.Helper()
 	j, err := json.Marshal(b)
 	require.NoError(t, err)
@@ -149,23 +149,22 @@
 	require.Equal(t, http.StatusOK, res.StatusCode)
 }
 
-// publish publishes the example policy and an organisation by the operators'
-// commands.
+// publish publishes the example policy and an organisation with the operators' commands.
 func (f *fleet) publish(t testing.TB) {
 	t.Helper()
-	run(t, "policy", "publish", "--platform-log", f.platform, "default", "../../examples/policies/korrigan.expr")
-	run(t, "config", "publish", "--platform-log", f.platform, "../../examples/local/fleet.toml")
+	runCommand(t, "policy", "publish", "--platform-log", f.platform, "default", "../../examples/policies/korrigan.expr")
+	runCommand(t, "config", "publish", "--platform-log", f.platform, "../../examples/local/fleet.toml")
 }
 
-func run(t testing.TB, args ...string) string {
+func runCommand(t testing.TB, args ...string) string {
 	t.Helper()
 	out, err := exec.Command(binaries.hollowgrade, args...).CombinedOutput()
 	require.NoError(t, err, string(out))
 	return string(out)
 }
 
-// awaitReady asks the readiness path until each entry is connected. Each answer
-// is awaited, so the loop is bounded by the entries' own progress.
+// awaitReady polls the readiness path until each entry is connected. Each response is awaited, so
+// the rate of the loop is bounded.
 func (f *fleet) awaitReady(t testing.TB) {
 	t.Helper()
 	for _, c := range f.callers {
@@ -183,8 +182,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// servingEngine returns the number of the engine that holds a sequence now. Each look
-// is an answer awaited.
+// servingEngine polls the engines until one holds a sequence, and returns its number.
 func (f *fleet) servingEngine(t testing.TB) int {
 	t.Helper()
 	for {
@@ -213,8 +211,8 @@
 	return res
 }
 
-// text reads a stream to its end and returns its text.
-func text(t *testing.T, r io.Reader) string {
+// readText reads a stream to its end and returns its text.
+func readText(t *testing.T, r io.Reader) string {
 	t.Helper()
 	var b strings.Builder
 	for s := bufio.NewScanner(r); s.Scan(); {
@@ -240,11 +238,10 @@
 	t.Helper()
 	defer res.Body.Close()
 	require.Equal(t, http.StatusOK, res.StatusCode)
-	require.Equal(t, standin.Answer(prompt, tokens), text(t, res.Body))
+	require.Equal(t, standin.Answer(prompt, tokens), readText(t, res.Body))
 }
 
-// firstEvent reads up to the first event, so that the stream is certainly in
-// its middle afterwards.
+// firstEvent waits for the first event, so that the stream is in progress afterwards.
 func firstEvent(t *testing.T, res *http.Response) io.Reader {
 	t.Helper()
 	b := bufio.NewReader(res.Body)
@@ -294,7 +291,7 @@
 				}
 				require.NoError(t, p.Process.Kill())
 				f.killed[n] = true
-				require.Equal(t, standin.Answer(prompt, longAnswerTokens), text(t, b))
+				require.Equal(t, standin.Answer(prompt, longAnswerTokens), readText(t, b))
 				require.NoError(t, res.Body.Close())
 			}
 		})
@@ -305,11 +302,11 @@
 		b := firstEvent(t, res)
 		n := f.servingEngine(t)
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGSTOP))
-		// The stream goes on elsewhere, or waits for the agent: either way it
-		// is whole. A new one is answered meanwhile.
+		// The stream continues elsewhere or waits for the agent; either way it
+		// is complete. A new one is answered meanwhile.
 		requireAnswer(t, "Meanwhile", 12, f.complete(t, 0, "Meanwhile", 12))
 		require.NoError(t, f.agents[n].Process.Signal(syscall.SIGCONT))
-		require.Equal(t, standin.Answer("Half time", longAnswerTokens), text(t, b))
+		require.Equal(t, standin.Answer("Half time", longAnswerTokens), readText(t, b))
 		require.NoError(t, res.Body.Close())
 	})
 	t.Run("SIGKILL of an entry loses its streams, and the other entry serves on", func(t *testing.T) {
--- a/cmd/hollowgrade/streams_test.go
+++ b/cmd/hollowgrade/streams_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	manyStreams = 2000
-	manyEngines = 18
-	slowStep    = "34ms" // between two tokens of an answer
-	probes      = 300    // requests for the added time
+	manyStreams     = 2000
+	manyEngines     = 18
+	manyStreamsStep = "34ms" // time between two tokens of an answer
+	latencyProbes   = 300    // requests that measure the added latency
 )
 
 func streamsMix(tokens int) load.Mix {
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// direct calls an engine without hollowgrade and returns the whole time.
-func direct(b *testing.B, url string, i int) time.Duration {
+// generateDirectly calls an engine without hollowgrade and returns the total time.
+func generateDirectly(b *testing.B, url string, i int) time.Duration {
 	b.Helper()
 	at := time.Now()
 	s, err := upstream.NewEngine(url, upstream.Transport(nil)).Generate(context.Background(), hollowgrade.Generation{
@@ -66,18 +66,17 @@
 	return float64(ds[int(q*float64(len(ds)-1))].Microseconds()) / 1000
 }
 
-// BenchmarkStreams opens 2,000 streams at once through one entry in front of 18
-// agents and engines, each a process of its own on this machine, and checks
-// each answer.
+// BenchmarkStreams opens 2,000 streams at once through one entry in front of 18 agents and engines,
+// each a separate process on this machine, and checks each answer.
 func BenchmarkStreams(b *testing.B) {
-	f := startFleet(b, 1, manyEngines, slowStep)
+	f := startFleet(b, 1, manyEngines, manyStreamsStep)
 	r := load.NewRunner(f.callers, true)
-	var through, straight []time.Duration
-	for i := range probes {
+	var proxied, direct []time.Duration
+	for i := range latencyProbes {
 		v := r.Run(context.Background(), streamsMix(4).Draw(1, time.Nanosecond, load.Surge{}, uint64(i)))[0]
 		require.Empty(b, v.Wrong)
-		through = append(through, v.Took)
-		straight = append(straight, direct(b, f.urls[i%len(f.urls)], i))
+		proxied = append(proxied, v.Took)
+		direct = append(direct, generateDirectly(b, f.urls[i%len(f.urls)], i))
 	}
 	idle := rss(b, f.entries[0])
 	for range b.N {
@@ -96,6 +95,6 @@
 		b.ReportMetric(float64(s.Report.Finished()*200)/took.Seconds(), "tokens/s")
 		b.ReportMetric((<-peak-idle)/manyStreams, "B/stream")
 	}
-	b.ReportMetric(quantile(through, 0.5)-quantile(straight, 0.5), "added-p50-ms")
-	b.ReportMetric(quantile(through, 0.99)-quantile(straight, 0.99), "added-p99-ms")
+	b.ReportMetric(quantile(proxied, 0.5)-quantile(direct, 0.5), "added-p50-ms")
+	b.ReportMetric(quantile(proxied, 0.99)-quantile(direct, 0.99), "added-p99-ms")
 }
--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -10,21 +10,21 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// What the baseline with helpers does: the best of the trials before there was
-// a shared view.
+// Parameters of the baseline with helpers, which were the best of the values tried without a view
+// shared between gateways.
 const (
 	baselineSplitTokens = 9_000
 	baselineHelpers     = 16
 )
 
-// baseline decides as the baselines do, by what its own gateway has open.
+// baseline decides as the baselines do, by the requests that its own gateway has open.
 type baseline struct {
-	decisions string
-	ids       []string
-	next      int
-	open      map[string]int
-	prefill   map[string]time.Duration
-	figures   *engine.Figures
+	decisions    string
+	ids          []string
+	next         int
+	openRequests map[string]int
+	prefill      map[string]time.Duration
+	figures      *engine.Figures
 }
 
 func (n *baseline) decide(j *job, _ time.Duration) (core.Plan, bool) {
@@ -34,24 +34,24 @@
 		d.Upstream = n.ids[n.next%len(n.ids)]
 		n.next++
 	case LeastRequests:
-		d.Upstream = slices.MinFunc(n.ids, func(a, b string) int { return cmp.Compare(n.open[a], n.open[b]) })
+		d.Upstream = slices.MinFunc(n.ids, func(a, b string) int { return cmp.Compare(n.openRequests[a], n.openRequests[b]) })
 	default:
 		ids := slices.Clone(n.ids)
 		slices.SortStableFunc(ids, func(a, b string) int {
-			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.open[a], n.open[b]))
+			return cmp.Or(cmp.Compare(n.prefill[a], n.prefill[b]), cmp.Compare(n.openRequests[a], n.openRequests[b]))
 		})
 		d.Upstream = ids[0]
-		if j.prompt >= baselineSplitTokens {
+		if j.promptTokens >= baselineSplitTokens {
 			d.Helpers = ids[1:min(1+baselineHelpers, len(ids))]
 		}
 	}
-	d.PredictedFirst = n.figures.PrefillTime(j.prompt, 1+len(d.Helpers))
-	n.open[d.Upstream]++
+	d.PredictedFirst = n.figures.PrefillTime(j.promptTokens, 1+len(d.Helpers))
+	n.openRequests[d.Upstream]++
 	n.addPrefill(d, d.PredictedFirst)
 	return d, true
 }
 
-// addPrefill changes the reading that the gateway has given to a plan's engines.
+// addPrefill adds to the prefill that the gateway has assigned to a plan's engines.
 func (n *baseline) addPrefill(d core.Plan, work time.Duration) {
 	n.prefill[d.Upstream] += work
 	for _, h := range d.Helpers {
@@ -64,7 +64,7 @@
 }
 
 func (n *baseline) done(d core.Plan) {
-	n.open[d.Upstream]--
+	n.openRequests[d.Upstream]--
 }
 
 func (n *baseline) changes(bool) map[hollowgrade.Life]core.Share {
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -18,30 +18,30 @@
 	"github.com/hollowgrade/hollowgrade/placement"
 )
 
-// service is the name of the pool in decisions.
-const service = "engines"
+// serviceName is the name of the engines' service in decisions.
+const serviceName = "engines"
 
-// event is something that happens at a moment.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at  time.Duration
-	seq int // keeps events of one moment in order
-	do  func()
+	seq int // keeps simultaneous events in order
+	run func()
 }
 
-// events is a heap by time.
-type events []event
+// eventHeap is a heap of events ordered by time.
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements [heap.Interface].
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements [heap.Interface].
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -52,25 +52,25 @@
 type simulation struct {
 	file           File
 	variant        Variant
-	loadRandom     *rand.Rand // draws the load, which is the same for all variants
-	decisionRandom *rand.Rand // draws what depends on decisions
+	loadRandom     *rand.Rand // for the load, which is the same for all variants
+	decisionRandom *rand.Rand // for draws that depend on decisions
 	now            time.Duration
 	seq            int
-	events         events
-	updates        int // words of load so far
+	events         eventHeap
+	updates        int // load updates sent so far
 	clock          *clockwork.FakeClock
 	engines        map[string]*simulatedEngine
 	gateways       []decider
-	open           map[*job]bool
+	openJobs       map[*job]bool
 	results        []Result
 }
 
-// Result is one request that has ended.
+// Result is the outcome of one request.
 type Result struct {
 	Kind    string        `json:"kind"`
 	Prompt  int           `json:"prompt"`
 	Arrived time.Duration `json:"arrived"`
-	First   time.Duration `json:"first"` // zero if none came
+	First   time.Duration `json:"first"` // time to the first event; zero if there was none
 	Pause   time.Duration `json:"pause"`
 	Refused bool          `json:"refused"`
 	Tries   int           `json:"tries"`
@@ -78,13 +78,13 @@
 	Earned  float64       `json:"earned"`
 }
 
-// schedule lets something happen later.
-func (p *simulation) schedule(d time.Duration, do func()) {
+// schedule runs a function after a period of virtual time.
+func (p *simulation) schedule(d time.Duration, run func()) {
 	p.seq++
-	heap.Push(&p.events, event{p.now + d, p.seq, do})
+	heap.Push(&p.events, event{p.now + d, p.seq, run})
 }
 
-// Simulate plays one variant. The same file gives the same result.
+// Simulate simulates one variant. It is deterministic: the same file gives the same result.
 func Simulate(f File, v Variant) []Result {
 	p := &simulation{
 		file:           f,
@@ -93,7 +93,7 @@
 		decisionRandom: rand.New(rand.NewPCG(f.Seed, f.Seed+1)),
 		clock:          clockwork.NewFakeClock(),
 		engines:        map[string]*simulatedEngine{},
-		open:           map[*job]bool{},
+		openJobs:       map[*job]bool{},
 	}
 	ids := make([]string, f.Engines.Count)
 	for i := range ids {
@@ -113,14 +113,14 @@
 		p.schedule(f.View.Std(), p.sendUpdates)
 	}
 	p.run()
-	for j := range p.open {
+	for j := range p.openJobs {
 		p.results = append(p.results, j.result(math.MaxInt64))
 	}
 	slices.SortStableFunc(p.results, func(a, b Result) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	return p.results
 }
 
-// drainTime is how much longer than the arrivals a run lasts at the most.
+// drainTime is the maximum time that a run continues after the last arrival.
 const drainTime = 30 * time.Second
 
 func (p *simulation) run() {
@@ -131,11 +131,11 @@
 		}
 		p.clock.Advance(e.at - p.now)
 		p.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// scheduleArrivals lets the requests of a kind scheduleArrivals, one after the other.
+// scheduleArrivals schedules the next request of a kind, which schedules the one after it.
 func (p *simulation) scheduleArrivals(k *Kind) {
 	rate := k.Rate
 	for _, b := range p.file.Bursts {
@@ -148,7 +148,7 @@
 		return
 	}
 	gap := time.Duration(p.loadRandom.ExpFloat64() / rate * float64(time.Second))
-	// Rates change with bursts, so a long gap is drawn anew.
+	// Bursts change the rate, so a long gap is drawn again.
 	if gap > time.Second {
 		p.schedule(time.Second, func() { p.scheduleArrivals(k) })
 		return
@@ -162,20 +162,20 @@
 	})
 }
 
-// drawSize draws a drawSize with the given mean and spread.
-func (p *simulation) drawSize(mean, spread, most float64) int {
+// drawSize draws a log-normal size with the given mean and relative standard deviation.
+func (p *simulation) drawSize(mean, spread, limit float64) int {
 	s2 := math.Log(1 + spread*spread)
 	n := mean * math.Exp(math.Sqrt(s2)*p.loadRandom.NormFloat64()-s2/2)
-	if most > 0 {
-		n = min(n, most)
+	if limit > 0 {
+		n = min(n, limit)
 	}
 	return max(int(n), 1)
 }
 
-// answerSpread is the spread of the length of answers.
+// answerSpread is the standard deviation of answer lengths divided by their mean.
 const answerSpread = 0.6
 
-// drawPrompt draws the length of a drawPrompt.
+// drawPrompt draws the length of a prompt.
 func (p *simulation) drawPrompt(k *Kind) int {
 	mean := k.Prompt
 	if k.Tail > 0 && p.loadRandom.Float64() < k.Tail {
@@ -186,77 +186,78 @@
 
 func (p *simulation) startRequest(k *Kind) {
 	j := &job{
-		kind:    k,
-		prompt:  p.drawPrompt(k),
-		answer:  p.drawSize(k.Answer, answerSpread, 0),
-		arrived: p.now,
+		kind:         k,
+		promptTokens: p.drawPrompt(k),
+		answerTokens: p.drawSize(k.Answer, answerSpread, 0),
+		arrived:      p.now,
 	}
-	p.place(j)
+	p.placeRequest(j)
 }
 
-// owed is the worth of a request by its size, as users count it.
-func (j *job) owed() float64 {
-	size := float64(j.prompt+10*j.answer) / (j.kind.Prompt + 10*j.kind.Answer)
+// worth returns the worth of a request, which grows with its size as in the users' measurement.
+func (j *job) worth() float64 {
+	size := float64(j.promptTokens+10*j.answerTokens) / (j.kind.Prompt + 10*j.kind.Answer)
 	return min(j.kind.Worth*(0.3+0.7*size), 4*j.kind.Worth)
 }
 
-// maxRetryDelayShare is the part of the time that a caller has left for which it waits at
-// the most before it comes back.
+// maxRetryDelayShare is the maximum delay of a retry as a share of the time that the caller has
+// left.
 const maxRetryDelayShare = 1.0 / 3
 
-// retry lets the caller of a refused request come back as it was told, if it
-// still means to.
-func (p *simulation) retry(j *job, after time.Duration) {
+// retry schedules the retry of a refused request after the given delay, unless the caller has no
+// retries left.
+func (p *simulation) retry(j *job, delay time.Duration) {
 	left := j.kind.Allowed.Std() - (p.now - j.arrived)
 	if j.tries > j.kind.Retries {
-		p.results = append(p.results, j.refused())
+		p.results = append(p.results, j.refusedResult())
 		return
 	}
-	p.schedule(min(after, time.Duration(maxRetryDelayShare*float64(left))), func() { p.place(j) })
+	p.schedule(min(delay, time.Duration(maxRetryDelayShare*float64(left))), func() { p.placeRequest(j) })
 }
 
-// refusedRetryPenalty is the part of its worth that a request costs whose caller came back for nothing.
+// refusedRetryPenalty is the share of its worth that a request costs if it is refused after a
+// retry.
 const refusedRetryPenalty = 0.3
 
-// refused returns what a request came to that was refused for good.
-func (j *job) refused() Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.owed()}
+// refusedResult returns the result of a request that was refused and isn't retried.
+func (j *job) refusedResult() Result {
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, Refused: true, Tries: j.tries, Owed: j.worth()}
 	if j.tries > 1 {
 		r.Earned = -refusedRetryPenalty * r.Owed
 	}
 	return r
 }
 
-func (p *simulation) place(j *job) {
-	j.decider = p.decisionRandom.IntN(len(p.gateways))
-	g := p.gateways[j.decider]
+func (p *simulation) placeRequest(j *job) {
+	j.gateway = p.decisionRandom.IntN(len(p.gateways))
+	g := p.gateways[j.gateway]
 	j.tries++
 	d, ok := g.decide(j, j.kind.Allowed.Std()-(p.now-j.arrived))
 	if !ok || d.Refused {
 		p.retry(j, d.RetryAfter)
 		return
 	}
-	p.open[j] = true
+	p.openJobs[j] = true
 	j.onFirstEvent = func() { g.began(d) }
 	j.onDone = func(now time.Duration) {
-		delete(p.open, j)
+		delete(p.openJobs, j)
 		g.done(d)
 		p.releaseMemory(j, d)
 		p.results = append(p.results, j.result(now))
 	}
 	p.schedule(d.Hold, func() { p.send(j, d) })
 	p.schedule(d.Hold+core.Overdue(d.PredictedFirst), func() {
-		if p.open[j] && j.first == 0 {
+		if p.openJobs[j] && j.firstEvent == 0 {
 			p.requestOverduePaces(g, d)
 		}
 	})
 }
 
-// paceRequestTime is how long an engine takes to say how fast it is.
+// paceRequestTime is how long an engine takes to report its pace.
 const paceRequestTime = 5 * time.Millisecond
 
-// requestOverduePaces lets a gateway ask the engines of a call whose first event is overdue how fast they
-// are.
+// requestOverduePaces lets a gateway request the paces of the engines of a call whose first event
+// is overdue.
 func (p *simulation) requestOverduePaces(g decider, d core.Plan) {
 	if p.variant.Unasked {
 		return
@@ -266,8 +267,8 @@
 	}
 }
 
-// requestPace lets a gateway requestPace an engine how fast it is, tell the others, and requestPace again while it is
-// slow.
+// requestPace lets a gateway request an engine's pace, report it to the other gateways, and request
+// it again while the engine is slow.
 func (p *simulation) requestPace(g decider, id string) {
 	p.schedule(paceRequestTime, func() {
 		pace := p.engines[id].pace
@@ -283,17 +284,17 @@
 	})
 }
 
-// sendPace lets the other gateways hear how fast an engine said that it is.
-func (p *simulation) sendPace(from decider, id string, pace float64) {
+// sendPace reports an engine's pace to the other gateways.
+func (p *simulation) sendPace(sender decider, id string, pace float64) {
 	for _, g := range p.gateways {
-		if g != from && !p.variant.Alone {
+		if g != sender && !p.variant.Alone {
 			g.receivePace(id, pace, p.file.View.Std(), "another")
 		}
 	}
 }
 
-// send gives a call to its engine, unless memory that it needs at others is not free:
-// its caller comes back then.
+// send sends a call to its engine. If other engines lack the memory that it needs there, the
+// attempt is rejected and its caller retries.
 func (p *simulation) send(j *job, d core.Plan) {
 	j.keptTokens, j.keepers = d.Kept, nil
 	for _, k := range d.Keepers {
@@ -310,14 +311,14 @@
 	upstream.enqueue(j, func() { p.prefill(j, d, upstream) })
 }
 
-// rejectAttempt ends an attempt of which nothing has run.
+// rejectAttempt ends an attempt that has not started on any engine.
 func (p *simulation) rejectAttempt(j *job, d core.Plan) {
-	delete(p.open, j)
-	p.gateways[j.decider].done(d)
+	delete(p.openJobs, j)
+	p.gateways[j.gateway].done(d)
 	p.retry(j, time.Second)
 }
 
-// releaseMemory gives back what a call that has ended held.
+// releaseMemory releases the memory of a call that has ended.
 func (p *simulation) releaseMemory(j *job, d core.Plan) {
 	p.engines[d.Upstream].releaseMemory(j.ownTokens())
 	for _, k := range j.keepers {
@@ -325,23 +326,23 @@
 	}
 }
 
-// prefill lets the engines of a plan prefill a prompt.
+// prefill starts the prefill of a prompt on the engines of a plan.
 func (p *simulation) prefill(j *job, d core.Plan, upstream *simulatedEngine) {
 	j.partsLeft = 1 + len(d.Helpers)
 	j.split = len(d.Helpers) > 0
-	work := upstream.figures.PrefillTime(j.prompt, j.partsLeft)
+	work := upstream.figures.PrefillTime(j.promptTokens, j.partsLeft)
 	upstream.addPrefill(part{j, work, upstream})
 	for _, h := range d.Helpers {
 		p.engines[h].addPrefill(part{j, work, upstream})
 	}
 }
 
-// result judges a request that has ended.
+// result rates a request that has ended.
 func (j *job) result(now time.Duration) Result {
-	r := Result{Kind: j.kind.Name, Prompt: j.prompt, Arrived: j.arrived, First: max(j.first-j.arrived, 0), Pause: j.pause, Tries: j.tries, Owed: j.owed()}
+	r := Result{Kind: j.kind.Name, Prompt: j.promptTokens, Arrived: j.arrived, First: max(j.firstEvent-j.arrived, 0), Pause: j.longestPause, Tries: j.tries, Owed: j.worth()}
 	switch {
 	case now-j.arrived > j.kind.Allowed.Std():
-	case r.First <= j.kind.Goal.Std() && j.pause <= j.kind.Pause.Std():
+	case r.First <= j.kind.Goal.Std() && j.longestPause <= j.kind.Pause.Std():
 		r.Earned = r.Owed
 	default:
 		r.Earned = r.Owed * j.kind.Late / j.kind.Worth
@@ -361,12 +362,12 @@
 	p.schedule((s.At + s.For).Std(), set(1))
 }
 
-// completeUpdateEvery is how many words of a gateway tell all that it has given, so that
-// what it said does not expire.
+// completeUpdateEvery is the number of load updates of which one is complete, so that the gateway's
+// reports don't expire at its peers.
 const completeUpdateEvery = 20
 
-// sendUpdates lets gateways hear of each other's load: of what changed, and now and
-// then of all.
+// sendUpdates sends each gateway's load to the others: the changes, or all of it in a complete
+// update.
 func (p *simulation) sendUpdates() {
 	complete := p.updates%completeUpdateEvery == 0
 	p.updates++
@@ -393,24 +394,24 @@
 	done(d core.Plan)
 	changes(whole bool) map[hollowgrade.Life]core.Share
 	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
-	// suspects returns the engines of a plan that are to be asked how fast they are.
+	// suspects returns the engines of a plan that should be asked for their pace.
 	suspects(d core.Plan) []string
-	// receivePace takes an engine's word on that, and reports whether others are to be told.
+	// receivePace applies an engine's pace and returns whether to report it to other gateways.
 	receivePace(id string, pace float64, age time.Duration, box string) (tell bool)
 	stillSlow(id string) bool
 }
 
 func (p *simulation) newDecider(number uint64, ids []string) decider {
 	if p.variant.Decisions != Worth {
-		return &baseline{decisions: p.variant.Decisions, ids: ids, open: map[string]int{}, prefill: map[string]time.Duration{}, figures: p.file.Engines.figures()}
+		return &baseline{decisions: p.variant.Decisions, ids: ids, openRequests: map[string]int{}, prefill: map[string]time.Duration{}, figures: p.file.Engines.figures()}
 	}
 	f := core.NewFleet(p.clock, log.New(io.Discard), core.WithPolicy(p.policy()))
 	f.SetRandom(rand.New(rand.NewPCG(p.file.Seed, number)).Float64)
 	f.SetPeers(func() int { return p.file.gateways(p.variant) - 1 })
 	for _, id := range ids {
-		f.Put(hollowgrade.Upstream{ID: id, Service: service, Slots: p.file.Engines.Slots})
+		f.Put(hollowgrade.Upstream{ID: id, Service: serviceName, Slots: p.file.Engines.Slots})
 	}
-	g := &gateway{fleet: f, service: core.Service{Name: service, Engine: p.file.Engines.figures()}}
+	g := &gateway{fleet: f, service: core.Service{Name: serviceName, Engine: p.file.Engines.figures()}}
 	f.SetPaceRequester(func(us []hollowgrade.Upstream, _ string) {
 		for _, u := range us {
 			p.requestPace(g, u.ID)
@@ -419,7 +420,7 @@
 	return g
 }
 
-// policy returns what the variant decides by.
+// policy returns the placement policy of the variant.
 func (p *simulation) policy() *placement.Policy {
 	ms := make([]placement.Mechanism, 0, len(p.variant.Without))
 	for _, m := range p.variant.Without {
@@ -432,7 +433,7 @@
 	return placement.New(os...)
 }
 
-// gateway decides as gateways do.
+// gateway decides with the gateways' own code.
 type gateway struct {
 	fleet   *core.Fleet
 	service core.Service
@@ -440,7 +441,7 @@
 
 func (g *gateway) decide(j *job, left time.Duration) (core.Plan, bool) {
 	r := core.Route{Goal: j.kind.Goal.Std(), PauseGoal: j.kind.Pause.Std(), Timeout: j.kind.Allowed.Std()}
-	c := hollowgrade.Call{PromptTokens: j.prompt, MaxTokens: j.answer, Patience: left}
+	c := hollowgrade.Call{PromptTokens: j.promptTokens, MaxTokens: j.answerTokens, Patience: left}
 	return g.fleet.Plan(g.service, r, c, left)
 }
 
