--- a/internal/fleettest/caller.go
+++ b/internal/fleettest/caller.go
@@ -15,23 +15,23 @@
 	"github.com/hollowgrade/hollowgrade/internal/standin"
 )
 
-// Call is a request of a caller.
+// Call is a request as sent by a caller.
 type Call struct {
 	Entry        int
 	Organisation string
 	Kind         string
-	Prompt       string // of a model's request, or body of a service's
+	Prompt       string // of a model request, or the body of a service request
 	Tokens       int
 	Service      bool
 	Key          string
 	Allowed      time.Duration
 }
 
-// Answer is what a caller saw.
+// Answer is the response that a caller received, with its times.
 type Answer struct {
 	Call       Call
 	RequestID  string
-	Outcome    hollowgrade.Outcome // empty if the connection broke without a word
+	Outcome    hollowgrade.Outcome // empty if the connection broke before an outcome was received
 	Code       string
 	Message    string
 	Status     int
@@ -49,7 +49,7 @@
 	return a.Ended.Sub(a.Sent)
 }
 
-// ExpectedText returns the text of the whole answer to a model's request.
+// ExpectedText returns the text of the complete answer to a model's request.
 func (c Call) ExpectedText() string {
 	return standin.Answer(c.Prompt, c.Tokens)
 }
@@ -79,7 +79,7 @@
 	return r
 }
 
-// Do sends a call and reads its answer to the end.
+// Do sends a call and reads the whole response.
 func (f *Fleet) Do(ctx context.Context, c Call) (a Answer) {
 	a.Call, a.Sent = c, time.Now()
 	defer func() { a.Ended = time.Now() }()
@@ -102,7 +102,7 @@
 	return a
 }
 
-// Mint asks an entry for an idempotency key.
+// Mint requests an idempotency key from an entry.
 func (f *Fleet) Mint(i int, organisation string) string {
 	url := fmt.Sprintf("http://%s:80%s", EntryName(i), entry.KeysPath)
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, http.NoBody)
--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -8,10 +8,10 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Guarantee is one of the eight things that must always hold.
+// Guarantee is one of the eight properties that hold in every run.
 type Guarantee string
 
-// The promises of the brief.
+// The guarantees.
 const (
 	InTime       Guarantee = "ends within its allowed time"
 	NoMemoryLost Guarantee = "no engine loses memory for good"
@@ -25,28 +25,27 @@
 
 // Run is one start of a request at an upstream.
 type Run struct {
-	Request string // id that the entry gave
-	Attempt string // tells attempts at one request apart
+	Request string // id assigned by the entry
+	Attempt string // distinguishes the attempts of one request
 	Box     string
-	Body    string // of a call to a plain service
+	Body    string // of a request to a plain service
 	At      time.Time
 }
 
-// Evidence is what the callers saw and what the upstreams really ran. The
-// checker judges by nothing else.
+// Evidence is what the callers received and what the upstreams ran. The checks use nothing else.
 type Evidence struct {
 	Answers       []Answer
 	Runs          []Run
-	Used          map[string]int       // tokens that each live engine still holds at the end
-	Lost          map[string]int       // tokens that no ledger answers for at the end
-	LeavingSince  map[string]time.Time // since when a box is leaving
-	Planned       bool                 // only planned stops happened
-	Revisions     map[string][]int64   // what each box had in force, in the order of time
-	LateRevisions []string             // boxes on which an accepted revision was not in force in time
-	Excused       map[string]bool      // requests by prompt whose entry could not speak to them
+	Used          map[string]int       // tokens that each live engine has reserved at the end
+	Lost          map[string]int       // reserved tokens at the end that no ledger has a lease for
+	LeavingSince  map[string]time.Time // when a box began to leave
+	Planned       bool                 // whether all faults were planned stops
+	Revisions     map[string][]int64   // revisions in force by box, in order of time
+	LateRevisions []string             // messages on boxes where an accepted revision was late
+	Excused       map[string]bool      // requests by prompt whose entry could not reply in time
 }
 
-// Violation is a promise that was not kept.
+// Violation is a guarantee that was violated, with details.
 type Violation struct {
 	Guarantee Guarantee
 	Text      string
@@ -58,11 +57,11 @@
 }
 
 const (
-	replySlack   = 50 * time.Millisecond // for the way back to the caller
+	replySlack   = 50 * time.Millisecond // for the response to reach the caller
 	leavingSlack = 2 * time.Second
 )
 
-// Violations returns every promise that the evidence shows broken.
+// Violations returns every guarantee that the evidence shows violated.
 func (e Evidence) Violations() (bs []Violation) {
 	for _, a := range e.Answers {
 		bs = append(bs, e.checkAnswer(a)...)
@@ -97,8 +96,8 @@
 	return strings.TrimSpace(a.Call.Prompt[:min(len(a.Call.Prompt), 24)])
 }
 
-// isWhole reports whether a finished answer is the right one. A finished request
-// whose answer is no longer kept says so by its code and has no text.
+// isWhole reports whether a finished answer is correct. A finished request whose answer is no longer
+// stored has a code and no text.
 func isWhole(a Answer) bool {
 	switch {
 	case a.Code != "":
@@ -110,8 +109,7 @@
 	}
 }
 
-// runsOf returns the starts of a request: its own, and for a key those of all
-// requests with that key.
+// runsOf returns the runs of a request, and if it has a key those of all requests with that key.
 func (e Evidence) runsOf(a Answer) (rs []Run) {
 	ids := map[string]bool{a.RequestID: a.RequestID != ""}
 	for _, o := range e.Answers {
@@ -127,8 +125,7 @@
 	return rs
 }
 
-// checkKeys counts the starts under each key. The pieces of one attempt count
-// as one start.
+// checkKeys counts the runs under each key. The pieces of one attempt count as one run.
 func (e Evidence) checkKeys() (bs []Violation) {
 	seen := map[string]bool{}
 	for _, a := range e.Answers {
@@ -150,12 +147,12 @@
 func (e Evidence) checkMemory() (bs []Violation) {
 	for b, n := range e.Used {
 		if n != 0 {
-			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("%s still holds %d tokens", b, n)})
+			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("%s still has %d tokens reserved", b, n)})
 		}
 	}
 	for b, n := range e.Lost {
 		if n != 0 {
-			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("no lease answers for %d tokens on %s", n, b)})
+			bs = append(bs, Violation{NoMemoryLost, fmt.Sprintf("no lease covers %d tokens on %s", n, b)})
 		}
 	}
 	return bs
@@ -169,7 +166,7 @@
 	for _, r := range e.Runs {
 		left, ok := e.LeavingSince[r.Box]
 		if ok && sent[r.Request].After(left.Add(leavingSlack)) {
-			bs = append(bs, Violation{NoNewWork, fmt.Sprintf("%s was given a request %s after it began to leave", r.Box, r.At.Sub(left))})
+			bs = append(bs, Violation{NoNewWork, fmt.Sprintf("%s received a request %s after it began to leave", r.Box, r.At.Sub(left))})
 		}
 	}
 	return bs
@@ -189,7 +186,7 @@
 	return bs
 }
 
-// Collect gathers the evidence of a fleet at the end of a test.
+// Collect returns the evidence of a fleet's upstreams at the end of a test.
 func (f *Fleet) Collect() Evidence {
 	e := Evidence{Used: map[string]int{}, Lost: map[string]int{}}
 	for _, a := range f.Agents {
@@ -199,7 +196,7 @@
 		if a.Engine != nil && !a.dead && !a.replaced {
 			e.Used[a.Name] = a.Engine.Used()
 			if !a.stopped {
-				// A stopped process sweeps no more, and its last figure is old.
+				// A stopped agent no longer sweeps, so its last figure is out of date.
 				e.Lost[a.Name] = a.Lost()
 			}
 		}
@@ -207,8 +204,8 @@
 	return e
 }
 
-// runs returns what the upstream beside the agent ran. An engine knows it by
-// the agent's id: request, attempt and, for a piece of a prompt, its number.
+// runs returns what the agent's upstream ran. An engine records the agent's id of the work: request,
+// attempt and, for a piece of a prompt, its number.
 func (a *AgentBox) runs() (ss []Run) {
 	if a.Engine == nil {
 		for _, r := range a.Service.Runs() {
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -1,7 +1,6 @@
-// Package fleettest runs real entries and agents against the stand-ins inside
-// a bubble of testing/synctest: the network, the engines and the log are small
-// fakes at the interfaces, and time is virtual. The fault matrix and the fleet
-// benchmark drive it.
+// Package fleettest runs real entries and agents with stand-ins for the network, the engines and the
+// log, in virtual time inside a bubble of testing/synctest. The fault matrix and the fleet benchmark
+// use it.
 package fleettest
 
 import (
@@ -29,11 +28,11 @@
 	"github.com/hollowgrade/hollowgrade/upstream"
 )
 
-// Config gives the size of a fleet and how its parts decide.
+// Config sets the size of a fleet and the settings of its parts.
 type Config struct {
 	Entries     int
 	Engines     int
-	Services    int // upstreams of the plain service
+	Services    int // instances of the plain service
 	Halls       int
 	Engine      standin.EngineConfig
 	Limits      agent.Limits
@@ -41,15 +40,15 @@
 	KeyTimes    agent.KeyTimes
 	Queue       func() sched.Queue
 	Placement   func() sched.Placement
-	HallDelay   time.Duration // one way between two data halls
-	BoxDelay    time.Duration // one way between two boxes of a data hall
-	CallerDelay time.Duration // one way to a caller
-	LogPoll     time.Duration // of the log
+	HallDelay   time.Duration // one-way, between data halls
+	BoxDelay    time.Duration // one-way, between boxes of a data hall
+	CallerDelay time.Duration // one-way, to or from a caller
+	LogPoll     time.Duration // between reads of the log
 	Policy      string
 	Log         *log.Logger
 }
 
-// The names that a fleet uses.
+// Names of the model, the service and the caller, and the prefix of API keys.
 const (
 	Model   = "m"
 	Service = "s"
@@ -57,8 +56,7 @@
 	Bearer  = "bearer-"
 )
 
-// Small returns the size that the fault tests use: enough of each part that
-// one can be lost.
+// Small returns the configuration of the fault tests, with enough of each part that one may fail.
 func Small() Config {
 	e := standin.DefaultEngine(Model)
 	e.MemoryTokens = 20_000
@@ -97,7 +95,7 @@
   ? {class: "background", priority: 0, allowed: duration("20s"), may_wait: true, repeatable: true, share: 0.5}
   : {class: "instant", priority: 0, allowed: duration("20s"), may_wait: true, repeatable: true, share: 1.0}`
 
-// EntryBox is an entry with what surrounds it.
+// EntryBox is an entry process with its box name, freezer and log follower.
 type EntryBox struct {
 	*entry.Entry
 	Name     string
@@ -109,7 +107,7 @@
 // Revision returns the revision in force.
 func (e *EntryBox) Revision() int64 { return e.follower.State().Revision() }
 
-// AgentBox is an agent with what surrounds it.
+// AgentBox is an agent process with its upstream, box name, freezer, key keeper and log follower.
 type AgentBox struct {
 	*agent.Agent
 	Name    string
@@ -117,9 +115,9 @@
 
 	incarnation string
 
-	Engine   *standin.Engine       // nil beside a plain service
-	Link     *standin.LinkedEngine // the engine as the agent sees it
-	Service  *standin.Service      // nil beside an engine
+	Engine   *standin.Engine       // nil for a plain service
+	Link     *standin.LinkedEngine // the engine as seen by the agent
+	Service  *standin.Service      // nil for an engine
 	upstream hollowgrade.Service
 	keeper   *agent.Keeper
 	preparer *agent.Preparer
@@ -144,13 +142,13 @@
 	client  *http.Client
 
 	mu       sync.Mutex
-	requests int // that entries have ended
-	attempts int // at them
-	started  int // processes, to number incarnations
+	requests int // completed by the entries
+	attempts int // of these requests
+	started  int // processes started; numbers the incarnations
 	cleanups []func()
 }
 
-// New starts a fleet. It must run inside a bubble.
+// New starts a fleet. It must be called inside a bubble.
 func New(c Config) *Fleet {
 	f := &Fleet{Config: c, Log: standin.NewLog(0, hollowgrade.SystemClock())}
 	f.Network = standin.NewNetwork(f.delay)
@@ -173,13 +171,13 @@
 	return f
 }
 
-// EntryName names the box of an entry.
+// EntryName returns the box name of an entry.
 func EntryName(i int) string { return fmt.Sprintf("entry-%d", i) }
 
-// EngineName names the box of an agent beside an engine.
+// EngineName returns the box name of an agent that serves an engine.
 func EngineName(i int) string { return fmt.Sprintf("engine-%d", i) }
 
-// ServiceName names the box of an agent beside a plain service.
+// ServiceName returns the box name of an agent that serves a plain service.
 func ServiceName(i int) string { return fmt.Sprintf("service-%d", i) }
 
 func (f *Fleet) dialCaller(ctx context.Context, _, address string) (net.Conn, error) {
@@ -190,7 +188,7 @@
 	return f.Network.Dial(Caller)(ctx, host)
 }
 
-// hall returns the data hall of a box, from the number at the end of its name.
+// hall returns the data hall of a box, derived from the last digit of its name.
 func (f *Fleet) hall(name string) string {
 	var n int
 	_, _ = fmt.Sscanf(name[len(name)-1:], "%d", &n)
@@ -215,13 +213,13 @@
 	return fmt.Sprintf("%s#%d", name, f.started)
 }
 
-// listAgents returns the list of listAgents as the platform shows it.
+// listAgents returns the agents in the platform's list of boxes.
 func (f *Fleet) listAgents(ctx context.Context) []hollowgrade.Box {
 	bs, _ := f.Boxes.List(ctx)
 	return slices.DeleteFunc(bs, func(b hollowgrade.Box) bool { return b.Role != hollowgrade.AgentRole })
 }
 
-// freezableLog is the log as a process sees it that can be frozen or cut off.
+// freezableLog is the log as seen by a process that can be frozen.
 type freezableLog struct {
 	*standin.Log
 	freezer *standin.Freezer
@@ -254,7 +252,7 @@
 	})
 }
 
-// StartAgent starts an agent, with an upstream of its own, and lists its box.
+// StartAgent starts an agent with a new upstream and adds its box to the platform's list.
 func (f *Fleet) StartAgent(name string, service bool) *AgentBox {
 	a := &AgentBox{Name: name}
 	if service {
@@ -268,7 +266,7 @@
 	return a
 }
 
-// startProcess starts a process beside the upstream of another one.
+// startProcess starts an agent process for the upstream of another one.
 func (f *Fleet) startProcess(o *AgentBox) *AgentBox {
 	a := &AgentBox{Name: o.Name, Engine: o.Engine, Service: o.Service, upstream: o.upstream, Freezer: f.Network.Freezer(o.Name)}
 	a.incarnation = f.newIncarnation(a.Name)
@@ -303,7 +301,7 @@
 
 const serviceDelay = 20 * time.Millisecond
 
-// startService serves a plain service beside the agent.
+// startService starts a plain service for the agent.
 func (f *Fleet) startService(a *AgentBox) hollowgrade.Service {
 	a.Service = standin.NewService(serviceDelay, hollowgrade.SystemClock())
 	host := a.Name + "-upstream-" + a.Name[len(a.Name)-1:]
@@ -320,12 +318,12 @@
 	return c
 }
 
-// UpstreamOf returns the address of the plain service beside an agent.
+// UpstreamOf returns the address of an agent's plain service.
 func UpstreamOf(name string) string {
 	return name + "-upstream-" + name[len(name)-1:]
 }
 
-// StartEntry starts an entry.
+// StartEntry starts an entry and adds its box to the platform's list.
 func (f *Fleet) StartEntry(name string) *EntryBox {
 	e := &EntryBox{Name: name, Freezer: f.Network.Freezer(name)}
 	b := hollowgrade.Box{Name: name, Role: hollowgrade.EntryRole, Hall: f.hall(name), State: hollowgrade.BoxLive}
@@ -351,14 +349,15 @@
 	f.attempts += o.Attempts
 }
 
-// AttemptsPerRequest returns how many attempts the entries made for a request.
+// AttemptsPerRequest returns the mean number of attempts of the entries per request.
 func (f *Fleet) AttemptsPerRequest() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return float64(f.attempts) / float64(max(f.requests, 1))
 }
 
-// Prepare publishes a policy, a model, a service and the organisations.
+// Prepare publishes a policy, a model, a service and the organisations, and waits until the entries
+// are ready.
 func (f *Fleet) Prepare(organisations ...string) error {
 	ctx := context.Background()
 	type item struct {
@@ -387,8 +386,8 @@
 	return nil
 }
 
-// assignKeyRanges names a keeper for each range of keys, as the agents themselves
-// would within seconds; written here to spare each test their dozens of reads.
+// assignKeyRanges assigns an owner to each key range. The agents would do so within seconds; writing
+// the ranges here saves each test dozens of reads of the log.
 func (f *Fleet) assignKeyRanges() error {
 	for n := range ledger.Ranges {
 		a := f.Agents[n%len(f.Agents)]
@@ -417,8 +416,7 @@
 	return true
 }
 
-// KillEntry kills an entry as SIGKILL does: it does nothing more, and its
-// connections break.
+// KillEntry ends an entry as SIGKILL does: it stops executing and its connections break.
 func (f *Fleet) KillEntry(i int) {
 	e := f.Entries[i]
 	f.setFlag(&e.dead)
@@ -426,7 +424,7 @@
 	f.Network.Kill(e.Name)
 }
 
-// KillAgent kills an agent. Its upstream goes on.
+// KillAgent ends an agent as SIGKILL does. Its upstream continues.
 func (f *Fleet) KillAgent(i int) {
 	a := f.Agents[i]
 	f.setFlag(&a.dead)
@@ -437,7 +435,7 @@
 	}
 }
 
-// KillUpstream kills the engine or the plain service beside an agent.
+// KillUpstream ends an agent's engine or plain service.
 func (f *Fleet) KillUpstream(i int) {
 	a := f.Agents[i]
 	if a.Engine != nil {
@@ -448,12 +446,12 @@
 	f.Network.Kill(UpstreamOf(a.Name))
 }
 
-// Unlist takes a box off the platform's list.
+// Unlist removes a box from the platform's list.
 func (f *Fleet) Unlist(name string) {
 	f.Boxes.Remove(name)
 }
 
-// Stop ends everything, so that the bubble can end.
+// Stop stops all processes and connections, so that the bubble can end.
 func (f *Fleet) Stop() {
 	for _, e := range f.Entries {
 		e.Freezer.Set(false)
@@ -490,13 +488,12 @@
 	time.Sleep(connCloseDelay)
 }
 
-// connCloseDelay is how long net/http keeps a connection after an answer to a request
-// whose body it has not read.
+// connCloseDelay is how long net/http keeps a connection open after a response to a request whose
+// body it hasn't read.
 const connCloseDelay = time.Second
 
-// ReplaceAgent starts another process at the address of an agent that was
-// killed, beside the same upstream. The new one takes its place in Agents; what
-// the upstream ran before stays in the evidence.
+// ReplaceAgent starts another process for the upstream, at the address of a killed agent, and puts it
+// in that agent's place in Agents. The evidence keeps what the upstream ran before.
 func (f *Fleet) ReplaceAgent(i int) {
 	old := f.Agents[i]
 	f.setFlag(&old.replaced)
@@ -508,14 +505,14 @@
 	f.Agents[i] = a
 }
 
-// StopAgent stops an agent as planned, with its keeper of keys.
+// StopAgent stops an agent and its key keeper gracefully.
 func (f *Fleet) StopAgent(ctx context.Context, a *AgentBox) {
 	_ = a.Stop(ctx)
 	f.setFlag(&a.stopped)
 	_ = a.keeper.Stop(ctx)
 }
 
-// keeperOf returns the agent that keeps a key.
+// keeperOf returns the index of the agent that owns a key.
 func (f *Fleet) keeperOf(organisation, key string) int {
 	if box, _, _, ok := ledger.ParseMinted(key); ok {
 		return slices.IndexFunc(f.Agents, func(a *AgentBox) bool { return a.Name == box })
--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -11,8 +11,7 @@
 
 const revisionPollInterval = 100 * time.Millisecond
 
-// watchRevisions notes what each box has in force, until the function that it
-// returns is called.
+// watchRevisions records the revisions in force on each box until the returned function is called.
 func (f *Fleet) watchRevisions() func() map[string][]int64 {
 	seen := map[string][]int64{}
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -46,7 +45,7 @@
 	*b = true
 }
 
-// revisions returns what each live process has in force.
+// revisions returns the revision in force in each live process.
 func (f *Fleet) revisions() map[string]int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,11 +63,11 @@
 	return m
 }
 
-// maxRevisionDelay is how soon an accepted revision must be in force everywhere.
+// maxRevisionDelay bounds the time until an accepted revision is in force everywhere.
 const maxRevisionDelay = 4 * time.Second
 
-// lateRevisions names the live processes on which a revision that was accepted long
-// enough ago is not in force.
+// lateRevisions reports the live processes in which a revision that was accepted at least
+// maxRevisionDelay ago is not in force.
 func (f *Fleet) lateRevisions() (ls []string) {
 	p, err := f.Log.Read(context.Background(), 0, math.MaxInt)
 	if err != nil {
