--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -21,18 +21,18 @@
 	"github.com/hollowgrade/hollowgrade/sched"
 )
 
-// workload is one of the two fleets of the brief.
+// workload describes the network and the load of one of two deployments.
 type workload struct {
 	name                   string
-	hallDelay, callerDelay time.Duration // delays, one way
-	promptTokens           []int         // of prompts, in tokens
+	hallDelay, callerDelay time.Duration // one-way delays
+	promptTokens           []int         // lengths of prompts
 	promptWeights          []float64
-	organisationWeights    []float64 // weights; a few large
+	organisationWeights    []float64 // a few are large
 	serviceShare           float64
-	answerTokens           int // of an answer
+	answerTokens           int // length of an answer
 }
 
-// One prompt in fifty is over 100,000 tokens, and those are most of the work.
+// One prompt in fifty has more than 100,000 tokens; these are most of the work.
 var workloads = []workload{
 	{
 		name: "sao-bien", hallDelay: 1500 * time.Microsecond, callerDelay: time.Millisecond,
@@ -46,13 +46,13 @@
 	},
 }
 
-// strategy is a way of deciding.
+// strategy is a combination of policy, queue and placement.
 type strategy struct {
 	name  string
 	apply func(*Config)
 }
 
-// plain is what the baselines know of requests: nothing.
+// plainPolicy doesn't distinguish requests, except for the allowed time of long prompts.
 const plainPolicy = `{class: "normal", priority: 0, allowed: prompt_tokens > 100000 ? duration("3m") : duration("20s"), may_wait: true, repeatable: true, share: 1.0}`
 
 const ownPolicy = `prompt_tokens > 100000
@@ -61,8 +61,8 @@
   ? {class: "normal", priority: 0, allowed: duration("20s"), may_wait: true, repeatable: true, share: 1.0}
   : {class: "instant", priority: 0, allowed: duration("20s"), may_wait: true, repeatable: true, share: 1.0}`
 
-// baseline gives the upstream everything at once, in the order of arrival, as a
-// balancer in front of engines does.
+// baseline sends each request to the upstream at once in order of arrival, as a load balancer in
+// front of engines does.
 func baseline(c *Config) {
 	c.Policy = plainPolicy
 	c.Queue = func() sched.Queue { return sched.NewFIFO() }
@@ -94,8 +94,8 @@
 	return c
 }
 
-// engineRate is the prompt tokens a second that one stand-in engine works on
-// with full steps.
+// engineRate is the number of prompt tokens per second that one stand-in engine prefills with full
+// steps.
 func engineRate(c standin.EngineConfig) float64 {
 	step := c.StepBase.Seconds() + float64(c.StepTokens)/c.PrefillRate
 	return float64(c.StepTokens) / step
@@ -113,7 +113,7 @@
 	longPromptTokens = 100_000
 )
 
-// drawLoad makes the load of a user at a part of the fleet's capacity.
+// drawLoad draws the load of a workload at a fraction of the fleet's capacity.
 func drawLoad(u workload, part float64, seed uint64) (as []arrival) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	mean := 0.0
@@ -165,7 +165,7 @@
 	answer Answer
 }
 
-// runLoad sends the load through a fleet in virtual time.
+// runLoad sends the load to a fleet in virtual time and returns the outcomes.
 func runLoad(b *testing.B, c Config, as []arrival) (outs []outcome) {
 	b.Helper()
 	defer runtime.GC()
@@ -194,7 +194,7 @@
 	return outs
 }
 
-// runInBubble runs f in a runInBubble of virtual time, which takes a test to make.
+// runInBubble runs f in a bubble of virtual time, which only a test can create.
 func runInBubble(b *testing.B, f func()) {
 	b.Helper()
 	ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
@@ -222,7 +222,7 @@
 	return ds[min(int(q*float64(len(ds))), len(ds)-1)]
 }
 
-// firstTokenTimes returns the times to first token of the finished requests that match.
+// firstTokenTimes returns the times to first token of the finished model requests that match.
 func firstTokenTimes(os []outcome, match func(outcome) bool) (ds []time.Duration) {
 	for _, o := range os {
 		if finished(o) && !o.call.Service && match(o) {
@@ -236,7 +236,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// reportMetrics gives the figures of a run to the benchmark.
+// reportMetrics reports the metrics of a run with long requests and of one without.
 func reportMetrics(b *testing.B, outs, alone []outcome) {
 	b.Helper()
 	for _, n := range workloads[0].promptTokens {
@@ -268,7 +268,7 @@
 	b.ReportMetric(worstOrganisation(outs), "worst-org-ratio")
 }
 
-// goodput is the requests a second that finished, over the time of the load.
+// goodput is the number of finished requests per second of the load.
 func goodput(os []outcome) float64 {
 	n := 0
 	for _, o := range os {
@@ -279,8 +279,8 @@
 	return float64(n) / loadDuration.Seconds()
 }
 
-// worstOrganisation compares the 95th percentile of short requests of the worst
-// organisation with that of the median one.
+// worstOrganisation returns the ratio of the worst organisation's 95th percentile of the time to
+// first token of short requests to that of the median one.
 func worstOrganisation(os []outcome) float64 {
 	var ps []time.Duration
 	for i := range 10 {
@@ -294,9 +294,8 @@
 	return float64(slices.Max(ps)) / float64(quantile(ps, 0.5))
 }
 
-// BenchmarkFleet measures the decisions against what a team would otherwise put
-// there. Time is virtual: the same seed gives the same load, and the figures do
-// not depend on the machine.
+// BenchmarkFleet compares the strategies with usual load balancing. Time is virtual: the same seed
+// gives the same load, and the figures don't depend on the machine.
 func BenchmarkFleet(b *testing.B) {
 	for _, u := range workloads {
 		for _, part := range []float64{0.5, 0.8, 0.95, 2} {
--- a/internal/fleettest/check_test.go
+++ b/internal/fleettest/check_test.go
@@ -11,7 +11,7 @@
 
 var t0 = time.Date(2026, 12, 5, 19, 0, 0, 0, time.UTC)
 
-// goodAnswer returns an answer that breaks no promise.
+// goodAnswer returns an answer that violates no guarantee.
 func goodAnswer() Answer {
 	c := Call{Prompt: "p", Tokens: 3, Allowed: time.Second}
 	return Answer{Call: c, RequestID: "r", Outcome: hollowgrade.Finished, Text: c.ExpectedText(), Sent: t0, Ended: t0.Add(time.Second / 2)}
@@ -32,8 +32,8 @@
 	return []Answer{a}
 }
 
-// Each promise is broken on purpose, at least once, and the checker must see
-// just that.
+// Guards against checks that miss a violation or report another one: each guarantee is violated on
+// purpose at least once.
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
 	t.Run("nothing broken", func(t *testing.T) {
 		require.Empty(t, Evidence{Answers: []Answer{goodAnswer()}, Planned: true}.Violations())
--- a/internal/fleettest/event_test.go
+++ b/internal/fleettest/event_test.go
@@ -25,7 +25,7 @@
 	return e
 }
 
-// requireModelLoaded checks that each live engine has the event's model.
+// requireModelLoaded checks whether all live engines have, or don't have, the event's model.
 func requireModelLoaded(t *testing.T, f *Fleet, want bool) {
 	t.Helper()
 	for _, a := range f.Agents {
@@ -46,7 +46,7 @@
 			requireModelLoaded(t, f, false)
 			time.Sleep(time.Until(e.Starts))
 			requireModelLoaded(t, f, true)
-			require.Len(t, f.Weights.Fetches(), f.Config.Engines, "nobody fetched twice")
+			require.Len(t, f.Weights.Fetches(), f.Config.Engines, "each engine fetched the model once")
 		})
 	})
 	t.Run("an outage of the store before the start", func(t *testing.T) {
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -16,8 +16,8 @@
 // inBubble runs a test on a prepared fleet in virtual time.
 func inBubble(t *testing.T, c Config, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
-	// The yamux library pools timers in a sync.Pool, and a timer must not leave
-	// its bubble. Two collections empty the pool.
+	// yamux keeps timers in a sync.Pool, and a timer must not leave its bubble. Two collections empty
+	// the pool.
 	defer runtime.GC()
 	defer runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/fleettest/input_test.go
+++ b/internal/fleettest/input_test.go
@@ -17,7 +17,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// rawRequest is a request of a caller who may do anything.
+// rawRequest is a request with an arbitrary path, body and headers.
 type rawRequest struct {
 	path, body string
 	header     map[string]string
@@ -36,7 +36,7 @@
 	return res
 }
 
-// requireRefusal checks that an answer is a refusal of the documented shape.
+// requireRefusal checks that a response is a refusal in the documented format.
 func requireRefusal(t *testing.T, c fault.Code, res *http.Response) {
 	t.Helper()
 	defer res.Body.Close()
@@ -81,7 +81,7 @@
 			requireRefusal(t, c.code, f.sendRaw(t, c.q))
 		}
 		requireNothingRan(t, f)
-		// The entry is none the worse for it.
+		// The entry still serves valid requests.
 		requireWhole(t, f.Do(context.Background(), Call{Organisation: "a", Prompt: "hello", Tokens: 4}))
 	})
 }
@@ -93,7 +93,7 @@
 	require.Empty(t, e.checkMemory())
 }
 
-// slowBody sends a body that never ends.
+// slowBody is a request body that arrives slowly and never ends.
 type slowBody struct{}
 
 // Read implements [io.Reader].
@@ -122,8 +122,8 @@
 		require.Empty(t, a.Outcome)
 		time.Sleep(100 * time.Millisecond)
 		e := f.Collect()
-		require.Len(t, e.Runs, 1, "it ran until its caller was gone")
-		require.Empty(t, e.checkMemory(), "its memory is back before any sweep")
+		require.Len(t, e.Runs, 1, "it ran until its caller disconnected")
+		require.Empty(t, e.checkMemory(), "its memory is released before the next sweep")
 	})
 }
 
@@ -136,14 +136,14 @@
 	})
 }
 
-// A caller that asks for a long answer and never reads it is let go at its
-// deadline: a planned stop of its entry must not wait for it.
+// Guards against a planned stop of an entry that waits for a caller which never reads its long
+// answer: the request ends at its deadline.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	inBubble(t, Small(), func(t *testing.T, f *Fleet) {
 		c, err := f.Network.Dial(Caller)(context.Background(), EntryName(0))
 		require.NoError(t, err)
 		defer c.Close()
-		// The first request lets the entry learn how fast the engines are.
+		// The first request gives the entry an estimate of the engines' rate.
 		requireWhole(t, f.Do(context.Background(), Call{Organisation: "a", Prompt: "p", Tokens: 300}))
 		time.Sleep(time.Second)
 		body := `{"model":"m","prompt":"p","max_tokens":1500,"stream":true}`
--- a/internal/fleettest/lease_test.go
+++ b/internal/fleettest/lease_test.go
@@ -13,8 +13,7 @@
 	"github.com/hollowgrade/hollowgrade/ledger"
 )
 
-// countGrants counts the keepers that would let one key run, each asked by another
-// request.
+// countGrants returns how many agents grant a claim of the key, each for a different request.
 func countGrants(f *Fleet, key string) (n int) {
 	for _, a := range f.Agents {
 		v := a.keeper.Claim(&wire.Claim{Organisation: "a", Key: key, Id: a.incarnation, HoldMicros: time.Minute.Microseconds()})
@@ -25,9 +24,9 @@
 	return n
 }
 
-// A keeper is frozen; another process takes its range, and long after that the
-// first one wakes and is asked before it has read the log. Only the lease keeps
-// it from granting what its successor grants.
+// Guards against two grants of one key: a keeper is frozen, another process takes over its range, and
+// long after that the first resumes and receives a claim before it has read the log. Only the lease
+// prevents the second grant.
 func TestLeaseOfKeepersIsLoadBearing(t *testing.T) {
 	const (
 		key   = "k"
@@ -35,7 +34,7 @@
 	)
 	for _, c := range []struct {
 		name  string
-		lease time.Duration // of the keeper that is frozen
+		lease time.Duration // of the frozen keeper
 		want  int
 	}{
 		{"with the lease one keeper grants", lease, 1},
@@ -61,8 +60,8 @@
 	}
 }
 
-// The agent beside an engine dies and is replaced while the engine holds pieces
-// of a prompt for it. Only the sweep brings that memory back.
+// Guards against memory that stays reserved when an agent crashes and is replaced while its engine
+// holds pieces of a prompt for it. Only the sweep releases that memory.
 func TestSweepIsLoadBearing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -24,22 +24,22 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// step is a moment in the life of a request. Its time is taken from a run of
-// the same request without a fault: time is virtual, so it comes again.
+// step is a point in the processing of a request. Its time is measured in a run of the same request
+// without faults, which virtual time makes repeatable.
 type step struct {
 	name string
-	at   func(timeline) time.Duration // after the request was sent
+	at   func(timeline) time.Duration // since the request was sent
 }
 
-// timeline holds the moments of a run without a fault, after it was sent.
+// timeline holds the times of a run without faults, since the request was sent.
 type timeline struct {
 	started, first, ended time.Duration
-	box                   int // agent that ran it
+	box                   int // index of the agent that ran it
 }
 
 const (
-	boxDelay    = 1500 * time.Microsecond // between two boxes in the matrix
-	callerDelay = time.Millisecond        // between a caller and an entry
+	boxDelay    = 1500 * time.Microsecond // one-way, between boxes
+	callerDelay = time.Millisecond        // one-way, between a caller and an entry
 )
 
 var steps = []step{
@@ -54,21 +54,21 @@
 	{"record", func(l timeline) time.Duration { return l.ended + boxDelay/2 }},
 }
 
-// faultSpec is a fault and the end of it.
+// faultSpec is a fault to inject, and how to end it.
 type faultSpec struct {
 	name     string
 	inject   func(c *cell)
 	repair   func(c *cell)
 	duration time.Duration
-	// entryReplies says that the entry can go on speaking to the caller.
+	// entryReplies is whether the entry can still send to the caller.
 	entryReplies bool
-	// planned says that it is a planned stop, which cuts off nothing.
+	// planned is whether the fault is a planned stop, which must not interrupt requests.
 	planned bool
 }
 
 const (
 	shortFault = 2 * time.Second
-	longFault  = 4 * time.Second // longer than the lease on a range of keys
+	longFault  = 4 * time.Second // exceeds the lease on a key range
 )
 
 func noRepair(*cell) {}
@@ -129,8 +129,7 @@
 	}
 }
 
-// replaceAgent starts another process beside the same engine, at the same
-// address.
+// replaceAgent starts another agent process for the same upstream, at the same address.
 func replaceAgent(c *cell) {
 	c.fleet.ReplaceAgent(c.box)
 }
@@ -144,12 +143,12 @@
 	c.leavingSince[a.Name] = time.Now()
 	c.fleet.Boxes.Hold(true)
 	c.fleet.Unlist(a.Name)
-	// Not waited for: a process that is killed while it drains never ends.
+	// The result doesn't wait for it: a process that is killed while it drains never stops.
 	c.plannedStops.Go(func() { c.fleet.StopAgent(c.stopContext(), a) })
 }
 
-// raceOperators publishes two changes of one item at once while the log takes
-// appends and loses its answers. One must win.
+// raceOperators publishes two changes of one item concurrently, while the log accepts appends and
+// loses its replies. At most one may succeed.
 func raceOperators(c *cell) {
 	c.fleet.Log.LoseAnswers(2)
 	errs := make([]error, 2)
@@ -170,11 +169,11 @@
 	})
 }
 
-// kind is a kind of request that goes through the matrix.
+// kind is a kind of request in the matrix.
 type kind struct {
 	name string
 	call Call
-	mint bool // whether its key is made by an agent first
+	mint bool // whether an agent mints its key first
 }
 
 var kinds = []kind{
@@ -188,20 +187,20 @@
 	{"repeatable at a service", Call{Organisation: "a", Kind: "short", Prompt: "lookup", Service: true}, false},
 }
 
-// cell is one run: a request, and faults at steps of its life.
+// cell is one run of the matrix: a request, and faults at steps of its processing.
 type cell struct {
 	fleet         *Fleet
 	kind          kind
-	box           int // agent that serves the request
-	keeper        int // agent that keeps its key
+	box           int // index of the agent that serves the request
+	keeper        int // index of the agent that owns its key
 	leavingSince  map[string]time.Time
 	publishErrors []error
-	// mustFinish says that a single fault left the entry able to speak, and that
-	// the request may run again: it must finish, not merely fail in order.
+	// mustFinish is whether the request has to finish instead of failing cleanly: it is repeatable, and
+	// after the only fault its entry can still reply.
 	mustFinish bool
 
-	tracked      sync.WaitGroup // what the verdict waits for
-	plannedStops sync.WaitGroup // planned stops
+	tracked      sync.WaitGroup // goroutines that the result waits for
+	plannedStops sync.WaitGroup // stops that the result does not wait for
 	mu           sync.Mutex
 }
 
@@ -220,8 +219,8 @@
 	return ctx
 }
 
-// freezeKeeper also takes the keeper off the list, as the platform does with a
-// box that does not answer.
+// freezeKeeper freezes the keeper and removes it from the list, as the platform does with a box that
+// doesn't respond.
 func (c *cell) freezeKeeper() {
 	c.fleet.Agents[c.keeper].Freezer.Set(true)
 	c.fleet.Unlist(c.fleet.Agents[c.keeper].Name)
@@ -235,13 +234,12 @@
 
 const (
 	maxResends  = 8
-	minRecovery = 4 * time.Second  // for sweeps to pass and agents to take over
-	maxRecovery = 25 * time.Second // for leases to expire
+	minRecovery = 4 * time.Second  // for sweeps, and agents that take over
+	maxRecovery = 25 * time.Second // until leases have expired
 )
 
-// resend sends a call with a key again, to the other entry, until its caller
-// knows how it ended. A caller without a key would do so too, but proves
-// nothing by it.
+// resend repeats a call that has a key, at the other entry, until its outcome is known. Calls without
+// a key aren't repeated, since that would test nothing more.
 func (c *cell) resend(a Answer) (as []Answer) {
 	for n := 0; n < maxResends && c.kind.call.Key != "" && a.Outcome != hollowgrade.Finished && a.Outcome != hollowgrade.Failed; n++ {
 		time.Sleep(max(time.Duration(a.RetryAfter*float64(time.Second)), 500*time.Millisecond))
@@ -254,8 +252,8 @@
 	return as
 }
 
-// waitForRecovery gives the fleet the time that its leases and sweeps may take to bring
-// memory back. What is not back then is lost for good.
+// waitForRecovery waits until leases and sweeps have released all memory, or for as long as they may
+// take. Memory that is reserved after that is lost.
 func (c *cell) waitForRecovery() {
 	time.Sleep(minRecovery)
 	for began := time.Now(); time.Since(began) < maxRecovery; time.Sleep(time.Second) {
@@ -265,7 +263,7 @@
 	}
 }
 
-// run drives the cell and returns the evidence.
+// run sends the request, injects the faults and returns the evidence.
 func (c *cell) run(l timeline, faults []timedFault) Evidence {
 	f := c.fleet
 	if c.kind.mint {
@@ -312,8 +310,8 @@
 	return c.fleet.keeperOf(c.kind.call.Organisation, c.kind.call.Key)
 }
 
-// check turns the evidence into breaches, with those that only the matrix can
-// see: of two racing operators at most one has won, and the loser was told.
+// check returns the violations that the evidence shows, and those that only the matrix can detect: at
+// most one of two concurrent publishers may succeed, and the other has to receive a definite error.
 func (c *cell) check(e Evidence) (bs []Violation) {
 	bs = e.Violations()
 	if c.mustFinish && e.Answers[0].Outcome != hollowgrade.Finished {
@@ -327,16 +325,16 @@
 		case err == nil:
 			won++
 		case !errors.As(err, &f):
-			bs = append(bs, Violation{NeverReverts, "an operator was told nothing definite: " + err.Error()})
+			bs = append(bs, Violation{NeverReverts, "publishing a change had no definite result: " + err.Error()})
 		}
 	}
 	if won > 1 {
-		bs = append(bs, Violation{NeverReverts, "both racing operators were told that they won"})
+		bs = append(bs, Violation{NeverReverts, "both concurrent changes were reported as published"})
 	}
 	return bs
 }
 
-// inMatrix runs one cell in a bubble of its own.
+// inMatrix runs one cell in its own bubble.
 func inMatrix(t *testing.T, k kind, l timeline, faults []timedFault) (e Evidence, bs []Violation) {
 	t.Helper()
 	defer runtime.GC()
@@ -354,7 +352,7 @@
 	return e, bs
 }
 
-// measureTimeline finds the moments of a request without a fault.
+// measureTimeline measures the steps of a request without faults.
 func measureTimeline(t *testing.T, k kind) (l timeline) {
 	t.Helper()
 	e, bs := inMatrix(t, k, timeline{}, nil)
@@ -383,11 +381,11 @@
 	return l
 }
 
-// faultPairs is the number of cells with two faults. All faultPairs at all steps would be
-// some 140,000 cells; this is a sample with a fixed seed.
+// faultPairs is the number of cells with two faults: a sample with a fixed seed, since all pairs at
+// all steps would be some 140,000 cells.
 const faultPairs = 400
 
-// job is one cell of the table.
+// job is the kind of request and the faults of one cell.
 type job struct {
 	kind   kind
 	faults []timedFault
@@ -401,8 +399,8 @@
 	return j.kind.name + ", " + strings.Join(ss, ", ")
 }
 
-// matrixCells lists the cells: single faults whole, every step by every fault, and a
-// sample of the pairs.
+// matrixCells lists the cells: every fault at every step for each kind of request, and a sample of
+// the pairs.
 func matrixCells() (js []job) {
 	for _, k := range kinds {
 		for _, s := range steps {
@@ -419,8 +417,8 @@
 	return js
 }
 
-// The matrix runs in several processes of this test's own binary, since each
-// bubble of virtual time keeps one core busy at most. The parent sums up.
+// The matrix runs in several processes of this test's binary, since one bubble of virtual time uses
+// at most one core. The parent adds up their results.
 const (
 	shardEnv = "HOLLOWGRADE_MATRIX_SHARD"
 	shards   = 8
--- a/internal/fleettest/outage_test.go
+++ b/internal/fleettest/outage_test.go
@@ -12,7 +12,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// requireInForce checks that every live box has the revision.
+// requireInForce checks that the revision is in force on every live box.
 func requireInForce(t *testing.T, f *Fleet, revision int64) {
 	t.Helper()
 	for n, r := range f.revisions() {
@@ -20,7 +20,8 @@
 	}
 }
 
-// The log is out for far longer than any lease, and boxes are replaced meanwhile.
+// Guards against boxes that depend on the log while serving: it is unavailable for much longer than
+// any lease, and processes are replaced meanwhile.
 func TestLogOutage(t *testing.T) {
 	inBubble(t, Small(), func(t *testing.T, f *Fleet) {
 		ctx := context.Background()
@@ -36,14 +37,15 @@
 		requireInForce(t, f, before)
 		requireWhole(t, f.Do(ctx, Call{Entry: 2, Organisation: "a", Prompt: "hello", Tokens: 8}))
 
-		// Callers' own keys are refused in truth, minted ones are served.
+		// Keys chosen by callers are refused with an unknown outcome, since their owner can't be reached;
+		// minted keys are served.
 		own := f.Do(ctx, Call{Entry: 2, Organisation: "a", Kind: "once", Prompt: "own", Service: true, Key: "own"})
 		require.Equal(t, string(fault.KeyOwnerAway), own.Code)
 		require.Equal(t, hollowgrade.Unknown, own.Outcome)
 		requireWhole(t, f.Do(ctx, Call{Entry: 2, Organisation: "a", Kind: "once", Prompt: "minted", Service: true, Key: f.Mint(2, "a")}))
 
 		f.Log.SetOutage(false)
-		time.Sleep(10 * time.Second) // key ranges of the dead are taken
+		time.Sleep(10 * time.Second) // other agents take over the key ranges of the crashed one
 		o := config.Organisation{Name: "c", Keys: []string{config.KeyDigest("c")}}
 		r, err := config.Publish(ctx, f.Log, config.OrganisationKind, "c", o, config.Current)
 		require.NoError(t, err)
--- a/internal/fleettest/retry_test.go
+++ b/internal/fleettest/retry_test.go
@@ -13,8 +13,8 @@
 
 const stormRequests = 600
 
-// A third of the engines dies under load and stays dead. Each way of dying is
-// one by which retries could multiply.
+// Guards against retries that multiply when a third of the engines fails permanently under load. Each
+// way of failing is one that could cause them.
 func TestDeadThirdCausesNoRetryStorm(t *testing.T) {
 	c := Small()
 	c.Engines = 6
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	soakDuration    = 10 * time.Minute // virtual
+	soakDuration    = 10 * time.Minute // virtual time
 	requestInterval = 150 * time.Millisecond
 	faultInterval   = 3 * time.Second
 )
 
-// soakFault is one fault of the soak. It returns what ends it.
+// soakFault is a fault of the soak test. Its inject function returns what ends the fault.
 type soakFault struct {
 	name   string
 	inject func(f *Fleet, i int) (heal func())
@@ -69,8 +69,7 @@
 	}},
 }
 
-// soakCall draws a request that no other is like, so that answers which are
-// crossed show.
+// soakCall draws a request that differs from all others, so that swapped answers are detected.
 func soakCall(r *rand.Rand, n int) Call {
 	c := Call{Entry: r.IntN(2), Organisation: []string{"a", "b"}[r.IntN(2)], Tokens: 16, Allowed: 20 * time.Second}
 	words := fmt.Sprintf("request %d. ", n)
