--- a/internal/spread/storefault_test.go
+++ b/internal/spread/storefault_test.go
@@ -52,11 +52,11 @@
 		i++
 	}
 	began := time.Now()
-	turned := func(box string) bool {
+	fails := func(box string) bool {
 		on := w.period == 0 || int(time.Since(began)/w.period)%2 == 0
 		return on && slices.Contains(boxes, box)
 	}
-	f.failBoxes(w, turned)
+	f.failBoxes(w, fails)
 	return len(f.gateways) - len(boxes)
 }
 
