--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -101,7 +101,7 @@
 	Name     string
 	Freezer  *standin.Freezer
 	follower *fold.Follower
-	dead     bool
+	killed   bool
 }
 
 // Revision returns the revision in force.
@@ -419,7 +419,7 @@
 // KillEntry ends an entry as SIGKILL does: it stops executing and its connections break.
 func (f *Fleet) KillEntry(i int) {
 	e := f.Entries[i]
-	f.setFlag(&e.dead)
+	f.setFlag(&e.killed)
 	e.Freezer.Set(true)
 	f.Network.Kill(e.Name)
 }
--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -51,7 +51,7 @@
 	defer f.mu.Unlock()
 	m := map[string]int64{}
 	for _, e := range f.Entries {
-		if !e.dead {
+		if !e.killed {
 			m[e.Name] = e.Revision()
 		}
 	}
