--- a/internal/fleettest/check.go
+++ b/internal/fleettest/check.go
@@ -193,7 +193,7 @@
 		if !a.replaced {
 			e.Runs = append(e.Runs, a.runs()...)
 		}
-		if a.Engine != nil && !a.dead && !a.replaced {
+		if a.Engine != nil && !a.killed && !a.replaced {
 			e.Used[a.Name] = a.Engine.Used()
 			if !a.stopped {
 				// A stopped agent no longer sweeps, so its last figure is out of date.
--- a/internal/fleettest/event_test.go
+++ b/internal/fleettest/event_test.go
@@ -29,7 +29,7 @@
 func requireModelLoaded(t *testing.T, f *Fleet, want bool) {
 	t.Helper()
 	for _, a := range f.Agents {
-		if a.Engine == nil || a.dead {
+		if a.Engine == nil || a.killed {
 			continue
 		}
 		l, err := a.Engine.Load(context.Background())
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -122,7 +122,7 @@
 	keeper   *agent.Keeper
 	preparer *agent.Preparer
 	follower *fold.Follower
-	dead     bool
+	killed   bool
 	replaced bool
 	stopped  bool
 }
@@ -427,7 +427,7 @@
 // KillAgent ends an agent as SIGKILL does. Its upstream continues.
 func (f *Fleet) KillAgent(i int) {
 	a := f.Agents[i]
-	f.setFlag(&a.dead)
+	f.setFlag(&a.killed)
 	a.Freezer.Set(true)
 	f.Network.Kill(a.Name)
 	if a.Link != nil {
--- a/internal/fleettest/revisions.go
+++ b/internal/fleettest/revisions.go
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, a := range f.Agents {
-		if !a.dead && !a.replaced {
+		if !a.killed && !a.replaced {
 			m[a.incarnation] = a.Revision()
 		}
 	}
