--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -109,8 +109,8 @@
 			if time.Now().After(nextFault) {
 				nextFault = nextFault.Add(faultInterval)
 				x := soakFaults[r.IntN(len(soakFaults))]
-				heal := x.inject(f, r.IntN(f.Config.Engines))
-				time.AfterFunc(time.Duration(1+r.IntN(2))*time.Second, heal)
+				repair := x.inject(f, r.IntN(f.Config.Engines))
+				time.AfterFunc(time.Duration(1+r.IntN(2))*time.Second, repair)
 				faults++
 			}
 			time.Sleep(requestInterval)
