--- a/internal/fleettest/retry_test.go
+++ b/internal/fleettest/retry_test.go
@@ -18,7 +18,7 @@
 func TestDeadThirdCausesNoRetryStorm(t *testing.T) {
 	c := Small()
 	c.Engines = 6
-	for name, die := range map[string]func(f *Fleet, i int){
+	for name, fail := range map[string]func(f *Fleet, i int){
 		"engines die":            func(f *Fleet, i int) { f.KillUpstream(i) },
 		"agents die":             func(f *Fleet, i int) { f.KillAgent(i) },
 		"engines stop answering": func(f *Fleet, i int) { f.Agents[i].Link.SetCut(true) },
@@ -29,8 +29,8 @@
 				as := make([]Answer, stormRequests)
 				for n := range stormRequests {
 					if n == stormRequests/3 {
-						die(f, 0)
-						die(f, 1)
+						fail(f, 0)
+						fail(f, 1)
 					}
 					g.Go(func() {
 						as[n] = f.Do(context.Background(), Call{
