--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -79,8 +79,8 @@
 		rest, _ := f.countCallsDuring(30 * time.Second)
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
-		away, _ := f.countCallsDuring(outageDuration)
-		require.Less(t, away, 60.0, "calls a second while the store is away")
+		duringOutage, _ := f.countCallsDuring(outageDuration)
+		require.Less(t, duringOutage, 60.0, "calls a second while the store is away")
 		f.setDown(false)
 		returned := time.Now()
 		for f.oldestView() > 2*time.Second {
