--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -80,7 +80,7 @@
 		require.Less(t, rest, 9.0, "calls a second at rest")
 		f.setDown(true)
 		duringOutage, _ := f.countCallsDuring(outageDuration)
-		require.Less(t, duringOutage, 60.0, "calls a second while the store is away")
+		require.Less(t, duringOutage, 60.0, "calls a second during an outage of the store")
 		f.setDown(false)
 		returned := time.Now()
 		for f.oldestView() > 2*time.Second {
--- a/internal/spread/storefault_test.go
+++ b/internal/spread/storefault_test.go
@@ -142,7 +142,7 @@
 				require.Equal(t, readers, len(f.readers()))
 				f.failReaders(storeFaults[0], failingShares[0].with)
 				oldest = f.oldestViewDuring(outageDuration)
-				t.Logf("oldest view %s with the readers turned away", oldest)
+				t.Logf("oldest view %s with the readers not served", oldest)
 				require.Less(t, oldest, maxViewAge)
 			})
 		})
