--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -17,12 +17,12 @@
 
 // burstSnapshot is a fleet in a burst of short calls: all engines have as many calls as are packed
 // on them, and a few have one less.
-func burstSnapshot(unheard float64) Snapshot {
+func burstSnapshot(uncounted float64) Snapshot {
 	s := snapshot(150, Candidate{Slots: 10, Open: 6, Tokens: 36_000})
 	for i := range 5 {
 		s.Candidates[i*30].Open = 5
 	}
-	s.Peers, s.UncountedCalls = 102, unheard
+	s.Peers, s.UncountedCalls = 102, uncounted
 	return s
 }
 
