--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -264,9 +264,9 @@
 	}
 	f.Changes(true)
 	bytes := 0
-	for began, said := time.Now(), time.Now(); time.Since(began) < span; {
+	for began, lastWhole := time.Now(), time.Now(); time.Since(began) < span; {
 		time.Sleep(core.Heartbeat(peers))
-		said = s.heartbeat(said)
+		lastWhole = s.heartbeat(lastWhole)
 		for _, l := range s.links {
 			bytes += proto.Size(s.nextFrame(l))
 		}
