--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -31,8 +31,8 @@
 }
 
 // newOverloaded returns an upstream for a fleet that isn't started yet.
-func newOverloaded(t *testing.T, id string, asks time.Duration) *overloaded {
-	s := &overloaded{retryAfter: asks, refusals: map[string][]time.Time{}}
+func newOverloaded(t *testing.T, id string, retryAfter time.Duration) *overloaded {
+	s := &overloaded{retryAfter: retryAfter, refusals: map[string][]time.Time{}}
 	s.recordingUpstream = newRecordingUpstream(t, id, serviceTime)
 	calm := s.serve(serviceTime)
 	s.SetBehaviour(func(w *platformtest.Worker, c net.Conn, r *http.Request) {
