--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -95,10 +95,10 @@
 	return n
 }
 
-func newOverloadedFleet(t *testing.T, upstreams, gateways int, asks time.Duration) (f *recordingFleet, ts []*overloaded) {
+func newOverloadedFleet(t *testing.T, upstreams, gateways int, retryAfter time.Duration) (f *recordingFleet, ts []*overloaded) {
 	var ms []*recordingUpstream
 	for i := range upstreams {
-		s := newOverloaded(t, fmt.Sprintf("i-%d", i), asks)
+		s := newOverloaded(t, fmt.Sprintf("i-%d", i), retryAfter)
 		ts, ms = append(ts, s), append(ms, s.recordingUpstream)
 	}
 	return newFleetWith(t, gateways, ms), ts
