--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -129,9 +129,9 @@
 		b.Register(PacketsService, newPackets(p, n.receiver, g))
 		loadOptions = append(loadOptions, loadview.WithPackets(p))
 	}
-	sharer := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, loadOptions...)
-	n.receiver.OnStream(sharer.Redial)
-	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sharer.Run, n.heldStore.run))
+	sender := loadview.New(instanceName(c.Box, b.Incarnation), n.Core.Fleet(), n.members.addresses, loadOptions...)
+	n.receiver.OnStream(sender.Redial)
+	b.Register(FeedsService, newRunner(n.config.Run, fleet.Run, others.Run, n.held.Run, relay.Run, sender.Run, n.heldStore.run))
 	if err = n.listen(c, feeds, g); err != nil {
 		return nil, err
 	}
