--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -161,8 +161,8 @@
 	if err != nil {
 		return err
 	}
-	front := platform.NewHandler(n.Core, n.limits, n.clock, g)
-	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), front,
+	handler := platform.NewHandler(n.Core, n.limits, n.clock, g)
+	n.callers = callers.New(netutil.LimitListener(l, c.MaxConnections), handler,
 		callers.WithLogger(g), callers.WithClock(n.clock), callers.WithLinger(c.Linger), callers.WithLimits(n.connLimits), callers.WithAcceptGate(n.awaitStartup))
 	l, err = listen(c.Readiness)
 	if err != nil {
