--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -178,9 +178,9 @@
 	r.HandleFunc(QuarantinePath, func(w http.ResponseWriter, _ *http.Request) {
 		hs := []HeldRequest{}
 		now, wall := s.clock.Now(), hollowgrade.WallTime(s.clock)
-		day := func(t time.Time) time.Time { return wall.Add(t.Sub(now)) }
+		wallTime := func(t time.Time) time.Time { return wall.Add(t.Sub(now)) }
 		for _, h := range s.table.Blocks() {
-			hs = append(hs, HeldRequest{h.Fingerprint.String(), h.Organisation, h.Route, h.Service, day(h.Since), day(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
+			hs = append(hs, HeldRequest{h.Fingerprint.String(), h.Organisation, h.Route, h.Service, wallTime(h.Since), wallTime(h.Until), h.Losses, h.Odds, h.Upstreams, h.By})
 		}
 		writeJSON(w, hs)
 	}).Methods(http.MethodGet)
