--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -156,7 +156,7 @@
 
 // lateSends returns how often a crashing request reached upstreams after all gateways have to know of
 // it, and how many upstreams it has crashed in all.
-func (m *crashingPool) lateSends() (sends, ended int) {
+func (m *crashingPool) lateSends() (sends, crashed int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.crashes) < 3 {
