--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -37,7 +37,7 @@
 func TestCallersAreTakenOnceEnoughIsKnown(t *testing.T) {
 	// wait returns for how long the process ran until callers were taken, and whether the
 	// configuration was known then. known and heard are the running times after which these hold.
-	wait := func(t *testing.T, known, heard, pause time.Duration) (ran time.Duration, ready bool) {
+	wait := func(t *testing.T, known, synced, pause time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
 			begin := time.Now()
@@ -45,7 +45,7 @@
 				return func() bool { return time.Since(begin) >= d }
 			}
 			c := pausedClock{hollowgrade.SystemClock(), begin, 5 * time.Millisecond, pause}
-			startupWait{c, after(known), after(heard)}.wait(context.Background())
+			startupWait{c, after(known), after(synced)}.wait(context.Background())
 			ran = time.Since(begin)
 			ready = after(known)()
 		})
