--- a/sched/queue.go
+++ b/sched/queue.go
@@ -17,7 +17,7 @@
 	Class        hollowgrade.Class
 	Priority     int       // higher goes first within an organisation
 	Cost         int       // tokens of work in the next step
-	Charge       int       // tokens charged to the organisation's share; Cost if 0
+	Charge       int       // tokens charged to the organisation's share; at least Cost
 	Resumes      bool      // continues a request that has started: its memory is reserved, and it was charged then
 	LatestStart  time.Time // the deadline minus the predicted run time
 	Due          time.Time // when the item becomes overdue
@@ -31,8 +31,7 @@
 type Queue interface {
 	// Push adds an item.
 	Push(i *Item)
-	// Pop removes and returns the item to start next among those for which
-	// fits returns true, or nil.
+	// Pop removes and returns the item to start next among those for which fits returns true, or nil.
 	Pop(now time.Time, fits func(*Item) bool) *Item
 	// Remove removes an item, and reports whether it was still in the queue.
 	Remove(i *Item) bool
@@ -40,7 +39,8 @@
 	Len() int
 }
 
-// FIFO is the naive queue: first in, first out, whatever the request. It is the baseline for [Fair].
+// FIFO is the naive queue: first in, first out, but requests that have started precede others. It is
+// the baseline for [Fair].
 type FIFO struct {
 	items []*Item
 }
