--- a/losses/losses.go
+++ b/losses/losses.go
@@ -16,7 +16,7 @@
 	"github.com/hollowgrade/hollowgrade/fault"
 )
 
-// Reasons other than fault codes.
+// Reasons other than fault codes, and the message of the log lines that are read.
 const (
 	InTime     = "in time"
 	LateFirst  = "first event late"
