--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -246,7 +246,7 @@
 	})
 }
 
-// bytesToPeers returns the bytes a second of the heartbeats of a gateway with so many peers while
+// bytesToPeers returns the bytes a second of the heartbeats of a gateway with that many peers while
 // its load doesn't change.
 func bytesToPeers(t *testing.T, peers, upstreams int) float64 {
 	t.Helper()
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -75,13 +75,13 @@
 }
 
 // Packet applies a peer's message from a packet. The load in it is ignored while the peer has no
-// stream: nothing would show when it ends.
+// stream, since only the end of a stream shows that a peer is gone.
 func (t *Receiver) Packet(m *wire.LoadView) {
 	t.receive(m)
 }
 
 // openStream applies the first message of a stream. The lock is held throughout: if a packet
-// overtook this message, the peer would long not count as one whose whole view is known.
+// overtook this message, the peer's whole view would count as known only with its next one.
 func (t *Receiver) openStream(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +123,7 @@
 		}
 		o.byUpstream[id] = m.Sequence
 	}
-	// A whole view that was overtaken lacks what came since.
+	// A whole view that was overtaken lacks later changes.
 	whole := m.Whole && m.Sequence >= o.last
 	o.last = max(o.last, m.Sequence)
 	t.fleet.ReceiveView(m.Box, ss, whole)
