--- a/placement/pricing_test.go
+++ b/placement/pricing_test.go
@@ -9,7 +9,7 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// slowFigures returns figures of engines with about two thirds of the read rate and twice the time
+// slowFigures returns figures of engines with about two thirds of the prefill rate and twice the time
 // per pair.
 func slowFigures() *engine.Figures {
 	return &engine.Figures{
