--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -78,7 +78,7 @@
 	return upstream.NewEngine(c.Engine, upstream.Transport(nil))
 }
 
-// weightStore returns the weight weightStore that the settings name, or nil.
+// weightStore returns the weight store that the settings name, or nil.
 func weightStore(c setting.Common) hollowgrade.WeightStore {
 	if c.PlatformStore == "" {
 		return nil
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -19,8 +19,8 @@
 
 // These tests guard against a request that crashes each upstream that runs it. Attempts were
 // bounded by arrival only: the same request came twice a second under new ids, and crashed 43
-// engines of a pool of 18 within a minute, each back after two seconds. Other calls on these
-// engines were cut, and sent on to engines that crashed next.
+// engines of a pool of 18 within a minute, each of which restarted after two seconds. Other calls on
+// these engines were cut, and sent on to engines that crashed next.
 
 // quarantineDelay is the time within which all gateways have to know of a request that has crashed
 // three upstreams, and maxLateSends is how often it may be sent after that.
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -12,16 +12,16 @@
 // connections wait unread: a refusal would cost the caller an attempt, and placement without the load
 // would send prompts to busy engines.
 const (
-	// startupTimeout bounds the wait, without time for which the process was stopped. Callers give up
-	// on a connection that is not read for a second.
+	// startupTimeout bounds the wait, not counting time for which the process was stopped. Callers
+	// give up on a connection that is not read for a second.
 	startupTimeout = 700 * time.Millisecond
 	// peersTimeout bounds the wait for the load of peers once the data of the store is read: some
 	// listed peers may be dead.
 	peersTimeout = 200 * time.Millisecond
 	// startupPoll is the interval between checks, and maxPollStep the longest time that one counts
-	// for. Without it a process that was stopped for longer than startupTimeout would serve callers
-	// when it continues, up to 16 ms before it reads the configuration that came meanwhile, and
-	// refuse them.
+	// for. Without maxPollStep a process that was stopped for longer than startupTimeout would accept
+	// callers as soon as it continues, up to 16 ms before it reads the configuration that arrived
+	// meanwhile, and refuse them.
 	startupPoll = 10 * time.Millisecond
 	maxPollStep = 2 * startupPoll
 )
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -36,7 +36,7 @@
 
 func TestCallersAreTakenOnceEnoughIsKnown(t *testing.T) {
 	// wait returns for how long the process ran until callers were taken, and whether the
-	// configuration was known then. known and heard are the running times after which these hold.
+	// configuration was known then. known and synced are the running times after which these hold.
 	wait := func(t *testing.T, known, synced, pause time.Duration) (ran time.Duration, ready bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -14,7 +14,7 @@
 
 // Guards against calls whose connections are closed without an answer when a gateway is stopped. A
 // stopping gateway still takes callers for one second; a call of that time whose upstream didn't
-// answer had a deadline 0.35 s after the end of the stop, wasn't told that it was given up, and was
+// answer had a deadline 0.35 s after the end of the stop, got no signal that it was given up, and was
 // logged as caller_gone although its caller still waited.
 func TestCallsThatAreOpenAtTheEndOfAStopAreAnswered(t *testing.T) {
 	const drain = time.Second
