--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -325,18 +325,18 @@
 func (k *Keeper) planAcquisition(n int, live []string) (r config.KeyRange, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	cur, stands := k.config.KeyRanges[ledger.RangeName(n)]
-	r = config.KeyRange{Owner: k.box, Incarnation: k.incarnation, First: !stands}
+	cur, assigned := k.config.KeyRanges[ledger.RangeName(n)]
+	r = config.KeyRange{Owner: k.box, Incarnation: k.incarnation, First: !assigned}
 	switch {
 	case k.leaving:
 		return r, false
-	case stands && cur.Owner == k.box:
+	case assigned && cur.Owner == k.box:
 		// A former process of this box may own it.
 		return r, cur.Incarnation != k.incarnation
-	case stands && slices.Contains(live, cur.Owner):
+	case assigned && slices.Contains(live, cur.Owner):
 		delete(k.missing, cur.Owner)
 		return r, false
-	case stands && !k.absentForGrace(cur.Owner):
+	case assigned && !k.absentForGrace(cur.Owner):
 		return r, false
 	default:
 		return r, sched.HighestRanked("key range "+ledger.RangeName(n), live) == k.box
