--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -360,7 +360,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err = fold.Publish(ctx, k.log, s, c)
 	var f *fault.Error
@@ -414,7 +414,7 @@
 const handoverBatch = 16
 
 func (k *Keeper) sendRange(ctx context.Context, address string, n int, h pendingRange) (incarnation string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c, err := peer.Dial(ctx, k.dial, address)
 	if err != nil {
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -15,8 +15,8 @@
 	"github.com/hollowgrade/hollowgrade/peer"
 )
 
-// engineTimeout bounds a short call to the engine, to the log, or to another agent.
-const engineTimeout = 2 * time.Second
+// callTimeout bounds a short call to the engine, to the log, or to another agent.
+const callTimeout = 2 * time.Second
 
 // leasePiece enters a lease for a piece that the engine keeps for the job. Its memory is part of
 // the job's lease or of the group's reservation already, so this lease has no tokens. A piece of a
@@ -48,7 +48,7 @@
 	a.mu.Lock()
 	a.releaseLease(id)
 	a.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), engineTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), callTimeout)
 	defer cancel()
 	if err := a.engine.Release(ctx, id); err != nil {
 		a.log.Debug("release failed, the sweep will repeat it", "id", id, "err", err)
@@ -122,7 +122,7 @@
 	}
 	defer a.stepDone()
 	a.prefilled(a.cost(j))
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := a.engine.Reserve(ctx, m.Id, int(m.Tokens), ttl); err != nil {
 		a.releaseHolding(m.Id)
@@ -169,7 +169,7 @@
 }
 
 func (a *Agent) sweep() (err error) {
-	ctx, cancel := context.WithTimeout(a.ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, callTimeout)
 	defer cancel()
 	load, err := a.engine.Load(ctx)
 	if err == nil {
--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -106,7 +106,7 @@
 // prepare loads one model. The order has the revision of the event as its fence, so that a process
 // that was paused cannot undo a later order.
 func (p *Preparer) prepare(ctx context.Context, model string, fence int64) error {
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	l, err := p.engine.Load(ctx)
 	if err != nil {
