--- a/config/config.go
+++ b/config/config.go
@@ -162,7 +162,7 @@
 	}
 }
 
-func (c *Config) add(i fold.Item, former *Config) (err error) {
+func (c *Config) add(i fold.Item, previous *Config) (err error) {
 	switch i.Kind {
 	case OrganisationKind:
 		var o Organisation
@@ -186,7 +186,7 @@
 		err = json.Unmarshal(i.Body, &r)
 		c.KeyRanges[i.Name] = Range{KeyRange: r, Epoch: i.Revision}
 	case PolicyKind:
-		err = c.addPolicy(i, former)
+		err = c.addPolicy(i, previous)
 	}
 	return err
 }
