--- a/config/config.go
+++ b/config/config.go
@@ -199,13 +199,13 @@
 	return v, nil
 }
 
-func (c *Config) addPolicy(i fold.Item, former *Config) error {
+func (c *Config) addPolicy(i fold.Item, previous *Config) error {
 	var v Policy
 	if err := json.Unmarshal(i.Body, &v); err != nil {
 		return err
 	}
-	if former != nil {
-		if p := former.Policies[i.Name]; p != nil {
+	if previous != nil {
+		if p := previous.Policies[i.Name]; p != nil {
 			c.Policies[i.Name] = p
 			if p.Text() == v.Text {
 				return nil
