--- a/entry/entry.go
+++ b/entry/entry.go
@@ -292,7 +292,7 @@
 
 // admit checks a request against the limits of the entry and of the organisation, and counts it.
 // The returned function must be called once the request has ended.
-func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (leave func(), err error) {
+func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (release func(), err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining {
