--- a/entry/serve.go
+++ b/entry/serve.go
@@ -34,11 +34,11 @@
 		}
 		defer func() { e.settleKey(q, err) }()
 	}
-	leave, err := e.admit(q.request, o)
+	release, err := e.admit(q.request, o)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	err = e.runAttempts(ctx, q)
 	return err
 }
