--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,8 +34,7 @@
 	Sweep         time.Duration // interval between two comparisons of the ledger with the engine
 }
 
-// DefaultLimits returns limits that suit an engine of a few hundred thousand
-// tokens.
+// DefaultLimits returns limits that suit an engine with memory for a few hundred thousand tokens.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxRunning:    64,
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkDeadline returns the grant if ctx ended at the same time.
+// checkDeadline gives the grant back and returns an error if ctx ended at the same time.
 func (a *Agent) checkDeadline(ctx context.Context, i *sched.Item) error {
 	if ctx.Err() == nil {
 		return nil
@@ -162,11 +162,9 @@
 
 // mayStart is the last check before anything is sent to the upstream: the claim on the key must
 // still hold by this process's own monotonic clock, and no higher epoch may be known. It stops a
-// process that was paused after its grant.
-//
-// A window remains, since a process can also be paused between this check and the write of the
-// first byte. An upstream that checks no fence may then run a request whose key has a new owner.
-// The new owner answers "unknown" for that key, so it never starts a second run.
+// process that was paused after its grant. A pause between this check and the write of the first
+// byte is not detected: an upstream that checks no fence may then run a request whose key has a new
+// owner. The new owner answers "unknown" for that key, so it never starts a second run.
 func (a *Agent) mayStart(j *job) error {
 	if j.request.Key == "" {
 		return nil
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -235,7 +235,7 @@
 	return os
 }
 
-// OrphanTokens returns how many tokens of holdings the last two sweeps found without a lease.
+// OrphanTokens returns the tokens of the holdings that the last two sweeps found without a lease.
 func (a *Agent) OrphanTokens() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -34,8 +34,8 @@
 	prepared map[string]int64 // revision of each event for which the engine is prepared
 }
 
-// NewPreparer returns a preparer. Agents returns the agents' boxes as the
-// platform lists them.
+// NewPreparer returns a preparer. The function agents returns the agents' boxes as the platform
+// lists them.
 func NewPreparer(box string, e hollowgrade.Engine, w hollowgrade.WeightStore, k hollowgrade.Clock, g *log.Logger,
 	agents func(context.Context) []hollowgrade.Box,
 ) *Preparer {
