--- a/config/config.go
+++ b/config/config.go
@@ -135,9 +135,9 @@
 	Epoch int64
 }
 
-// Compile makes a configuration from a state. Items that can't be used are returned as errors. A
-// policy that doesn't compile keeps its version in previous, so that a box with an older release
-// continues with the policy before.
+// Compile makes a configuration from a state. Items that can't be used are returned as errors. For a
+// policy that doesn't compile, its version in previous stays in force, so that a box with an older
+// release continues with that one.
 func Compile(s fold.State, previous *Config) (c *Config, errs []error) {
 	c = newConfig(s.Revision())
 	for _, i := range s.Items("") {
