--- a/engine/engine.go
+++ b/engine/engine.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	pairsPerMillion        = 1e6  // the unit of [Figures.PerMillion]
+	pairsPerMillion        = 1e6  // the unit of [Figures.PerMillionPairs]
 	contextTokensPerFigure = 1000 // the unit of [Figures.StepPerContext]
 )
 
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -34,7 +34,7 @@
 
 func TestPass(t *testing.T) {
 	requireMillis(t, 42.55, testFigures.PassTime(State{}))
-	// 10 writers of 6,500 tokens: 46 x (0.925 + 0.05 + 0.1651).
+	// 10 requests decode with a context of 6,500 tokens each: 46 x (0.925 + 0.05 + 0.1651).
 	requireMillis(t, 52.4, testFigures.PassTime(State{Decoding: 10, Context: 65_000}))
 	requireMillis(t, 42.55+100, testFigures.LongestPause(State{PrefillBacklog: 60 * time.Millisecond}, 40*time.Millisecond))
 	requireMillis(t, 60+40+63.8, testFigures.TimeToFirstEvent(State{PrefillBacklog: 60 * time.Millisecond}, 40*time.Millisecond))
