--- a/entry/entry.go
+++ b/entry/entry.go
@@ -263,8 +263,8 @@
 	return false
 }
 
-// Complete reports whether the entry is connected to that many agents, and
-// whether each range of idempotency keys has a keeper among them.
+// Complete reports whether the entry is connected to at least that many agents that aren't draining,
+// and whether each range of idempotency keys has a keeper.
 func (e *Entry) Complete(agents int) bool {
 	c := e.config.Load()
 	for n := range ledger.Ranges {
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// settle retries until the keeper has replied. The range may be moving to another keeper meanwhile,
-// which has the record by then.
+// settle retries until the keeper has replied. Meanwhile the range may move to another keeper,
+// together with the record.
 func (e *Entry) settle(r hollowgrade.Request, m *wire.Settle) {
 	for range settleAttempts {
 		_, err := e.callKeeper(e.ctx, r, &wire.Frame{Body: &wire.Frame_Settle{Settle: m}})
