--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -10,14 +10,13 @@
 	"github.com/hollowgrade/hollowgrade/engine"
 )
 
-// Parameters of the baseline with helpers, which were the best of the values tried without a view
-// shared between gateways.
+// Parameters of [LeastPrefill], the best known for gateways that exchange no load updates.
 const (
 	baselineSplitTokens = 9_000
 	baselineHelpers     = 16
 )
 
-// baseline decides as the baselines do, by the requests that its own gateway has open.
+// baseline makes the decisions other than [Worth], by the requests that its own gateway has open.
 type baseline struct {
 	decisions    string
 	ids          []string
--- a/experiment/burst_test.go
+++ b/experiment/burst_test.go
@@ -29,7 +29,7 @@
 
 // Guards against late answers when many gateways place a burst of short calls on old load reports:
 // sixty gateways get 330 calls a second, and each decides on what the others reported up to 25 ms
-// before. A third of the calls were late where gateways did not allow for load not yet reported.
+// before. Without an allowance for load not yet reported, a third of the calls are late.
 func TestManyGatewaysServeABurstOfShortCalls(t *testing.T) {
 	f, err := Read(filepath.Join(examplesDir, "sixty-gateways.toml"))
 	require.NoError(t, err)
--- a/experiment/pricing_test.go
+++ b/experiment/pricing_test.go
@@ -39,7 +39,7 @@
 
 // Guards against refusing the callers beside the longest prompts. 30 gateways place 4.4 archives a
 // second on 60 engines, and some archives take as long to prefill as twenty others. With pricing by
-// the mean backlog, one such prompt had the others refused, and refused again at their retries.
+// the mean backlog, one such prompt gets the others refused, and refused again at their retries.
 func TestCallersBesideTheLongestPromptsAreServed(t *testing.T) {
 	f, err := Read(filepath.Join(examplesDir, "long-archives.toml"))
 	require.NoError(t, err)
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -362,7 +362,7 @@
 	p.schedule((s.At + s.For).Std(), set(1))
 }
 
-// completeUpdateEvery is the number of load updates of which one is complete, so that the gateway's
+// completeUpdateEvery is the number of load updates of which one is complete, so that a gateway's
 // reports don't expire at its peers.
 const completeUpdateEvery = 20
 
