--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault gives each refusal and each failure a stable code, and keeps
-// the documentation of a code as data beside it. The answers to callers, the
-// logs, the command line and the operators' pages are all made from it.
+// Package fault defines a stable code for each refusal and each failure, with its documentation as
+// data, which the answers to callers, the logs, the command line and the operators' pages use.
 package fault
 
 import (
@@ -19,11 +18,11 @@
 
 // The severities.
 const (
-	// Caller means that the caller can mend it by changing the request.
+	// Caller means that the caller can fix it by changing the request.
 	Caller Severity = "caller"
-	// Transient means that it passes without anybody's doing.
+	// Transient means that it passes without intervention.
 	Transient Severity = "transient"
-	// Operator means that an operator should look.
+	// Operator means that an operator should investigate.
 	Operator Severity = "operator"
 )
 
@@ -34,7 +33,7 @@
 	Text     string
 	Since    string
 	Severity Severity
-	Outcome  hollowgrade.Outcome // what is said unless the error says otherwise
+	Outcome  hollowgrade.Outcome // outcome unless the error sets another
 	Status   int                 // HTTP status if no byte of an answer has been sent
 }
 
@@ -43,7 +42,7 @@
 	Code       Code
 	Message    string
 	Outcome    hollowgrade.Outcome
-	RetryAfter time.Duration // zero if coming back does not help
+	RetryAfter time.Duration // zero if a retry does not help
 }
 
 // New returns an error with the documented outcome of c.
@@ -63,7 +62,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with the delay after which the caller should retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -85,8 +84,8 @@
 	return New(Internal, "internal error").WithOutcome(o)
 }
 
-// Lookup returns the documentation of c. A code that is not registered, as
-// one from a newer peer, gets that of [Internal].
+// Lookup returns the documentation of c, or that of [Internal] if c is not registered, such as a
+// code from a newer peer.
 func Lookup(c Code) Doc {
 	if d, ok := byCode[c]; ok {
 		return d
--- a/fault/registry.go
+++ b/fault/registry.go
@@ -6,9 +6,9 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// The codes. HG1 are faults of the request, HG2 refusals for want of room or
-// time, HG3 failures while a request ran, HG4 faults of the idempotency key,
-// HG5 faults of settings and published configuration.
+// The codes. HG1 are faults of the request, HG2 refusals for lack of capacity or time, HG3 failures
+// while a request ran, HG4 faults of the idempotency key, HG5 faults of settings and published
+// configuration.
 const (
 	MalformedBody     Code = "HG1001"
 	UnknownModel      Code = "HG1002"
@@ -57,10 +57,10 @@
 )
 
 const (
-	first              = "0.1" // the release in which a code first stood
+	first              = "0.1" // the release that introduced a code
 	second             = "0.2"
 	third              = "0.3"
-	statusClientClosed = 499 // customary for a caller that went away
+	statusClientClosed = 499 // customary for a caller that closed its connection
 )
 
 // Registry lists every code.
