--- a/ledger/keys.go
+++ b/ledger/keys.go
@@ -10,8 +10,7 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// Ranges is the number of ranges into which idempotency keys are divided. Each
-// range has one keeper.
+// Ranges is the number of ranges into which idempotency keys are divided. Each range has one keeper.
 const Ranges = 64
 
 // KeyID is an idempotency key of one organisation.
@@ -90,8 +89,8 @@
 	until time.Time
 }
 
-// Keys is the ledger of the runs under idempotency keys. A key that it grants
-// is not granted again until the window has passed since its end.
+// Keys is the ledger of the runs under idempotency keys. A granted key is granted to no other
+// request before the window after the end of its run has passed, unless it was settled as not run.
 type Keys struct {
 	window       time.Duration
 	limit        int
