--- a/setting/gateway.go
+++ b/setting/gateway.go
@@ -34,9 +34,9 @@
 	MemoryMB       int           `name:"memory-mb" help:"Memory that the process may use, in MB; 0 to leave it unbounded." default:"0" min:"0" group:"limits"`
 }
 
-// freshnessMargin is the part of key_freshness that a view at its maximum age leaves: 300 ms that
-// the core reserves for clock differences, and 500 ms for network delay and for gateways that are
-// short of processor time.
+// freshnessMargin is the difference between key_freshness and the maximum age of a view: 300 ms
+// that the core reserves for clock differences, and 500 ms for network delay and for gateways that
+// are short of processor time.
 const freshnessMargin = 800 * time.Millisecond
 
 // freshnessKey is the key of the setting that freshnessMargin is subtracted from.
