--- a/upstream/service.go
+++ b/upstream/service.go
@@ -69,8 +69,8 @@
 // returned and not followed: a second call would be a second run.
 func (s *Service) Do(r *http.Request) (*http.Response, error) {
 	u := *s.base
-	// Joined here, since url.JoinPath would clean the path, which is for the service to interpret,
-	// and drops the first slash below a base URL without a path.
+	// Not joined by url.JoinPath: it would clean the path, which is for the service to interpret,
+	// and drop the first slash below a base URL without a path.
 	base := strings.TrimSuffix(u.Path, "/")
 	u.Path, u.RawPath = base+r.URL.Path, base+r.URL.EscapedPath()
 	u.RawQuery = r.URL.RawQuery
