--- a/agent/preparer.go
+++ b/agent/preparer.go
@@ -34,8 +34,8 @@
 	prepared map[string]int64 // revision of each event for which the engine is prepared
 }
 
-// NewPreparer returns a preparer. Agents returns the agents' boxes as the
-// platform lists them.
+// NewPreparer returns a preparer. The function agents returns the agents' boxes as the platform
+// lists them.
 func NewPreparer(box string, e hollowgrade.Engine, w hollowgrade.WeightStore, k hollowgrade.Clock, g *log.Logger,
 	agents func(context.Context) []hollowgrade.Box,
 ) *Preparer {
@@ -106,7 +106,7 @@
 // prepare loads one model. The order has the revision of the event as its fence, so that a process
 // that was paused cannot undo a later order.
 func (p *Preparer) prepare(ctx context.Context, model string, fence int64) error {
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	l, err := p.engine.Load(ctx)
 	if err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -135,9 +135,9 @@
 	Epoch int64
 }
 
-// Compile makes a configuration from a state. Items that can't be used are returned as errors. A
-// policy that doesn't compile keeps its version in previous, so that a box with an older release
-// continues with the policy before.
+// Compile makes a configuration from a state. Items that can't be used are returned as errors. For a
+// policy that doesn't compile, its version in previous stays in force, so that a box with an older
+// release continues with that one.
 func Compile(s fold.State, previous *Config) (c *Config, errs []error) {
 	c = newConfig(s.Revision())
 	for _, i := range s.Items("") {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (c *Config) add(i fold.Item, former *Config) (err error) {
+func (c *Config) add(i fold.Item, previous *Config) (err error) {
 	switch i.Kind {
 	case OrganisationKind:
 		var o Organisation
@@ -186,7 +186,7 @@
 		err = json.Unmarshal(i.Body, &r)
 		c.KeyRanges[i.Name] = Range{KeyRange: r, Epoch: i.Revision}
 	case PolicyKind:
-		err = c.addPolicy(i, former)
+		err = c.addPolicy(i, previous)
 	}
 	return err
 }
@@ -199,13 +199,13 @@
 	return v, nil
 }
 
-func (c *Config) addPolicy(i fold.Item, former *Config) error {
+func (c *Config) addPolicy(i fold.Item, previous *Config) error {
 	var v Policy
 	if err := json.Unmarshal(i.Body, &v); err != nil {
 		return err
 	}
-	if former != nil {
-		if p := former.Policies[i.Name]; p != nil {
+	if previous != nil {
+		if p := previous.Policies[i.Name]; p != nil {
 			c.Policies[i.Name] = p
 			if p.Text() == v.Text {
 				return nil
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -263,8 +263,8 @@
 	return false
 }
 
-// Complete reports whether the entry is connected to that many agents, and
-// whether each range of idempotency keys has a keeper among them.
+// Complete reports whether the entry is connected to at least that many agents that aren't draining,
+// and whether each range of idempotency keys has a keeper.
 func (e *Entry) Complete(agents int) bool {
 	c := e.config.Load()
 	for n := range ledger.Ranges {
@@ -292,7 +292,7 @@
 
 // admit checks a request against the limits of the entry and of the organisation, and counts it.
 // The returned function must be called once the request has ended.
-func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (leave func(), err error) {
+func (e *Entry) admit(r hollowgrade.Request, o config.Organisation) (release func(), err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining {
