--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -93,7 +93,7 @@
 // Guards against views that expire while the store does not answer the gateways that read for the
 // others: other gateways have to take over.
 func TestReadersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
-	const keysGood = 4200 * time.Millisecond
+	const maxAgeForKeys = 4200 * time.Millisecond
 	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
 		failing := f.readers()
 		require.Less(t, len(failing), len(f.gateways)/3)
@@ -106,7 +106,7 @@
 			oldest = max(oldest, f.oldestView())
 		}
 		t.Logf("oldest view %s", oldest)
-		require.Less(t, oldest, keysGood)
+		require.Less(t, oldest, maxAgeForKeys)
 		require.Equal(t, len(f.gateways), f.countKnowing(configOf, 1))
 	})
 }
