--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -71,12 +71,12 @@
 	inNetwork(t, fleetPlaces(28), storeDelay, func(t *testing.T, f *testFleet) {
 		// Keys are accepted for 5 s after the configuration was last confirmed, 0.8 s of which are
 		// reserved for the transfer of answers.
-		const keysGood = 4200 * time.Millisecond
+		const maxAgeForKeys = 4200 * time.Millisecond
 		putConfig(t, f, randomConfig(newSeededRand(), 4_000_000))
 		for next := int64(1); f.countKnowing(configOf, 1) < len(f.gateways); next++ {
 			require.NoError(t, f.fleet.Put(context.Background(), fmt.Sprint("upstream-", next), []byte("draining")))
 			require.LessOrEqual(t, f.waitKnown(fleetFeedOf, next, 10*time.Second), time.Second, "until all gateways know the draining engine")
-			require.Less(t, f.oldestView(), keysGood)
+			require.Less(t, f.oldestView(), maxAgeForKeys)
 			require.Less(t, next, int64(10))
 		}
 		for _, w := range f.gateways {
