--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -198,8 +198,8 @@
 // the route before.
 func (h *history) revertedRoutes() []string {
 	type place struct {
-		gateway, life int
-		path          string
+		gateway, instance int
+		path              string
 	}
 	first := map[place]time.Time{}
 	for _, q := range h.requests {
