--- a/internal/fleettest/matrix_test.go
+++ b/internal/fleettest/matrix_test.go
@@ -81,7 +81,7 @@
 	{name: "kill upstream", inject: func(c *cell) { c.fleet.KillUpstream(c.box) }, repair: noRepair, entryReplies: true},
 	{name: "cut caller from entry", inject: cutLink(Caller, func(*cell) string { return EntryName(0) }), repair: restoreLink(Caller, func(*cell) string { return EntryName(0) }), duration: shortFault},
 	{name: "cut entry from agent", inject: cutLink(EntryName(0), boxName), repair: restoreLink(EntryName(0), boxName), duration: shortFault, entryReplies: true},
-	{name: "cut agent from upstream", inject: cutUpstream, repair: mendUpstream, duration: shortFault, entryReplies: true},
+	{name: "cut agent from upstream", inject: cutUpstream, repair: restoreUpstream, duration: shortFault, entryReplies: true},
 	{name: "freeze entry", inject: func(c *cell) { c.fleet.Entries[0].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Entries[0].Freezer.Set(false) }, duration: longFault},
 	{name: "freeze agent", inject: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(true) }, repair: func(c *cell) { c.fleet.Agents[c.box].Freezer.Set(false) }, duration: longFault, entryReplies: true},
 	{name: "freeze keeper past its lease", inject: func(c *cell) { c.freezeKeeper() }, repair: func(c *cell) { c.fleet.Agents[c.keeper].Freezer.Set(false) }, duration: 4 * longFault, entryReplies: true},
@@ -111,7 +111,7 @@
 	}
 }
 
-func mendUpstream(c *cell) {
+func restoreUpstream(c *cell) {
 	if a := c.fleet.Agents[c.box]; a.Link != nil {
 		a.Link.SetCut(false)
 	} else {
