--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -158,13 +158,13 @@
 	return []item{{config.ObjectiveKind, short.Name, short}, {config.ObjectiveKind, finish.Name, finish}}
 }
 
-const awaitEvery = 20 * time.Millisecond
+const revisionPollInterval = 20 * time.Millisecond
 
 // awaitRevision waits until a revision is in force on each box, each entry is ready, and each range
 // of idempotency keys has a keeper.
 func (f *Fleet) awaitRevision(ctx context.Context, revision int64) error {
 	for !f.inForce(revision) {
-		if !hollowgrade.Sleep(ctx, f.clock, awaitEvery) {
+		if !hollowgrade.Sleep(ctx, f.clock, revisionPollInterval) {
 			return ctx.Err()
 		}
 	}
