--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -65,7 +65,7 @@
 	weightsInterval = 500 * time.Millisecond
 	weightsBurst    = 3
 	headerTimeout   = 5 * time.Second
-	demoPoll        = 250 * time.Millisecond
+	logPollInterval = 250 * time.Millisecond
 	maxConnections  = 16384
 )
 
@@ -151,7 +151,7 @@
 		PlatformLog:   f.logURL,
 		PlatformList:  f.boxesURL,
 		PlatformStore: f.storeURL,
-		LogPoll:       demoPoll,
+		LogPoll:       logPollInterval,
 	}
 }
 
