--- a/internal/spread/calls_test.go
+++ b/internal/spread/calls_test.go
@@ -71,9 +71,9 @@
 }
 
 // Guards against calls to the store that grow with the number of gateways, since each call costs:
-// 103 gateways made 2,100 calls in 48 s at rest and up to 7,500 with outages, 2.4 and 7.9 % of the
-// worth of all calls in that time. Without a breaker each gateway reads each topic about once a
-// second during an outage.
+// 103 gateways made 2,100 calls in 48 s at rest and up to 7,500 with outages, which cost 2.4 and
+// 7.9 % of the value of all callers' requests in that time. Without a breaker each gateway reads
+// each topic about once a second during an outage.
 func TestCallsToTheStoreDoNotGrowWithTheGateways(t *testing.T) {
 	inNetwork(t, fleetPlaces(many), storeDelay, func(t *testing.T, f *testFleet) {
 		rest, _ := f.countCallsDuring(30 * time.Second)
--- a/internal/spread/start_test.go
+++ b/internal/spread/start_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// upstreamCount is the number of upstreams of a fleet: 60 for 28 gateways, 150 for 103, 600 for 420.
+// upstreamCount is the number of upstreams of a fleet: 60 for 28 gateways, 147 for 103, 600 for 420.
 func upstreamCount(gateways int) int {
 	return max(gateways*10/7, 60)
 }
--- a/internal/spread/storefault_test.go
+++ b/internal/spread/storefault_test.go
@@ -80,7 +80,7 @@
 // Guards against views that expire while the store fails the readers and serves other gateways. If a
 // reader doesn't report that it isn't served, the others notice only when their view is older than
 // two reads take, 3.3 s, and views get 3.8 to 5.0 s old at 103 gateways, where keys are accepted for
-// 4.2 s. [feed.Timing] adds up what takes how long.
+// 4.2 s. [feed.Timing] has the parts of this time.
 func TestViewsWhileTheStoreTurnsGatewaysAway(t *testing.T) {
 	for _, n := range []int{5, some, many} {
 		for _, w := range storeFaults {
