--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -294,8 +294,8 @@
 	return float64(slices.Max(ps)) / float64(quantile(ps, 0.5))
 }
 
-// BenchmarkFleet compares the strategies with usual load balancing. Time is virtual: the same seed
-// gives the same load, and the figures don't depend on the machine.
+// BenchmarkFleet compares the strategies, two of which are usual load balancing. Time is virtual:
+// the same seed gives the same load, and the figures don't depend on the machine.
 func BenchmarkFleet(b *testing.B) {
 	for _, u := range workloads {
 		for _, part := range []float64{0.5, 0.8, 0.95, 2} {
