--- a/internal/soak/harm_test.go
+++ b/internal/soak/harm_test.go
@@ -83,8 +83,8 @@
 	w.register(b, "ready")
 }
 
-// crashAsync crashes a worker in another goroutine: closing it waits for its answers, one of which
-// is the caller.
+// crashAsync crashes a worker in another goroutine, since closing it waits for its behaviours, and
+// one of these is the caller of crashAsync.
 func (w *world) crashAsync(k *platformtest.Worker, how restartMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
