--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -11,12 +11,12 @@
 	"github.com/hollowgrade/hollowgrade/standalone"
 )
 
-// Boxes is a stand-in for the platform's list of boxes. It shows the list as it was lag ago.
+// Boxes is a stand-in for the platform's list of boxes. List shows changes only after a fixed lag.
 type Boxes struct {
 	clock hollowgrade.Clock
 
 	mu      sync.Mutex
-	frozen  []hollowgrade.Box // returned in the place of the history if not nil
+	frozen  []hollowgrade.Box // returned instead of the history if not nil
 	lag     time.Duration
 	history []boxesAt
 }
--- a/internal/standin/freeze.go
+++ b/internal/standin/freeze.go
@@ -9,7 +9,7 @@
 )
 
 // Freezer blocks a process wherever it interacts with the outside: in its timers, its connections
-// and the calls of its upstream. It stands in for SIGSTOP in tests with virtual time.
+// and its calls to its upstream. It simulates SIGSTOP in tests with virtual time.
 type Freezer struct {
 	mu     sync.Mutex
 	thawed chan struct{} // nil while nothing is frozen
