--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -160,7 +160,7 @@
 
 const revisionPollInterval = 20 * time.Millisecond
 
-// awaitRevision waits until a revision is in force on each box, each entry is ready, and each range
+// awaitRevision waits until a revision is in force on each box, all boxes are ready, and each range
 // of idempotency keys has a keeper.
 func (f *Fleet) awaitRevision(ctx context.Context, revision int64) error {
 	for !f.inForce(revision) {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -28,7 +28,7 @@
 	Engine   standin.EngineConfig
 }
 
-// DefaultSize returns the size of a present fleet: both users' services and one engine pool.
+// DefaultSize returns the size of a present-day fleet: both users' services and one engine pool.
 func DefaultSize() Size {
 	return Size{
 		Entries:  3,
