--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop load to running entries and accounts for every request: requests
-// are sent on schedule, however slow the answers are.
+// Package load sends an open-loop load to running entries, that is on schedule however slow the
+// answers are, and accounts for every request.
 package load
 
 import (
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -27,7 +27,7 @@
 	FirstToken time.Duration
 	Took       time.Duration
 	Tokens     int
-	Wrong      string // why the answer isn't the complete answer to this request; empty if it is
+	Wrong      string // why a finished answer is wrong, or a refusal unreadable; else empty
 	RequestID  string
 }
 
