--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -57,8 +57,9 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// A gateway of 103 has some 300 connections to others. With buffers for 4,096 exchanges both ends
-// of one used 121 KB, and gateways 110 to 180 MB of the 184 MB that small boxes have.
+// Guards against connections that use up the memory of a box: in a fleet of 103, a gateway has some
+// 300 connections to others. With buffers for 4,096 exchanges both ends of one used 121 KB, and
+// gateways 110 to 180 MB of the 184 MB that small boxes have.
 func TestMemoryOfAConnection(t *testing.T) {
 	require.Less(t, memoryOf(t, 200), int64(80_000))
 }
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -20,7 +20,7 @@
 const readErrorDelay = 10 * time.Millisecond
 
 // Packets sends and receives single frames as datagrams, which may be lost, duplicated or
-// reordered. A frame costs a tenth of one on a stream at both ends.
+// reordered. To send and receive a frame costs a tenth of what it costs on a stream.
 type Packets struct {
 	conn *net.UDPConn
 }
