--- a/fold/follower.go
+++ b/fold/follower.go
@@ -21,8 +21,8 @@
 	// readTimeout bounds one read. A read is limited in records but not in bytes, so that after a
 	// timeout the next one requests half as many.
 	readTimeout = 5 * time.Second
-	// renewDivisor is the divisor of the retention after which the state is written again. Half
-	// leaves the other half for outages of the log.
+	// renewDivisor gives the time after which the state is written again: the retention divided by
+	// it. The other half of the retention is left for outages of the log.
 	renewDivisor = 2
 )
 
--- a/fold/state.go
+++ b/fold/state.go
@@ -150,7 +150,7 @@
 // ErrNoSnapshot means that the log has no usable snapshot to begin from.
 var ErrNoSnapshot = errors.New("the log keeps neither its first record nor a usable snapshot")
 
-// Bootstrap folds the records of a log, the earliest of which is given. If the log has dropped its
+// Bootstrap folds the records of a log whose earliest offset is given. If the log has dropped its
 // first records, it begins from the newest snapshot after which no record is missing; a snapshot
 // whose following records have been dropped cannot be used.
 func Bootstrap(earliest int64, rs []hollowgrade.Record) (s State, err error) {
