--- a/core/closing.go
+++ b/core/closing.go
@@ -97,7 +97,7 @@
 
 // markClosing records that an upstream closes connections, so that others are preferred, and tells
 // peers unless they know. It returns false if that instance is no longer the current one.
-func (f *Fleet) markClosing(l hollowgrade.Life) (listed bool) {
+func (f *Fleet) markClosing(l hollowgrade.Instance) (listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[l]
@@ -121,7 +121,7 @@
 }
 
 // lastActivity returns when an instance of an upstream last sent something, zero if it hasn't.
-func (f *Fleet) lastActivity(l hollowgrade.Life) (t time.Time) {
+func (f *Fleet) lastActivity(l hollowgrade.Instance) (t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[l]; m != nil {
--- a/core/core.go
+++ b/core/core.go
@@ -76,8 +76,8 @@
 	mu      sync.Mutex
 	budgets map[string]*retry.Window // by service
 	flows   map[*flow]context.CancelCauseFunc
-	probes  map[hollowgrade.Life]*sharedProbe
-	watched map[hollowgrade.Life]chan struct{} // upstreams that close connections; see watch
+	probes  map[hollowgrade.Instance]*sharedProbe
+	watched map[hollowgrade.Instance]chan struct{} // upstreams that close connections; see watch
 }
 
 // Observation is a call that has ended, for metrics.
@@ -166,8 +166,8 @@
 		processes: func() int { return 1 },
 		budgets:   map[string]*retry.Window{},
 		flows:     map[*flow]context.CancelCauseFunc{},
-		probes:    map[hollowgrade.Life]*sharedProbe{},
-		watched:   map[hollowgrade.Life]chan struct{}{},
+		probes:    map[hollowgrade.Instance]*sharedProbe{},
+		watched:   map[hollowgrade.Instance]chan struct{}{},
 	}
 	c.SetBounds(DefaultBounds())
 	for _, o := range os {
@@ -255,7 +255,7 @@
 // Serve runs a call and sends its answer to the sink. The error is a [fault.Error]; if the sink has
 // received a head before, the answer is incomplete.
 func (c *Core) Serve(ctx context.Context, call hollowgrade.Call, s hollowgrade.Sink) (err error) {
-	f := &flow{core: c, call: call, sink: s, lastEventID: call.After, tried: map[hollowgrade.Life]bool{}}
+	f := &flow{core: c, call: call, sink: s, lastEventID: call.After, tried: map[hollowgrade.Instance]bool{}}
 	defer func() { f.ended(err) }()
 	if err = c.admit(f); err != nil {
 		return err
--- a/core/demand_test.go
+++ b/core/demand_test.go
@@ -23,8 +23,8 @@
 
 // prefillShares returns the shares of a peer that has placed prefill work of duration d on each of some
 // engines.
-func prefillShares(d time.Duration, engines ...hollowgrade.Life) map[hollowgrade.Life]Share {
-	m := map[hollowgrade.Life]Share{}
+func prefillShares(d time.Duration, engines ...hollowgrade.Instance) map[hollowgrade.Instance]Share {
+	m := map[hollowgrade.Instance]Share{}
 	for _, e := range engines {
 		m[e] = Share{Open: 1, Prefill: time.Duration(prefillOverhead * float64(d))}
 	}
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -48,11 +48,11 @@
 // member is an upstream and its state as known to this process.
 type member struct {
 	hollowgrade.Upstream
-	instance          hollowgrade.Life // of Upstream; cached, since each pick reads it for each candidate
-	ownShare          Share            // assigned by this process
-	peerShare         Share            // assigned by peers, as they report it
-	busyUntil         time.Time        // when the prefill that all processes have assigned will be done
-	partsUntil        []time.Time      // when the parts of prompts that other engines answer will be done
+	instance          hollowgrade.Instance // of Upstream; cached, since each pick reads it for each candidate
+	ownShare          Share                // assigned by this process
+	peerShare         Share                // assigned by peers, as they report it
+	busyUntil         time.Time            // when the prefill that all processes have assigned will be done
+	partsUntil        []time.Time          // when the parts of prompts that other engines answer will be done
 	load              hollowgrade.UpstreamLoad
 	loadAt            time.Time
 	knownPace         knownPace // last reported speed
@@ -101,16 +101,16 @@
 	policy *placement.Policy
 
 	mu                sync.Mutex
-	members           map[hollowgrade.Life]*member
-	instances         map[string]hollowgrade.Life // current instance of each upstream, by id
+	members           map[hollowgrade.Instance]*member
+	instances         map[string]hollowgrade.Instance // current instance of each upstream, by id
 	services          map[string][]*member
-	outdated          bool                                // whether services must be rebuilt
-	unlistedBusyUntil map[hollowgrade.Life]time.Time      // end of the prefill backlog of upstreams that aren't listed here yet
-	unlistedReports   map[hollowgrade.Life]unlistedReport // peers' reports on upstreams that aren't listed here yet
-	lastRetryAt       map[string]time.Time                // latest retry time given to a caller refused because of limits, by service
-	views             map[string]*view                    // load that peers have assigned to upstreams, by box
-	peerCallRates     map[string]rate                     // rates of the calls that peers place, by service
-	changed           map[hollowgrade.Life]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
+	outdated          bool                                    // whether services must be rebuilt
+	unlistedBusyUntil map[hollowgrade.Instance]time.Time      // end of the prefill backlog of upstreams that aren't listed here yet
+	unlistedReports   map[hollowgrade.Instance]unlistedReport // peers' reports on upstreams that aren't listed here yet
+	lastRetryAt       map[string]time.Time                    // latest retry time given to a caller refused because of limits, by service
+	views             map[string]*view                        // load that peers have assigned to upstreams, by box
+	peerCallRates     map[string]rate                         // rates of the calls that peers place, by service
+	changed           map[hollowgrade.Instance]bool           // upstreams whose own share changed since the last call of [Fleet.Changes]
 	notify            chan struct{}
 	peers             func() int                                  // number of other processes that use the same upstreams
 	surveyedAt        map[string]time.Time                        // when upstreams of a service were last asked for their speed because one was slow
@@ -135,15 +135,15 @@
 		clock:             c,
 		log:               l,
 		policy:            placement.New(),
-		members:           map[hollowgrade.Life]*member{},
-		instances:         map[string]hollowgrade.Life{},
+		members:           map[hollowgrade.Instance]*member{},
+		instances:         map[string]hollowgrade.Instance{},
 		services:          map[string][]*member{},
-		unlistedBusyUntil: map[hollowgrade.Life]time.Time{},
-		unlistedReports:   map[hollowgrade.Life]unlistedReport{},
+		unlistedBusyUntil: map[hollowgrade.Instance]time.Time{},
+		unlistedReports:   map[hollowgrade.Instance]unlistedReport{},
 		lastRetryAt:       map[string]time.Time{},
 		views:             map[string]*view{},
 		peerCallRates:     map[string]rate{},
-		changed:           map[hollowgrade.Life]bool{},
+		changed:           map[hollowgrade.Instance]bool{},
 		surveyedAt:        map[string]time.Time{},
 		demands:           map[string]*demand{},
 		notify:            make(chan struct{}, 1),
@@ -231,7 +231,7 @@
 
 // startInstance adds the member for an instance of an upstream and replaces any other instance. The
 // lock is held.
-func (f *Fleet) startInstance(id string, l hollowgrade.Life) *member {
+func (f *Fleet) startInstance(id string, l hollowgrade.Instance) *member {
 	f.endInstance(id)
 	m := &member{instance: l, busyUntil: f.unlistedBusyUntil[l]}
 	delete(f.unlistedBusyUntil, l)
@@ -342,7 +342,7 @@
 }
 
 // hasUntried reports whether a service has a usable upstream that hasn't been tried.
-func (f *Fleet) hasUntried(service string, tried map[hollowgrade.Life]bool) bool {
+func (f *Fleet) hasUntried(service string, tried map[hollowgrade.Instance]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
@@ -388,11 +388,11 @@
 }
 
 // UpstreamStates returns the states of the upstreams that have an entry in shares.
-func (f *Fleet) UpstreamStates(shares map[hollowgrade.Life]Share) map[hollowgrade.Life]UpstreamState {
+func (f *Fleet) UpstreamStates(shares map[hollowgrade.Instance]Share) map[hollowgrade.Instance]UpstreamState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	ss := make(map[hollowgrade.Life]UpstreamState, len(shares))
+	ss := make(map[hollowgrade.Instance]UpstreamState, len(shares))
 	for l := range shares {
 		if m := f.members[l]; m != nil {
 			s := UpstreamState{Avoid: max(m.publishAvoidUntil.Sub(now), 0), Pace: m.ownPaceReport(now)}
@@ -406,7 +406,7 @@
 
 // ReceiveAtFault applies a peer's report that an upstream is at fault, unless too many of its
 // service are avoided already.
-func (f *Fleet) ReceiveAtFault(box string, id hollowgrade.Life, d time.Duration) {
+func (f *Fleet) ReceiveAtFault(box string, id hollowgrade.Instance, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -34,7 +34,7 @@
 
 func TestFleet(t *testing.T) {
 	plain := placement.Request{}
-	none := map[hollowgrade.Life]bool{}
+	none := map[hollowgrade.Instance]bool{}
 	t.Run("one that drains gets nothing new", func(t *testing.T) {
 		f := newFleet("s", 2)
 		f.Put(hollowgrade.Upstream{ID: "u00", Service: "s", Slots: 4, Draining: true})
@@ -102,7 +102,7 @@
 			a, b := newFleet("e", 2), newFleet("e", 2)
 			a.markAtFault(a.members["u00"], "c", "named by u01")
 			<-a.Changed()
-			require.Contains(t, a.Changes(false), hollowgrade.Life("u00"))
+			require.Contains(t, a.Changes(false), hollowgrade.Instance("u00"))
 			for id, d := range avoidDurations(a) {
 				b.ReceiveAtFault("a", id, d)
 			}
@@ -120,7 +120,7 @@
 	t.Run("no more than a part of a service is avoided by the word of others", func(t *testing.T) {
 		f := newFleet("e", 30)
 		for i := range 30 {
-			f.ReceiveAtFault("a", hollowgrade.Life(fmt.Sprintf("u%02d", i)), maxAvoid)
+			f.ReceiveAtFault("a", hollowgrade.Instance(fmt.Sprintf("u%02d", i)), maxAvoid)
 		}
 		avoided := 0
 		for _, m := range f.members {
@@ -137,9 +137,9 @@
 			f.recordFailure(f.members["u00"], "c", "reset")
 			p := f.pick("s", plain, none)
 			require.Equal(t, "u01", p.member.ID)
-			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Life]bool{"u01": true}).member.ID)
+			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Instance]bool{"u01": true}).member.ID)
 			time.Sleep(minAvoid)
-			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Life]bool{"u01": true}).member.ID)
+			require.Equal(t, "u00", f.pick("s", plain, map[hollowgrade.Instance]bool{"u01": true}).member.ID)
 		})
 	})
 	t.Run("a service takes the one with the fewest requests", func(t *testing.T) {
@@ -161,7 +161,7 @@
 	f := newFleet("e", 20)
 	var ps []*pick
 	for i := range 30 {
-		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, PauseGoal: time.Second, TimeLeft: time.Hour}, map[hollowgrade.Life]bool{})
+		p := f.pick("e", placement.Request{Engine: figures(), PromptTokens: i * 20_000, MaxTokens: 100, Goal: time.Second, PauseGoal: time.Second, TimeLeft: time.Hour}, map[hollowgrade.Instance]bool{})
 		if !p.Refused {
 			ps = append(ps, p)
 		}
@@ -231,7 +231,7 @@
 	for range 20 {
 		f := newFleet("e", 60)
 		f.SetRandom(r.Float64)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 9}, "u01": {Open: 8}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 9}, "u01": {Open: 8}}, true)
 		used[f.pick("e", short(), nil).member.ID]++
 	}
 	require.Greater(t, len(used), 2)
@@ -340,19 +340,19 @@
 func TestViewsOfOthers(t *testing.T) {
 	t.Run("count like own work", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 10}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 10}}, true)
 		require.Equal(t, "u01", f.pick("e", short(), nil).member.ID)
 	})
 	t.Run("are replaced and end", func(t *testing.T) {
 		f := newFleet("e", 2)
 		m := f.members["u00"]
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}, "u01": {Open: 1}}, true)
-		f.ReceiveView("c", map[hollowgrade.Life]Share{"u00": {Open: 2}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 3}, "u01": {Open: 1}}, true)
+		f.ReceiveView("c", map[hollowgrade.Instance]Share{"u00": {Open: 2}}, true)
 		require.Equal(t, 5, m.total().Open)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1}}, false)
 		require.Equal(t, 3, m.total().Open)
 		require.Equal(t, 1, f.members["u01"].total().Open)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1}}, true)
 		require.Zero(t, f.members["u01"].total().Open)
 		f.DropView("c")
 		require.Equal(t, 1, m.total().Open)
@@ -363,26 +363,26 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
 			f.ReceiveView("b", nil, true)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: 2 * time.Second}}, false)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1, Prefill: 2 * time.Second}}, false)
 			require.Equal(t, 2*time.Second, f.members["u00"].prefillBacklog(time.Now()))
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: 2 * time.Second}, "u01": {Open: 1, Prefill: time.Second}}, true)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1, Prefill: 2 * time.Second}, "u01": {Open: 1, Prefill: time.Second}}, true)
 			require.Equal(t, time.Second, f.members["u01"].prefillBacklog(time.Now()))
 		})
 	})
 	t.Run("reading from before all was heard does not count", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: time.Hour}}, false)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {Open: 1, Prefill: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1, Prefill: time.Hour}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u01": {Open: 1, Prefill: time.Hour}}, false)
 		require.Zero(t, f.members["u01"].prefillBacklog(time.Now()))
 	})
 	t.Run("reading goes on after whoever gave it is gone", func(t *testing.T) {
 		f := newFleet("e", 1)
 		m := f.members["u00"]
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 1, Prefill: time.Hour}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 1, Prefill: time.Hour}}, true)
 		require.Zero(t, m.prefillBacklog(time.Now()), "work placed before the first view may be done already")
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Prefill: time.Hour + time.Minute}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 2, Prefill: time.Hour + time.Minute}}, false)
 		require.InDelta(t, 60, m.prefillBacklog(time.Now()).Seconds(), 1)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 2, Prefill: time.Hour + 40*time.Second}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 2, Prefill: time.Hour + 40*time.Second}}, false)
 		require.InDelta(t, 40, m.prefillBacklog(time.Now()).Seconds(), 1, "some was taken back")
 		f.DropView("b")
 		require.Zero(t, m.total().Open)
@@ -390,14 +390,14 @@
 	})
 	t.Run("are kept for upstreams that are listed later", func(t *testing.T) {
 		f := newFleet("e", 1)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u09": {Open: 3}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u09": {Open: 3}}, true)
 		f.Put(hollowgrade.Upstream{ID: "u09", Service: "e"})
 		require.Equal(t, 3, f.members["u09"].total().Open)
 	})
 	t.Run("are forgotten when they are not repeated", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 1)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, true)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 3}}, true)
 			time.Sleep(viewTTL(0) + 1)
 			f.pick("e", short(), nil)
 			require.Equal(t, 1, f.members["u00"].total().Open)
@@ -408,7 +408,7 @@
 		p := f.pick("e", short(), nil)
 		<-f.Changed()
 		cs := f.Changes(false)
-		require.Equal(t, map[hollowgrade.Life]Share{p.member.Life(): p.member.ownShare}, cs)
+		require.Equal(t, map[hollowgrade.Instance]Share{p.member.Life(): p.member.ownShare}, cs)
 		require.Empty(t, f.Changes(false))
 		require.Len(t, f.Changes(true), 1)
 	})
@@ -416,16 +416,16 @@
 
 func TestLongPromptsWithoutMemory(t *testing.T) {
 	f := newFleet("e", 3)
-	full := map[hollowgrade.Life]Share{}
+	full := map[hollowgrade.Instance]Share{}
 	for i := range 3 {
-		full[hollowgrade.Life(fmt.Sprintf("u%02d", i))] = Share{Open: 1, Tokens: 300_000}
+		full[hollowgrade.Instance(fmt.Sprintf("u%02d", i))] = Share{Open: 1, Tokens: 300_000}
 	}
 	f.ReceiveView("b", full, true)
 	p := f.pick("e", long(210_000), nil)
 	require.True(t, p.Refused)
 	require.True(t, p.OutOfMemory)
 	require.Equal(t, Share{}, f.members["u00"].ownShare, "a refused request is not accounted for")
-	f.ReceiveView("b", map[hollowgrade.Life]Share{"u01": {}}, false)
+	f.ReceiveView("b", map[hollowgrade.Instance]Share{"u01": {}}, false)
 	p = f.pick("e", long(210_000), nil)
 	require.False(t, p.Refused)
 	require.Equal(t, "u01", p.member.ID)
@@ -454,9 +454,9 @@
 	// others.
 	t.Run("are refused while slots are short, although nothing waits to be read", func(t *testing.T) {
 		f := newFleet("e", 18)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{}, true)
 		for id := range f.members {
-			f.ReceiveView("b", map[hollowgrade.Life]Share{id: {Open: 15}}, false)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{id: {Open: 15}}, false)
 		}
 		require.True(t, f.pick("e", huge, nil).Refused)
 	})
@@ -477,18 +477,18 @@
 func TestReadingsOfUpstreamsThatAreNeverListedAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("e", 1)
-		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"gone": time.Second})
+		f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{"gone": time.Second})
 		require.Len(t, f.unlistedBusyUntil, 1)
 		time.Sleep(2 * time.Second)
-		f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{"another": time.Second})
+		f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{"another": time.Second})
 		require.Len(t, f.unlistedBusyUntil, 1)
-		require.Contains(t, f.unlistedBusyUntil, hollowgrade.Life("another"))
+		require.Contains(t, f.unlistedBusyUntil, hollowgrade.Instance("another"))
 	})
 }
 
 // avoidDurations returns for how long peers are asked to avoid upstreams.
-func avoidDurations(f *Fleet) map[hollowgrade.Life]time.Duration {
-	bs := map[hollowgrade.Life]time.Duration{}
+func avoidDurations(f *Fleet) map[hollowgrade.Instance]time.Duration {
+	bs := map[hollowgrade.Instance]time.Duration{}
 	for l, s := range f.UpstreamStates(f.Shares()) {
 		if s.Avoid > 0 {
 			bs[l] = s.Avoid
--- a/core/flow.go
+++ b/core/flow.go
@@ -54,12 +54,12 @@
 	budget       *retry.Window
 	deadline     time.Time
 
-	noMemory     int                       // attempts that failed for want of free memory
-	retryPaid    atomic.Bool               // whether the next retry is already taken out of the budget
-	tried        map[hollowgrade.Life]bool // instances that were picked for the call
-	upstreams    []string                  // the same, in order
-	headSent     bool                      // whether the caller has received a head
-	lastEventID  string                    // id of the last event that the caller has received
+	noMemory     int                           // attempts that failed for want of free memory
+	retryPaid    atomic.Bool                   // whether the next retry is already taken out of the budget
+	tried        map[hollowgrade.Instance]bool // instances that were picked for the call
+	upstreams    []string                      // the same, in order
+	headSent     bool                          // whether the caller has received a head
+	lastEventID  string                        // id of the last event that the caller has received
 	events       int
 	first        time.Duration // until the first part
 	lastEventAt  time.Time     // when the last event arrived
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -67,7 +67,7 @@
 	f.ReceiveView("b", nil, true)
 	busy := r.Float64()
 	for i := range len(f.members) {
-		m := f.members[hollowgrade.Life(fmt.Sprintf("u%02d", i))]
+		m := f.members[hollowgrade.Instance(fmt.Sprintf("u%02d", i))]
 		n := int(busy * float64(r.IntN(20)))
 		s := Share{Open: n, Tokens: n * (2000 + r.IntN(20_000))}
 		for range n {
@@ -106,7 +106,7 @@
 		for seed := range uint64(goldenCases) {
 			r := rand.New(rand.NewPCG(seed, 1))
 			f := randomFleet(r, time.Now())
-			tried := map[hollowgrade.Life]bool{}
+			tried := map[hollowgrade.Instance]bool{}
 			if r.IntN(6) == 0 {
 				tried["u00"] = true
 			}
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -11,7 +11,7 @@
 )
 
 // requireHelperParts checks how many parts of prompts an engine is estimated to hold for others.
-func requireHelperParts(t *testing.T, f *Fleet, id hollowgrade.Life, want int) {
+func requireHelperParts(t *testing.T, f *Fleet, id hollowgrade.Instance, want int) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +26,7 @@
 		f := newFleet("e", 17)
 		f.ReceiveView("b", nil, true)
 		for n := range 16 {
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u03": {Prefill: time.Duration(n+1) * time.Microsecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u03": {Prefill: time.Duration(n+1) * time.Microsecond}}, false)
 		}
 		requireHelperParts(t, f, "u03", 16)
 		p := f.pick("e", long(45_000), nil)
--- a/core/limit.go
+++ b/core/limit.go
@@ -106,7 +106,7 @@
 
 // ReceiveLimit applies a peer's report of the limit of an upstream, unless the upstream has reported
 // a later one.
-func (f *Fleet) ReceiveLimit(box string, id hollowgrade.Life, w RateLimit) {
+func (f *Fleet) ReceiveLimit(box string, id hollowgrade.Instance, w RateLimit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
@@ -158,7 +158,7 @@
 }
 
 // withinLimits returns the members whose limits leave room for a request now. The lock is held.
-func (f *Fleet) withinLimits(ms []*member, tried map[hollowgrade.Life]bool, now time.Time, begun bool) (free []*member) {
+func (f *Fleet) withinLimits(ms []*member, tried map[hollowgrade.Instance]bool, now time.Time, begun bool) (free []*member) {
 	if !slices.ContainsFunc(ms, func(m *member) bool { return m.limit.named }) {
 		return ms
 	}
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -70,7 +70,7 @@
 }
 
 // sendShares sends shares of a process to the others.
-func (p limitScenario) sendShares(ps []*limitProcess, from int, cs map[hollowgrade.Life]Share, whole bool, r *rand.Rand) (sent int) {
+func (p limitScenario) sendShares(ps []*limitProcess, from int, cs map[hollowgrade.Instance]Share, whole bool, r *rand.Rand) (sent int) {
 	seen := ps[from].fleet.UpstreamStates(cs)
 	var to []*Fleet
 	for i, o := range ps {
--- a/core/losses.go
+++ b/core/losses.go
@@ -32,7 +32,7 @@
 		WithRetryAfter(l.RetryAfter)
 }
 
-func lastUpstream(us []hollowgrade.Life) hollowgrade.Life {
+func lastUpstream(us []hollowgrade.Instance) hollowgrade.Instance {
 	if len(us) == 0 {
 		return "not told"
 	}
--- a/core/pace.go
+++ b/core/pace.go
@@ -86,7 +86,7 @@
 
 // StillSlow reports whether this process should ask a slow engine again. The process that asked last
 // does, so that a return to normal speed is noticed even if the engine gets no calls.
-func (f *Fleet) StillSlow(id hollowgrade.Life) bool {
+func (f *Fleet) StillSlow(id hollowgrade.Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
@@ -98,7 +98,7 @@
 // age. Box is the process that requested it, empty for this one; why is the request because of which
 // it was asked. Reports to this process are passed on to peers while the engine is slow or when it
 // becomes normal.
-func (f *Fleet) ReceivePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
+func (f *Fleet) ReceivePace(id hollowgrade.Instance, pace float64, age time.Duration, box, why string) {
 	if us := f.applyPace(id, pace, age, box, why); len(us) > 0 {
 		f.requestPaces(us, why)
 	}
@@ -106,7 +106,7 @@
 
 // applyPace is ReceivePace without the requests: it returns the engines that this process has to ask
 // because one was found to be slow.
-func (f *Fleet) applyPace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
+func (f *Fleet) applyPace(id hollowgrade.Instance, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -52,7 +52,7 @@
 }
 
 // requirePace checks the pace that an upstream is estimated to have.
-func requirePace(t *testing.T, f *Fleet, id hollowgrade.Life, want float64) {
+func requirePace(t *testing.T, f *Fleet, id hollowgrade.Instance, want float64) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,8 +93,8 @@
 			r.setPace("u1", 2.7)
 			serveShortPrompt(t, c)
 			requirePace(t, c.Fleet(), "u1", 2.7)
-			require.InDelta(t, 2.7, c.Fleet().UpstreamStates(map[hollowgrade.Life]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
-			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Life("u1"), "peers are informed")
+			require.InDelta(t, 2.7, c.Fleet().UpstreamStates(map[hollowgrade.Instance]Share{"u1": {}})["u1"].Pace.Pace, 1e-9)
+			require.Contains(t, c.Fleet().Changes(false), hollowgrade.Instance("u1"), "peers are informed")
 			r.setPace("u1", 1)
 			time.Sleep(2 * PaceRecheckInterval)
 			synctest.Wait()
@@ -159,7 +159,7 @@
 		f := newFleet("e", 2)
 		f.ReceivePace("u00", 4, 0, "b", "")
 		requirePace(t, f, "u00", 4)
-		for _, s := range f.UpstreamStates(map[hollowgrade.Life]Share{"u00": {}}) {
+		for _, s := range f.UpstreamStates(map[hollowgrade.Instance]Share{"u00": {}}) {
 			require.Zero(t, s.Pace)
 		}
 		require.False(t, f.StillSlow("u00"), "only the process that asked the engine asks again")
@@ -209,11 +209,11 @@
 	t.Run("change how long it takes for what it has still to read", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet("e", 2)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 100 * time.Millisecond}}, true)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 200 * time.Millisecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Prefill: 100 * time.Millisecond}}, true)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Prefill: 200 * time.Millisecond}}, false)
 			f.ReceivePace("u00", 4, 0, "c", "")
 			require.Equal(t, 400*time.Millisecond, f.members["u00"].prefillBacklog(time.Now()))
-			f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Prefill: 300 * time.Millisecond}}, false)
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Prefill: 300 * time.Millisecond}}, false)
 			require.Equal(t, 800*time.Millisecond, f.members["u00"].prefillBacklog(time.Now()))
 		})
 	})
--- a/core/place.go
+++ b/core/place.go
@@ -59,7 +59,7 @@
 
 // pick chooses the upstream of a service for a call and the helpers that prefill parts of its
 // prompt, and accounts for the work. It returns nil if there is none.
-func (f *Fleet) pick(service string, r placement.Request, tried map[hollowgrade.Life]bool) *pick {
+func (f *Fleet) pick(service string, r placement.Request, tried map[hollowgrade.Instance]bool) *pick {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
@@ -123,7 +123,7 @@
 
 // snapshot returns the state of members for placement. It is valid until the next call. The lock is
 // held.
-func (f *Fleet) snapshot(ms []*member, tried map[hollowgrade.Life]bool, now time.Time) placement.Snapshot {
+func (f *Fleet) snapshot(ms []*member, tried map[hollowgrade.Instance]bool, now time.Time) placement.Snapshot {
 	f.candidates = f.candidates[:0]
 	for _, m := range ms {
 		f.candidates = append(f.candidates, m.candidate(tried[m.instance], now))
--- a/core/probe.go
+++ b/core/probe.go
@@ -60,7 +60,7 @@
 
 // probeOf returns the probe of an instance that is in progress or was just made, or adds a new one
 // that the caller has to run.
-func (c *Core) probeOf(l hollowgrade.Life) (e *sharedProbe, first bool) {
+func (c *Core) probeOf(l hollowgrade.Instance) (e *sharedProbe, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -30,8 +30,8 @@
 	l := upstreamStartedAt(0).Life()
 	p = f.pick("s", placement.Request{PromptTokens: 100, MaxTokens: 10, TimeLeft: time.Second}, nil)
 	require.NotNil(t, p)
-	f.ReceiveView("b", map[hollowgrade.Life]Share{l: {Open: 3, Tokens: 500}}, true)
-	f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{l: 5 * time.Second})
+	f.ReceiveView("b", map[hollowgrade.Instance]Share{l: {Open: 3, Tokens: 500}}, true)
+	f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{l: 5 * time.Second})
 	f.ReceivePace(l, 4, 0, "", "r")
 	m := f.members[l]
 	m.addPart(time.Now(), time.Second)
@@ -41,7 +41,7 @@
 }
 
 // requireNoHistory checks that an upstream's present instance has no state.
-func requireNoHistory(t *testing.T, f *Fleet, l hollowgrade.Life) {
+func requireNoHistory(t *testing.T, f *Fleet, l hollowgrade.Instance) {
 	t.Helper()
 	m := f.members[l]
 	require.NotNil(t, m, "another instance is listed")
@@ -81,8 +81,8 @@
 			f, _ := newUsedFleet(t)
 			f.Put(later)
 			old := upstreamStartedAt(0).Life()
-			f.ReceiveView("b", map[hollowgrade.Life]Share{old: {Open: 9}}, false)
-			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{old: 9 * time.Second})
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{old: {Open: 9}}, false)
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{old: 9 * time.Second})
 			f.ReceiveAtFault("b", old, time.Second)
 			f.ReceivePace(old, 9, 0, "b", "")
 			requireNoHistory(t, f, later.Life())
@@ -91,8 +91,8 @@
 	t.Run("words of peers on a life that isn't known yet hold once it is", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
-			f.ReceiveView("b", map[hollowgrade.Life]Share{later.Life(): {Open: 2}}, false)
-			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{later.Life(): {Open: 2}}, false)
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Life(): time.Second})
 			f.Put(later)
 			require.Equal(t, 2, f.members[later.Life()].total().Open)
 			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
@@ -101,7 +101,7 @@
 	t.Run("and as well where it says itself that it began", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
-			f.ReceivePrefillBacklogs("b", map[hollowgrade.Life]time.Duration{later.Life(): time.Second})
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Life(): time.Second})
 			f.InstanceStarted("u", later.Born)
 			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
 		})
@@ -120,7 +120,7 @@
 	t.Run("a call that was lost with one life may go to the next", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, p := newUsedFleet(t)
-			tried := map[hollowgrade.Life]bool{p.member.Life(): true}
+			tried := map[hollowgrade.Instance]bool{p.member.Life(): true}
 			require.False(t, f.hasUntried("s", tried))
 			f.Put(later)
 			require.True(t, f.hasUntried("s", tried))
@@ -158,7 +158,7 @@
 		})
 	})
 	t.Run("those that do not tell their start are known by their id", func(t *testing.T) {
-		require.Equal(t, hollowgrade.Life("u"), hollowgrade.Upstream{ID: "u"}.Life())
+		require.Equal(t, hollowgrade.Instance("u"), hollowgrade.Upstream{ID: "u"}.Life())
 	})
 }
 
--- a/core/share.go
+++ b/core/share.go
@@ -31,7 +31,7 @@
 
 // view is the load that one peer has assigned to upstreams, as it reports.
 type view struct {
-	shares        map[hollowgrade.Life]Share
+	shares        map[hollowgrade.Instance]Share
 	receivedAt    time.Time
 	recentPrefill peerPrefill
 	complete      bool // whether a complete report was received, so that upstreams that appear later are new
@@ -44,10 +44,10 @@
 
 // Changes returns the own shares that changed since the last call, and with all also those that
 // [Fleet.Shares] returns.
-func (f *Fleet) Changes(all bool) map[hollowgrade.Life]Share {
+func (f *Fleet) Changes(all bool) map[hollowgrade.Instance]Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	cs := map[hollowgrade.Life]Share{}
+	cs := map[hollowgrade.Instance]Share{}
 	if all {
 		cs = f.shares()
 	}
@@ -62,15 +62,15 @@
 
 // Shares returns the own shares that are not zero, and those of upstreams with something else to
 // report: they were named as at fault, are slow, have a limit, or leave.
-func (f *Fleet) Shares() map[hollowgrade.Life]Share {
+func (f *Fleet) Shares() map[hollowgrade.Instance]Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.shares()
 }
 
-func (f *Fleet) shares() map[hollowgrade.Life]Share {
+func (f *Fleet) shares() map[hollowgrade.Instance]Share {
 	now := f.clock.Now()
-	cs := map[hollowgrade.Life]Share{}
+	cs := map[hollowgrade.Instance]Share{}
 	for id, m := range f.members {
 		if m.ownShare != (Share{}) || now.Before(m.publishAvoidUntil) || m.knownPace.own && m.slow(now) || m.limit.reportable(now) || m.leaving {
 			cs[id] = m.ownShare
@@ -100,12 +100,12 @@
 // ReceiveView applies a peer's report of the load that it has assigned to upstreams. A complete one
 // replaces all earlier ones. Box identifies one instance of the peer, because its counters start
 // again with each.
-func (f *Fleet) ReceiveView(box string, shares map[hollowgrade.Life]Share, complete bool) {
+func (f *Fleet) ReceiveView(box string, shares map[hollowgrade.Instance]Share, complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.views[box]
 	if v == nil {
-		v = &view{shares: map[hollowgrade.Life]Share{}}
+		v = &view{shares: map[hollowgrade.Instance]Share{}}
 		f.views[box] = v
 	}
 	v.receivedAt = f.clock.Now()
@@ -125,7 +125,7 @@
 // setViewShare replaces one share of a view. Prefill added since the last report counts from now on;
 // a decrease means that some was cancelled. Prefill assigned before the peer's first complete report
 // is ignored, because it is unknown how much of it is still pending. The lock is held.
-func (f *Fleet) setViewShare(v *view, id hollowgrade.Life, s Share) {
+func (f *Fleet) setViewShare(v *view, id hollowgrade.Instance, s Share) {
 	old, known := v.shares[id]
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Plus(s).Minus(old)
@@ -147,7 +147,7 @@
 }
 
 // dropShare removes one share of a view. Its prefill stays in the backlog. The lock is held.
-func (f *Fleet) dropShare(v *view, id hollowgrade.Life) {
+func (f *Fleet) dropShare(v *view, id hollowgrade.Instance) {
 	if m := f.members[id]; m != nil {
 		m.peerShare = m.peerShare.Minus(v.shares[id])
 	}
@@ -155,7 +155,7 @@
 }
 
 // sumPeerShares adds up the load that peers have assigned to a new member. The lock is held.
-func (f *Fleet) sumPeerShares(m *member, id hollowgrade.Life) {
+func (f *Fleet) sumPeerShares(m *member, id hollowgrade.Instance) {
 	for _, v := range f.views {
 		m.peerShare = m.peerShare.Plus(v.shares[id])
 	}
@@ -163,11 +163,11 @@
 
 // PrefillBacklogs returns how much prefill each upstream has still to do for all processes, without
 // those that have none.
-func (f *Fleet) PrefillBacklogs() map[hollowgrade.Life]time.Duration {
+func (f *Fleet) PrefillBacklogs() map[hollowgrade.Instance]time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	rs := map[hollowgrade.Life]time.Duration{}
+	rs := map[hollowgrade.Instance]time.Duration{}
 	for id, m := range f.members {
 		if d := m.prefillBacklog(now); d > 0 {
 			rs[id] = d
@@ -180,11 +180,11 @@
 // process that has just started cannot derive this from shares: a restarted gateway assigned 0.9 s
 // of prefill to each of six engines that had 0.6 s left, and short answers there paused for a
 // second.
-func (f *Fleet) ReceivePrefillBacklogs(box string, rs map[hollowgrade.Life]time.Duration) {
+func (f *Fleet) ReceivePrefillBacklogs(box string, rs map[hollowgrade.Instance]time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	maps.DeleteFunc(f.unlistedBusyUntil, func(_ hollowgrade.Life, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(f.unlistedBusyUntil, func(_ hollowgrade.Instance, until time.Time) bool { return !now.Before(until) })
 	learned := 0
 	for id, d := range rs {
 		until := now.Add(d)
@@ -211,7 +211,7 @@
 }
 
 // PeerShare returns the load that peers have assigned to an upstream, as they report it.
-func (f *Fleet) PeerShare(id hollowgrade.Life) Share {
+func (f *Fleet) PeerShare(id hollowgrade.Instance) Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
--- a/core/signals.go
+++ b/core/signals.go
@@ -30,7 +30,7 @@
 }
 
 // applyReport applies the signals in a status report that was requested at the given time.
-func (f *Fleet) applyReport(id hollowgrade.Life, request string, asked time.Time, s hollowgrade.Signals) {
+func (f *Fleet) applyReport(id hollowgrade.Instance, request string, asked time.Time, s hollowgrade.Signals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
@@ -52,7 +52,7 @@
 }
 
 // ReceiveLeaving applies a peer's report that an upstream signals that it is leaving.
-func (f *Fleet) ReceiveLeaving(box string, id hollowgrade.Life) {
+func (f *Fleet) ReceiveLeaving(box string, id hollowgrade.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[id]; m != nil {
@@ -82,9 +82,9 @@
 
 // keepUnlistedReport stores a peer's report on an upstream until that is listed here. The lock is
 // held.
-func (f *Fleet) keepUnlistedReport(id hollowgrade.Life, add func(t *unlistedReport)) {
+func (f *Fleet) keepUnlistedReport(id hollowgrade.Instance, add func(t *unlistedReport)) {
 	now := f.clock.Now()
-	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Life, t unlistedReport) bool { return now.Sub(t.at) > unlistedReportTTL })
+	maps.DeleteFunc(f.unlistedReports, func(_ hollowgrade.Instance, t unlistedReport) bool { return now.Sub(t.at) > unlistedReportTTL })
 	t := f.unlistedReports[id]
 	t.limit.Age += now.Sub(t.at)
 	t.at = now
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -26,7 +26,7 @@
 }
 
 // receiveAnswer handles an upstream's answer to a call that was sent at a given time.
-func receiveAnswer(f *Fleet, id hollowgrade.Life, sent time.Time, h hollowgrade.Head) {
+func receiveAnswer(f *Fleet, id hollowgrade.Instance, sent time.Time, h hollowgrade.Head) {
 	f.recordAnswer(f.members[id], "r", false, sent, h)
 }
 
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -94,7 +94,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{status(200, "yes")}}
 			c := s.core(f)
-			c.Fleet().ReceiveView("b", map[hollowgrade.Life]Share{"u1": {Open: 5}}, true)
+			c.Fleet().ReceiveView("b", map[hollowgrade.Instance]Share{"u1": {Open: 5}}, true)
 			s.suspend(10 * time.Second)
 			hollowgrade.Notice(s.WorldClock)
 			_ = c.Serve(context.Background(), s.call("/public/"), &fakeSink{})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -22,7 +22,7 @@
 
 // unavailability returns why the untried upstreams of a service take no call now, and assigns the
 // caller a retry delay.
-func (f *Fleet) unavailability(service string, tried map[hollowgrade.Life]bool) (r unavailability) {
+func (f *Fleet) unavailability(service string, tried map[hollowgrade.Instance]bool) (r unavailability) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/core/unheard_test.go
+++ b/core/unheard_test.go
@@ -26,7 +26,7 @@
 			f.ReceiveView("b", nil, true)
 			for n := range 400 {
 				time.Sleep(2 * time.Millisecond)
-				f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: n + 1}}, false)
+				f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: n + 1}}, false)
 			}
 			requirePendingCalls(t, f, "e", 500*peerCallDelay.Seconds())
 			requirePendingCalls(t, f, "another", 0)
@@ -36,13 +36,13 @@
 	})
 	t.Run("are not what stood when a process was first heard", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 50}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 50}}, true)
 		requirePendingCalls(t, f, "e", 0)
 	})
 	t.Run("are not those that end", func(t *testing.T) {
 		f := newFleet("e", 2)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 50}}, true)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 20}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 50}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 20}}, false)
 		requirePendingCalls(t, f, "e", 0)
 	})
 }
@@ -54,9 +54,9 @@
 	for i := range 40 {
 		f := newFleet("e", 9)
 		f.SetRandom(func() float64 { return (float64(i) + 0.5) / 40 })
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {}}, true)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 300}}, false)
-		f.ReceiveView("b", map[hollowgrade.Life]Share{"u00": {Open: 3}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {}}, true)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 300}}, false)
+		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 3}}, false)
 		used[f.pick("e", short(), nil).member.ID]++
 	}
 	require.Greater(t, len(used), 2)
--- a/experiment/naive.go
+++ b/experiment/naive.go
@@ -67,11 +67,11 @@
 	n.open[d.Upstream]--
 }
 
-func (n *naive) changes(bool) map[hollowgrade.Life]core.Share {
+func (n *naive) changes(bool) map[hollowgrade.Instance]core.Share {
 	return nil
 }
 
-func (n *naive) hear(string, map[hollowgrade.Life]core.Share, bool) {}
+func (n *naive) hear(string, map[hollowgrade.Instance]core.Share, bool) {}
 
 func (n *naive) suspects(core.Plan) []string {
 	return nil
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -391,8 +391,8 @@
 	decide(j *job, left time.Duration) (core.Plan, bool)
 	began(d core.Plan)
 	done(d core.Plan)
-	changes(whole bool) map[hollowgrade.Life]core.Share
-	hear(from string, cs map[hollowgrade.Life]core.Share, whole bool)
+	changes(whole bool) map[hollowgrade.Instance]core.Share
+	hear(from string, cs map[hollowgrade.Instance]core.Share, whole bool)
 	// suspects returns the engines of a plan that are to be asked how fast they are.
 	suspects(d core.Plan) []string
 	// takePace takes an engine's word on that, and reports whether others are to be told.
@@ -450,7 +450,7 @@
 	g.fleet.Done(d, true)
 }
 
-func (g *gateway) changes(whole bool) map[hollowgrade.Life]core.Share {
+func (g *gateway) changes(whole bool) map[hollowgrade.Instance]core.Share {
 	return g.fleet.Changes(whole)
 }
 
@@ -464,14 +464,14 @@
 
 func (g *gateway) takePace(id string, pace float64, age time.Duration, box string) (tell bool) {
 	was := g.stillSlow(id)
-	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
+	g.fleet.ReceivePace(hollowgrade.Instance(id), pace, age, box, "")
 	return was || g.stillSlow(id)
 }
 
 func (g *gateway) stillSlow(id string) bool {
-	return g.fleet.StillSlow(hollowgrade.Life(id))
+	return g.fleet.StillSlow(hollowgrade.Instance(id))
 }
 
-func (g *gateway) hear(from string, cs map[hollowgrade.Life]core.Share, whole bool) {
+func (g *gateway) hear(from string, cs map[hollowgrade.Instance]core.Share, whole bool) {
 	g.fleet.ReceiveView(from, cs, whole)
 }
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -25,7 +25,7 @@
 		hs := []node.HeldRequest{}
 		if held {
 			hs = append(hs, node.HeldRequest{Fingerprint: someFingerprint, Organisation: "club-2", Route: "captions", Since: time.Unix(0, 0), Until: time.Unix(600, 0),
-				Losses: 3, Odds: 1e-9, Upstreams: []hollowgrade.Life{"i-1", "i-2"}, By: "box-1"})
+				Losses: 3, Odds: 1e-9, Upstreams: []hollowgrade.Instance{"i-1", "i-2"}, By: "box-1"})
 		}
 		_ = writeJSON(w, hs)
 	})
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -40,15 +40,15 @@
 
 // heldRecord is a request that is held, as it stands in the store under its fingerprint.
 type heldRecord struct {
-	Organisation string             `json:"organisation"`
-	Route        string             `json:"route"`
-	Service      string             `json:"service"`
-	Since        int64              `json:"since"` // Unix ms
-	Until        int64              `json:"until"` // Unix ms
-	Losses       int                `json:"losses"`
-	Odds         float64            `json:"odds"`
-	Upstreams    []hollowgrade.Life `json:"upstreams"`
-	By           string             `json:"by"`
+	Organisation string                 `json:"organisation"`
+	Route        string                 `json:"route"`
+	Service      string                 `json:"service"`
+	Since        int64                  `json:"since"` // Unix ms
+	Until        int64                  `json:"until"` // Unix ms
+	Losses       int                    `json:"losses"`
+	Odds         float64                `json:"odds"`
+	Upstreams    []hollowgrade.Instance `json:"upstreams"`
+	By           string                 `json:"by"`
 }
 
 // encodeHold encodes a record. Its moments are written as times of day.
@@ -160,16 +160,16 @@
 
 // HeldRequest is a request that is held, as operators are told.
 type HeldRequest struct {
-	Fingerprint  string             `json:"fingerprint"`
-	Organisation string             `json:"organisation"`
-	Route        string             `json:"route"`
-	Service      string             `json:"service"`
-	Since        time.Time          `json:"since"`
-	Until        time.Time          `json:"until"`
-	Losses       int                `json:"losses"`    // in a row
-	Odds         float64            `json:"odds"`      // of these for a harmless request
-	Upstreams    []hollowgrade.Life `json:"upstreams"` // that ended, the latest last
-	By           string             `json:"by"`        // gateway that reached the verdict
+	Fingerprint  string                 `json:"fingerprint"`
+	Organisation string                 `json:"organisation"`
+	Route        string                 `json:"route"`
+	Service      string                 `json:"service"`
+	Since        time.Time              `json:"since"`
+	Until        time.Time              `json:"until"`
+	Losses       int                    `json:"losses"`    // in a row
+	Odds         float64                `json:"odds"`      // of these for a harmless request
+	Upstreams    []hollowgrade.Instance `json:"upstreams"` // that ended, the latest last
+	By           string                 `json:"by"`        // gateway that reached the verdict
 }
 
 // serve serves operators' questions about requests that are held.
--- a/loadview/loadview.go
+++ b/loadview/loadview.go
@@ -69,7 +69,7 @@
 
 // link is the connection to one peer.
 type link struct {
-	pending   map[hollowgrade.Life]core.Share
+	pending   map[hollowgrade.Instance]core.Share
 	whole     bool // whether pending is the whole view
 	first     bool // whether nothing has been sent on the stream yet
 	packets   netip.AddrPort
@@ -198,7 +198,7 @@
 			continue
 		}
 		c, cancel := context.WithCancel(ctx)
-		l := &link{packets: s.packetAddress(a), wake: make(chan struct{}, 1), cancel: cancel, pending: map[hollowgrade.Life]core.Share{}}
+		l := &link{packets: s.packetAddress(a), wake: make(chan struct{}, 1), cancel: cancel, pending: map[hollowgrade.Instance]core.Share{}}
 		s.links[a] = l
 		g.Go(func() { s.keepConnected(c, a, l) })
 	}
@@ -221,7 +221,7 @@
 
 // sendChanges sends changes at once, in packets to the peers that have a stream, and again with the
 // next heartbeat. Without packets they go on streams.
-func (s *Sender) sendChanges(cs map[hollowgrade.Life]core.Share) {
+func (s *Sender) sendChanges(cs map[hollowgrade.Instance]core.Share) {
 	if s.packets == nil {
 		s.sendOnStreams(cs, false)
 		return
@@ -238,8 +238,8 @@
 }
 
 // frames returns shares as frames that fit into packets.
-func (s *Sender) frames(cs map[hollowgrade.Life]core.Share) (fs []*wire.Frame) {
-	part := make(map[hollowgrade.Life]core.Share, maxSharesPerPacket)
+func (s *Sender) frames(cs map[hollowgrade.Instance]core.Share) (fs []*wire.Frame) {
+	part := make(map[hollowgrade.Instance]core.Share, maxSharesPerPacket)
 	for id, c := range cs {
 		part[id] = c
 		if len(part) == maxSharesPerPacket {
@@ -254,7 +254,7 @@
 }
 
 // sendOnStreams makes each link send shares on its stream.
-func (s *Sender) sendOnStreams(cs map[hollowgrade.Life]core.Share, whole bool) {
+func (s *Sender) sendOnStreams(cs map[hollowgrade.Instance]core.Share, whole bool) {
 	s.addShares(cs, whole)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,7 +268,7 @@
 
 // addShares adds shares to what each link has to send, and returns the packet addresses of the peers
 // that are connected.
-func (s *Sender) addShares(cs map[hollowgrade.Life]core.Share, whole bool) (to []netip.AddrPort) {
+func (s *Sender) addShares(cs map[hollowgrade.Instance]core.Share, whole bool) (to []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -325,15 +325,15 @@
 }
 
 // frame returns a message with shares.
-func (s *Sender) frame(cs map[hollowgrade.Life]core.Share, whole bool) *wire.Frame {
+func (s *Sender) frame(cs map[hollowgrade.Instance]core.Share, whole bool) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_LoadView{LoadView: s.view(cs, whole)}}
 }
 
 // addPrefillBacklogs adds the prefill backlog of upstreams to a view.
-func addPrefillBacklogs(m *wire.LoadView, rs map[hollowgrade.Life]time.Duration) {
+func addPrefillBacklogs(m *wire.LoadView, rs map[hollowgrade.Instance]time.Duration) {
 	for _, c := range m.Shares {
-		c.ReadingMicros = rs[hollowgrade.Life(c.Upstream)].Microseconds()
-		delete(rs, hollowgrade.Life(c.Upstream))
+		c.ReadingMicros = rs[hollowgrade.Instance(c.Upstream)].Microseconds()
+		delete(rs, hollowgrade.Instance(c.Upstream))
 	}
 	for id, d := range rs {
 		m.Shares = append(m.Shares, &wire.LoadShare{Upstream: string(id), ReadingMicros: d.Microseconds()})
@@ -341,7 +341,7 @@
 }
 
 // view returns the body of a message.
-func (s *Sender) view(cs map[hollowgrade.Life]core.Share, whole bool) *wire.LoadView {
+func (s *Sender) view(cs map[hollowgrade.Instance]core.Share, whole bool) *wire.LoadView {
 	m := &wire.LoadView{Box: s.box, Whole: whole, Sequence: s.sequence.Add(1)}
 	seen := s.fleet.UpstreamStates(cs)
 	for id, c := range cs {
@@ -431,10 +431,10 @@
 	}
 }
 
-func decodeShares(m *wire.LoadView) map[hollowgrade.Life]core.Share {
-	ss := make(map[hollowgrade.Life]core.Share, len(m.Shares))
+func decodeShares(m *wire.LoadView) map[hollowgrade.Instance]core.Share {
+	ss := make(map[hollowgrade.Instance]core.Share, len(m.Shares))
 	for _, c := range m.Shares {
-		ss[hollowgrade.Life(c.Upstream)] = core.Share{
+		ss[hollowgrade.Instance(c.Upstream)] = core.Share{
 			Open:    int(c.Open),
 			Stakes:  decodeStakes(c.Stakes),
 			Prefill: time.Duration(c.GivenMicros) * time.Microsecond,
@@ -478,11 +478,11 @@
 }
 
 // decodePrefillBacklogs returns the prefill backlogs of upstreams in a peer's view.
-func decodePrefillBacklogs(m *wire.LoadView) map[hollowgrade.Life]time.Duration {
-	rs := map[hollowgrade.Life]time.Duration{}
+func decodePrefillBacklogs(m *wire.LoadView) map[hollowgrade.Instance]time.Duration {
+	rs := map[hollowgrade.Instance]time.Duration{}
 	for _, c := range m.Shares {
 		if c.ReadingMicros > 0 {
-			rs[hollowgrade.Life(c.Upstream)] = time.Duration(c.ReadingMicros) * time.Microsecond
+			rs[hollowgrade.Instance(c.Upstream)] = time.Duration(c.ReadingMicros) * time.Microsecond
 		}
 	}
 	return rs
--- a/loadview/loadview_test.go
+++ b/loadview/loadview_test.go
@@ -154,7 +154,7 @@
 	requireOpen := func(t *testing.T, open ...int) {
 		t.Helper()
 		for i, n := range open {
-			require.Equal(t, n, f.PeerShare(hollowgrade.Life(fmt.Sprint(i))).Open, "upstream %d", i)
+			require.Equal(t, n, f.PeerShare(hollowgrade.Instance(fmt.Sprint(i))).Open, "upstream %d", i)
 		}
 	}
 	k := NewReceiver(f)
@@ -187,9 +187,9 @@
 }
 
 func TestFramesFitIntoPackets(t *testing.T) {
-	cs := map[hollowgrade.Life]core.Share{}
+	cs := map[hollowgrade.Instance]core.Share{}
 	for i := range 100 {
-		cs[hollowgrade.Life(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Prefill: 24 * time.Hour, Tokens: 1 << 24}
+		cs[hollowgrade.Instance(fmt.Sprintf("i-%016d#mf0abcde", i))] = core.Share{Open: 1 << 20, Stakes: placement.Stakes{1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20}, Prefill: 24 * time.Hour, Tokens: 1 << 24}
 	}
 	s := New("box-of-a-long-name-in-a-data-hall/incarnation", newFleet(), func() []string { return nil })
 	sent := 0
@@ -216,9 +216,9 @@
 }
 
 func TestReadingsOverTheWire(t *testing.T) {
-	rs := map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second}
+	rs := map[hollowgrade.Instance]time.Duration{"u": time.Second, "v": 2 * time.Second}
 	m := &wire.LoadView{Shares: []*wire.LoadShare{{Upstream: "u", Open: 1}, {Upstream: "w"}}}
-	addPrefillBacklogs(m, map[hollowgrade.Life]time.Duration{"u": time.Second, "v": 2 * time.Second})
+	addPrefillBacklogs(m, map[hollowgrade.Instance]time.Duration{"u": time.Second, "v": 2 * time.Second})
 	require.Len(t, m.Shares, 3)
 	require.Equal(t, rs, decodePrefillBacklogs(m))
 }
@@ -260,7 +260,7 @@
 	}
 	s := New("edge-of-a-hall-12/1a2b3c4d", f, func() []string { return nil })
 	for i := range peers {
-		s.links[fmt.Sprint(i)] = &link{pending: map[hollowgrade.Life]core.Share{}, wake: make(chan struct{}, 1)}
+		s.links[fmt.Sprint(i)] = &link{pending: map[hollowgrade.Instance]core.Share{}, wake: make(chan struct{}, 1)}
 	}
 	f.Changes(true)
 	bytes := 0
@@ -303,7 +303,7 @@
 	startSender(t, a, startReceiver(t, b), WithPackets(p))
 	a.ReceivePace("u", 3, 0, "", "r")
 	requirePredicted(t, b, 3)
-	for _, w := range b.UpstreamStates(map[hollowgrade.Life]core.Share{"u": {}}) {
+	for _, w := range b.UpstreamStates(map[hollowgrade.Instance]core.Share{"u": {}}) {
 		require.Zero(t, w.Pace, "a gateway does not pass on what a peer reported")
 	}
 	a.ReceivePace("u", 1, 0, "", "r")
--- a/loadview/receiver.go
+++ b/loadview/receiver.go
@@ -25,8 +25,8 @@
 // sequences tracks the messages of one instance of a peer: one that arrives late must not undo later
 // ones.
 type sequences struct {
-	last       uint64                      // the highest sequence number received
-	byUpstream map[hollowgrade.Life]uint64 // the same for each upstream
+	last       uint64                          // the highest sequence number received
+	byUpstream map[hollowgrade.Instance]uint64 // the same for each upstream
 }
 
 // NewReceiver returns a receiver for a fleet.
@@ -85,7 +85,7 @@
 func (t *Receiver) openStream(first *wire.LoadView) *sequences {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := &sequences{byUpstream: map[hollowgrade.Life]uint64{}}
+	o := &sequences{byUpstream: map[hollowgrade.Instance]uint64{}}
 	t.peers[first.Box] = o
 	t.receiveLocked(first)
 	return o
@@ -131,7 +131,7 @@
 		t.fleet.ReceivePrefillBacklogs(m.Box, rs)
 	}
 	for _, c := range m.Shares {
-		if _, ok := ss[hollowgrade.Life(c.Upstream)]; ok {
+		if _, ok := ss[hollowgrade.Instance(c.Upstream)]; ok {
 			t.receiveUpstream(m.Box, c)
 		}
 	}
@@ -140,16 +140,16 @@
 // receiveUpstream applies what a peer reports of an upstream itself.
 func (t *Receiver) receiveUpstream(box string, c *wire.LoadShare) {
 	if c.AvoidMillis > 0 {
-		t.fleet.ReceiveAtFault(box, hollowgrade.Life(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
+		t.fleet.ReceiveAtFault(box, hollowgrade.Instance(c.Upstream), time.Duration(c.AvoidMillis)*time.Millisecond)
 	}
 	if c.PaceMilli > 0 {
-		t.fleet.ReceivePace(hollowgrade.Life(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
+		t.fleet.ReceivePace(hollowgrade.Instance(c.Upstream), float64(c.PaceMilli)/paceUnit, time.Duration(c.PaceAgeMillis)*time.Millisecond, box, "")
 	}
 	if c.Leaving {
-		t.fleet.ReceiveLeaving(box, hollowgrade.Life(c.Upstream))
+		t.fleet.ReceiveLeaving(box, hollowgrade.Instance(c.Upstream))
 	}
 	if l := c.Limit; l != nil {
-		t.fleet.ReceiveLimit(box, hollowgrade.Life(c.Upstream), core.RateLimit{
+		t.fleet.ReceiveLimit(box, hollowgrade.Instance(c.Upstream), core.RateLimit{
 			Named: l.Named, PerSecond: l.PerSecond, Age: time.Duration(l.AgeMillis) * time.Millisecond, Relayed: l.Relayed,
 		})
 	}
--- a/loadview/suspicions.go
+++ b/loadview/suspicions.go
@@ -121,7 +121,7 @@
 	at := func(age int64) time.Time { return now.Add(-time.Duration(age) * time.Microsecond) }
 	for _, l := range m.GetLosses() {
 		if s, ok := decodeSubject(l.Subject); ok {
-			w.Losses = append(w.Losses, quarantine.Loss{Subject: s, Upstream: hollowgrade.Life(l.Upstream), Engines: int(l.Engines),
+			w.Losses = append(w.Losses, quarantine.Loss{Subject: s, Upstream: hollowgrade.Instance(l.Upstream), Engines: int(l.Engines),
 				Sent: at(l.SentAgeMicros), Lost: at(max(l.LostAgeMicros, 0))})
 		}
 	}
@@ -138,7 +138,7 @@
 	for _, h := range m.GetHolds() {
 		if s, ok := decodeSubject(h.Subject); ok {
 			w.Blocks = append(w.Blocks, quarantine.Block{Subject: s, Since: at(max(h.AgeMicros, 0)), Until: at(-h.LeftMicros),
-				Losses: int(h.Losses), Odds: h.Odds, Upstreams: convert[hollowgrade.Life](h.Upstreams), By: h.By})
+				Losses: int(h.Losses), Odds: h.Odds, Upstreams: convert[hollowgrade.Instance](h.Upstreams), By: h.By})
 		}
 	}
 	return w
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -13,7 +13,7 @@
 
 // crash is a crash of an upstream, as reported by gateways.
 type crash struct {
-	upstream hollowgrade.Life
+	upstream hollowgrade.Instance
 	at       time.Time
 	lostRuns []lostRun // runs that were lost in it
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -29,7 +29,7 @@
 // Loss is a run that was lost because its upstream crashed.
 type Loss struct {
 	Subject
-	Upstream hollowgrade.Life
+	Upstream hollowgrade.Instance
 	Engines  int // that took part in the run: the upstream and those that prefilled parts of the prompt for it
 	Sent     time.Time
 	Lost     time.Time
@@ -54,10 +54,10 @@
 	Subject
 	Since     time.Time
 	Until     time.Time
-	Losses    int                // consecutive
-	Odds      float64            // probability that a harmless request has as many consecutive losses
-	Upstreams []hollowgrade.Life // that crashed, the latest last
-	By        string             // the gateway that decided on the block
+	Losses    int                    // consecutive
+	Odds      float64                // probability that a harmless request has as many consecutive losses
+	Upstreams []hollowgrade.Instance // that crashed, the latest last
+	By        string                 // the gateway that decided on the block
 }
 
 // Update is an update that gateways send to each other.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -64,7 +64,7 @@
 }
 
 // upstreams returns the upstreams that crashed under the request since it was last cleared.
-func (r *record) upstreams() (us []hollowgrade.Life) {
+func (r *record) upstreams() (us []hollowgrade.Instance) {
 	for _, m := range r.losses {
 		if !slices.Contains(us, m.Upstream) {
 			us = append(us, m.Upstream)
@@ -77,7 +77,7 @@
 const maxNamedUpstreams = 8
 
 // namedUpstreams returns the upstreams that a block names.
-func (r *record) namedUpstreams() []hollowgrade.Life {
+func (r *record) namedUpstreams() []hollowgrade.Instance {
 	us := r.upstreams()
 	return us[max(len(us)-maxNamedUpstreams, 0):]
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -57,7 +57,7 @@
 }
 
 // loseRun runs a request for some time and crashes its upstream.
-func (w *cluster) loseRun(b *Table, s Subject, upstream hollowgrade.Life, took time.Duration) {
+func (w *cluster) loseRun(b *Table, s Subject, upstream hollowgrade.Instance, took time.Duration) {
 	w.t.Helper()
 	l := b.Begin(s.Fingerprint)
 	require.True(w.t, l.Granted)
@@ -69,8 +69,8 @@
 }
 
 // instance returns the instance of an upstream.
-func instance(parts ...any) hollowgrade.Life {
-	return hollowgrade.Life(fmt.Sprint(parts...))
+func instance(parts ...any) hollowgrade.Instance {
+	return hollowgrade.Instance(fmt.Sprint(parts...))
 }
 
 const runTime = 200 * time.Millisecond
--- a/upstream.go
+++ b/upstream.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// Life names one life of an upstream. An upstream that starts again under its id holds and knows
+// Instance names one life of an upstream. An upstream that starts again under its id holds and knows
 // nothing of before, so what is known of one life says nothing of the next. It is a text, so that gateways
 // tell it to each other as they would an id.
-type Life string
+type Instance string
 
 // lifeMark stands between the id and the start of a life, and startBase is the base that the start,
 // in Unix milliseconds, is written in: eight digits.
@@ -18,11 +18,11 @@
 )
 
 // Life returns the name of the upstream's present life: the id alone if it does not tell its start.
-func (u Upstream) Life() Life {
+func (u Upstream) Life() Instance {
 	if u.Born == 0 {
-		return Life(u.ID)
+		return Instance(u.ID)
 	}
-	return Life(u.ID + lifeMark + strconv.FormatInt(u.Born, startBase))
+	return Instance(u.ID + lifeMark + strconv.FormatInt(u.Born, startBase))
 }
 
 // IsAddress reports whether a text is a host and a port that can be connected to.
