--- a/core/closing.go
+++ b/core/closing.go
@@ -33,12 +33,12 @@
 func (c *Core) watch(u hollowgrade.Upstream, request string, first probeResult) (checked <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.watched[u.Life()]; w != nil {
+	if w := c.watched[u.Instance()]; w != nil {
 		return w
 	}
-	c.log.Info("upstream watched", "upstream", u.Life(), "service", u.Service, "request", request, "why", "it closes connections without a word")
+	c.log.Info("upstream watched", "upstream", u.Instance(), "service", u.Service, "request", request, "why", "it closes connections without a word")
 	w := make(chan struct{})
-	c.watched[u.Life()] = w
+	c.watched[u.Instance()] = w
 	go c.keepWatch(u, request, first, sync.OnceFunc(func() { close(w) }))
 	return w
 }
@@ -51,10 +51,10 @@
 		checked()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.watched, u.Life())
-		c.log.Info("upstream no longer watched", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
+		delete(c.watched, u.Instance())
+		c.log.Info("upstream no longer watched", "upstream", u.Instance(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
-	for c.fleet.markClosing(u.Life()) && c.clock.Since(begun) < maxWatch {
+	for c.fleet.markClosing(u.Instance()) && c.clock.Since(begun) < maxWatch {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
@@ -83,9 +83,9 @@
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
 // there and the upstream has been silent since and still closes connections.
 func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
-	now, heard := c.clock.Now(), c.fleet.lastActivity(u.Life())
+	now, heard := c.clock.Now(), c.fleet.lastActivity(u.Instance())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
-		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
+		ran := l.Upstream == u.Instance() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
 		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
 	})
 	for _, l := range ls {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -258,7 +258,7 @@
 		require.NoError(t, c.Serve(context.Background(), k, &fakeSink{}))
 		require.Len(t, f.sentCalls(), 1)
 		require.False(t, f.sentCalls()[0].Upstream.Draining)
-		require.False(t, c.fleet.members[f.sentCalls()[0].Upstream.Life()].Draining)
+		require.False(t, c.fleet.members[f.sentCalls()[0].Upstream.Instance()].Draining)
 	})
 }
 
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -187,7 +187,7 @@
 func (f *Fleet) Put(u hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := u.Life()
+	l := u.Instance()
 	m, ok := f.members[l]
 	if ok && m.Upstream == u && m.expiresAt.IsZero() {
 		return
@@ -277,7 +277,7 @@
 	}
 	u := m.Upstream
 	u.Born = born
-	n := f.startInstance(id, u.Life())
+	n := f.startInstance(id, u.Instance())
 	n.Upstream, n.startReportedAt = u, f.clock.Now()
 	f.onInstanceStart(u)
 	f.log.Info("upstream started again", "upstream", n.instance, "service", u.Service, "before", m.instance, "why", "it says so")
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -408,7 +408,7 @@
 		p := f.pick("e", short(), nil)
 		<-f.Changed()
 		cs := f.Changes(false)
-		require.Equal(t, map[hollowgrade.Instance]Share{p.member.Life(): p.member.ownShare}, cs)
+		require.Equal(t, map[hollowgrade.Instance]Share{p.member.Instance(): p.member.ownShare}, cs)
 		require.Empty(t, f.Changes(false))
 		require.Len(t, f.Changes(true), 1)
 	})
--- a/core/flow.go
+++ b/core/flow.go
@@ -129,7 +129,7 @@
 		return Try{Err: f.refuse(p)}
 	}
 	u := p.upstream()
-	f.tried[u.Life()] = true
+	f.tried[u.Instance()] = true
 	f.upstreams = append(f.upstreams, u.ID)
 	if n == 1 {
 		f.predicted = p.FirstEvent
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -74,7 +74,7 @@
 			c := placement.Request{PauseGoal: []time.Duration{250, 600, 1000}[r.IntN(3)] * time.Millisecond, PromptTokens: int(30_000 * r.Float64())}
 			s.Stakes = s.Stakes.Plus(c.Stakes())
 		}
-		f.setViewShare(f.views["b"], m.Life(), s)
+		f.setViewShare(f.views["b"], m.Instance(), s)
 		if r.Float64() < busy {
 			m.addPrefill(now, time.Duration(r.IntN(2500))*time.Millisecond)
 		}
--- a/core/helping_test.go
+++ b/core/helping_test.go
@@ -33,7 +33,7 @@
 		require.NotContains(t, p.helpers, f.members["u03"])
 		require.NotEqual(t, "u03", p.member.ID)
 		for _, m := range p.helpers {
-			requireHelperParts(t, f, m.Life(), 1)
+			requireHelperParts(t, f, m.Instance(), 1)
 		}
 		time.Sleep(20 * minPartTime)
 		requireHelperParts(t, f, "u03", 0)
--- a/core/losses.go
+++ b/core/losses.go
@@ -61,7 +61,7 @@
 // waits until that is known or ctx ends, so that no other run of it begins meanwhile.
 func (f *flow) recordLoss(ctx context.Context, a *attempt, at time.Time) {
 	u := a.pick.upstream()
-	l := quarantine.Loss{Subject: f.subject(), Upstream: u.Life(), Engines: 1 + len(a.pick.helpers), Sent: a.sent, Lost: at}
+	l := quarantine.Loss{Subject: f.subject(), Upstream: u.Instance(), Engines: 1 + len(a.pick.helpers), Sent: a.sent, Lost: at}
 	noted := make(chan struct{})
 	go func() {
 		defer close(noted)
--- a/core/pace.go
+++ b/core/pace.go
@@ -210,25 +210,25 @@
 	}
 	if c.paceRequests.Add(1) > maxPaceRequests {
 		c.paceRequests.Add(-1)
-		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
+		c.log.Info("speed of upstream not asked", "upstream", u.Instance(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
 		return // the next late call makes it suspected again
 	}
-	c.log.Info("upstream asked for its speed", "upstream", u.Life(), "request", request)
+	c.log.Info("upstream asked for its speed", "upstream", u.Instance(), "request", request)
 	go func() {
 		defer c.paceRequests.Add(-1)
 		begin := c.clock.Now()
 		r, err := c.reporter.Report(context.Background(), u)
-		c.fleet.applyReport(u.Life(), request, begin, r.Signals)
+		c.fleet.applyReport(u.Instance(), request, begin, r.Signals)
 		if err != nil {
-			c.log.Info("speed report of upstream failed", "upstream", u.Life(), "request", request, "err", err)
+			c.log.Info("speed report of upstream failed", "upstream", u.Instance(), "request", request, "err", err)
 			return
 		}
 		if r.Born != 0 {
 			c.fleet.InstanceStarted(u.ID, r.Born)
 			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
 		}
-		c.fleet.ReceivePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
-		if c.fleet.StillSlow(u.Life()) {
+		c.fleet.ReceivePace(u.Instance(), r.Pace, c.clock.Since(begin), "", request)
+		if c.fleet.StillSlow(u.Instance()) {
 			c.clock.AfterFunc(PaceRecheckInterval, func() { c.recheckPace(u, request) })
 		}
 	}()
@@ -236,7 +236,7 @@
 
 // recheckPace asks a slow engine again, unless another process has asked it since.
 func (c *Core) recheckPace(u hollowgrade.Upstream, request string) {
-	if c.fleet.StillSlow(u.Life()) {
+	if c.fleet.StillSlow(u.Instance()) {
 		c.requestPace(u, request)
 	}
 }
--- a/core/probe.go
+++ b/core/probe.go
@@ -37,7 +37,7 @@
 	if c.prober == nil {
 		return probeResult{}
 	}
-	e, first := c.probeOf(u.Life())
+	e, first := c.probeOf(u.Instance())
 	if !first {
 		<-e.done
 		return e.result
@@ -54,7 +54,7 @@
 	begun := c.clock.Now()
 	p, err := c.prober.Probe(ctx, u)
 	f := probeResult{p, c.clock.Since(begun)}
-	c.log.Info("upstream probed after its connection broke", "upstream", u.Life(), "request", request, "found", p, "took_ms", f.took.Milliseconds(), "err", err)
+	c.log.Info("upstream probed after its connection broke", "upstream", u.Instance(), "request", request, "found", p, "took_ms", f.took.Milliseconds(), "err", err)
 	return f
 }
 
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	f = NewFleet(hollowgrade.SystemClock(), discardLogger())
 	f.Put(upstreamStartedAt(0))
-	l := upstreamStartedAt(0).Life()
+	l := upstreamStartedAt(0).Instance()
 	p = f.pick("s", placement.Request{PromptTokens: 100, MaxTokens: 10, TimeLeft: time.Second}, nil)
 	require.NotNil(t, p)
 	f.ReceiveView("b", map[hollowgrade.Instance]Share{l: {Open: 3, Tokens: 500}}, true)
@@ -62,48 +62,48 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Put(later)
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 		})
 	})
 	t.Run("by its own word, before its entry says so", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.InstanceStarted("u", later.Born)
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 			f.Put(upstreamStartedAt(0)) // a late entry of the previous instance
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 			f.Put(later)
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 		})
 	})
 	t.Run("words of peers on the life before don't bring it back", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Put(later)
-			old := upstreamStartedAt(0).Life()
+			old := upstreamStartedAt(0).Instance()
 			f.ReceiveView("b", map[hollowgrade.Instance]Share{old: {Open: 9}}, false)
 			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{old: 9 * time.Second})
 			f.ReceiveAtFault("b", old, time.Second)
 			f.ReceivePace(old, 9, 0, "b", "")
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 		})
 	})
 	t.Run("words of peers on a life that isn't known yet hold once it is", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
-			f.ReceiveView("b", map[hollowgrade.Instance]Share{later.Life(): {Open: 2}}, false)
-			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Life(): time.Second})
+			f.ReceiveView("b", map[hollowgrade.Instance]Share{later.Instance(): {Open: 2}}, false)
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Instance(): time.Second})
 			f.Put(later)
-			require.Equal(t, 2, f.members[later.Life()].total().Open)
-			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
+			require.Equal(t, 2, f.members[later.Instance()].total().Open)
+			require.Equal(t, time.Second, f.members[later.Instance()].prefillBacklog(time.Now()))
 		})
 	})
 	t.Run("and as well where it says itself that it began", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
-			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Life(): time.Second})
+			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Instance(): time.Second})
 			f.InstanceStarted("u", later.Born)
-			require.Equal(t, time.Second, f.members[later.Life()].prefillBacklog(time.Now()))
+			require.Equal(t, time.Second, f.members[later.Instance()].prefillBacklog(time.Now()))
 		})
 	})
 	t.Run("calls of the life before end without a trace, and are not sent to the next", func(t *testing.T) {
@@ -113,14 +113,14 @@
 			require.False(t, f.stillUsable(p))
 			f.recordFailure(p.member, "r", "it ended")
 			f.release(p, false)
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 			require.Empty(t, f.Changes(false))
 		})
 	})
 	t.Run("a call that was lost with one life may go to the next", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, p := newUsedFleet(t)
-			tried := map[hollowgrade.Instance]bool{p.member.Life(): true}
+			tried := map[hollowgrade.Instance]bool{p.member.Instance(): true}
 			require.False(t, f.hasUntried("s", tried))
 			f.Put(later)
 			require.True(t, f.hasUntried("s", tried))
@@ -131,13 +131,13 @@
 			f, _ := newUsedFleet(t)
 			ahead := upstreamStartedAt(3_600_000)
 			f.Put(ahead)
-			requireNoHistory(t, f, ahead.Life())
+			requireNoHistory(t, f, ahead.Instance())
 			f.Put(later) // its clock is right again
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 			f.InstanceStarted("u", ahead.Born)
 			time.Sleep(entryLag)
 			f.Put(upstreamStartedAt(6000))
-			requireNoHistory(t, f, upstreamStartedAt(6000).Life())
+			requireNoHistory(t, f, upstreamStartedAt(6000).Instance())
 		})
 	})
 	t.Run("one that goes takes its life with it", func(t *testing.T) {
@@ -145,20 +145,20 @@
 		f.Drop("u", time.Time{})
 		require.Zero(t, f.Size())
 		f.Put(later)
-		requireNoHistory(t, f, later.Life())
+		requireNoHistory(t, f, later.Instance())
 	})
 	t.Run("one that lapsed and started again is not taken for the one that lapsed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.Drop("u", time.Now().Add(time.Second))
 			f.Put(later)
-			requireNoHistory(t, f, later.Life())
+			requireNoHistory(t, f, later.Instance())
 			time.Sleep(10 * time.Second)
 			require.Equal(t, 1, f.Size())
 		})
 	})
 	t.Run("those that do not tell their start are known by their id", func(t *testing.T) {
-		require.Equal(t, hollowgrade.Instance("u"), hollowgrade.Upstream{ID: "u"}.Life())
+		require.Equal(t, hollowgrade.Instance("u"), hollowgrade.Upstream{ID: "u"}.Instance())
 	})
 }
 
@@ -175,7 +175,7 @@
 		c.Fleet().Put(upstreamStartedAt(0))
 		c.requestPaces([]hollowgrade.Upstream{upstreamStartedAt(0)}, "r")
 		synctest.Wait()
-		l := upstreamStartedAt(5000).Life()
+		l := upstreamStartedAt(5000).Instance()
 		require.NotNil(t, c.fleet.members[l])
 		require.Equal(t, 3.0, c.fleet.members[l].pace(time.Now()), "a report counts for the instance that sent it")
 		c.fleet.Drop("u", time.Time{})
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -116,7 +116,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet()
 			f.Put(upstreamStartedAt(0))
-			receiveAnswer(f, upstreamStartedAt(0).Life(), time.Now(), refusalWithRetryAfter(time.Hour))
+			receiveAnswer(f, upstreamStartedAt(0).Instance(), time.Now(), refusalWithRetryAfter(time.Hour))
 			f.Put(upstreamStartedAt(5000))
 			require.NotNil(t, pickForCall(f))
 		})
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -90,7 +90,7 @@
 // confirmLosses reports losses at an upstream whose next instance shows that it crashed.
 func (c *Core) confirmLosses(u hollowgrade.Upstream, ls []quarantine.Loss) {
 	for _, l := range ls {
-		c.log.Info("upstream crash confirmed by its next instance", "upstream", l.Upstream, "next", u.Life(), "fingerprint", l.Fingerprint,
+		c.log.Info("upstream crash confirmed by its next instance", "upstream", l.Upstream, "next", u.Instance(), "fingerprint", l.Fingerprint,
 			"lost_ms", c.clock.Since(l.Lost).Milliseconds())
 		c.quarantine.RecordLoss(l)
 	}
--- a/upstream.go
+++ b/upstream.go
@@ -17,8 +17,8 @@
 	startBase = 36
 )
 
-// Life returns the name of the upstream's present life: the id alone if it does not tell its start.
-func (u Upstream) Life() Instance {
+// Instance returns the name of the upstream's present life: the id alone if it does not tell its start.
+func (u Upstream) Instance() Instance {
 	if u.Born == 0 {
 		return Instance(u.ID)
 	}
