--- a/core/fleet.go
+++ b/core/fleet.go
@@ -262,7 +262,7 @@
 // reported. The lock is held.
 func (f *Fleet) entryOutdated(u hollowgrade.Upstream) bool {
 	m := f.members[f.instances[u.ID]]
-	return m != nil && u.Born < m.Born && !m.startReportedAt.IsZero() && f.clock.Since(m.startReportedAt) < entryLag
+	return m != nil && u.StartMillis < m.StartMillis && !m.startReportedAt.IsZero() && f.clock.Since(m.startReportedAt) < entryLag
 }
 
 // InstanceStarted records the start time, in Unix ms, that an upstream reports of its current
@@ -272,11 +272,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[f.instances[id]]
-	if m == nil || m.Born == 0 || born <= m.Born {
+	if m == nil || m.StartMillis == 0 || born <= m.StartMillis {
 		return
 	}
 	u := m.Upstream
-	u.Born = born
+	u.StartMillis = born
 	n := f.startInstance(id, u.Instance())
 	n.Upstream, n.startReportedAt = u, f.clock.Now()
 	f.onInstanceStart(u)
--- a/core/pace.go
+++ b/core/pace.go
@@ -225,7 +225,7 @@
 		}
 		if r.Born != 0 {
 			c.fleet.InstanceStarted(u.ID, r.Born)
-			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
+			u.StartMillis = r.Born // the report is of this instance; that of an unknown one is ignored
 		}
 		c.fleet.ReceivePace(u.Instance(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Instance()) {
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -18,7 +18,7 @@
 
 // upstreamStartedAt returns an upstream that started ms after the first instance.
 func upstreamStartedAt(ms int64) hollowgrade.Upstream {
-	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, Born: firstStartMillis + ms}
+	return hollowgrade.Upstream{ID: "u", Service: "s", Address: "u:1", Slots: 4, StartMillis: firstStartMillis + ms}
 }
 
 // newUsedFleet returns a table with one upstream that has all kinds of state: calls of this process
@@ -68,7 +68,7 @@
 	t.Run("by its own word, before its entry says so", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
-			f.InstanceStarted("u", later.Born)
+			f.InstanceStarted("u", later.StartMillis)
 			requireNoHistory(t, f, later.Instance())
 			f.Put(upstreamStartedAt(0)) // a late entry of the previous instance
 			requireNoHistory(t, f, later.Instance())
@@ -102,7 +102,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newUsedFleet(t)
 			f.ReceivePrefillBacklogs("b", map[hollowgrade.Instance]time.Duration{later.Instance(): time.Second})
-			f.InstanceStarted("u", later.Born)
+			f.InstanceStarted("u", later.StartMillis)
 			require.Equal(t, time.Second, f.members[later.Instance()].prefillBacklog(time.Now()))
 		})
 	})
@@ -134,7 +134,7 @@
 			requireNoHistory(t, f, ahead.Instance())
 			f.Put(later) // its clock is right again
 			requireNoHistory(t, f, later.Instance())
-			f.InstanceStarted("u", ahead.Born)
+			f.InstanceStarted("u", ahead.StartMillis)
 			time.Sleep(entryLag)
 			f.Put(upstreamStartedAt(6000))
 			requireNoHistory(t, f, upstreamStartedAt(6000).Instance())
--- a/core/unconfirmed.go
+++ b/core/unconfirmed.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if len(p.losses[u.ID]) < maxUnconfirmedPerUpstream {
-		p.losses[u.ID] = append(p.losses[u.ID], unconfirmedLoss{l, u.Born})
+		p.losses[u.ID] = append(p.losses[u.ID], unconfirmedLoss{l, u.StartMillis})
 	}
 }
 
@@ -58,7 +58,7 @@
 func (p *unconfirmedLosses) takeConfirmed(u hollowgrade.Upstream) []quarantine.Loss {
 	now := p.clock.Now()
 	return p.takeIf(u.ID, func(l unconfirmedLoss) bool {
-		return l.startMillis != 0 && l.startMillis < u.Born && now.Sub(l.Lost) <= confirmWindow
+		return l.startMillis != 0 && l.startMillis < u.StartMillis && now.Sub(l.Lost) <= confirmWindow
 	})
 }
 
--- a/core/unproved_test.go
+++ b/core/unproved_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		c := newCore(&fakeUpstreams{replies: []reply{delayed(broken)}}, WithProber(&presentProber{}))
-		u := hollowgrade.Upstream{ID: "u1", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: startMillis}
+		u := hollowgrade.Upstream{ID: "u1", Service: "s", Address: "127.0.0.1:1", Slots: 4, StartMillis: startMillis}
 		for _, m := range c.Fleet().members {
 			c.Fleet().Drop(m.ID, time.Time{})
 		}
@@ -40,7 +40,7 @@
 func restartEntry(delay time.Duration, startDelta int64) func(f *Fleet, u hollowgrade.Upstream) {
 	return func(f *Fleet, u hollowgrade.Upstream) {
 		time.Sleep(delay)
-		u.Born += startDelta
+		u.StartMillis += startDelta
 		f.Put(u)
 	}
 }
@@ -76,14 +76,14 @@
 func TestUnprovedLossesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &unconfirmedLosses{clock: hollowgrade.SystemClock(), losses: map[string][]unconfirmedLoss{}}
-		u := hollowgrade.Upstream{ID: "u", Born: 1}
+		u := hollowgrade.Upstream{ID: "u", StartMillis: 1}
 		for range 10 * maxUnconfirmedPerUpstream {
 			p.add(u, quarantine.Loss{Lost: time.Now()})
 		}
 		require.Len(t, p.losses["u"], maxUnconfirmedPerUpstream)
 		time.Sleep(2 * confirmWindow)
 		for i := range 100 {
-			p.add(hollowgrade.Upstream{ID: fmt.Sprint("o", i), Born: 1}, quarantine.Loss{Lost: time.Now()})
+			p.add(hollowgrade.Upstream{ID: fmt.Sprint("o", i), StartMillis: 1}, quarantine.Loss{Lost: time.Now()})
 		}
 		require.Len(t, p.losses, 100, "losses that are too old to be confirmed are dropped")
 	})
--- a/exchange.go
+++ b/exchange.go
@@ -32,13 +32,13 @@
 
 // Upstream is one back end as the platform's registry lists it.
 type Upstream struct {
-	ID       string // may be that of an earlier life, before a restart
-	Born     int64  // Unix ms of the start of this life, 0 if it does not tell that
-	Service  string
-	Address  string
-	Hall     string // data hall
-	Slots    int    // requests that it works on at a time
-	Draining bool   // it is about to leave and must get no new work
+	ID          string // may be that of an earlier life, before a restart
+	StartMillis int64  // Unix ms of the start of this life, 0 if it does not tell that
+	Service     string
+	Address     string
+	Hall        string // data hall
+	Slots       int    // requests that it works on at a time
+	Draining    bool   // it is about to leave and must get no new work
 }
 
 // Sending is one attempt at a call, addressed to one upstream.
--- a/upstream.go
+++ b/upstream.go
@@ -19,10 +19,10 @@
 
 // Instance returns the name of the upstream's present life: the id alone if it does not tell its start.
 func (u Upstream) Instance() Instance {
-	if u.Born == 0 {
+	if u.StartMillis == 0 {
 		return Instance(u.ID)
 	}
-	return Instance(u.ID + lifeMark + strconv.FormatInt(u.Born, startBase))
+	return Instance(u.ID + lifeMark + strconv.FormatInt(u.StartMillis, startBase))
 }
 
 // IsAddress reports whether a text is a host and a port that can be connected to.
