--- a/core/pace.go
+++ b/core/pace.go
@@ -223,9 +223,9 @@
 			c.log.Info("speed report of upstream failed", "upstream", u.Instance(), "request", request, "err", err)
 			return
 		}
-		if r.Born != 0 {
-			c.fleet.InstanceStarted(u.ID, r.Born)
-			u.StartMillis = r.Born // the report is of this instance; that of an unknown one is ignored
+		if r.StartMillis != 0 {
+			c.fleet.InstanceStarted(u.ID, r.StartMillis)
+			u.StartMillis = r.StartMillis // the report is of this instance; that of an unknown one is ignored
 		}
 		c.fleet.ReceivePace(u.Instance(), r.Pace, c.clock.Since(begin), "", request)
 		if c.fleet.StillSlow(u.Instance()) {
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -166,7 +166,7 @@
 type startTimeReporter struct{ startMillis int64 }
 
 func (r startTimeReporter) Report(context.Context, hollowgrade.Upstream) (hollowgrade.UpstreamReport, error) {
-	return hollowgrade.UpstreamReport{Pace: 3, Born: r.startMillis}, nil
+	return hollowgrade.UpstreamReport{Pace: 3, StartMillis: r.startMillis}, nil
 }
 
 func TestAnUpstreamThatIsAskedTellsThatItStartedAgain(t *testing.T) {
--- a/exchange.go
+++ b/exchange.go
@@ -73,8 +73,8 @@
 
 // UpstreamReport is what an upstream says of itself when it is asked.
 type UpstreamReport struct {
-	Pace float64 // how many times as long as published it takes for what it does
-	Born int64   // start of the life that says so, Unix ms, 0 if it does not tell that
+	Pace        float64 // how many times as long as published it takes for what it does
+	StartMillis int64   // start of the life that says so, Unix ms, 0 if it does not tell that
 	// Signals is what the answer says beside the report, also if it is none.
 	Signals Signals
 }
