--- a/upstream.go
+++ b/upstream.go
@@ -10,11 +10,11 @@
 // tell it to each other as they would an id.
 type Instance string
 
-// lifeMark stands between the id and the start of a life, and startBase is the base that the start,
+// instanceSeparator stands between the id and the start of a life, and startBase is the base that the start,
 // in Unix milliseconds, is written in: eight digits.
 const (
-	lifeMark  = "#"
-	startBase = 36
+	instanceSeparator = "#"
+	startBase         = 36
 )
 
 // Instance returns the name of the upstream's present life: the id alone if it does not tell its start.
@@ -22,7 +22,7 @@
 	if u.StartMillis == 0 {
 		return Instance(u.ID)
 	}
-	return Instance(u.ID + lifeMark + strconv.FormatInt(u.StartMillis, startBase))
+	return Instance(u.ID + instanceSeparator + strconv.FormatInt(u.StartMillis, startBase))
 }
 
 // IsAddress reports whether a text is a host and a port that can be connected to.
