--- a/core/signals.go
+++ b/core/signals.go
@@ -16,8 +16,8 @@
 	if s.Foreign {
 		return
 	}
-	if s.Rest > 0 {
-		f.setPause(m, id, s.Rest)
+	if s.RetryAfter > 0 {
+		f.setPause(m, id, s.RetryAfter)
 	}
 	if s.Leaving {
 		f.setLeaving(m, "", id)
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -32,7 +32,7 @@
 
 // refusalWithRetryAfter is an answer with a retry delay.
 func refusalWithRetryAfter(d time.Duration) hollowgrade.Head {
-	return hollowgrade.Head{Status: 503, NotRun: true, Signals: hollowgrade.Signals{Rest: d}}
+	return hollowgrade.Head{Status: 503, NotRun: true, Signals: hollowgrade.Signals{RetryAfter: d}}
 }
 
 var served = hollowgrade.Head{Status: 200}
--- a/exchange.go
+++ b/exchange.go
@@ -168,9 +168,9 @@
 	Limit   float64 // requests a second that it takes from all processes together
 	// Leaving says that this life of it ends soon, and takes no new work.
 	Leaving bool
-	// Rest is for how long it wants nothing from this process, since it turned the request away; 0 if it does not say.
-	Rest   time.Duration
-	Unread []string // headers whose values cannot be used
+	// RetryAfter is for how long it wants nothing from this process, since it turned the request away; 0 if it does not say.
+	RetryAfter time.Duration
+	Unread     []string // headers whose values cannot be used
 }
 
 // Success reports whether the answer is one that the caller asked for.
