--- a/core/signals.go
+++ b/core/signals.go
@@ -10,8 +10,8 @@
 // applySignals applies the signals in an answer to a request that was sent at the given time. The
 // lock is held.
 func (f *Fleet) applySignals(m *member, id string, sent time.Time, s hollowgrade.Signals) {
-	if len(s.Unread) > 0 {
-		f.log.Info("signal of upstream not used", "upstream", m.instance, "service", m.Service, "request", id, "headers", s.Unread)
+	if len(s.InvalidHeaders) > 0 {
+		f.log.Info("signal of upstream not used", "upstream", m.instance, "service", m.Service, "request", id, "headers", s.InvalidHeaders)
 	}
 	if s.Foreign {
 		return
--- a/exchange.go
+++ b/exchange.go
@@ -169,8 +169,8 @@
 	// Leaving says that this life of it ends soon, and takes no new work.
 	Leaving bool
 	// RetryAfter is for how long it wants nothing from this process, since it turned the request away; 0 if it does not say.
-	RetryAfter time.Duration
-	Unread     []string // headers whose values cannot be used
+	RetryAfter     time.Duration
+	InvalidHeaders []string // headers whose values cannot be used
 }
 
 // Success reports whether the answer is one that the caller asked for.
