--- a/core/reservation.go
+++ b/core/reservation.go
@@ -110,7 +110,7 @@
 	if t != nil {
 		for _, m := range t.keepers {
 			kept[m] = true
-			hs = append(hs, hollowgrade.Helper{Address: p.entries[m].Address, Ticket: t.id})
+			hs = append(hs, hollowgrade.Helper{Address: p.entries[m].Address, ReservationID: t.id})
 		}
 	}
 	for _, m := range p.helpers {
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -62,7 +62,7 @@
 			s := f.sentCalls()[0]
 			require.Len(t, s.Helpers, maxHelpers)
 			for i, h := range s.Helpers {
-				require.Equal(t, i < 4, h.Ticket != "", "engines that keep parts come first")
+				require.Equal(t, i < 4, h.ReservationID != "", "engines that keep parts come first")
 			}
 			require.Equal(t, 4*(1+4+1), f.memoryCalls)
 		})
@@ -86,7 +86,7 @@
 			synctest.Wait()
 			require.Zero(t, f.reservedTokens())
 			require.Len(t, f.sentCalls(), 2)
-			require.NotEqual(t, f.sentCalls()[0].Helpers[0].Ticket, f.sentCalls()[1].Helpers[0].Ticket)
+			require.NotEqual(t, f.sentCalls()[0].Helpers[0].ReservationID, f.sentCalls()[1].Helpers[0].ReservationID)
 		})
 	})
 }
--- a/exchange.go
+++ b/exchange.go
@@ -54,8 +54,8 @@
 
 // Helper is an upstream that reads a part of a prompt for another.
 type Helper struct {
-	Address string
-	Ticket  string // id of memory set aside there for a part of the prompt; empty if it only reads
+	Address       string
+	ReservationID string // id of memory set aside there for a part of the prompt; empty if it only reads
 }
 
 // ErrNoMemory is in the chain of the error of [Reserver.Reserve] when the
