--- a/core/core_test.go
+++ b/core/core_test.go
@@ -267,14 +267,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			_, f, x := serve(t, "/once/", unresponsive)
 			requireFault(t, x, fault.DeadlinePassed, hollowgrade.Unknown)
-			require.Equal(t, 5*time.Second, f.sentCalls()[0].Left)
+			require.Equal(t, 5*time.Second, f.sentCalls()[0].TimeLeft)
 		})
 	})
 	t.Run("what is left is passed on, not what was left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{unresponsive, status(200, "x")}}
 			require.NoError(t, newCore(f).Serve(context.Background(), call("/again/"), &fakeSink{}))
-			require.Less(t, f.sentCalls()[1].Left, f.sentCalls()[0].Left-500*time.Millisecond)
+			require.Less(t, f.sentCalls()[1].TimeLeft, f.sentCalls()[0].TimeLeft-500*time.Millisecond)
 		})
 	})
 	t.Run("when the caller is gone", func(t *testing.T) {
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -35,7 +35,7 @@
 		Call:         f.call,
 		Upstream:     a.pick.upstream(),
 		Organisation: f.organisation.Name,
-		Left:         left,
+		TimeLeft:     left,
 		After:        f.lastEventID,
 		Helpers:      a.reservation.helpersOf(a.pick),
 	}
--- a/exchange.go
+++ b/exchange.go
@@ -46,7 +46,7 @@
 	Call         Call
 	Upstream     Upstream
 	Organisation string
-	Left         time.Duration // the upstream ends work after it
+	TimeLeft     time.Duration // the upstream ends work after it
 	After        string        // id of the last event that the caller has
 	Helpers      []Helper      // upstreams that read parts of the prompt
 	Priority     int           // 0 is let in first
