--- a/core/core_test.go
+++ b/core/core_test.go
@@ -148,7 +148,7 @@
 		s, f, x := serve(t, "/resume/", events(1, 2, errBroken), events(3, 4, io.EOF))
 		require.Nil(t, x)
 		require.Equal(t, "1,2,3,4,", s.body.String())
-		require.Equal(t, "2", f.sentCalls()[1].After)
+		require.Equal(t, "2", f.sentCalls()[1].LastEventID)
 		require.Equal(t, f.sentCalls()[0].Upstream.ID, s.head.Header.Get("From"))
 	})
 	t.Run("what the caller has is not passed on again", func(t *testing.T) {
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -36,7 +36,7 @@
 		Upstream:     a.pick.upstream(),
 		Organisation: f.organisation.Name,
 		TimeLeft:     left,
-		After:        f.lastEventID,
+		LastEventID:  f.lastEventID,
 		Helpers:      a.reservation.helpersOf(a.pick),
 	}
 }
--- a/exchange.go
+++ b/exchange.go
@@ -47,7 +47,7 @@
 	Upstream     Upstream
 	Organisation string
 	TimeLeft     time.Duration // the upstream ends work after it
-	After        string        // id of the last event that the caller has
+	LastEventID  string        // id of the last event that the caller has
 	Helpers      []Helper      // upstreams that read parts of the prompt
 	Priority     int           // 0 is let in first
 }
