--- a/core/core.go
+++ b/core/core.go
@@ -255,7 +255,7 @@
 // Serve runs a call and sends its answer to the sink. The error is a [fault.Error]; if the sink has
 // received a head before, the answer is incomplete.
 func (c *Core) Serve(ctx context.Context, call hollowgrade.Call, s hollowgrade.Sink) (err error) {
-	f := &flow{core: c, call: call, sink: s, lastEventID: call.After, tried: map[hollowgrade.Instance]bool{}}
+	f := &flow{core: c, call: call, sink: s, lastEventID: call.LastEventID, tried: map[hollowgrade.Instance]bool{}}
 	defer func() { f.ended(err) }()
 	if err = c.admit(f); err != nil {
 		return err
--- a/exchange.go
+++ b/exchange.go
@@ -19,10 +19,10 @@
 	Header http.Header
 	Body   []byte
 	// HasBody tells a body of no bytes from none.
-	HasBody bool
-	Key     string // API key, empty if the caller sent none
-	After   string // id of the last event of the answer that the caller already has
-	Model   string
+	HasBody     bool
+	Key         string // API key, empty if the caller sent none
+	LastEventID string // id of the last event of the answer that the caller already has
+	Model       string
 	// PromptTokens and MaxTokens are zero for calls that generate nothing.
 	PromptTokens int
 	MaxTokens    int
--- a/fingerprint_test.go
+++ b/fingerprint_test.go
@@ -13,7 +13,7 @@
 	f := NewFingerprint("o", c)
 	t.Run("does not depend on the try", func(t *testing.T) {
 		d := c
-		d.ID, d.Key, d.After, d.Patience = "2", "another", "7", 5
+		d.ID, d.Key, d.LastEventID, d.Patience = "2", "another", "7", 5
 		require.Equal(t, f, NewFingerprint("o", d))
 	})
 	for name, change := range map[string]func(*Call) string{
