--- a/core/core_test.go
+++ b/core/core_test.go
@@ -119,7 +119,7 @@
 	})
 	t.Run("a cut answer is replaced", func(t *testing.T) {
 		cut := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
-			return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true}, parts: []hollowgrade.Part{{Data: []byte("hel")}}, end: io.ErrUnexpectedEOF}, nil
+			return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Signed: true}, parts: []hollowgrade.Part{{Data: []byte("hel")}}, end: io.ErrUnexpectedEOF}, nil
 		}
 		s, _, x := serve(t, "/again/", cut, status(200, "hello"))
 		require.Nil(t, x)
@@ -191,7 +191,7 @@
 // go on waiting then.
 func TestSilenceIsWaitedForWhenNothingElseIsLeft(t *testing.T) {
 	late := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
-		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
+		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Signed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
 	}
 	t.Run("the budget was spent meanwhile", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
--- a/core/fake_test.go
+++ b/core/fake_test.go
@@ -124,7 +124,7 @@
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		return &fakeExchange{
 			ctx:   ctx,
-			head:  hollowgrade.Head{Status: code, Header: http.Header{"From": {s.Upstream.ID}}, Sealed: true},
+			head:  hollowgrade.Head{Status: code, Header: http.Header{"From": {s.Upstream.ID}}, Signed: true},
 			parts: []hollowgrade.Part{{Data: []byte(body)}},
 			end:   io.EOF,
 		}, nil
@@ -152,7 +152,7 @@
 // stream omits the events that the caller has.
 func events(from, to int, err error) reply {
 	return func(ctx context.Context, s hollowgrade.Sending) (hollowgrade.Exchange, error) {
-		x := &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{"From": {s.Upstream.ID}}, Sealed: true, Stream: true}, end: err}
+		x := &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{"From": {s.Upstream.ID}}, Signed: true, Stream: true}, end: err}
 		for i := from; i <= to; i++ {
 			x.parts = append(x.parts, hollowgrade.Part{Data: []byte(fmt.Sprintf("%d,", i)), Event: fmt.Sprint(i)})
 		}
--- a/core/ticket_test.go
+++ b/core/ticket_test.go
@@ -45,7 +45,7 @@
 	return func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
 		time.Sleep(d)
 		check(f.reservedTokens())
-		return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{}, Sealed: true, Stream: true}, end: io.EOF}, nil
+		return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Header: http.Header{}, Signed: true, Stream: true}, end: io.EOF}, nil
 	}
 }
 
--- a/exchange.go
+++ b/exchange.go
@@ -150,7 +150,7 @@
 	Status  int
 	Header  http.Header // those that the caller is to get
 	NotRun  bool        // the upstream says that it has not run the call
-	Sealed  bool        // it carries the upstream's signature
+	Signed  bool        // it carries the upstream's signature
 	Stream  bool        // the body is a series of events
 	Load    UpstreamLoad
 	HasLoad bool
