--- a/agent/engine.go
+++ b/agent/engine.go
@@ -90,7 +90,7 @@
 		Prompt:      string(j.body[j.next:end]),
 		Priority:    enginePriority(j.request),
 		Handles:     lastOf(j.handles),
-		HoldOnly:    true,
+		PrefillOnly: true,
 		Reservation: j.submit.Reservation,
 	})
 	if err != nil {
--- a/engine.go
+++ b/engine.go
@@ -43,9 +43,9 @@
 	// Handles are exported pieces of the prompt on other engines, in order,
 	// which stand before Prompt.
 	Handles []string
-	// HoldOnly asks for the prefill alone: the piece stays in memory under ID
+	// PrefillOnly asks for the prefill alone: the piece stays in memory under ID
 	// for Export.
-	HoldOnly bool
+	PrefillOnly bool
 	// Reservation, if set, is memory set aside before that this call uses up.
 	Reservation string
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -212,7 +212,7 @@
 	s.prompt = Tokens(g.Prompt) + len(g.Prefix)
 	s.made = len(g.Prefix)
 	s.need = s.prompt + g.MaxTokens - len(g.Prefix)
-	if g.HoldOnly {
+	if g.PrefillOnly {
 		s.need = s.prompt
 	}
 	if s.need > e.config.MemoryTokens {
@@ -359,7 +359,7 @@
 
 // advance produces one token and reports whether the sequence is done.
 func (e *Engine) advance(s *sequence) bool {
-	if s.HoldOnly {
+	if s.PrefillOnly {
 		return true
 	}
 	if s.made < s.MaxTokens {
@@ -371,7 +371,7 @@
 }
 
 func (e *Engine) keep(s *sequence) {
-	if !s.HoldOnly {
+	if !s.PrefillOnly {
 		return
 	}
 	e.used += s.need
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -66,7 +66,7 @@
 		MaxTokens:   c.MaxTokens,
 		Priority:    c.Priority,
 		Handles:     c.Handles,
-		HoldOnly:    c.HoldOnly,
+		PrefillOnly: c.HoldOnly,
 		Reservation: c.Reservation,
 	})
 	if err != nil {
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -121,7 +121,7 @@
 			Priority:    g.Priority,
 			Prefix:      g.Prefix,
 			Handles:     g.Handles,
-			HoldOnly:    g.HoldOnly,
+			HoldOnly:    g.PrefillOnly,
 			Reservation: g.Reservation,
 		})
 	if err != nil {
