--- a/agent/memory.go
+++ b/agent/memory.go
@@ -174,7 +174,7 @@
 	defer cancel()
 	load, err := a.engine.Load(ctx)
 	if err == nil {
-		var held []hollowgrade.Holding
+		var held []hollowgrade.Allocation
 		held, err = a.engine.Allocations(ctx)
 		if err == nil {
 			a.reclaim(ctx, load, held)
@@ -199,7 +199,7 @@
 const orphanSweeps = 2
 
 // reclaim frees what no lease answers for, and what expired leases held.
-func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Holding) {
+func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Allocation) {
 	for _, h := range a.orphans(l, held) {
 		if err := errors.Join(a.engine.Cancel(ctx, h.ID), a.engine.Release(ctx, h.ID)); err != nil {
 			a.log.Warn("orphan not freed", "id", h.ID, "err", err)
@@ -209,7 +209,7 @@
 	}
 }
 
-func (a *Agent) orphans(l hollowgrade.EngineLoad, held []hollowgrade.Holding) (os []hollowgrade.Holding) {
+func (a *Agent) orphans(l hollowgrade.EngineLoad, held []hollowgrade.Allocation) (os []hollowgrade.Allocation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.memory.SetTotal(l.TotalTokens)
--- a/engine.go
+++ b/engine.go
@@ -19,7 +19,7 @@
 	// Load returns the engine's own report, which lags.
 	Load(ctx context.Context) (EngineLoad, error)
 	// Allocations lists all that holds memory on the engine.
-	Allocations(ctx context.Context) ([]Holding, error)
+	Allocations(ctx context.Context) ([]Allocation, error)
 	// Reserve sets memory aside under id until ttl has passed.
 	Reserve(ctx context.Context, id string, tokens int, ttl time.Duration) error
 	// Export turns the memory of a held prompt piece into a handle which
@@ -85,8 +85,8 @@
 	HeldReservation HoldingKind = "reservation"
 )
 
-// Holding is memory that an engine holds under an id.
-type Holding struct {
+// Allocation is memory that an engine holds under an id.
+type Allocation struct {
 	ID     string      `json:"id"`
 	Kind   HoldingKind `json:"kind"`
 	Tokens int         `json:"tokens"`
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -91,7 +91,7 @@
 }
 
 type holding struct {
-	hollowgrade.Holding
+	hollowgrade.Allocation
 	digest  xxhash.Digest
 	hash    uint64 // chained hash of the last block, for the prefix cache
 	expires time.Time
@@ -376,9 +376,9 @@
 	}
 	e.used += s.need
 	e.held[s.ID] = &holding{
-		Holding: hollowgrade.Holding{ID: s.ID, Kind: hollowgrade.HeldExport, Tokens: s.need},
-		digest:  s.digest,
-		hash:    s.hash,
+		Allocation: hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldExport, Tokens: s.need},
+		digest:     s.digest,
+		hash:       s.hash,
 	}
 }
 
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -30,8 +30,8 @@
 	e.used += tokens
 	e.cache.shrink(e.config.MemoryTokens - e.used)
 	e.held[id] = &holding{
-		Holding: hollowgrade.Holding{ID: id, Kind: hollowgrade.HeldReservation, Tokens: tokens},
-		expires: e.clock.Now().Add(ttl),
+		Allocation: hollowgrade.Allocation{ID: id, Kind: hollowgrade.HeldReservation, Tokens: tokens},
+		expires:    e.clock.Now().Add(ttl),
 	}
 	return nil
 }
@@ -102,22 +102,22 @@
 }
 
 // Holdings implements [hollowgrade.Engine].
-func (e *Engine) Holdings(context.Context) ([]hollowgrade.Holding, error) {
+func (e *Engine) Holdings(context.Context) ([]hollowgrade.Allocation, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
 		return nil, ErrEngineDown
 	}
 	e.expire()
-	var hs []hollowgrade.Holding
+	var hs []hollowgrade.Allocation
 	for _, h := range slices.SortedFunc(maps.Values(e.held), byID) {
-		hs = append(hs, h.Holding)
+		hs = append(hs, h.Allocation)
 	}
 	for _, s := range e.running {
-		hs = append(hs, hollowgrade.Holding{ID: s.ID, Kind: hollowgrade.HeldSequence, Tokens: s.need})
+		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldSequence, Tokens: s.need})
 	}
 	for _, s := range e.waiting {
-		hs = append(hs, hollowgrade.Holding{ID: s.ID, Kind: hollowgrade.HeldSequence})
+		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldSequence})
 	}
 	return hs, nil
 }
--- a/internal/standin/freeze.go
+++ b/internal/standin/freeze.go
@@ -168,7 +168,7 @@
 }
 
 // Holdings implements [hollowgrade.Engine].
-func (l *LinkedEngine) Holdings(ctx context.Context) ([]hollowgrade.Holding, error) {
+func (l *LinkedEngine) Holdings(ctx context.Context) ([]hollowgrade.Allocation, error) {
 	if err := l.pass(); err != nil {
 		return nil, err
 	}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -156,7 +156,7 @@
 	m := NewMemory(1000)
 	m.Grant(Lease{ID: "answer-1", Tokens: 600})
 	fmt.Println(m.Fits(500), m.Used())
-	held := []hollowgrade.Holding{{ID: "answer-1", Tokens: 600}, {ID: "left-behind", Tokens: 50}}
+	held := []hollowgrade.Allocation{{ID: "answer-1", Tokens: 600}, {ID: "left-behind", Tokens: 50}}
 	fmt.Println(m.Lost(held))
 	// Output:
 	// false 600
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -115,7 +115,7 @@
 }
 
 // Orphans returns what the engine holds and no lease answers for.
-func (m *Memory) Orphans(held []hollowgrade.Holding) (os []hollowgrade.Holding) {
+func (m *Memory) Orphans(held []hollowgrade.Allocation) (os []hollowgrade.Allocation) {
 	for _, h := range held {
 		if _, ok := m.leases[h.ID]; !ok {
 			os = append(os, h)
@@ -125,7 +125,7 @@
 }
 
 // Lost returns how many tokens the engine holds that no lease answers for.
-func (m *Memory) Lost(held []hollowgrade.Holding) (tokens int) {
+func (m *Memory) Lost(held []hollowgrade.Allocation) (tokens int) {
 	for _, h := range m.Orphans(held) {
 		tokens += h.Tokens
 	}
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -168,7 +168,7 @@
 }
 
 // Holdings implements [hollowgrade.Engine].
-func (e *Engine) Holdings(ctx context.Context) (hs []hollowgrade.Holding, err error) {
+func (e *Engine) Holdings(ctx context.Context) (hs []hollowgrade.Allocation, err error) {
 	err = e.call(ctx, PathHoldings, struct{}{}, &hs)
 	return hs, err
 }
