--- a/engine.go
+++ b/engine.go
@@ -75,21 +75,21 @@
 	Models      []string
 }
 
-// HoldingKind says what a piece of held memory is for.
-type HoldingKind string
+// AllocationKind says what a piece of held memory is for.
+type AllocationKind string
 
 // The kinds of memory an engine can hold.
 const (
-	HeldSequence    HoldingKind = "sequence"
-	HeldExport      HoldingKind = "export"
-	HeldReservation HoldingKind = "reservation"
+	HeldSequence    AllocationKind = "sequence"
+	HeldExport      AllocationKind = "export"
+	HeldReservation AllocationKind = "reservation"
 )
 
 // Allocation is memory that an engine holds under an id.
 type Allocation struct {
-	ID     string      `json:"id"`
-	Kind   HoldingKind `json:"kind"`
-	Tokens int         `json:"tokens"`
+	ID     string         `json:"id"`
+	Kind   AllocationKind `json:"kind"`
+	Tokens int            `json:"tokens"`
 }
 
 // Order is a fenced instruction to an engine.
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -16,7 +16,7 @@
 type Lease struct {
 	ID      string
 	Owner   string // request or group that it is for
-	Kind    hollowgrade.HoldingKind
+	Kind    hollowgrade.AllocationKind
 	Tokens  int
 	Expires time.Time // after this the memory is taken back
 }
