--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -135,7 +135,7 @@
 		return
 	}
 	n := j.request.Tokens()
-	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.HeldSequence, Tokens: n}
+	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.SequenceAllocation, Tokens: n}
 	if j.reserves {
 		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
 	}
--- a/engine.go
+++ b/engine.go
@@ -80,9 +80,9 @@
 
 // The kinds of memory an engine can hold.
 const (
-	HeldSequence    AllocationKind = "sequence"
-	HeldExport      AllocationKind = "export"
-	HeldReservation AllocationKind = "reservation"
+	SequenceAllocation AllocationKind = "sequence"
+	HeldExport         AllocationKind = "export"
+	HeldReservation    AllocationKind = "reservation"
 )
 
 // Allocation is memory that an engine holds under an id.
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -114,10 +114,10 @@
 		hs = append(hs, h.Allocation)
 	}
 	for _, s := range e.running {
-		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldSequence, Tokens: s.need})
+		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.SequenceAllocation, Tokens: s.need})
 	}
 	for _, s := range e.waiting {
-		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldSequence})
+		hs = append(hs, hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.SequenceAllocation})
 	}
 	return hs, nil
 }
