--- a/agent/memory.go
+++ b/agent/memory.go
@@ -25,7 +25,7 @@
 	j.held = append(j.held, id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.HeldExport}
+	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.ExportAllocation}
 	if r, ok := a.memory.Get(j.submit.Reservation); ok {
 		l.Owner, l.Expires = r.ID, r.Expires
 	}
--- a/agent/memory_test.go
+++ b/agent/memory_test.go
@@ -13,7 +13,7 @@
 func TestLostMemoryIsSeenTwice(t *testing.T) {
 	a := New(hollowgrade.Box{}, "i", nil)
 	load := hollowgrade.EngineLoad{TotalTokens: 100}
-	held := []hollowgrade.Allocation{{ID: "x", Kind: hollowgrade.HeldExport, Tokens: 40}}
+	held := []hollowgrade.Allocation{{ID: "x", Kind: hollowgrade.ExportAllocation, Tokens: 40}}
 
 	require.Empty(t, a.orphans(load, held))
 	require.Zero(t, a.Lost(), "it may be on its way out")
--- a/engine.go
+++ b/engine.go
@@ -81,7 +81,7 @@
 // The kinds of memory an engine can hold.
 const (
 	SequenceAllocation AllocationKind = "sequence"
-	HeldExport         AllocationKind = "export"
+	ExportAllocation   AllocationKind = "export"
 	HeldReservation    AllocationKind = "reservation"
 )
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -376,7 +376,7 @@
 	}
 	e.used += s.need
 	e.held[s.ID] = &holding{
-		Allocation: hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.HeldExport, Tokens: s.need},
+		Allocation: hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.ExportAllocation, Tokens: s.need},
 		digest:     s.digest,
 		hash:       s.hash,
 	}
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -58,7 +58,7 @@
 		return "", ErrEngineDown
 	}
 	h, ok := e.held[id]
-	if !ok || h.Kind != hollowgrade.HeldExport {
+	if !ok || h.Kind != hollowgrade.ExportAllocation {
 		return "", ErrNoHolding
 	}
 	return formatHandle(h)
