--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -137,7 +137,7 @@
 	n := j.request.Tokens()
 	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.SequenceAllocation, Tokens: n}
 	if j.reserves {
-		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
+		l.Kind, l.Expires = hollowgrade.ReservationAllocation, j.request.Deadline
 	}
 	if a.memory.Grant(l) && a.long(n) {
 		a.longHeld += n
--- a/engine.go
+++ b/engine.go
@@ -80,9 +80,9 @@
 
 // The kinds of memory an engine can hold.
 const (
-	SequenceAllocation AllocationKind = "sequence"
-	ExportAllocation   AllocationKind = "export"
-	HeldReservation    AllocationKind = "reservation"
+	SequenceAllocation    AllocationKind = "sequence"
+	ExportAllocation      AllocationKind = "export"
+	ReservationAllocation AllocationKind = "reservation"
 )
 
 // Allocation is memory that an engine holds under an id.
--- a/internal/standin/engine_memory.go
+++ b/internal/standin/engine_memory.go
@@ -30,7 +30,7 @@
 	e.used += tokens
 	e.cache.shrink(e.config.MemoryTokens - e.used)
 	e.held[id] = &holding{
-		Allocation: hollowgrade.Allocation{ID: id, Kind: hollowgrade.HeldReservation, Tokens: tokens},
+		Allocation: hollowgrade.Allocation{ID: id, Kind: hollowgrade.ReservationAllocation, Tokens: tokens},
 		expires:    e.clock.Now().Add(ttl),
 	}
 	return nil
