--- a/fingerprint.go
+++ b/fingerprint.go
@@ -11,8 +11,8 @@
 // that share one, and half of what a whole digest takes in messages and logs.
 const fingerprintBytes = 16
 
-// usualHead is the room in bytes for what is digested beside the body; more takes an allocation.
-const usualHead = 512
+// headBufferBytes is the room in bytes for what is digested beside the body; more takes an allocation.
+const headBufferBytes = 512
 
 // Fingerprint identifies a request by what it asks for and for whom, so that it is known again
 // when it comes again under another id, at any gateway.
@@ -25,7 +25,7 @@
 // make two that are alike. It takes 1.0 us for a body of 1 KB and 0.73 ms for one of 1 MB, without an
 // allocation (BenchmarkFingerprint); before, nothing was digested.
 func NewFingerprint(organisation string, c Call) (f Fingerprint) {
-	b := make([]byte, 0, usualHead)
+	b := make([]byte, 0, headBufferBytes)
 	for _, s := range []string{organisation, c.Method, c.Host, c.Target} {
 		b = binary.BigEndian.AppendUint64(b, uint64(len(s))) // or the end of one could pass for the beginning of the next
 		b = append(b, s...)
