--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -5,6 +5,6 @@
 import "github.com/hollowgrade/hollowgrade"
 
 // worldClock returns the clock of a process.
-func worldClock() *hollowgrade.WorldClock {
+func worldClock() *hollowgrade.SuspendAwareClock {
 	return hollowgrade.NewWorldClock()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	recorder    *measure.Recorder
 	metrics     *measure.Metrics
 	log         *log.Logger
-	clock       *hollowgrade.WorldClock
+	clock       *hollowgrade.SuspendAwareClock
 }
 
 // base makes what all roles share.
--- a/worldclock.go
+++ b/worldclock.go
@@ -20,11 +20,11 @@
 	readTries = 3
 )
 
-// WorldClock is a clock for what passes in the world: also the time counts for which the machine was
+// SuspendAwareClock is a clock for what passes in the world: also the time counts for which the machine was
 // suspended, which the steady clock leaves out. Timers run on the steady clock, so that those which
 // were set before a suspension are late by it; whoever decides by time asks the clock. Steps of
 // the time of day change nothing on it.
-type WorldClock struct {
+type SuspendAwareClock struct {
 	clockwork.Clock
 	boot func() (time.Duration, error) // time since the machine started, with suspensions
 
@@ -38,21 +38,21 @@
 }
 
 // WorldClockOption changes a world clock as it is made.
-type WorldClockOption func(*WorldClock)
+type WorldClockOption func(*SuspendAwareClock)
 
 // WithSteadyClock sets the clock that timers run on.
 func WithSteadyClock(c Clock) WorldClockOption {
-	return func(w *WorldClock) { w.Clock = c }
+	return func(w *SuspendAwareClock) { w.Clock = c }
 }
 
 // WithBootClock sets how long ago the machine started, with the time for which it was suspended.
 func WithBootClock(f func() (time.Duration, error)) WorldClockOption {
-	return func(w *WorldClock) { w.boot = f }
+	return func(w *SuspendAwareClock) { w.boot = f }
 }
 
 // NewWorldClock returns a clock that has seen no suspension yet.
-func NewWorldClock(os ...WorldClockOption) *WorldClock {
-	w := &WorldClock{Clock: SystemClock(), boot: bootTime}
+func NewWorldClock(os ...WorldClockOption) *SuspendAwareClock {
+	w := &SuspendAwareClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
 		o(w)
 	}
@@ -72,21 +72,21 @@
 
 // Watch adds a function that is told of each suspension, and for how long it was. It is called by
 // whoever notices it, before anything is decided.
-func (w *WorldClock) Watch(f func(d time.Duration)) {
+func (w *SuspendAwareClock) Watch(f func(d time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.watchers = append(w.watchers, f)
 }
 
 // Suspensions returns how many suspensions were noticed, and their time in all.
-func (w *WorldClock) Suspensions() (n int, all time.Duration) {
+func (w *SuspendAwareClock) Suspensions() (n int, all time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count, w.suspended
 }
 
 // Now implements [Clock].
-func (w *WorldClock) Now() time.Time {
+func (w *SuspendAwareClock) Now() time.Time {
 	now := w.Clock.Now()
 	w.mu.Lock()
 	due := now.Sub(w.looked) >= noticeEvery
@@ -99,18 +99,18 @@
 }
 
 // Since implements [Clock].
-func (w *WorldClock) Since(t time.Time) time.Duration {
+func (w *SuspendAwareClock) Since(t time.Time) time.Duration {
 	return w.Now().Sub(t)
 }
 
 // Until implements [Clock].
-func (w *WorldClock) Until(t time.Time) time.Duration {
+func (w *SuspendAwareClock) Until(t time.Time) time.Duration {
 	return t.Sub(w.Now())
 }
 
 // Notice looks whether the machine was suspended since the last look, and returns for how long it
 // was in all.
-func (w *WorldClock) Notice() time.Duration {
+func (w *SuspendAwareClock) Notice() time.Duration {
 	now, boot, ok := w.read()
 	w.mu.Lock()
 	w.looked = now
@@ -131,7 +131,7 @@
 
 // read reads both clocks as at one moment. It returns false if it was held up in between, or the
 // machine doesn't tell.
-func (w *WorldClock) read() (now time.Time, boot time.Duration, ok bool) {
+func (w *SuspendAwareClock) read() (now time.Time, boot time.Duration, ok bool) {
 	for range readTries {
 		now = w.Clock.Now()
 		b, err := w.boot()
@@ -149,14 +149,14 @@
 // Notice lets a clock look whether the machine was suspended, if it can tell. What is decided by the
 // age of something asks for it first.
 func Notice(c Clock) {
-	if w, ok := c.(*WorldClock); ok {
+	if w, ok := c.(*SuspendAwareClock); ok {
 		w.Notice()
 	}
 }
 
 // WallTime returns the time of day, for what others read.
 func WallTime(c Clock) time.Time {
-	if w, ok := c.(*WorldClock); ok {
+	if w, ok := c.(*SuspendAwareClock); ok {
 		return w.Clock.Now()
 	}
 	return c.Now()
