--- a/worldclock.go
+++ b/worldclock.go
@@ -37,21 +37,21 @@
 	watchers  []func(d time.Duration)
 }
 
-// WorldClockOption changes a world clock as it is made.
-type WorldClockOption func(*SuspendAwareClock)
+// SuspendAwareClockOption changes a world clock as it is made.
+type SuspendAwareClockOption func(*SuspendAwareClock)
 
 // WithSteadyClock sets the clock that timers run on.
-func WithSteadyClock(c Clock) WorldClockOption {
+func WithSteadyClock(c Clock) SuspendAwareClockOption {
 	return func(w *SuspendAwareClock) { w.Clock = c }
 }
 
 // WithBootClock sets how long ago the machine started, with the time for which it was suspended.
-func WithBootClock(f func() (time.Duration, error)) WorldClockOption {
+func WithBootClock(f func() (time.Duration, error)) SuspendAwareClockOption {
 	return func(w *SuspendAwareClock) { w.boot = f }
 }
 
 // NewSuspendAwareClock returns a clock that has seen no suspension yet.
-func NewSuspendAwareClock(os ...WorldClockOption) *SuspendAwareClock {
+func NewSuspendAwareClock(os ...SuspendAwareClockOption) *SuspendAwareClock {
 	w := &SuspendAwareClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
 		o(w)
