--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -174,7 +174,7 @@
 	if j.request.Key == "" {
 		return nil
 	}
-	hollowgrade.Notice(a.clock) // or a lease that lapsed while the machine was suspended would seem to hold
+	hollowgrade.CheckSuspension(a.clock) // or a lease that lapsed while the machine was suspended would seem to hold
 	if !a.clock.Now().Before(j.lease) {
 		return fault.New(fault.ClaimLapsed, "the claim on the key lapsed before the start").WithRetryAfter(minRetryAfter)
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -306,7 +306,7 @@
 
 // admit determines the route, the organisation and the service of a call, or refuses it.
 func (c *Core) admit(f *flow) error {
-	hollowgrade.Notice(c.clock)
+	hollowgrade.CheckSuspension(c.clock)
 	f.catalog = c.catalog.Load()
 	if f.catalog == nil {
 		return fault.New(fault.NoConfiguration, "no configuration has been read yet").WithRetryAfter(shortRetryAfter)
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -67,7 +67,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(10 * time.Second)
-				hollowgrade.Notice(s.SuspendAwareClock)
+				hollowgrade.CheckSuspension(s.SuspendAwareClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -83,7 +83,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(2 * time.Second)
-				hollowgrade.Notice(s.SuspendAwareClock)
+				hollowgrade.CheckSuspension(s.SuspendAwareClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -96,7 +96,7 @@
 			c := s.core(f)
 			c.Fleet().ReceiveView("b", map[hollowgrade.Instance]Share{"u1": {Open: 5}}, true)
 			s.suspend(10 * time.Second)
-			hollowgrade.Notice(s.SuspendAwareClock)
+			hollowgrade.CheckSuspension(s.SuspendAwareClock)
 			_ = c.Serve(context.Background(), s.call("/public/"), &fakeSink{})
 			require.Zero(t, c.Fleet().SyncedPeers())
 		})
--- a/feed/excerpt.go
+++ b/feed/excerpt.go
@@ -29,7 +29,7 @@
 // excerptFrom returns the newest records from an offset on, as many as fit into one answer. Ok is
 // false if the view has never been complete.
 func (f *Feed) excerptFrom(from int64) (p excerpt, ok bool) {
-	hollowgrade.Notice(f.clock) // peers adopt this age, so it must include the time of a suspension
+	hollowgrade.CheckSuspension(f.clock) // peers adopt this age, so it must include the time of a suspension
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fresh.IsZero() {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -204,7 +204,7 @@
 
 // Age returns the time since the view was last known to be complete, and false if it never was.
 func (f *Feed) Age() (time.Duration, bool) {
-	hollowgrade.Notice(f.clock) // a key revoked while the machine was suspended must not pass as valid
+	hollowgrade.CheckSuspension(f.clock) // a key revoked while the machine was suspended must not pass as valid
 	t := f.Fresh()
 	return f.clock.Since(t), !t.IsZero()
 }
--- a/worldclock.go
+++ b/worldclock.go
@@ -146,9 +146,9 @@
 	return now, boot, false
 }
 
-// Notice lets a clock look whether the machine was suspended, if it can tell. What is decided by the
+// CheckSuspension lets a clock look whether the machine was suspended, if it can tell. What is decided by the
 // age of something asks for it first.
-func Notice(c Clock) {
+func CheckSuspension(c Clock) {
 	if w, ok := c.(*SuspendAwareClock); ok {
 		w.Notice()
 	}
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -37,7 +37,7 @@
 			time.Sleep(time.Second)
 			require.Equal(t, time.Second, w.Since(begin))
 			m.suspended = 7 * time.Second
-			Notice(w)
+			CheckSuspension(w)
 			require.Equal(t, 8*time.Second, w.Since(begin))
 			require.Equal(t, 7*time.Second, told)
 			require.Equal(t, 2*time.Second, w.Until(begin.Add(10*time.Second)))
@@ -66,7 +66,7 @@
 			m := newMachine()
 			w := NewSuspendAwareClock(WithBootClock(m.boot))
 			m.held = time.Second
-			Notice(w)
+			CheckSuspension(w)
 			n, _ := w.Suspensions()
 			require.Zero(t, n)
 		})
@@ -77,7 +77,7 @@
 			m.err = errors.New("there is no such clock")
 			w := NewSuspendAwareClock(WithBootClock(m.boot))
 			m.suspended = time.Hour
-			Notice(w)
+			CheckSuspension(w)
 			n, _ := w.Suspensions()
 			require.Zero(t, n)
 		})
@@ -85,7 +85,7 @@
 	t.Run("reads this machine's clocks", func(t *testing.T) {
 		w := NewSuspendAwareClock()
 		begin, steady := w.Now(), time.Now()
-		Notice(w)
+		CheckSuspension(w)
 		require.InDelta(t, time.Since(steady).Seconds(), w.Since(begin).Seconds(), 0.02)
 	})
 }
