--- a/worldclock.go
+++ b/worldclock.go
@@ -34,7 +34,7 @@
 	suspended time.Duration // in all, as far as it was noticed
 	count     int
 	looked    time.Time // on the steady clock
-	watchers  []func(d time.Duration)
+	callbacks []func(d time.Duration)
 }
 
 // SuspendAwareClockOption changes a world clock as it is made.
@@ -75,7 +75,7 @@
 func (w *SuspendAwareClock) Watch(f func(d time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.watchers = append(w.watchers, f)
+	w.callbacks = append(w.callbacks, f)
 }
 
 // Suspensions returns how many suspensions were noticed, and their time in all.
@@ -121,7 +121,7 @@
 	}
 	w.suspended += d
 	w.count++
-	all, fs := w.suspended, w.watchers
+	all, fs := w.suspended, w.callbacks
 	w.mu.Unlock()
 	for _, f := range fs {
 		f(d)
