--- a/worldclock.go
+++ b/worldclock.go
@@ -33,7 +33,7 @@
 	base      time.Duration // boot when the clock was made
 	suspended time.Duration // in all, as far as it was noticed
 	count     int
-	looked    time.Time // on the steady clock
+	checkedAt time.Time // on the steady clock
 	callbacks []func(d time.Duration)
 }
 
@@ -57,7 +57,7 @@
 		o(w)
 	}
 	w.started, w.base, _ = w.read()
-	w.looked = w.started
+	w.checkedAt = w.started
 	return w
 }
 
@@ -89,7 +89,7 @@
 func (w *SuspendAwareClock) Now() time.Time {
 	now := w.Clock.Now()
 	w.mu.Lock()
-	due := now.Sub(w.looked) >= noticeEvery
+	due := now.Sub(w.checkedAt) >= noticeEvery
 	all := w.suspended
 	w.mu.Unlock()
 	if due {
@@ -113,7 +113,7 @@
 func (w *SuspendAwareClock) Notice() time.Duration {
 	now, boot, ok := w.read()
 	w.mu.Lock()
-	w.looked = now
+	w.checkedAt = now
 	d := boot - w.base - now.Sub(w.started) - w.suspended
 	if !ok || d < leastSuspension {
 		defer w.mu.Unlock()
