--- a/worldclock.go
+++ b/worldclock.go
@@ -28,13 +28,13 @@
 	clockwork.Clock
 	boot func() (time.Duration, error) // time since the machine started, with suspensions
 
-	mu        sync.Mutex
-	started   time.Time
-	base      time.Duration // boot when the clock was made
-	suspended time.Duration // in all, as far as it was noticed
-	count     int
-	checkedAt time.Time // on the steady clock
-	callbacks []func(d time.Duration)
+	mu          sync.Mutex
+	started     time.Time
+	bootAtStart time.Duration // boot when the clock was made
+	suspended   time.Duration // in all, as far as it was noticed
+	count       int
+	checkedAt   time.Time // on the steady clock
+	callbacks   []func(d time.Duration)
 }
 
 // SuspendAwareClockOption changes a world clock as it is made.
@@ -56,7 +56,7 @@
 	for _, o := range os {
 		o(w)
 	}
-	w.started, w.base, _ = w.read()
+	w.started, w.bootAtStart, _ = w.read()
 	w.checkedAt = w.started
 	return w
 }
@@ -114,7 +114,7 @@
 	now, boot, ok := w.read()
 	w.mu.Lock()
 	w.checkedAt = now
-	d := boot - w.base - now.Sub(w.started) - w.suspended
+	d := boot - w.bootAtStart - now.Sub(w.started) - w.suspended
 	if !ok || d < leastSuspension {
 		defer w.mu.Unlock()
 		return w.suspended
