--- a/worldclock.go
+++ b/worldclock.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// noticeEvery is how often a world clock looks whether the machine was suspended while it is asked
+	// suspensionCheckInterval is how often a world clock looks whether the machine was suspended while it is asked
 	// for the time: each look is a system call. What must not be late by that looks itself, with [Notice].
-	noticeEvery = 20 * time.Millisecond
+	suspensionCheckInterval = 20 * time.Millisecond
 	// leastSuspension is the shortest difference between the two clocks that counts as a suspension. They
 	// are read one after the other, by a process that may be held up between the two for less than readWithin.
 	leastSuspension = 50 * time.Millisecond
@@ -89,7 +89,7 @@
 func (w *SuspendAwareClock) Now() time.Time {
 	now := w.Clock.Now()
 	w.mu.Lock()
-	due := now.Sub(w.checkedAt) >= noticeEvery
+	due := now.Sub(w.checkedAt) >= suspensionCheckInterval
 	all := w.suspended
 	w.mu.Unlock()
 	if due {
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -46,8 +46,8 @@
 			require.Equal(t, 1, n)
 			require.Equal(t, 7*time.Second, all)
 			m.suspended += time.Minute
-			time.Sleep(noticeEvery)
-			require.Equal(t, time.Minute+8*time.Second+noticeEvery, w.Since(begin), "without being asked to look")
+			time.Sleep(suspensionCheckInterval)
+			require.Equal(t, time.Minute+8*time.Second+suspensionCheckInterval, w.Since(begin), "without being asked to look")
 		})
 	})
 	t.Run("is the steady clock on one that was not", func(t *testing.T) {
