--- a/worldclock.go
+++ b/worldclock.go
@@ -12,10 +12,10 @@
 	// suspensionCheckInterval is how often a world clock looks whether the machine was suspended while it is asked
 	// for the time: each look is a system call. What must not be late by that looks itself, with [Notice].
 	suspensionCheckInterval = 20 * time.Millisecond
-	// leastSuspension is the shortest difference between the two clocks that counts as a suspension. They
+	// minSuspension is the shortest difference between the two clocks that counts as a suspension. They
 	// are read one after the other, by a process that may be held up between the two for less than readWithin.
-	leastSuspension = 50 * time.Millisecond
-	readWithin      = 5 * time.Millisecond
+	minSuspension = 50 * time.Millisecond
+	readWithin    = 5 * time.Millisecond
 	// readTries bounds how often they are read until that is so; the next look does.
 	readTries = 3
 )
@@ -115,7 +115,7 @@
 	w.mu.Lock()
 	w.checkedAt = now
 	d := boot - w.bootAtStart - now.Sub(w.started) - w.suspended
-	if !ok || d < leastSuspension {
+	if !ok || d < minSuspension {
 		defer w.mu.Unlock()
 		return w.suspended
 	}
