--- a/worldclock.go
+++ b/worldclock.go
@@ -15,7 +15,7 @@
 	// minSuspension is the shortest difference between the two clocks that counts as a suspension. They
 	// are read one after the other, by a process that may be held up between the two for less than readWithin.
 	minSuspension = 50 * time.Millisecond
-	readWithin    = 5 * time.Millisecond
+	maxReadTime   = 5 * time.Millisecond
 	// readTries bounds how often they are read until that is so; the next look does.
 	readTries = 3
 )
@@ -138,7 +138,7 @@
 		if err != nil {
 			return now, 0, false
 		}
-		if w.Clock.Since(now) <= readWithin {
+		if w.Clock.Since(now) <= maxReadTime {
 			return now, b, true
 		}
 		boot = b
