--- a/worldclock.go
+++ b/worldclock.go
@@ -16,8 +16,8 @@
 	// are read one after the other, by a process that may be held up between the two for less than readWithin.
 	minSuspension = 50 * time.Millisecond
 	maxReadTime   = 5 * time.Millisecond
-	// readTries bounds how often they are read until that is so; the next look does.
-	readTries = 3
+	// maxReads bounds how often they are read until that is so; the next look does.
+	maxReads = 3
 )
 
 // SuspendAwareClock is a clock for what passes in the world: also the time counts for which the machine was
@@ -132,7 +132,7 @@
 // read reads both clocks as at one moment. It returns false if it was held up in between, or the
 // machine doesn't tell.
 func (w *SuspendAwareClock) read() (now time.Time, boot time.Duration, ok bool) {
-	for range readTries {
+	for range maxReads {
 		now = w.Clock.Now()
 		b, err := w.boot()
 		if err != nil {
