--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -13,7 +13,7 @@
 type machine struct {
 	started   time.Time
 	suspended time.Duration
-	held      time.Duration // for which the process is held up while it reads the clocks
+	readDelay time.Duration // for which the process is held up while it reads the clocks
 	err       error
 }
 
@@ -22,7 +22,7 @@
 }
 
 func (m *machine) boot() (time.Duration, error) {
-	time.Sleep(m.held)
+	time.Sleep(m.readDelay)
 	return time.Since(m.started) + m.suspended, m.err
 }
 
@@ -65,7 +65,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
 			w := NewSuspendAwareClock(WithBootClock(m.boot))
-			m.held = time.Second
+			m.readDelay = time.Second
 			CheckSuspension(w)
 			n, _ := w.Suspensions()
 			require.Zero(t, n)
