--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -31,15 +31,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
 			w := NewSuspendAwareClock(WithBootClock(m.boot))
-			told := time.Duration(0)
-			w.Watch(func(d time.Duration) { told += d })
+			reported := time.Duration(0)
+			w.Watch(func(d time.Duration) { reported += d })
 			begin := w.Now()
 			time.Sleep(time.Second)
 			require.Equal(t, time.Second, w.Since(begin))
 			m.suspended = 7 * time.Second
 			CheckSuspension(w)
 			require.Equal(t, 8*time.Second, w.Since(begin))
-			require.Equal(t, 7*time.Second, told)
+			require.Equal(t, 7*time.Second, reported)
 			require.Equal(t, 2*time.Second, w.Until(begin.Add(10*time.Second)))
 			require.Equal(t, time.Second, WallTime(w).Sub(begin), "the time of day has counted it already")
 			n, all := w.Suspensions()
