--- a/core/fleet.go
+++ b/core/fleet.go
@@ -66,7 +66,7 @@
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAllUntil time.Time
 	limit             rateLimit
-	pause             pauseState
+	pause             cooldownState
 	leaving           bool      // by its own signal, whatever the registry says
 	expiresAt         time.Time // when a member without an entry is removed; zero while it is listed
 }
--- a/core/pause.go
+++ b/core/pause.go
@@ -15,25 +15,25 @@
 	trialTimeout = time.Second
 )
 
-// pauseState is the state of a pause that an upstream asked this process for.
-type pauseState struct {
+// cooldownState is the state of a pause that an upstream asked this process for.
+type cooldownState struct {
 	until   time.Time
 	onTrial bool      // whether no call has been accepted since the pause
 	trialAt time.Time // when the last call was sent
 }
 
 // ended reports whether the pause has ended.
-func (r *pauseState) ended(now time.Time) bool {
+func (r *cooldownState) ended(now time.Time) bool {
 	return !now.Before(r.until)
 }
 
 // trialPending reports whether the first call after a pause is still unanswered.
-func (r *pauseState) trialPending(now time.Time) bool {
+func (r *cooldownState) trialPending(now time.Time) bool {
 	return r.onTrial && now.Sub(r.trialAt) < trialTimeout
 }
 
 // nextCallAt returns when the upstream may get its next call.
-func (r *pauseState) nextCallAt() time.Time {
+func (r *cooldownState) nextCallAt() time.Time {
 	if r.onTrial {
 		return hollowgrade.Later(r.until, r.trialAt.Add(trialTimeout))
 	}
