--- a/core/pause.go
+++ b/core/pause.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// pauseJitter is the greatest part by which a process extends a pause, so that not all processes
+	// cooldownJitter is the greatest part by which a process extends a pause, so that not all processes
 	// resume at once.
-	pauseJitter = 0.25
+	cooldownJitter = 0.25
 	// trialTimeout is how long a process waits for the answer to its first call after a pause before
 	// it sends another.
 	trialTimeout = time.Second
@@ -44,7 +44,7 @@
 // one. The lock is held.
 func (f *Fleet) setPause(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
-	spread := time.Duration(f.random() * pauseJitter * float64(d))
+	spread := time.Duration(f.random() * cooldownJitter * float64(d))
 	f.log.Info("upstream asks for a pause", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
 		"spread_ms", spread.Milliseconds(), "before_ms", max(m.pause.until.Sub(now), 0).Milliseconds())
 	m.pause.until = hollowgrade.Later(m.pause.until, now.Add(d+spread))
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -39,7 +39,7 @@
 
 func TestRestOfAnUpstream(t *testing.T) {
 	const rest = 4 * time.Second
-	longest := time.Duration((1 + pauseJitter) * float64(rest))
+	longest := time.Duration((1 + cooldownJitter) * float64(rest))
 	t.Run("ends after its time and not much later", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
@@ -109,7 +109,7 @@
 			r := f.unavailability("s", nil)
 			require.Equal(t, 2, r.paused)
 			require.GreaterOrEqual(t, r.retryAfter, rest)
-			require.LessOrEqual(t, r.retryAfter, time.Duration((1+pauseJitter)*float64(longest)))
+			require.LessOrEqual(t, r.retryAfter, time.Duration((1+cooldownJitter)*float64(longest)))
 		})
 	})
 	t.Run("is over with its life", func(t *testing.T) {
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -45,7 +45,7 @@
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
 	case r.paused > 0:
 		d := firstPauseEnd.Sub(now)
-		r.retryAfter = max(d+time.Duration(f.random()*pauseJitter*float64(d)), minRetryAfter)
+		r.retryAfter = max(d+time.Duration(f.random()*cooldownJitter*float64(d)), minRetryAfter)
 	}
 	return r
 }
