--- a/core/fleet.go
+++ b/core/fleet.go
@@ -66,7 +66,7 @@
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAllUntil time.Time
 	limit             rateLimit
-	pause             cooldownState
+	cooldown          cooldownState
 	leaving           bool      // by its own signal, whatever the registry says
 	expiresAt         time.Time // when a member without an entry is removed; zero while it is listed
 }
@@ -328,7 +328,7 @@
 
 // usable reports whether a member may get new calls. The lock is held.
 func (f *Fleet) usable(m *member, now time.Time) bool {
-	return !m.Draining && !m.leaving && !m.expired(now) && m.pause.ended(now)
+	return !m.Draining && !m.leaving && !m.expired(now) && m.cooldown.ended(now)
 }
 
 // stillUsable reports whether the members of an earlier pick may still get the call. It charges the
--- a/core/pause.go
+++ b/core/pause.go
@@ -46,20 +46,20 @@
 	now := f.clock.Now()
 	spread := time.Duration(f.random() * cooldownJitter * float64(d))
 	f.log.Info("upstream asks for a pause", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
-		"spread_ms", spread.Milliseconds(), "before_ms", max(m.pause.until.Sub(now), 0).Milliseconds())
-	m.pause.until = hollowgrade.Later(m.pause.until, now.Add(d+spread))
-	m.pause.onTrial = true
+		"spread_ms", spread.Milliseconds(), "before_ms", max(m.cooldown.until.Sub(now), 0).Milliseconds())
+	m.cooldown.until = hollowgrade.Later(m.cooldown.until, now.Add(d+spread))
+	m.cooldown.onTrial = true
 }
 
 // recordTrial records that a call is sent to an upstream. The lock is held.
 func (f *Fleet) recordTrial(m *member, now time.Time) {
-	m.pause.trialAt = now
+	m.cooldown.trialAt = now
 }
 
 // endTrial records that an upstream has answered a call without turning it away. The lock is held.
 func (f *Fleet) endTrial(m *member, sent time.Time) {
-	if m.pause.onTrial && sent.After(m.pause.until) {
-		m.pause.onTrial = false
+	if m.cooldown.onTrial && sent.After(m.cooldown.until) {
+		m.cooldown.onTrial = false
 		f.log.Info("upstream takes calls again after a pause", "upstream", m.instance, "service", m.Service)
 	}
 }
--- a/core/place.go
+++ b/core/place.go
@@ -114,7 +114,7 @@
 // processes share. The lock is held.
 func (f *Fleet) usableMembers(service string, now time.Time) (ms []*member) {
 	for _, m := range f.membersOf(service) {
-		if f.usable(m, now) && !m.pause.trialPending(now) {
+		if f.usable(m, now) && !m.cooldown.trialPending(now) {
 			ms = append(ms, m)
 		}
 	}
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -30,9 +30,9 @@
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
-		case !m.pause.ended(now) || m.pause.trialPending(now):
+		case !m.cooldown.ended(now) || m.cooldown.trialPending(now):
 			r.paused++
-			if e := m.pause.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
+			if e := m.cooldown.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
 				firstPauseEnd = e
 			}
 		case m.limit.named:
