--- a/core/pause.go
+++ b/core/pause.go
@@ -40,9 +40,9 @@
 	return r.until
 }
 
-// setPause starts or extends a pause that an upstream asks for. A shorter one doesn't end a longer
+// setCooldown starts or extends a pause that an upstream asks for. A shorter one doesn't end a longer
 // one. The lock is held.
-func (f *Fleet) setPause(m *member, request string, d time.Duration) {
+func (f *Fleet) setCooldown(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.random() * cooldownJitter * float64(d))
 	f.log.Info("upstream asks for a pause", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
--- a/core/signals.go
+++ b/core/signals.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if s.RetryAfter > 0 {
-		f.setPause(m, id, s.RetryAfter)
+		f.setCooldown(m, id, s.RetryAfter)
 	}
 	if s.Leaving {
 		f.setLeaving(m, "", id)
