--- a/core/flow.go
+++ b/core/flow.go
@@ -203,14 +203,14 @@
 // those that are take no call now.
 func (f *flow) noUpstreamError() error {
 	r := f.core.fleet.unavailability(f.service.Name, f.tried)
-	if r.limited+r.paused == 0 {
+	if r.limited+r.coolingDown == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
 			WithRetryAfter(shortRetryAfter)
 	}
 	f.core.log.Info("not sent", "request", f.call.ID, "why", "upstreams ask for rest or name limits", "limited", r.limited,
-		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.retryAfter.Milliseconds())
+		"per_second", round(r.perSecond), "resting", r.coolingDown, "come_back_ms", r.retryAfter.Milliseconds())
 	return fault.New(fault.Overloaded, "of service %s %d upstreams take %.3g requests a second together, and %d asked for rest",
-		f.service.Name, r.limited, r.perSecond, r.paused).WithRetryAfter(r.retryAfter)
+		f.service.Name, r.limited, r.perSecond, r.coolingDown).WithRetryAfter(r.retryAfter)
 }
 
 // round rounds a figure to two decimals for logs.
--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -107,7 +107,7 @@
 			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
 			receiveAnswer(f, "v", time.Now(), refusalWithRetryAfter(10*time.Second))
 			r := f.unavailability("s", nil)
-			require.Equal(t, 2, r.paused)
+			require.Equal(t, 2, r.coolingDown)
 			require.GreaterOrEqual(t, r.retryAfter, rest)
 			require.LessOrEqual(t, r.retryAfter, time.Duration((1+cooldownJitter)*float64(longest)))
 		})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -14,10 +14,10 @@
 
 // unavailability says why no upstream of a service takes a call now.
 type unavailability struct {
-	limited    int           // upstreams that only their limits exclude
-	perSecond  float64       // requests per second that these accept from all processes together
-	paused     int           // upstreams that asked for a pause
-	retryAfter time.Duration // retry delay for the caller
+	limited     int           // upstreams that only their limits exclude
+	perSecond   float64       // requests per second that these accept from all processes together
+	coolingDown int           // upstreams that asked for a pause
+	retryAfter  time.Duration // retry delay for the caller
 }
 
 // unavailability returns why the untried upstreams of a service take no call now, and assigns the
@@ -31,7 +31,7 @@
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.cooldown.ended(now) || m.cooldown.trialPending(now):
-			r.paused++
+			r.coolingDown++
 			if e := m.cooldown.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
 				firstPauseEnd = e
 			}
@@ -43,7 +43,7 @@
 	switch {
 	case r.limited > 0:
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
-	case r.paused > 0:
+	case r.coolingDown > 0:
 		d := firstPauseEnd.Sub(now)
 		r.retryAfter = max(d+time.Duration(f.random()*cooldownJitter*float64(d)), minRetryAfter)
 	}
