--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -26,14 +26,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	var firstPauseEnd time.Time // when the first pause ends
+	var firstCooldownEnd time.Time // when the first pause ends
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
 		case !m.cooldown.ended(now) || m.cooldown.trialPending(now):
 			r.coolingDown++
-			if e := m.cooldown.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
-				firstPauseEnd = e
+			if e := m.cooldown.nextCallAt(); firstCooldownEnd.IsZero() || e.Before(firstCooldownEnd) {
+				firstCooldownEnd = e
 			}
 		case m.limit.named:
 			r.limited++
@@ -44,7 +44,7 @@
 	case r.limited > 0:
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
 	case r.coolingDown > 0:
-		d := firstPauseEnd.Sub(now)
+		d := firstCooldownEnd.Sub(now)
 		r.retryAfter = max(d+time.Duration(f.random()*cooldownJitter*float64(d)), minRetryAfter)
 	}
 	return r
