--- a/core/signals_test.go
+++ b/core/signals_test.go
@@ -38,24 +38,24 @@
 var served = hollowgrade.Head{Status: 200}
 
 func TestRestOfAnUpstream(t *testing.T) {
-	const rest = 4 * time.Second
-	longest := time.Duration((1 + cooldownJitter) * float64(rest))
+	const cooldown = 4 * time.Second
+	longest := time.Duration((1 + cooldownJitter) * float64(cooldown))
 	t.Run("ends after its time and not much later", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
-			time.Sleep(rest - time.Millisecond)
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
+			time.Sleep(cooldown - time.Millisecond)
 			require.Nil(t, pickForCall(f))
-			time.Sleep(longest - rest + time.Millisecond)
+			time.Sleep(longest - cooldown + time.Millisecond)
 			require.NotNil(t, pickForCall(f))
 		})
 	})
 	t.Run("is not cut by a shorter one", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
 			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(time.Second))
-			time.Sleep(rest - time.Millisecond)
+			time.Sleep(cooldown - time.Millisecond)
 			require.Nil(t, pickForCall(f))
 		})
 	})
@@ -63,7 +63,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			sent := time.Now()
-			receiveAnswer(f, "u", sent, refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", sent, refusalWithRetryAfter(cooldown))
 			time.Sleep(time.Second)
 			receiveAnswer(f, "u", sent, served)
 			require.Nil(t, pickForCall(f))
@@ -72,7 +72,7 @@
 	t.Run("is followed by one call, and by others once that is answered", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			require.Nil(t, pickForCall(f))
@@ -86,7 +86,7 @@
 	t.Run("is followed by another call if the first gets no answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
 			time.Sleep(longest)
 			require.NotNil(t, pickForCall(f))
 			time.Sleep(trialTimeout)
@@ -97,18 +97,18 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u")
 			p := pickForCall(f)
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
 			require.False(t, f.stillUsable(p))
 		})
 	})
 	t.Run("of all upstreams lets callers come back when the first ends", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSignalFleet("u", "v")
-			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(rest))
+			receiveAnswer(f, "u", time.Now(), refusalWithRetryAfter(cooldown))
 			receiveAnswer(f, "v", time.Now(), refusalWithRetryAfter(10*time.Second))
 			r := f.unavailability("s", nil)
 			require.Equal(t, 2, r.coolingDown)
-			require.GreaterOrEqual(t, r.retryAfter, rest)
+			require.GreaterOrEqual(t, r.retryAfter, cooldown)
 			require.LessOrEqual(t, r.retryAfter, time.Duration((1+cooldownJitter)*float64(longest)))
 		})
 	})
