--- a/core/closing.go
+++ b/core/closing.go
@@ -83,10 +83,10 @@
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
 // there and the upstream has been silent since and still closes connections.
 func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
-	now, heard := c.clock.Now(), c.fleet.lastActivity(u.Instance())
+	now, lastActivity := c.clock.Now(), c.fleet.lastActivity(u.Instance())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
 		ran := l.Upstream == u.Instance() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
-		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
+		return ran && now.Sub(l.Lost) >= minSilence && !lastActivity.After(l.Lost.Add(inFlightGrace))
 	})
 	for _, l := range ls {
 		c.log.Info("upstream crash confirmed, it closes connections and is silent", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
