--- a/agent/memory.go
+++ b/agent/memory.go
@@ -175,7 +175,7 @@
 	load, err := a.engine.Load(ctx)
 	if err == nil {
 		var held []hollowgrade.Allocation
-		held, err = a.engine.Allocations(ctx)
+		held, err = a.engine.Holdings(ctx)
 		if err == nil {
 			a.reclaim(ctx, load, held)
 		}
--- a/cmd/hollowgrade/process_test.go
+++ b/cmd/hollowgrade/process_test.go
@@ -192,7 +192,7 @@
 			if f.dead[i] {
 				continue
 			}
-			hs, err := upstream.NewEngine(u, http.DefaultTransport).Allocations(context.Background())
+			hs, err := upstream.NewEngine(u, http.DefaultTransport).Holdings(context.Background())
 			require.NoError(t, err)
 			if len(hs) > 0 {
 				return i
--- a/engine.go
+++ b/engine.go
@@ -18,8 +18,8 @@
 	Cancel(ctx context.Context, id string) error
 	// Load returns the engine's own report, which lags.
 	Load(ctx context.Context) (EngineLoad, error)
-	// Allocations lists all that holds memory on the engine.
-	Allocations(ctx context.Context) ([]Allocation, error)
+	// Holdings lists all that holds memory on the engine.
+	Holdings(ctx context.Context) ([]Allocation, error)
 	// Reserve sets memory aside under id until ttl has passed.
 	Reserve(ctx context.Context, id string, tokens int, ttl time.Duration) error
 	// Export turns the memory of a held prompt piece into a handle which
