--- a/core/attempts.go
+++ b/core/attempts.go
@@ -65,7 +65,7 @@
 			left--
 		}
 		f := fault.As(t.Err, hollowgrade.Unknown)
-		worst = worst.Worse(f.Outcome)
+		worst = worst.Combine(f.Outcome)
 		f = f.WithOutcome(worst)
 		if left <= 0 || ctx.Err() != nil || !MayRepeat(f, w.Repeatable()) || !t.Placed && f.Code != fault.GroupBusy {
 			return f
--- a/outcome.go
+++ b/outcome.go
@@ -19,9 +19,9 @@
 	Unknown Outcome = "unknown"
 )
 
-// Worse returns the outcome to report when two attempts at the same request
+// Combine returns the outcome to report when two attempts at the same request
 // ended as o and p. An attempt that may have run outweighs one that did not.
-func (o Outcome) Worse(p Outcome) Outcome {
+func (o Outcome) Combine(p Outcome) Outcome {
 	if rank(p) > rank(o) {
 		return p
 	}
