--- a/worldclock.go
+++ b/worldclock.go
@@ -93,7 +93,7 @@
 	all := w.suspended
 	w.mu.Unlock()
 	if due {
-		all = w.Notice()
+		all = w.CheckSuspension()
 	}
 	return now.Add(all)
 }
@@ -108,9 +108,9 @@
 	return t.Sub(w.Now())
 }
 
-// Notice looks whether the machine was suspended since the last look, and returns for how long it
+// CheckSuspension looks whether the machine was suspended since the last look, and returns for how long it
 // was in all.
-func (w *SuspendAwareClock) Notice() time.Duration {
+func (w *SuspendAwareClock) CheckSuspension() time.Duration {
 	now, boot, ok := w.read()
 	w.mu.Lock()
 	w.checkedAt = now
@@ -150,7 +150,7 @@
 // age of something asks for it first.
 func CheckSuspension(c Clock) {
 	if w, ok := c.(*SuspendAwareClock); ok {
-		w.Notice()
+		w.CheckSuspension()
 	}
 }
 
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -106,7 +106,7 @@
 	})
 	b.Run("notice", func(b *testing.B) {
 		for b.Loop() {
-			w.Notice()
+			w.CheckSuspension()
 		}
 	})
 }
