--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -37,7 +37,7 @@
 func (s *suspendable) core(f *fakeUpstreams) *Core {
 	confirmed := s.Now()
 	c := newCore(f, WithClock(s.SuspendAwareClock), WithAge(func() (time.Duration, bool) { return s.Since(confirmed), true }))
-	s.Watch(func(time.Duration) { c.Resume() })
+	s.OnSuspension(func(time.Duration) { c.Resume() })
 	return c
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -112,7 +112,7 @@
 		core.WithOutdated(n.config.OutdatedFor),
 		core.WithProcesses(n.members.count),
 		core.WithObserver(func(o core.Observation) { b.sample(callSample(o)) }))
-	b.clock.Watch(func(time.Duration) { n.Core.Resume() })
+	b.clock.OnSuspension(func(time.Duration) { n.Core.Resume() })
 	n.config.Watch(n.takeConfig)
 	fleet.Watch(n.takeFleet)
 	others.Watch(n.members.take)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 // base makes what all roles share.
 func base(r hollowgrade.Role, c setting.Process, g *log.Logger) (n *Node, err error) {
 	k := worldClock()
-	k.Watch(func(d time.Duration) {
+	k.OnSuspension(func(d time.Duration) {
 		n, all := k.Suspensions()
 		g.Warn("machine was suspended", "for_ms", d.Milliseconds(), "suspensions", n, "all_ms", all.Milliseconds())
 	})
--- a/worldclock.go
+++ b/worldclock.go
@@ -70,9 +70,9 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Watch adds a function that is told of each suspension, and for how long it was. It is called by
+// OnSuspension adds a function that is told of each suspension, and for how long it was. It is called by
 // whoever notices it, before anything is decided.
-func (w *SuspendAwareClock) Watch(f func(d time.Duration)) {
+func (w *SuspendAwareClock) OnSuspension(f func(d time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callbacks = append(w.callbacks, f)
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -32,7 +32,7 @@
 			m := newMachine()
 			w := NewSuspendAwareClock(WithBootClock(m.boot))
 			reported := time.Duration(0)
-			w.Watch(func(d time.Duration) { reported += d })
+			w.OnSuspension(func(d time.Duration) { reported += d })
 			begin := w.Now()
 			time.Sleep(time.Second)
 			require.Equal(t, time.Second, w.Since(begin))
@@ -53,7 +53,7 @@
 	t.Run("is the steady clock on one that was not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			w := NewSuspendAwareClock(WithBootClock(newMachine().boot))
-			w.Watch(func(time.Duration) { t.Error("it was not suspended") })
+			w.OnSuspension(func(time.Duration) { t.Error("it was not suspended") })
 			begin := w.Now()
 			for range 1000 {
 				time.Sleep(7 * time.Millisecond)
