--- a/core/pause.go
+++ b/core/pause.go
@@ -45,7 +45,7 @@
 func (f *Fleet) setCooldown(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.random() * cooldownJitter * float64(d))
-	f.log.Info("upstream asks for a pause", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
+	f.log.Info("upstream asks for a cooldown", "upstream", m.instance, "service", m.Service, "request", request, "for_ms", d.Milliseconds(),
 		"spread_ms", spread.Milliseconds(), "before_ms", max(m.cooldown.until.Sub(now), 0).Milliseconds())
 	m.cooldown.until = hollowgrade.Later(m.cooldown.until, now.Add(d+spread))
 	m.cooldown.onTrial = true
