--- a/core/pause.go
+++ b/core/pause.go
@@ -60,6 +60,6 @@
 func (f *Fleet) endTrial(m *member, sent time.Time) {
 	if m.cooldown.onTrial && sent.After(m.cooldown.until) {
 		m.cooldown.onTrial = false
-		f.log.Info("upstream takes calls again after a pause", "upstream", m.instance, "service", m.Service)
+		f.log.Info("upstream takes calls again after its cooldown", "upstream", m.instance, "service", m.Service)
 	}
 }
