--- a/clock.go
+++ b/clock.go
@@ -7,8 +7,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Clock is the source of time of every part. It is passed in so that tests can
-// replace it; [SystemClock] is the real one.
+// Clock is the source of time of all packages. It is passed in so that tests can replace
+// [SystemClock].
 type Clock = clockwork.Clock
 
 // Timer is a timer made by a [Clock].
@@ -19,7 +19,7 @@
 	return clockwork.NewRealClock()
 }
 
-// Sleep waits for d on the clock. It returns false if ctx ended before.
+// Sleep waits for d on the clock. It returns false if ctx ends first.
 func Sleep(ctx context.Context, c Clock, d time.Duration) bool {
 	t := c.NewTimer(d)
 	defer t.Stop()
@@ -31,7 +31,7 @@
 	}
 }
 
-// Later returns the later of two moments.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/doc.go
+++ b/doc.go
@@ -1,8 +1,6 @@
-// Package hollowgrade holds the interfaces and the values that every part of
-// the serving layer shares: what a request is, how it can end, and what the
-// systems around it (model engines, plain services, the platform's log, box
-// list and weight store) are asked for.
+// Package hollowgrade declares the types that all packages of the serving layer share: requests,
+// their outcomes, and the interfaces to model engines, plain services, and the platform's log, box
+// list and weight store.
 //
-// Implementations live in the packages below this one; this package imports
-// none of them.
+// Packages below this one implement the interfaces. This package imports none of them.
 package hollowgrade
--- a/engine.go
+++ b/engine.go
@@ -7,28 +7,26 @@
 	"time"
 )
 
-// Engine is one model engine as an agent sees it.
+// Engine is a model engine as used by an agent.
 type Engine interface {
-	// Generate starts a sequence. The stream ends with io.EOF after the last
-	// token, and the engine has let go of the sequence's memory by then.
-	// Ending ctx cancels the sequence at the engine.
+	// Generate starts a sequence. The stream ends with io.EOF after the last token, when the engine
+	// has freed the sequence's memory. Cancelling ctx cancels the sequence at the engine.
 	Generate(ctx context.Context, g Generation) (TokenStream, error)
-	// Cancel ends the sequence with the given id and frees its memory. It is
-	// no error if there is none.
+	// Cancel ends the sequence with the given id and frees its memory. An unknown id is no error.
 	Cancel(ctx context.Context, id string) error
-	// Load returns the engine's own report, which lags.
+	// Load returns the engine's own load report, which may be out of date.
 	Load(ctx context.Context) (EngineLoad, error)
-	// Holdings lists all that holds memory on the engine.
+	// Holdings lists all allocations of memory on the engine.
 	Holdings(ctx context.Context) ([]Allocation, error)
-	// Reserve sets memory aside under id until ttl has passed.
+	// Reserve reserves memory under an id for ttl.
 	Reserve(ctx context.Context, id string, tokens int, ttl time.Duration) error
-	// Export turns the memory of a held prompt piece into a handle which
-	// other engines can attach to.
+	// Export returns a handle by which other engines attach to a part of a prompt that was
+	// prefilled with PrefillOnly.
 	Export(ctx context.Context, id string) (handle string, err error)
-	// Release frees a reservation or an exported piece.
+	// Release frees a reservation or an exported part of a prompt.
 	Release(ctx context.Context, id string) error
-	// Order tells the engine to load a model or change its role. The engine
-	// refuses a fence lower than one that it has seen.
+	// Order makes the engine load or unload a model. The engine refuses a fencing token lower than
+	// one that it has seen.
 	Order(ctx context.Context, o Order) error
 }
 
@@ -37,55 +35,53 @@
 	ID        string
 	Model     string
 	Prompt    string
-	Prefix    []string // tokens of the answer that the caller already has
+	Prefix    []string // tokens of the answer that the caller has already received
 	MaxTokens int
 	Priority  int
-	// Handles are exported pieces of the prompt on other engines, in order,
-	// which stand before Prompt.
+	// Handles are exported parts of the prompt on other engines, in order. They precede Prompt.
 	Handles []string
-	// PrefillOnly asks for the prefill alone: the piece stays in memory under ID
-	// for Export.
+	// PrefillOnly asks for prefill without decode. The result stays in memory under ID for Export.
 	PrefillOnly bool
-	// Reservation, if set, is memory set aside before that this call uses up.
+	// Reservation is the id of reserved memory that this call uses up, empty if there is none.
 	Reservation string
 }
 
-// TokenStream yields the tokens of one answer.
+// TokenStream reads the tokens of one answer.
 type TokenStream interface {
-	// Next returns the next token. It returns io.EOF after the last one of a
-	// whole answer, and any other error when the answer is cut.
+	// Next returns the next token. It returns io.EOF after the last one of a complete answer, and
+	// another error if the answer is cut off.
 	Next() (Token, error)
-	// Close gives the stream up and cancels the sequence if it still runs.
+	// Close closes the stream and cancels the sequence if it is still running.
 	io.Closer
 }
 
-// Token is one piece of an answer.
+// Token is one token of an answer.
 type Token struct {
-	Offset int // counts from 0 over the whole answer, with what came in Prefix
+	Offset int // index in the whole answer, counting the tokens of Prefix
 	Text   string
 }
 
-// EngineLoad is what an engine says of itself.
+// EngineLoad is an engine's report of its load.
 type EngineLoad struct {
 	Running     int
 	Waiting     int
 	UsedTokens  int
 	TotalTokens int
-	AsOf        time.Time // when the figures were taken
+	AsOf        time.Time // when the engine measured it
 	Models      []string
 }
 
-// AllocationKind says what a piece of held memory is for.
+// AllocationKind is the purpose of an allocation.
 type AllocationKind string
 
-// The kinds of memory an engine can hold.
+// The kinds of allocations.
 const (
 	SequenceAllocation    AllocationKind = "sequence"
 	ExportAllocation      AllocationKind = "export"
 	ReservationAllocation AllocationKind = "reservation"
 )
 
-// Allocation is memory that an engine holds under an id.
+// Allocation is memory that an engine has allocated under an id.
 type Allocation struct {
 	ID     string         `json:"id"`
 	Kind   AllocationKind `json:"kind"`
@@ -94,7 +90,7 @@
 
 // Order is a fenced instruction to an engine.
 type Order struct {
-	Fence  int64  `json:"fence"` // offset in the platform's log
+	Fence  int64  `json:"fence"` // fencing token: the order's offset in the platform's log
 	Action string `json:"action"`
 	Model  string `json:"model"`
 }
@@ -105,9 +101,8 @@
 	UnloadModel = "unload_model"
 )
 
-// Service is one plain service upstream as an agent sees it.
+// Service is a plain service as used by an agent.
 type Service interface {
-	// Do sends the call on and returns the answer, whose body the caller
-	// closes.
+	// Do forwards a call and returns the answer. The caller closes its body.
 	Do(r *http.Request) (*http.Response, error)
 }
--- a/exchange.go
+++ b/exchange.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// Call is one request of a caller that an upstream gets unchanged, whatever it
-// asks for. It is immutable.
+// Call is a caller's request, which is forwarded to an upstream unchanged. It is immutable.
 type Call struct {
-	ID     string // the caller's own, one for each of its attempts
+	ID     string // set by the caller, a new one for each of its attempts
 	Host   string
 	Path   string // without the query
 	Method string
 	Target string // path and query as the caller sent them
 	Header http.Header
 	Body   []byte
-	// HasBody tells a body of no bytes from none.
+	// HasBody distinguishes an empty body from none.
 	HasBody     bool
 	Key         string // API key, empty if the caller sent none
 	LastEventID string // id of the last event of the answer that the caller already has
@@ -26,73 +25,73 @@
 	// PromptTokens and MaxTokens are zero for calls that generate nothing.
 	PromptTokens int
 	MaxTokens    int
-	Arrived      time.Time     // when the call had been read, on the steady clock
-	Patience     time.Duration // how long the caller waits from Arrived on; 0 if it did not say
+	Arrived      time.Time     // when the call had been read, on the monotonic clock
+	Patience     time.Duration // how long the caller waits, counted from Arrived; 0 if unknown
 }
 
-// Upstream is one back end as the platform's registry lists it.
+// Upstream is one instance of a back end, as listed in the platform's registry.
 type Upstream struct {
-	ID          string // may be that of an earlier life, before a restart
-	StartMillis int64  // Unix ms of the start of this life, 0 if it does not tell that
+	ID          string // may stay the same when the upstream restarts
+	StartMillis int64  // start time of this instance in Unix ms, 0 if not reported
 	Service     string
 	Address     string
 	Hall        string // data hall
-	Slots       int    // requests that it works on at a time
-	Draining    bool   // it is about to leave and must get no new work
+	Slots       int    // number of requests that it serves at a time
+	Draining    bool   // it is shutting down and must get no new calls
 }
 
-// Sending is one attempt at a call, addressed to one upstream.
+// Sending is one attempt at a call, sent to one upstream.
 type Sending struct {
 	Call         Call
 	Upstream     Upstream
 	Organisation string
-	TimeLeft     time.Duration // the upstream ends work after it
-	LastEventID  string        // id of the last event that the caller has
-	Helpers      []Helper      // upstreams that read parts of the prompt
-	Priority     int           // 0 is let in first
+	TimeLeft     time.Duration // the upstream aborts the call after that
+	LastEventID  string        // id of the last event that the caller has received
+	Helpers      []Helper      // upstreams that prefill parts of the prompt
+	Priority     int           // 0 is the highest
 }
 
-// Helper is an upstream that reads a part of a prompt for another.
+// Helper is an upstream that prefills a part of a prompt for another one.
 type Helper struct {
 	Address       string
-	ReservationID string // id of memory set aside there for a part of the prompt; empty if it only reads
+	ReservationID string // id of the memory reserved there for its part; empty if it doesn't keep the part in memory
 }
 
-// ErrNoMemory is in the chain of the error of [Reserver.Reserve] when the
-// upstream has not as much memory free.
+// ErrNoMemory is wrapped by the error of [Reserver.Reserve] if the upstream doesn't have enough free
+// memory.
 var ErrNoMemory = errors.New("memory is not free")
 
-// Reserver sets memory of upstreams aside.
+// Reserver reserves memory at upstreams.
 type Reserver interface {
-	// Reserve sets memory aside under an id for a while, or renews it. After an
-	// error other than [ErrNoMemory] it may have been set aside, or may be later.
+	// Reserve reserves memory under an id for a limited time, or renews a reservation. After an
+	// error other than [ErrNoMemory] the upstream may have reserved it, or may do so later.
 	Reserve(ctx context.Context, u Upstream, id string, tokens int, hold time.Duration) error
-	// Release frees the memory. It is no error if there is none under the id.
+	// Release frees the reserved memory. An unknown id is no error.
 	Release(ctx context.Context, u Upstream, id string) error
 }
 
-// UpstreamReport is what an upstream says of itself when it is asked.
+// UpstreamReport is an upstream's report about itself, sent on request.
 type UpstreamReport struct {
-	Pace        float64 // how many times as long as published it takes for what it does
-	StartMillis int64   // start of the life that says so, Unix ms, 0 if it does not tell that
-	// Signals is what the answer says beside the report, also if it is none.
+	Pace        float64 // time that its work takes, as a multiple of the published times
+	StartMillis int64   // start time of the reporting instance in Unix ms, 0 if not reported
+	// Signals are those in the answer's headers. They are set even if the answer has no valid report.
 	Signals Signals
 }
 
-// Reporter asks upstreams about themselves.
+// Reporter requests reports from upstreams.
 type Reporter interface {
-	// Report asks an upstream. What it says may be some hundred milliseconds old.
+	// Report requests a report from an upstream. It may be some hundred milliseconds old.
 	Report(ctx context.Context, u Upstream) (UpstreamReport, error)
 }
 
-// Presence is what a probe finds at the address of an upstream.
+// Presence is the result of a probe of an upstream's address.
 type Presence int
 
-// What a probe finds.
+// The results of a probe.
 const (
-	Absent  Presence = iota // connections are refused, or nothing answers
-	Closing                 // a connection is taken and ended without a word, by the upstream or by something in front of it
-	Present                 // a connection is taken and kept
+	Absent  Presence = iota // the connection is refused or times out
+	Closing                 // the connection is accepted and closed without any data, by the upstream or a proxy in front of it
+	Present                 // the connection is accepted and stays open
 )
 
 // String implements [fmt.Stringer].
@@ -107,78 +106,78 @@
 	}
 }
 
-// Prober tells whether upstreams are there.
+// Prober checks whether upstreams are running.
 type Prober interface {
-	// Probe opens a connection to the upstream, sends nothing, and tells what becomes of it. An error
-	// comes with [Absent] and says why, as when nothing answers.
+	// Probe opens a connection to the upstream, sends nothing, and returns what happens to it. With
+	// [Absent] it may return the reason as an error, such as a timeout.
 	Probe(ctx context.Context, u Upstream) (Presence, error)
 }
 
-// ErrStopping is the cause with which the context of a call ends that is still open when the time of a planned stop
-// is nearly over. Its caller is there and waits for an answer.
+// ErrStopping is the cancellation cause of calls that are still open shortly before the end of a
+// graceful shutdown. It differs from a caller that has gone: the caller still waits for an answer.
 var ErrStopping = errors.New("the box is being stopped")
 
-// ErrNotSent is in the chain of the error of [Exchanger.Open] when nothing of
-// the call has left, so that the upstream cannot have run it.
+// ErrNotSent is wrapped by the error of [Exchanger.Open] if no part of the call was sent, so that the
+// upstream cannot have run it.
 var ErrNotSent = errors.New("nothing was sent")
 
-// ErrNotAnAnswer is in the chain of an error when the upstream sent bytes that
-// do not answer the call.
+// ErrNotAnAnswer is wrapped by an error if the upstream sent data that is no valid answer to the call.
 var ErrNotAnAnswer = errors.New("not an answer to this call")
 
 // Exchanger sends calls to upstreams.
 type Exchanger interface {
-	// Open sends the call and returns once the head of its answer has come.
-	// Ending ctx ends the exchange, also later, and so cancels the work.
+	// Open sends the call and returns when the head of the answer has arrived. Cancelling ctx, even
+	// after Open has returned, ends the exchange and cancels the work at the upstream.
 	Open(ctx context.Context, s Sending) (Exchange, error)
 }
 
-// Exchange is the answer of an upstream on its way.
+// Exchange is an upstream's answer while it is being received.
 type Exchange interface {
 	// Head returns the head of the answer.
 	Head() Head
-	// Next returns the next part: a whole event of a stream, or some bytes of
-	// any other body. It returns io.EOF after the last part of a whole answer
-	// and any other error when the answer is cut.
+	// Next returns the next part: a whole event of a stream, or some bytes of another body. It returns
+	// io.EOF after the last part of a complete answer, and another error if the answer is cut off.
 	Next() (Part, error)
-	// Close gives the answer up; the upstream notices and ends its work.
+	// Close aborts the exchange. The upstream notices that and ends its work.
 	io.Closer
 }
 
 // Head is the head of an answer.
 type Head struct {
 	Status  int
-	Header  http.Header // those that the caller is to get
-	NotRun  bool        // the upstream says that it has not run the call
+	Header  http.Header // headers to pass on to the caller
+	NotRun  bool        // the upstream states that it has not run the call
 	Signed  bool        // it carries the upstream's signature
-	Stream  bool        // the body is a series of events
+	Stream  bool        // the body is a stream of events
 	Load    UpstreamLoad
 	HasLoad bool
 	Signals Signals
-	// AtFault is the id or the address of the upstream for whose sake the call was
-	// not taken, which may be a helper; empty if the answer does not name it.
+	// AtFault is the id or address of the upstream, possibly a helper, because of which the call was
+	// refused; empty if the answer doesn't name one.
 	AtFault string
 }
 
-// Signals is what an upstream says of itself in an answer, beside its load.
+// Signals is what an upstream reports about itself in the headers of an answer, besides its load.
 type Signals struct {
-	// Foreign says that the answer is not known to come from the upstream that was asked, so that it tells nothing of it.
+	// Foreign means that the answer may come from another upstream than the one that was addressed,
+	// so that its signals are ignored.
 	Foreign bool
-	Limited bool    // it names a limit
-	Limit   float64 // requests a second that it takes from all processes together
-	// Leaving says that this life of it ends soon, and takes no new work.
+	Limited bool    // it reports a rate limit
+	Limit   float64 // requests per second that it accepts from all processes together
+	// Leaving means that this instance ends soon and accepts no new calls.
 	Leaving bool
-	// RetryAfter is for how long it wants nothing from this process, since it turned the request away; 0 if it does not say.
+	// RetryAfter is how long a refusing upstream asks this process to send it no calls; 0 if it
+	// doesn't ask.
 	RetryAfter     time.Duration
-	InvalidHeaders []string // headers whose values cannot be used
+	InvalidHeaders []string // headers with invalid values
 }
 
-// Success reports whether the answer is one that the caller asked for.
+// Success reports whether the status is 2xx.
 func (h Head) Success() bool {
 	return h.Status >= http.StatusOK && h.Status < http.StatusMultipleChoices
 }
 
-// UpstreamLoad is what an upstream says of itself in the head of an answer.
+// UpstreamLoad is the load that an upstream reports in the head of an answer.
 type UpstreamLoad struct {
 	Running int
 	Waiting int
@@ -191,11 +190,10 @@
 	Event string // id of the event, empty if it has none
 }
 
-// Sink takes an answer on its way to the caller. An error of a method means
-// that the caller is gone.
+// Sink sends an answer to the caller. An error of a method means that the caller has gone.
 type Sink interface {
-	// Head passes the head of the answer on.
+	// Head sends the head of the answer.
 	Head(h Head) error
-	// Part passes a part of its body on.
+	// Part sends a part of the body.
 	Part(b []byte) error
 }
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -7,27 +7,26 @@
 	"fmt"
 )
 
-// fingerprintBytes is the size of a fingerprint: enough that nobody finds two requests
-// that share one, and half of what a whole digest takes in messages and logs.
+// fingerprintBytes is half the size of the digest: collisions still cannot be found, and messages and
+// logs are shorter.
 const fingerprintBytes = 16
 
-// headBufferBytes is the room in bytes for what is digested beside the body; more takes an allocation.
+// headBufferBytes is the size of the buffer for the digested fields other than the body. Longer fields
+// cost an allocation.
 const headBufferBytes = 512
 
-// Fingerprint identifies a request by what it asks for and for whom, so that it is known again
-// when it comes again under another id, at any gateway.
+// Fingerprint identifies a request by its content and organisation, so that all gateways recognise it
+// when it is repeated under another id.
 type Fingerprint [fingerprintBytes]byte
 
-// NewFingerprint returns the fingerprint of a call of an organisation: a digest of the
-// organisation, the method, the host, the path with its query, and the body. It leaves
-// out what differs between two tries of one caller: the id, the key of several that an organisation
-// has, the time that is left. Callers choose bodies, so the digest is one for which nobody can
-// make two that are alike. It takes 1.0 us for a body of 1 KB and 0.73 ms for one of 1 MB, without an
-// allocation (BenchmarkFingerprint); before, nothing was digested.
+// NewFingerprint returns a digest of the organisation, method, host, path with query, and body of a
+// call. It omits what may differ between retries: the id, the API key and the remaining time. The hash
+// is cryptographic because callers choose the bodies and must not be able to cause collisions. It
+// takes 1.0 us for a body of 1 KB and 0.73 ms for 1 MB, without an allocation (BenchmarkFingerprint).
 func NewFingerprint(organisation string, c Call) (f Fingerprint) {
 	b := make([]byte, 0, headBufferBytes)
 	for _, s := range []string{organisation, c.Method, c.Host, c.Target} {
-		b = binary.BigEndian.AppendUint64(b, uint64(len(s))) // or the end of one could pass for the beginning of the next
+		b = binary.BigEndian.AppendUint64(b, uint64(len(s))) // the length keeps field boundaries unambiguous
 		b = append(b, s...)
 	}
 	body := sha256.Sum256(c.Body)
@@ -36,7 +35,7 @@
 	return f
 }
 
-// ParseFingerprint returns the fingerprint that [Fingerprint.String] wrote.
+// ParseFingerprint parses the result of [Fingerprint.String].
 func ParseFingerprint(s string) (f Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != fingerprintBytes {
@@ -46,7 +45,7 @@
 	return f, nil
 }
 
-// String returns the fingerprint in hexadecimal digits, and nothing for the zero value.
+// String returns the fingerprint in hexadecimal digits, or an empty string for the zero value.
 func (f Fingerprint) String() string {
 	if f == (Fingerprint{}) {
 		return ""
--- a/headers.go
+++ b/headers.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopHeaders are the standard hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of headers without those that end at this connection:
-// the customary ones and those that the Connection header names.
+// EndToEnd returns a copy of headers without the hop-by-hop ones: the standard ones and those listed in
+// the Connection header.
 func EndToEnd(h http.Header) http.Header {
 	drop := slices.Clone(hopHeaders)
 	for _, v := range h.Values("Connection") {
--- a/outcome.go
+++ b/outcome.go
@@ -1,26 +1,23 @@
 package hollowgrade
 
-// Outcome says how a request ended. Its text is part of the interface to
-// callers.
+// Outcome is how a request ended. Its text is part of the interface to callers.
 type Outcome string
 
-// The four ways in which a request can end.
+// The outcomes of a request.
 const (
-	// Finished means that the whole answer was produced.
+	// Finished means that the complete answer was produced.
 	Finished Outcome = "finished"
-	// Failed means that the request ran, or began to, and will not finish.
+	// Failed means that the request started to run and will not finish.
 	Failed Outcome = "failed"
-	// NotRun means that no upstream has run or will run any part of the
-	// request. It is said only when the request never left the entry or when
-	// an agent has confirmed that it will not start it.
+	// NotRun means that no upstream has run or will run any part of the request. It is reported only
+	// if the request never left the entry, or if an agent has confirmed that it will not start it.
 	NotRun Outcome = "not_run"
-	// Unknown means that the request may have run, and that nobody left can
-	// tell.
+	// Unknown means that the request may have run, and that this can't be determined any more.
 	Unknown Outcome = "unknown"
 )
 
-// Combine returns the outcome to report when two attempts at the same request
-// ended as o and p. An attempt that may have run outweighs one that did not.
+// Combine returns the outcome to report for a request whose attempts ended as o and p. An attempt that
+// may have run takes precedence over one that did not.
 func (o Outcome) Combine(p Outcome) Outcome {
 	if rank(p) > rank(o) {
 		return p
--- a/platform.go
+++ b/platform.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// ErrTrimmed is returned by [Log.Read] when the offset asked for is older than
-// what the log keeps.
+// ErrTrimmed is returned by [Log.Read] and [Topic.Wait] if records at the requested offset have been
+// deleted.
 var ErrTrimmed = errors.New("offset is no longer kept")
 
-// Log is the platform's append-only log. An append that returns an error may
-// still have taken effect; only reading back tells.
+// Log is the platform's append-only log. An append that returns an error may still have taken effect,
+// which can only be determined by reading the log.
 type Log interface {
 	// Append adds a record and returns its offset.
 	Append(ctx context.Context, body []byte) (offset int64, err error)
-	// Read returns up to limit records from the given offset on, and the
-	// bounds of what the log keeps. It returns [ErrTrimmed], with the bounds,
-	// when the offset has gone.
+	// Read returns up to limit records from an offset on, and the range of offsets that the log keeps.
+	// It returns [ErrTrimmed], with the range, if the offset has been deleted.
 	Read(ctx context.Context, from int64, limit int) (Page, error)
 }
 
-// Page is one answer of [Log.Read].
+// Page is the result of [Log.Read].
 type Page struct {
 	Records  []Record `json:"records"`
 	Earliest int64    `json:"earliest"` // oldest offset kept
@@ -31,16 +30,16 @@
 // Record is one entry of the log.
 type Record struct {
 	Offset int64     `json:"offset"`
-	Time   time.Time `json:"time"` // when the log took it, on the log's clock
+	Time   time.Time `json:"time"` // when it was appended, on the log's clock
 	Body   []byte    `json:"body"`
 }
 
-// Boxes is the platform's list of boxes. It lags.
+// Boxes is the platform's list of boxes, which may be out of date.
 type Boxes interface {
 	List(ctx context.Context) ([]Box, error)
 }
 
-// BoxState is what the platform says of a box.
+// BoxState is the state of a box according to the platform.
 type BoxState string
 
 // The states of a box on the platform's list.
@@ -49,7 +48,7 @@
 	BoxLeaving BoxState = "leaving"
 )
 
-// Role is the part that a process plays.
+// Role is the role of a process.
 type Role string
 
 // The roles of long-running processes.
@@ -64,14 +63,14 @@
 	Name      string   `json:"name"`
 	Role      Role     `json:"role"`
 	Hall      string   `json:"hall"` // data hall
-	Peer      string   `json:"peer"` // address for other processes of ours
+	Peer      string   `json:"peer"` // address for the other processes of the serving layer
 	Operators string   `json:"operators"`
 	State     BoxState `json:"state"`
 }
 
-// WeightStore hands out the right to fetch weights. It is rate-limited.
+// WeightStore grants boxes permission to fetch model weights. It is rate-limited.
 type WeightStore interface {
-	// Fetch returns once the weights of the model have been fetched by the
-	// box, or with an error that says when to ask again.
+	// Fetch returns when the box has fetched the weights of the model, or returns an error with a
+	// retry delay.
 	Fetch(ctx context.Context, box, model string) error
 }
--- a/request.go
+++ b/request.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// Class is the coarse priority that a policy gives to a request. A lower value
-// goes first.
+// Class is the coarse priority that a policy assigns to a request. Lower values are served first.
 type Class int
 
 // The classes, in the order in which they are served.
 const (
-	// Instant is for answers that lose their worth within seconds.
+	// Instant is for answers that are useless after some seconds.
 	Instant Class = iota
-	// Normal is for answers that somebody waits for.
+	// Normal is for answers that a user waits for.
 	Normal
-	// Background is for answers that may wait, but must not be lost.
+	// Background is for answers that may be late, but must not be lost.
 	Background
 	// Classes is the number of classes.
 	Classes
@@ -42,31 +41,31 @@
 	return 0, false
 }
 
-// Decision is what a policy says about one request.
+// Decision is the result of a policy for one request.
 type Decision struct {
 	Class      Class
-	Priority   int           // within the class, higher goes first
-	Allowed    time.Duration // longest time until the final answer
+	Priority   int           // within the class; higher values are served first
+	Allowed    time.Duration // maximum time until the answer is complete
 	MayWait    bool          // whether the request may queue behind others
-	Repeatable bool          // whether a second run does no harm
-	Share      float64       // largest part of the fleet that such requests may hold, 0 to 1
+	Repeatable bool          // whether running it twice is harmless
+	Share      float64       // largest part of the fleet that such requests may occupy, 0 to 1
 }
 
-// Request describes one request of a caller. It is immutable; the With methods
-// return changed copies. The prompt itself travels apart from it.
+// Request describes a caller's request, without the prompt itself. It is immutable; the With methods
+// return changed copies.
 type Request struct {
 	ID           string
 	Attempt      int // counts from 1
 	Organisation string
 	Event        string
-	Kind         string // what the caller says it is: draft, digest, caption, reel
+	Kind         string // set by the caller: draft, digest, caption or reel
 	Model        string // empty for a plain service
 	Service      string // empty for a model
 	Key          string // idempotency key, empty if the request may be repeated
 	PromptTokens int
 	MaxTokens    int
 	Decision     Decision
-	Deadline     time.Time // on the clock of the process that holds the value
+	Deadline     time.Time // on the local process's clock
 }
 
 // WithAttempt returns a copy of r for the given attempt.
@@ -75,21 +74,19 @@
 	return r
 }
 
-// WithDecision returns a copy of r that is bound by d, counted from now.
+// WithDecision returns a copy of r with the decision d and a deadline counted from now.
 func (r Request) WithDecision(d Decision, now time.Time) Request {
 	r.Decision = d
 	r.Deadline = now.Add(d.Allowed)
 	return r
 }
 
-// Tokens returns the number of tokens of engine memory that the request holds
-// at its end.
+// Tokens returns the engine memory, in tokens, that the request occupies when it ends.
 func (r Request) Tokens() int {
 	return r.PromptTokens + r.MaxTokens
 }
 
-// Remaining returns the time that is left at now; it is negative once the
-// deadline has passed.
+// Remaining returns the time from now to the deadline, which is negative after the deadline.
 func (r Request) Remaining(now time.Time) time.Duration {
 	return r.Deadline.Sub(now)
 }
--- a/suspendclock.go
+++ b/suspendclock.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// suspensionCheckInterval is how often a world clock looks whether the machine was suspended while it is asked
-	// for the time: each look is a system call. What must not be late by that looks itself, with [Notice].
+	// suspensionCheckInterval is the least time between the checks that Now makes: each one is a
+	// system call. Code that can't wait that long for a suspension to be detected calls
+	// [CheckSuspension].
 	suspensionCheckInterval = 20 * time.Millisecond
 	// minSuspension is the shortest difference between the two clocks that counts as a suspension. They
-	// are read one after the other, by a process that may be held up between the two for less than readWithin.
+	// are read one after the other, and a reading is discarded if that takes longer than maxReadTime.
 	minSuspension = 50 * time.Millisecond
 	maxReadTime   = 5 * time.Millisecond
-	// maxReads bounds how often they are read until that is so; the next look does.
+	// maxReads bounds the readings in one check. If all take too long, the next check tries again.
 	maxReads = 3
 )
 
-// SuspendAwareClock is a clock for what passes in the world: also the time counts for which the machine was
-// suspended, which the steady clock leaves out. Timers run on the steady clock, so that those which
-// were set before a suspension are late by it; whoever decides by time asks the clock. Steps of
-// the time of day change nothing on it.
+// SuspendAwareClock is a clock that includes the time for which the machine was suspended, which the
+// monotonic clock leaves out. Changes of the time of day don't affect it. Timers run on the monotonic
+// clock and are late by the time of a suspension, so decisions have to compare times from Now.
 type SuspendAwareClock struct {
 	clockwork.Clock
-	boot func() (time.Duration, error) // time since the machine started, with suspensions
+	boot func() (time.Duration, error) // time since the machine started, including suspensions
 
 	mu          sync.Mutex
 	started     time.Time
-	bootAtStart time.Duration // boot when the clock was made
-	suspended   time.Duration // in all, as far as it was noticed
+	bootAtStart time.Duration // boot when the clock was created
+	suspended   time.Duration // total of the detected suspensions
 	count       int
-	checkedAt   time.Time // on the steady clock
+	checkedAt   time.Time // on the monotonic clock
 	callbacks   []func(d time.Duration)
 }
 
-// SuspendAwareClockOption changes a world clock as it is made.
+// SuspendAwareClockOption configures a [SuspendAwareClock].
 type SuspendAwareClockOption func(*SuspendAwareClock)
 
-// WithSteadyClock sets the clock that timers run on.
+// WithSteadyClock sets the monotonic clock, on which timers run.
 func WithSteadyClock(c Clock) SuspendAwareClockOption {
 	return func(w *SuspendAwareClock) { w.Clock = c }
 }
 
-// WithBootClock sets how long ago the machine started, with the time for which it was suspended.
+// WithBootClock sets the function that returns the time since the machine started, including
+// suspensions.
 func WithBootClock(f func() (time.Duration, error)) SuspendAwareClockOption {
 	return func(w *SuspendAwareClock) { w.boot = f }
 }
 
-// NewSuspendAwareClock returns a clock that has seen no suspension yet.
+// NewSuspendAwareClock returns a clock that counts the suspensions from now on.
 func NewSuspendAwareClock(os ...SuspendAwareClockOption) *SuspendAwareClock {
 	w := &SuspendAwareClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
@@ -61,7 +62,7 @@
 	return w
 }
 
-// bootTime returns how long ago the machine started, with the time for which it was suspended.
+// bootTime returns the time since the machine started, including suspensions.
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -70,15 +71,15 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// OnSuspension adds a function that is told of each suspension, and for how long it was. It is called by
-// whoever notices it, before anything is decided.
+// OnSuspension registers a function that is called with the duration of each suspension. The check
+// that detects the suspension calls it before it returns.
 func (w *SuspendAwareClock) OnSuspension(f func(d time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callbacks = append(w.callbacks, f)
 }
 
-// Suspensions returns how many suspensions were noticed, and their time in all.
+// Suspensions returns the number and the total duration of the detected suspensions.
 func (w *SuspendAwareClock) Suspensions() (n int, all time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,8 +109,8 @@
 	return t.Sub(w.Now())
 }
 
-// CheckSuspension looks whether the machine was suspended since the last look, and returns for how long it
-// was in all.
+// CheckSuspension checks whether the machine was suspended since the last check. It returns the total
+// duration of the detected suspensions.
 func (w *SuspendAwareClock) CheckSuspension() time.Duration {
 	now, boot, ok := w.read()
 	w.mu.Lock()
@@ -129,8 +130,8 @@
 	return all
 }
 
-// read reads both clocks as at one moment. It returns false if it was held up in between, or the
-// machine doesn't tell.
+// read reads both clocks. It returns false if too much time passed between the two readings, or if the
+// machine has no boot clock.
 func (w *SuspendAwareClock) read() (now time.Time, boot time.Duration, ok bool) {
 	for range maxReads {
 		now = w.Clock.Now()
@@ -146,15 +147,15 @@
 	return now, boot, false
 }
 
-// CheckSuspension lets a clock look whether the machine was suspended, if it can tell. What is decided by the
-// age of something asks for it first.
+// CheckSuspension makes a [SuspendAwareClock] check whether the machine was suspended; it does nothing
+// for other clocks. Call it before decisions that depend on the age of something.
 func CheckSuspension(c Clock) {
 	if w, ok := c.(*SuspendAwareClock); ok {
 		w.CheckSuspension()
 	}
 }
 
-// WallTime returns the time of day, for what others read.
+// WallTime returns the time of day, for timestamps that other processes or people read.
 func WallTime(c Clock) time.Time {
 	if w, ok := c.(*SuspendAwareClock); ok {
 		return w.Clock.Now()
--- a/suspendclock_test.go
+++ b/suspendclock_test.go
@@ -9,11 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine is one that can be suspended. It stands in virtual time, which is its steady clock.
+// machine simulates a machine that can be suspended. The virtual time of synctest is its monotonic
+// clock.
 type machine struct {
 	started   time.Time
 	suspended time.Duration
-	readDelay time.Duration // for which the process is held up while it reads the clocks
+	readDelay time.Duration // delay of the process between its readings of the two clocks
 	err       error
 }
 
@@ -90,8 +91,8 @@
 	})
 }
 
-// BenchmarkWorldClock measures what reading the clock takes: 83 ns on the steady clock alone, 112 ns
-// with a look each 20 ms, 0.48 us with one each time.
+// BenchmarkWorldClock measures the cost of reading the clock: 83 ns for the monotonic clock alone, 112
+// ns with a check each 20 ms, 0.48 us with a check each time.
 func BenchmarkWorldClock(b *testing.B) {
 	w := NewSuspendAwareClock()
 	b.Run("steady", func(b *testing.B) {
--- a/topic.go
+++ b/topic.go
@@ -5,41 +5,39 @@
 	"time"
 )
 
-// Topic is one topic of the platform's store that keeps the newest record of
-// each key for good. Its calls are linearizable.
+// Topic is a topic of the platform's store, which keeps the newest record of each key indefinitely.
+// Its calls are linearizable.
 //
-// A read has no bound in time of its own, since what it gives has none in size:
-// it goes on as long as an answer keeps coming, and fails when none has begun, or
-// nothing more of one has come, for as long as its patience.
+// A read has no total timeout, because the size of its answer is unbounded. It fails if its answer
+// doesn't begin, or if no more data of it arrives, within patience.
 type Topic interface {
-	// Newest returns the newest record of each key. Records that were written
-	// while it read may be among them or not; reading on with Wait from the
-	// page's Next gives them all.
+	// Newest returns the newest record of each key. It may miss records written during the read;
+	// calling Wait with the page's Next returns all of these.
 	Newest(ctx context.Context, patience time.Duration) (KeyedPage, error)
-	// Wait returns the records from an offset on. It waits up to d for one. It
-	// returns [ErrTrimmed] when records from the offset on are gone.
+	// Wait returns the records from an offset on, after waiting up to d for the first. It returns
+	// [ErrTrimmed] if records from the offset on have been deleted.
 	Wait(ctx context.Context, from int64, d, patience time.Duration) (KeyedPage, error)
-	// Put writes a record, or drops the key when value is empty. A put that
-	// returns an error may have been done, or may be done later.
+	// Put writes a record, or deletes the key if value is empty. A put that returns an error may have
+	// taken effect, or may do so later.
 	Put(ctx context.Context, key string, value []byte) error
 }
 
-// KeyedPage is a page of records, by offset.
+// KeyedPage is a page of records, ordered by offset.
 type KeyedPage struct {
 	Records []KeyedRecord
-	Next    int64  // offset to read on from
+	Next    int64  // offset at which to continue reading
 	End     int64  // offset that the topic's next record will get
-	From    string // process that told the page; empty for the store itself
+	From    string // peer that sent the page; empty for the store itself
 }
 
 // KeyedRecord is one record of a [Topic].
 type KeyedRecord struct {
 	Key    string
-	Value  []byte // empty when the key was dropped
+	Value  []byte // empty if the key was deleted
 	Offset int64
 }
 
-// Dropped reports whether the record drops its key.
+// Dropped reports whether the record deletes its key.
 func (r KeyedRecord) Dropped() bool {
 	return len(r.Value) == 0
 }
--- a/upstream.go
+++ b/upstream.go
@@ -5,19 +5,19 @@
 	"strconv"
 )
 
-// Instance names one life of an upstream. An upstream that starts again under its id holds and knows
-// nothing of before, so what is known of one life says nothing of the next. It is a text, so that gateways
-// tell it to each other as they would an id.
+// Instance names one run of an upstream's process. A restarted upstream keeps its id but none of its
+// memory or calls, so state is tracked per instance. It is a string, so that gateways exchange it in
+// place of an id.
 type Instance string
 
-// instanceSeparator stands between the id and the start of a life, and startBase is the base that the start,
-// in Unix milliseconds, is written in: eight digits.
+// An instance is an upstream's id, instanceSeparator, and the start time in Unix milliseconds in base
+// startBase, which takes eight digits.
 const (
 	instanceSeparator = "#"
 	startBase         = 36
 )
 
-// Instance returns the name of the upstream's present life: the id alone if it does not tell its start.
+// Instance returns the upstream's current instance: the id alone if its start time is not known.
 func (u Upstream) Instance() Instance {
 	if u.StartMillis == 0 {
 		return Instance(u.ID)
@@ -25,7 +25,7 @@
 	return Instance(u.ID + instanceSeparator + strconv.FormatInt(u.StartMillis, startBase))
 }
 
-// IsAddress reports whether a text is a host and a port that can be connected to.
+// IsAddress reports whether a string is a host and a port that can be connected to.
 func IsAddress(s string) bool {
 	h, p, err := net.SplitHostPort(s)
 	if err != nil || h == "" {
