--- a/suspendclock.go
+++ b/suspendclock.go
@@ -40,8 +40,8 @@
 // SuspendAwareClockOption configures a [SuspendAwareClock].
 type SuspendAwareClockOption func(*SuspendAwareClock)
 
-// WithSteadyClock sets the monotonic clock, on which timers run.
-func WithSteadyClock(c Clock) SuspendAwareClockOption {
+// WithMonotonicClock sets the monotonic clock, on which timers run.
+func WithMonotonicClock(c Clock) SuspendAwareClockOption {
 	return func(w *SuspendAwareClock) { w.Clock = c }
 }
 
