--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -36,7 +36,7 @@
 	limitVariation    float64       // part of the limit by which answers vary it, up or down
 	callsPerSecond    float64       // of all processes
 	firstProcessShare float64       // part of the calls that reach the first process
-	pause             time.Duration // without calls, in the middle
+	idleTime          time.Duration // without calls, in the middle
 	updateDelay       time.Duration // until peers receive a change
 	packetLoss        float64       // part of the packets that are lost; heartbeats repeat their content
 	partitioned       bool          // two halves of the processes can't reach each other
@@ -112,9 +112,9 @@
 			if r.Float64() < p.firstProcessShare {
 				i = 0
 			}
-			if p.pause > 0 && time.Since(begin) > p.duration/2 {
+			if p.idleTime > 0 && time.Since(begin) > p.duration/2 {
 				p.idle(ps, r)
-				p.duration, p.pause = p.duration+p.pause, 0
+				p.duration, p.idleTime = p.duration+p.idleTime, 0
 			}
 			calls++
 			f := ps[i].fleet
@@ -155,7 +155,7 @@
 
 // idle lets time pass with heartbeats and without calls.
 func (p limitScenario) idle(ps []*limitProcess, r *rand.Rand) {
-	for end := time.Now().Add(p.pause); time.Now().Before(end); {
+	for end := time.Now().Add(p.idleTime); time.Now().Before(end); {
 		time.Sleep(Heartbeat(p.processes))
 		for i, o := range ps {
 			p.sendShares(ps, i, o.fleet.Shares(), true, r)
@@ -194,7 +194,7 @@
 		"1.4 of all before 5":                 {processes: 5, limited: 3, limit: 1.4, callsPerSecond: 50},
 		"1.4 before 5, uneven":                {processes: 5, limited: 2, others: 4, limit: 1.4, callsPerSecond: 50, firstProcessShare: 0.5},
 		"1.4 of all, all calls to one of 28":  {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 50, firstProcessShare: 1},
-		"1.4 of all before 28, after a pause": {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, pause: 30 * time.Second},
+		"1.4 of all before 28, after a pause": {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300, idleTime: 30 * time.Second},
 		"1.4 of all before 28":                {processes: 28, limited: 6, limit: 1.4, callsPerSecond: 300},
 		"1.4 before 28, uneven":               {processes: 28, limited: 2, others: 4, limit: 1.4, callsPerSecond: 300, firstProcessShare: 0.5},
 		"20 of all before 28":                 {processes: 28, limited: 6, limit: 20, callsPerSecond: 300},
@@ -214,7 +214,7 @@
 				x := p.run(t, seed)
 				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.peak, x.use, x.refused, x.updates)
 				require.LessOrEqual(t, x.peak, 1.0)
-				if p.pause == 0 {
+				if p.idleTime == 0 {
 					require.GreaterOrEqual(t, x.use, minLimitUse)
 				}
 			}
