--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -24,8 +24,8 @@
 }
 
 // plus returns the rate after n more calls.
-func (r rate) plus(now time.Time, n int, memory time.Duration) rate {
-	return rate{r.value(now, memory) + float64(n)/memory.Seconds(), now}
+func (r rate) plus(now time.Time, n int, timeConstant time.Duration) rate {
+	return rate{r.value(now, timeConstant) + float64(n)/timeConstant.Seconds(), now}
 }
 
 // value returns the rate in calls per second. Memory is its time constant.
