--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -29,8 +29,8 @@
 }
 
 // value returns the rate in calls per second. Memory is its time constant.
-func (r rate) value(now time.Time, memory time.Duration) float64 {
-	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/memory.Seconds())
+func (r rate) value(now time.Time, timeConstant time.Duration) float64 {
+	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/timeConstant.Seconds())
 }
 
 // recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
