--- a/core/peerrate_test.go
+++ b/core/peerrate_test.go
@@ -10,9 +10,9 @@
 	"github.com/hollowgrade/hollowgrade"
 )
 
-// requirePendingCalls checks how many calls of a service peers are estimated to have placed that they
+// requireUnreportedCalls checks how many calls of a service peers are estimated to have placed that they
 // haven't reported yet.
-func requirePendingCalls(t *testing.T, f *Fleet, service string, want float64) {
+func requireUnreportedCalls(t *testing.T, f *Fleet, service string, want float64) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,22 +28,22 @@
 				time.Sleep(2 * time.Millisecond)
 				f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: n + 1}}, false)
 			}
-			requirePendingCalls(t, f, "e", 500*peerCallDelay.Seconds())
-			requirePendingCalls(t, f, "another", 0)
+			requireUnreportedCalls(t, f, "e", 500*peerCallDelay.Seconds())
+			requireUnreportedCalls(t, f, "another", 0)
 			time.Sleep(10 * peerRateWindow)
-			requirePendingCalls(t, f, "e", 0)
+			requireUnreportedCalls(t, f, "e", 0)
 		})
 	})
 	t.Run("are not what stood when a process was first heard", func(t *testing.T) {
 		f := newFleet("e", 2)
 		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 50}}, true)
-		requirePendingCalls(t, f, "e", 0)
+		requireUnreportedCalls(t, f, "e", 0)
 	})
 	t.Run("are not those that end", func(t *testing.T) {
 		f := newFleet("e", 2)
 		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 50}}, true)
 		f.ReceiveView("b", map[hollowgrade.Instance]Share{"u00": {Open: 20}}, false)
-		requirePendingCalls(t, f, "e", 0)
+		requireUnreportedCalls(t, f, "e", 0)
 	})
 }
 
