--- a/core/closing.go
+++ b/core/closing.go
@@ -19,9 +19,9 @@
 	// reprobeInterval is the interval of probes of an upstream that closes connections. Four
 	// connections a second are fewer than the calls that one of its slots serves.
 	reprobeInterval = 250 * time.Millisecond
-	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
+	// maxWatchTime bounds how long an upstream is probed: upstreams are back after one or two seconds.
 	// After that a call is sent again, and if it is lost, a new watch begins.
-	maxWatch = 5 * time.Second
+	maxWatchTime = 5 * time.Second
 	// closingAvoidTime is how long such an upstream is avoided after each probe, and by peers after each
 	// report. It covers a late probe and a lost report.
 	closingAvoidTime = 4 * reprobeInterval
@@ -54,7 +54,7 @@
 		delete(c.watched, u.Instance())
 		c.log.Info("upstream no longer watched", "upstream", u.Instance(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
-	for c.fleet.markClosing(u.Instance()) && c.clock.Since(begun) < maxWatch {
+	for c.fleet.markClosing(u.Instance()) && c.clock.Since(begun) < maxWatchTime {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
--- a/core/closing_test.go
+++ b/core/closing_test.go
@@ -49,7 +49,7 @@
 // has expired.
 func newProxiedCore(t *testing.T, f *fakeUpstreams, p *proxyProber) *Core {
 	t.Helper()
-	t.Cleanup(func() { time.Sleep(maxWatch + reprobeInterval + proxyCloseDelay) })
+	t.Cleanup(func() { time.Sleep(maxWatchTime + reprobeInterval + proxyCloseDelay) })
 	return newCore(f, WithProber(p))
 }
 
@@ -150,8 +150,8 @@
 	t.Run("while it does, with four probes a second", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c, f, p, id := loseCall(t, alwaysCloses)
-			require.Zero(t, countSent(c, f, id, maxWatch))
-			require.LessOrEqual(t, p.probes.Load(), int64(maxWatch/reprobeInterval)+2)
+			require.Zero(t, countSent(c, f, id, maxWatchTime))
+			require.LessOrEqual(t, p.probes.Load(), int64(maxWatchTime/reprobeInterval)+2)
 		})
 	})
 	t.Run("and is used again soon after it keeps them", func(t *testing.T) {
@@ -174,7 +174,7 @@
 					}
 				}
 			}
-			for range maxWatch / reprobeInterval {
+			for range maxWatchTime / reprobeInterval {
 				require.True(t, a.markClosing("u00"))
 				sendChanges(a, b, c)
 				require.True(t, b.markClosing("u00"))
@@ -182,7 +182,7 @@
 				require.NotEqual(t, "u00", c.pick("s", placement.Request{}, nil).member.ID)
 				time.Sleep(reprobeInterval)
 			}
-			require.LessOrEqual(t, updates, int(maxWatch/(closingAvoidTime-2*reprobeInterval)))
+			require.LessOrEqual(t, updates, int(maxWatchTime/(closingAvoidTime-2*reprobeInterval)))
 			require.False(t, a.markClosing("another"))
 		})
 	})
@@ -211,7 +211,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeUpstreams{replies: []reply{delayed(broken)}}
 				c := newCore(f, WithProber(p))
-				t.Cleanup(func() { time.Sleep(maxWatch + reprobeInterval + probeTimeout) })
+				t.Cleanup(func() { time.Sleep(maxWatchTime + reprobeInterval + probeTimeout) })
 				serveRepeatedly(c, f, 1)
 				require.Equal(t, 1, c.Quarantine().Size(), "the loss is recorded")
 				time.Sleep(2 * probeResultTTL)
