--- a/core/closing.go
+++ b/core/closing.go
@@ -46,7 +46,7 @@
 // keepWatch probes an upstream until the watch ends. It calls checked after each probe and at the
 // end.
 func (c *Core) keepWatch(u hollowgrade.Upstream, request string, first probeResult, checked func()) {
-	begun, soonest := c.clock.Now(), first.took
+	begun, minCloseDelay := c.clock.Now(), first.took
 	defer func() {
 		checked()
 		c.mu.Lock()
@@ -60,8 +60,8 @@
 		if p.presence != hollowgrade.Closing {
 			return
 		}
-		soonest = min(soonest, p.took)
-		c.confirmSilent(u, soonest)
+		minCloseDelay = min(minCloseDelay, p.took)
+		c.confirmSilent(u, minCloseDelay)
 		checked()
 	}
 }
