--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -17,12 +17,12 @@
 type suspendable struct {
 	started   time.Time
 	suspended atomic.Int64
-	*hollowgrade.SuspendAwareClock
+	*hollowgrade.WorldClock
 }
 
 func newSuspendable() *suspendable {
 	s := &suspendable{started: time.Now()}
-	s.SuspendAwareClock = hollowgrade.NewSuspendAwareClock(hollowgrade.WithBootClock(func() (time.Duration, error) {
+	s.WorldClock = hollowgrade.NewSuspendAwareClock(hollowgrade.WithBootClock(func() (time.Duration, error) {
 		return time.Since(s.started) + time.Duration(s.suspended.Load()), nil
 	}))
 	return s
@@ -36,7 +36,7 @@
 // core returns a core on the machine, whose configuration was confirmed just now.
 func (s *suspendable) core(f *fakeUpstreams) *Core {
 	confirmed := s.Now()
-	c := newCore(f, WithClock(s.SuspendAwareClock), WithAge(func() (time.Duration, bool) { return s.Since(confirmed), true }))
+	c := newCore(f, WithClock(s.WorldClock), WithAge(func() (time.Duration, bool) { return s.Since(confirmed), true }))
 	s.OnSuspension(func(time.Duration) { c.Resume() })
 	return c
 }
@@ -67,7 +67,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(10 * time.Second)
-				hollowgrade.CheckSuspension(s.SuspendAwareClock)
+				hollowgrade.CheckSuspension(s.WorldClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -83,7 +83,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(2 * time.Second)
-				hollowgrade.CheckSuspension(s.SuspendAwareClock)
+				hollowgrade.CheckSuspension(s.WorldClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -96,7 +96,7 @@
 			c := s.core(f)
 			c.Fleet().ReceiveView("b", map[hollowgrade.Instance]Share{"u1": {Open: 5}}, true)
 			s.suspend(10 * time.Second)
-			hollowgrade.CheckSuspension(s.SuspendAwareClock)
+			hollowgrade.CheckSuspension(s.WorldClock)
 			_ = c.Serve(context.Background(), s.call("/public/"), &fakeSink{})
 			require.Zero(t, c.Fleet().SyncedPeers())
 		})
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -5,6 +5,6 @@
 import "github.com/hollowgrade/hollowgrade"
 
 // worldClock returns the clock of a process.
-func worldClock() *hollowgrade.SuspendAwareClock {
+func worldClock() *hollowgrade.WorldClock {
 	return hollowgrade.NewSuspendAwareClock()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	recorder    *measure.Recorder
 	metrics     *measure.Metrics
 	log         *log.Logger
-	clock       *hollowgrade.SuspendAwareClock
+	clock       *hollowgrade.WorldClock
 }
 
 // base makes what all roles share.
--- a/suspendclock.go
+++ b/suspendclock.go
@@ -21,10 +21,10 @@
 	maxReads = 3
 )
 
-// SuspendAwareClock is a clock that includes the time for which the machine was suspended, which the
+// WorldClock is a clock that includes the time for which the machine was suspended, which the
 // monotonic clock leaves out. Changes of the time of day don't affect it. Timers run on the monotonic
 // clock and are late by the time of a suspension, so decisions have to compare times from Now.
-type SuspendAwareClock struct {
+type WorldClock struct {
 	clockwork.Clock
 	boot func() (time.Duration, error) // time since the machine started, including suspensions
 
@@ -37,23 +37,23 @@
 	callbacks   []func(d time.Duration)
 }
 
-// SuspendAwareClockOption configures a [SuspendAwareClock].
-type SuspendAwareClockOption func(*SuspendAwareClock)
+// SuspendAwareClockOption configures a [WorldClock].
+type SuspendAwareClockOption func(*WorldClock)
 
 // WithMonotonicClock sets the monotonic clock, on which timers run.
 func WithMonotonicClock(c Clock) SuspendAwareClockOption {
-	return func(w *SuspendAwareClock) { w.Clock = c }
+	return func(w *WorldClock) { w.Clock = c }
 }
 
 // WithBootClock sets the function that returns the time since the machine started, including
 // suspensions.
 func WithBootClock(f func() (time.Duration, error)) SuspendAwareClockOption {
-	return func(w *SuspendAwareClock) { w.boot = f }
+	return func(w *WorldClock) { w.boot = f }
 }
 
 // NewSuspendAwareClock returns a clock that counts the suspensions from now on.
-func NewSuspendAwareClock(os ...SuspendAwareClockOption) *SuspendAwareClock {
-	w := &SuspendAwareClock{Clock: SystemClock(), boot: bootTime}
+func NewSuspendAwareClock(os ...SuspendAwareClockOption) *WorldClock {
+	w := &WorldClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
 		o(w)
 	}
@@ -73,21 +73,21 @@
 
 // OnSuspension registers a function that is called with the duration of each suspension. The check
 // that detects the suspension calls it before it returns.
-func (w *SuspendAwareClock) OnSuspension(f func(d time.Duration)) {
+func (w *WorldClock) OnSuspension(f func(d time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callbacks = append(w.callbacks, f)
 }
 
 // Suspensions returns the number and the total duration of the detected suspensions.
-func (w *SuspendAwareClock) Suspensions() (n int, all time.Duration) {
+func (w *WorldClock) Suspensions() (n int, all time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count, w.suspended
 }
 
 // Now implements [Clock].
-func (w *SuspendAwareClock) Now() time.Time {
+func (w *WorldClock) Now() time.Time {
 	now := w.Clock.Now()
 	w.mu.Lock()
 	due := now.Sub(w.checkedAt) >= suspensionCheckInterval
@@ -100,18 +100,18 @@
 }
 
 // Since implements [Clock].
-func (w *SuspendAwareClock) Since(t time.Time) time.Duration {
+func (w *WorldClock) Since(t time.Time) time.Duration {
 	return w.Now().Sub(t)
 }
 
 // Until implements [Clock].
-func (w *SuspendAwareClock) Until(t time.Time) time.Duration {
+func (w *WorldClock) Until(t time.Time) time.Duration {
 	return t.Sub(w.Now())
 }
 
 // CheckSuspension checks whether the machine was suspended since the last check. It returns the total
 // duration of the detected suspensions.
-func (w *SuspendAwareClock) CheckSuspension() time.Duration {
+func (w *WorldClock) CheckSuspension() time.Duration {
 	now, boot, ok := w.read()
 	w.mu.Lock()
 	w.checkedAt = now
@@ -132,7 +132,7 @@
 
 // read reads both clocks. It returns false if too much time passed between the two readings, or if the
 // machine has no boot clock.
-func (w *SuspendAwareClock) read() (now time.Time, boot time.Duration, ok bool) {
+func (w *WorldClock) read() (now time.Time, boot time.Duration, ok bool) {
 	for range maxReads {
 		now = w.Clock.Now()
 		b, err := w.boot()
@@ -147,17 +147,17 @@
 	return now, boot, false
 }
 
-// CheckSuspension makes a [SuspendAwareClock] check whether the machine was suspended; it does nothing
+// CheckSuspension makes a [WorldClock] check whether the machine was suspended; it does nothing
 // for other clocks. Call it before decisions that depend on the age of something.
 func CheckSuspension(c Clock) {
-	if w, ok := c.(*SuspendAwareClock); ok {
+	if w, ok := c.(*WorldClock); ok {
 		w.CheckSuspension()
 	}
 }
 
 // WallTime returns the time of day, for timestamps that other processes or people read.
 func WallTime(c Clock) time.Time {
-	if w, ok := c.(*SuspendAwareClock); ok {
+	if w, ok := c.(*WorldClock); ok {
 		return w.Clock.Now()
 	}
 	return c.Now()
