--- a/agent/job_test.go
+++ b/agent/job_test.go
@@ -51,7 +51,7 @@
 func TestClaimOverASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started, lost := time.Now(), time.Duration(0)
-		w := hollowgrade.NewSuspendAwareClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + lost, nil }))
+		w := hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + lost, nil }))
 		a := New(hollowgrade.Box{}, "i", nil, WithClock(w))
 		j := &job{lease: w.Now().Add(3 * time.Second)}
 		j.request.Key = "k"
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -22,7 +22,7 @@
 
 func newSuspendable() *suspendable {
 	s := &suspendable{started: time.Now()}
-	s.WorldClock = hollowgrade.NewSuspendAwareClock(hollowgrade.WithBootClock(func() (time.Duration, error) {
+	s.WorldClock = hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) {
 		return time.Since(s.started) + time.Duration(s.suspended.Load()), nil
 	}))
 	return s
--- a/feed/suspend_test.go
+++ b/feed/suspend_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var suspendedFor atomic.Int64
 		started := time.Now()
-		w := hollowgrade.NewSuspendAwareClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + time.Duration(suspendedFor.Load()), nil }))
+		w := hollowgrade.NewWorldClock(hollowgrade.WithBootClock(func() (time.Duration, error) { return time.Since(started) + time.Duration(suspendedFor.Load()), nil }))
 		p := newTopic()
 		require.NoError(t, p.Put(context.Background(), "k", []byte("before")))
 		f := New("feed", p, WithClock(w), WithLogger(log.New(io.Discard)))
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -6,5 +6,5 @@
 
 // worldClock returns the clock of a process.
 func worldClock() *hollowgrade.WorldClock {
-	return hollowgrade.NewSuspendAwareClock()
+	return hollowgrade.NewWorldClock()
 }
--- a/suspendclock.go
+++ b/suspendclock.go
@@ -51,8 +51,8 @@
 	return func(w *WorldClock) { w.boot = f }
 }
 
-// NewSuspendAwareClock returns a clock that counts the suspensions from now on.
-func NewSuspendAwareClock(os ...SuspendAwareClockOption) *WorldClock {
+// NewWorldClock returns a clock that counts the suspensions from now on.
+func NewWorldClock(os ...SuspendAwareClockOption) *WorldClock {
 	w := &WorldClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
 		o(w)
--- a/suspendclock_test.go
+++ b/suspendclock_test.go
@@ -31,7 +31,7 @@
 	t.Run("counts the time for which the machine was suspended", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
-			w := NewSuspendAwareClock(WithBootClock(m.boot))
+			w := NewWorldClock(WithBootClock(m.boot))
 			reported := time.Duration(0)
 			w.OnSuspension(func(d time.Duration) { reported += d })
 			begin := w.Now()
@@ -53,7 +53,7 @@
 	})
 	t.Run("is the steady clock on one that was not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := NewSuspendAwareClock(WithBootClock(newMachine().boot))
+			w := NewWorldClock(WithBootClock(newMachine().boot))
 			w.OnSuspension(func(time.Duration) { t.Error("it was not suspended") })
 			begin := w.Now()
 			for range 1000 {
@@ -65,7 +65,7 @@
 	t.Run("takes no pause of the process for a suspension", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
-			w := NewSuspendAwareClock(WithBootClock(m.boot))
+			w := NewWorldClock(WithBootClock(m.boot))
 			m.readDelay = time.Second
 			CheckSuspension(w)
 			n, _ := w.Suspensions()
@@ -76,7 +76,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
 			m.err = errors.New("there is no such clock")
-			w := NewSuspendAwareClock(WithBootClock(m.boot))
+			w := NewWorldClock(WithBootClock(m.boot))
 			m.suspended = time.Hour
 			CheckSuspension(w)
 			n, _ := w.Suspensions()
@@ -84,7 +84,7 @@
 		})
 	})
 	t.Run("reads this machine's clocks", func(t *testing.T) {
-		w := NewSuspendAwareClock()
+		w := NewWorldClock()
 		begin, steady := w.Now(), time.Now()
 		CheckSuspension(w)
 		require.InDelta(t, time.Since(steady).Seconds(), w.Since(begin).Seconds(), 0.02)
@@ -94,7 +94,7 @@
 // BenchmarkWorldClock measures the cost of reading the clock: 83 ns for the monotonic clock alone, 112
 // ns with a check each 20 ms, 0.48 us with a check each time.
 func BenchmarkWorldClock(b *testing.B) {
-	w := NewSuspendAwareClock()
+	w := NewWorldClock()
 	b.Run("steady", func(b *testing.B) {
 		for b.Loop() {
 			SystemClock().Now()
