--- a/suspendclock.go
+++ b/suspendclock.go
@@ -37,22 +37,22 @@
 	callbacks   []func(d time.Duration)
 }
 
-// SuspendAwareClockOption configures a [WorldClock].
-type SuspendAwareClockOption func(*WorldClock)
+// WorldClockOption configures a [WorldClock].
+type WorldClockOption func(*WorldClock)
 
 // WithMonotonicClock sets the monotonic clock, on which timers run.
-func WithMonotonicClock(c Clock) SuspendAwareClockOption {
+func WithMonotonicClock(c Clock) WorldClockOption {
 	return func(w *WorldClock) { w.Clock = c }
 }
 
 // WithBootClock sets the function that returns the time since the machine started, including
 // suspensions.
-func WithBootClock(f func() (time.Duration, error)) SuspendAwareClockOption {
+func WithBootClock(f func() (time.Duration, error)) WorldClockOption {
 	return func(w *WorldClock) { w.boot = f }
 }
 
 // NewWorldClock returns a clock that counts the suspensions from now on.
-func NewWorldClock(os ...SuspendAwareClockOption) *WorldClock {
+func NewWorldClock(os ...WorldClockOption) *WorldClock {
 	w := &WorldClock{Clock: SystemClock(), boot: bootTime}
 	for _, o := range os {
 		o(w)
