--- a/suspendclock.go
+++ b/suspendclock.go
@@ -40,8 +40,8 @@
 // WorldClockOption configures a [WorldClock].
 type WorldClockOption func(*WorldClock)
 
-// WithMonotonicClock sets the monotonic clock, on which timers run.
-func WithMonotonicClock(c Clock) WorldClockOption {
+// WithSteadyClock sets the monotonic clock, on which timers run.
+func WithSteadyClock(c Clock) WorldClockOption {
 	return func(w *WorldClock) { w.Clock = c }
 }
 
