--- a/worldclock.go
+++ b/worldclock.go
@@ -21,8 +21,8 @@
 	maxReads = 3
 )
 
-// WorldClock is a clock that includes the time for which the machine was suspended, which the
-// monotonic clock leaves out. Changes of the time of day don't affect it. Timers run on the monotonic
+// WorldClock is a clock that includes the time for which the machine was suspended, which the steady
+// (monotonic) clock leaves out. Changes of the time of day don't affect it. Timers run on the steady
 // clock and are late by the time of a suspension, so decisions have to compare times from Now.
 type WorldClock struct {
 	clockwork.Clock
@@ -33,7 +33,7 @@
 	bootAtStart time.Duration // boot when the clock was created
 	suspended   time.Duration // total of the detected suspensions
 	count       int
-	checkedAt   time.Time // on the monotonic clock
+	checkedAt   time.Time // on the steady clock
 	callbacks   []func(d time.Duration)
 }
 
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -42,13 +42,13 @@
 			require.Equal(t, 8*time.Second, w.Since(begin))
 			require.Equal(t, 7*time.Second, reported)
 			require.Equal(t, 2*time.Second, w.Until(begin.Add(10*time.Second)))
-			require.Equal(t, time.Second, WallTime(w).Sub(begin), "the time of day has counted it already")
+			require.Equal(t, time.Second, WallTime(w).Sub(begin), "the time of day includes the suspension already")
 			n, all := w.Suspensions()
 			require.Equal(t, 1, n)
 			require.Equal(t, 7*time.Second, all)
 			m.suspended += time.Minute
 			time.Sleep(suspensionCheckInterval)
-			require.Equal(t, time.Minute+8*time.Second+suspensionCheckInterval, w.Since(begin), "without being asked to look")
+			require.Equal(t, time.Minute+8*time.Second+suspensionCheckInterval, w.Since(begin), "Now checks for suspensions by itself")
 		})
 	})
 	t.Run("is the steady clock on one that was not", func(t *testing.T) {
