--- a/core/closing.go
+++ b/core/closing.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// markClosing records that an upstream closes connections, so that others are preferred, and tells
-// peers unless they know. It returns false if that instance is no longer the current one.
+// markClosing records that an upstream closes connections, so that others are preferred, and reports
+// it to peers unless they know. It returns false if that instance is no longer the current one.
 func (f *Fleet) markClosing(l hollowgrade.Instance) (listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/cooldown.go
+++ b/core/cooldown.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// cooldownJitter is the greatest part by which a process extends a pause, so that not all processes
-	// resume at once.
+	// cooldownJitter is the largest part by which a process extends a cooldown at random, so that not
+	// all processes resume at once.
 	cooldownJitter = 0.25
-	// trialTimeout is how long a process waits for the answer to its first call after a pause before
-	// it sends another.
+	// trialTimeout is how long a process waits for the answer to its first call after a cooldown
+	// before it sends another.
 	trialTimeout = time.Second
 )
 
-// cooldownState is the state of a pause that an upstream asked this process for.
+// cooldownState is the state of a cooldown: a time for which an upstream asked this process, by
+// Retry-After, to send it no calls.
 type cooldownState struct {
 	until   time.Time
-	onTrial bool      // whether no call has been accepted since the pause
+	onTrial bool      // whether no call has been accepted since the cooldown
 	trialAt time.Time // when the last call was sent
 }
 
-// ended reports whether the pause has ended.
+// ended reports whether the cooldown has ended.
 func (r *cooldownState) ended(now time.Time) bool {
 	return !now.Before(r.until)
 }
 
-// trialPending reports whether the first call after a pause is still unanswered.
+// trialPending reports whether the first call after a cooldown is still unanswered.
 func (r *cooldownState) trialPending(now time.Time) bool {
 	return r.onTrial && now.Sub(r.trialAt) < trialTimeout
 }
@@ -40,8 +41,8 @@
 	return r.until
 }
 
-// setCooldown starts or extends a pause that an upstream asks for. A shorter one doesn't end a longer
-// one. The lock is held.
+// setCooldown starts or extends a cooldown that an upstream asks for. A shorter one doesn't end a
+// longer one. The lock is held.
 func (f *Fleet) setCooldown(m *member, request string, d time.Duration) {
 	now := f.clock.Now()
 	spread := time.Duration(f.random() * cooldownJitter * float64(d))
--- a/core/fleet.go
+++ b/core/fleet.go
@@ -62,7 +62,7 @@
 	avoidUntil        time.Time
 	lastActivity      time.Time // when this process last received a head or an event from it
 	startReportedAt   time.Time // when it reported the start of this instance itself; zero if the registry did
-	publishAvoidUntil time.Time // until when peers are told to avoid it too
+	publishAvoidUntil time.Time // until when reports to peers ask them to avoid it too
 	// avoidedByAllUntil is until when all processes avoid it, as reported by this one or by a peer.
 	avoidedByAllUntil time.Time
 	limit             rateLimit
@@ -365,8 +365,8 @@
 		"failures", m.failures, "for_ms", d.Milliseconds())
 }
 
-// markAtFault records that an engine named a member as at fault for not taking a call. This concerns
-// every process, so peers are told.
+// markAtFault records that an engine named a member as the reason why it refused a call. This concerns
+// every process, so it is reported to peers.
 func (f *Fleet) markAtFault(m *member, id, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/limit.go
+++ b/core/limit.go
@@ -27,9 +27,9 @@
 	// report theirs with each heartbeat.
 	wantedRateWindow = 2 * time.Second
 	// limitReportDelay is by how much a peer's report may be older than its stated age, because of
-	// the way here.
+	// the time in transit.
 	limitReportDelay = 500 * time.Millisecond
-	// limitEndReportPeriod is how long peers are told that a limit has ended.
+	// limitEndReportPeriod is how long the end of a limit is reported to peers.
 	limitEndReportPeriod = 10 * time.Second
 )
 
@@ -72,7 +72,7 @@
 	l.accruedUntil = now
 }
 
-// reportable reports whether peers are to be told of the limit.
+// reportable reports whether the limit is to be reported to peers.
 func (l *rateLimit) reportable(now time.Time) bool {
 	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < limitEndReportPeriod
 }
--- a/core/limit_test.go
+++ b/core/limit_test.go
@@ -212,7 +212,7 @@
 			}
 			for seed := range seeds {
 				x := p.run(t, seed)
-				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, words %d", seed, x.peak, x.use, x.refused, x.updates)
+				t.Logf("seed %d: most %.2f, use %.2f, refused %.2f, updates %d", seed, x.peak, x.use, x.refused, x.updates)
 				require.LessOrEqual(t, x.peak, 1.0)
 				if p.idleTime == 0 {
 					require.GreaterOrEqual(t, x.use, minLimitUse)
--- a/core/losses.go
+++ b/core/losses.go
@@ -39,7 +39,7 @@
 	return us[len(us)-1]
 }
 
-// subject returns what peers are told about the call's request.
+// subject identifies the call's request in reports to peers.
 func (f *flow) subject() quarantine.Subject {
 	return quarantine.Subject{Fingerprint: f.fingerprint, Organisation: f.organisation.Name, Route: f.route.Name, Service: f.service.Name}
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// recordLoss reports a lost run if its upstream has crashed. For a request that was lost before it
-// waits until that is known or ctx ends, so that no other run of it begins meanwhile.
+// recordLoss reports a lost run if its upstream has crashed. If the request was already lost before, it
+// waits until that is known or ctx ends, so that no other run of the request begins meanwhile.
 func (f *flow) recordLoss(ctx context.Context, a *attempt, at time.Time) {
 	u := a.pick.upstream()
 	l := quarantine.Loss{Subject: f.subject(), Upstream: u.Instance(), Engines: 1 + len(a.pick.helpers), Sent: a.sent, Lost: at}
--- a/core/pace.go
+++ b/core/pace.go
@@ -118,7 +118,7 @@
 	before, was := m.pace(now), m.slow(now)
 	m.knownPace = knownPace{min(max(pace, 1), maxPace), at, box == ""}
 	after := m.pace(now)
-	// The remaining backlog takes longer or shorter in proportion.
+	// Scale the remaining backlog by the change of the pace.
 	m.busyUntil = now.Add(time.Duration(float64(m.prefillBacklog(now)) * after / before))
 	if box == "" && (was || m.slow(now)) {
 		f.markChanged(m)
@@ -152,8 +152,8 @@
 }
 
 // mayRequestPace reports whether an upstream may be asked: no process is known to have asked it
-// recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
-// The lock is held.
+// recently, it has no limit, which is reserved for calls, and it is neither leaving nor in a
+// cooldown. The lock is held.
 func (f *Fleet) mayRequestPace(m *member, now time.Time) bool {
 	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.knownPace.at) >= PaceRecheckInterval
 }
--- a/core/parts.go
+++ b/core/parts.go
@@ -6,8 +6,8 @@
 )
 
 // minPartTime is the least time for which a part of a prompt that another engine answers counts as
-// held by an engine: the engine keeps its part until all parts of the prompt are read. Without this,
-// engines that refused a part had got twelve parts of 3 to 30 ms each in the 0.6 s before.
+// occupying an engine, because the engine keeps its part until all parts of the prompt are prefilled.
+// Without this, engines were sent twelve parts of 3 to 30 ms each within 0.6 s and refused the next.
 const minPartTime = 400 * time.Millisecond
 
 // addPart records that an engine got a part of a prompt that another engine answers, whose first
--- a/core/place.go
+++ b/core/place.go
@@ -10,8 +10,8 @@
 // loadTTL is how long an upstream's own report of its load is used.
 const loadTTL = time.Second
 
-// prefillOverhead is by how much longer prefill takes beside calls in decode: a pass executes their
-// steps as well.
+// prefillOverhead is the factor by which prefill slows down while other calls decode, because each
+// pass executes their steps as well.
 const prefillOverhead = 1.15
 
 // pick is an upstream chosen for a call, with what is accounted for it.
--- a/core/plan.go
+++ b/core/plan.go
@@ -10,7 +10,7 @@
 // anything.
 type Plan struct {
 	Upstream       string        // id
-	Helpers        []string      // ids of the upstreams that read parts of the prompt
+	Helpers        []string      // ids of the upstreams that prefill parts of the prompt
 	Keepers        []string      // ids of the helpers that keep a part of the prompt in memory
 	Kept           int           // tokens at each of them
 	Hold           time.Duration // how long the sending is held back
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -183,9 +183,9 @@
 	})
 }
 
-// BenchmarkPickOfLives measures a pick among 150 upstreams that report their start time. Each
-// member keeps its Life: to build it on every pick took 55 us and 175 allocations instead of 40 us
-// and 12.
+// BenchmarkPickOfLives measures a pick among 150 upstreams that report their start time. Each member
+// caches its instance: building it on every pick took 55 us and 175 allocations instead of 40 us and
+// 12.
 func BenchmarkPickOfLives(b *testing.B) {
 	f := newFleet("e", 0)
 	for i := range 150 {
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-// suspend suspends the machine: no time passes on its steady clock.
+// suspend suspends the machine: no time passes on its monotonic clock.
 func (s *suspendable) suspend(d time.Duration) {
 	s.suspended.Add(int64(d))
 }
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -16,7 +16,7 @@
 type unavailability struct {
 	limited     int           // upstreams that only their limits exclude
 	perSecond   float64       // requests per second that these accept from all processes together
-	coolingDown int           // upstreams that asked for a pause
+	coolingDown int           // upstreams that asked for a cooldown
 	retryAfter  time.Duration // retry delay for the caller
 }
 
@@ -26,7 +26,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	var firstCooldownEnd time.Time // when the first pause ends
+	var firstCooldownEnd time.Time // when the first cooldown ends
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
