--- a/feed/breaker.go
+++ b/feed/breaker.go
@@ -69,8 +69,8 @@
 	a.nextProbe = a.clock.Now().Add(max(a.delays.NextBackOff(), randomDelay(interval)))
 }
 
-// SuspectOutage makes the next call a probe: this process has to call the store because others have
-// lost it.
+// SuspectOutage makes the next call a probe. It is called when this process starts to call the store
+// because the store doesn't answer the readers.
 func (a *Breaker) SuspectOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -390,8 +390,8 @@
 }
 
 // uncertainPeriod is how long after a failed read a change may be an effect of the outage: entries
-// that expired during it are back within two seconds of the store's return. It has to end before
-// the three seconds from which a box that reaches the store again has to follow the registry.
+// that expired during it are listed again within two seconds after it. The period has to be below
+// three seconds, the time after which a box that reaches the store again has to follow the registry.
 const uncertainPeriod = 2800 * time.Millisecond
 
 // uncertainUntil returns until when changes that arrive now may be effects of an outage, or zero.
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -62,7 +62,7 @@
 // maxAge is the largest age of a view, read with the given wait, while the store serves neither the
 // readers nor the backups of the groups before the given one. It is the sum of these times: a
 // reader's answer becomes due and then overdue, the reader is polled and reports that, a due backup
-// looks and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
+// reads the store and is polled. At 4.2 s that is 2.59 s if only the readers are not served, and 2.97 s if
 // all but three processes are not. Waiting until each view is stale would take 3.8 to 5.0 s.
 func (t Timing) maxAge(wait time.Duration, group int) time.Duration {
 	return t.answerDue(wait) + t.AnswerGrace + t.PollInterval + 2*t.UrgentPollInterval + time.Duration(group)*t.BackupDelay
