--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -8,6 +8,8 @@
 // for a harmless request at the current crash rate. After two, or after crashes at three separate
 // times, all gateways together admit one run of it at a time.
 //
+// A blocked request is called held in settings, help, keys of records and log messages.
+//
 // The package decides and keeps the state; package loadview exchanges it between gateways, and
 // package node writes it to the platform's store.
 package quarantine
