--- a/exchange.go
+++ b/exchange.go
@@ -53,8 +53,10 @@
 
 // Helper is an upstream that prefills a part of a prompt for another one.
 type Helper struct {
-	Address       string
-	ReservationID string // id of the memory reserved there for its part; empty if it doesn't keep the part in memory
+	Address string
+	// ReservationID is the id of the memory reserved there for its part; empty if it doesn't keep the
+	// part in memory.
+	ReservationID string
 }
 
 // ErrNoMemory is wrapped by the error of [Reserver.Reserve] if the upstream doesn't have enough free
@@ -89,9 +91,13 @@
 
 // The results of a probe.
 const (
-	Absent  Presence = iota // the connection is refused or times out
-	Closing                 // the connection is accepted and closed without any data, by the upstream or a proxy in front of it
-	Present                 // the connection is accepted and stays open
+	// Absent means that the connection is refused or times out.
+	Absent Presence = iota
+	// Closing means that the connection is accepted and closed without any data, by the upstream or by
+	// a proxy in front of it.
+	Closing
+	// Present means that the connection is accepted and stays open.
+	Present
 )
 
 // String implements [fmt.Stringer].
