--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -134,9 +134,9 @@
 		return
 	}
 	n := j.request.Tokens()
-	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.HeldSequence, Tokens: n}
+	l := ledger.Lease{ID: j.id, Owner: j.request.ID, Kind: hollowgrade.SequenceAllocation, Tokens: n}
 	if j.reserveOnly {
-		l.Kind, l.Expires = hollowgrade.HeldReservation, j.request.Deadline
+		l.Kind, l.Expires = hollowgrade.ReservationAllocation, j.request.Deadline
 	}
 	if a.memory.Grant(l) && a.isLong(n) {
 		a.longLeased += n
@@ -169,7 +169,7 @@
 	if j.request.Key == "" {
 		return nil
 	}
-	hollowgrade.Notice(a.clock) // otherwise a lease that expired during a suspension would seem valid
+	hollowgrade.CheckSuspension(a.clock) // otherwise a lease that expired during a suspension would seem valid
 	if !a.clock.Now().Before(j.lease) {
 		return fault.New(fault.ClaimLapsed, "the claim on the key lapsed before the start").WithRetryAfter(minRetryAfter)
 	}
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -25,7 +25,7 @@
 	j.pieces = append(j.pieces, id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.HeldExport}
+	l := ledger.Lease{ID: id, Owner: j.id, Kind: hollowgrade.ExportAllocation}
 	if r, ok := a.memory.Get(j.submit.Reservation); ok {
 		l.Owner, l.Expires = r.ID, r.Expires
 	}
@@ -173,7 +173,7 @@
 	defer cancel()
 	load, err := a.engine.Load(ctx)
 	if err == nil {
-		var held []hollowgrade.Holding
+		var held []hollowgrade.Allocation
 		held, err = a.engine.Holdings(ctx)
 		if err == nil {
 			a.reclaim(ctx, load, held)
@@ -198,7 +198,7 @@
 const orphanSweeps = 2
 
 // reclaim releases the holdings without a lease, including those of expired leases.
-func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Holding) {
+func (a *Agent) reclaim(ctx context.Context, l hollowgrade.EngineLoad, held []hollowgrade.Allocation) {
 	for _, h := range a.orphans(l, held) {
 		if err := errors.Join(a.engine.Cancel(ctx, h.ID), a.engine.Release(ctx, h.ID)); err != nil {
 			a.log.Warn("cannot release engine memory that has no lease", "id", h.ID, "err", err)
@@ -208,7 +208,7 @@
 	}
 }
 
-func (a *Agent) orphans(l hollowgrade.EngineLoad, held []hollowgrade.Holding) (os []hollowgrade.Holding) {
+func (a *Agent) orphans(l hollowgrade.EngineLoad, held []hollowgrade.Allocation) (os []hollowgrade.Allocation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.memory.SetTotal(l.TotalTokens)
--- a/core/closing.go
+++ b/core/closing.go
@@ -19,9 +19,9 @@
 	// reprobeInterval is the interval of probes of an upstream that closes connections. Four
 	// connections a second are fewer than the calls that one of its slots serves.
 	reprobeInterval = 250 * time.Millisecond
-	// maxWatch bounds how long an upstream is probed: upstreams are back after one or two seconds.
+	// maxWatchTime bounds how long an upstream is probed: upstreams are back after one or two seconds.
 	// After that a call is sent again, and if it is lost, a new watch begins.
-	maxWatch = 5 * time.Second
+	maxWatchTime = 5 * time.Second
 	// closingAvoidTime is how long such an upstream is avoided after each probe, and by peers after each
 	// report. It covers a late probe and a lost report.
 	closingAvoidTime = 4 * reprobeInterval
@@ -33,12 +33,12 @@
 func (c *Core) watch(u hollowgrade.Upstream, request string, first probeResult) (checked <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.watched[u.Life()]; w != nil {
+	if w := c.watched[u.Instance()]; w != nil {
 		return w
 	}
-	c.log.Info("upstream watched", "upstream", u.Life(), "service", u.Service, "request", request, "why", "it closes connections without a word")
+	c.log.Info("upstream watched", "upstream", u.Instance(), "service", u.Service, "request", request, "why", "it closes connections without a word")
 	w := make(chan struct{})
-	c.watched[u.Life()] = w
+	c.watched[u.Instance()] = w
 	go c.keepWatch(u, request, first, sync.OnceFunc(func() { close(w) }))
 	return w
 }
@@ -46,22 +46,22 @@
 // keepWatch probes an upstream until the watch ends. It calls checked after each probe and at the
 // end.
 func (c *Core) keepWatch(u hollowgrade.Upstream, request string, first probeResult, checked func()) {
-	begun, soonest := c.clock.Now(), first.took
+	begun, minCloseDelay := c.clock.Now(), first.took
 	defer func() {
 		checked()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.watched, u.Life())
-		c.log.Info("upstream no longer watched", "upstream", u.Life(), "watched_ms", c.clock.Since(begun).Milliseconds())
+		delete(c.watched, u.Instance())
+		c.log.Info("upstream no longer watched", "upstream", u.Instance(), "watched_ms", c.clock.Since(begun).Milliseconds())
 	}()
-	for c.fleet.markClosing(u.Life()) && c.clock.Since(begun) < maxWatch {
+	for c.fleet.markClosing(u.Instance()) && c.clock.Since(begun) < maxWatchTime {
 		hollowgrade.Sleep(context.Background(), c.clock, reprobeInterval)
 		p := c.probe(u, request)
 		if p.presence != hollowgrade.Closing {
 			return
 		}
-		soonest = min(soonest, p.took)
-		c.confirmSilent(u, soonest)
+		minCloseDelay = min(minCloseDelay, p.took)
+		c.confirmSilent(u, minCloseDelay)
 		checked()
 	}
 }
@@ -83,10 +83,10 @@
 // confirmSilent reports the runs that were lost at an upstream as caused by a crash, if they ran
 // there and the upstream has been silent since and still closes connections.
 func (c *Core) confirmSilent(u hollowgrade.Upstream, closedAfter time.Duration) {
-	now, heard := c.clock.Now(), c.fleet.lastActivity(u.Life())
+	now, lastActivity := c.clock.Now(), c.fleet.lastActivity(u.Instance())
 	ls := c.unconfirmed.takeIf(u.ID, func(l unconfirmedLoss) bool {
-		ran := l.Upstream == u.Life() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
-		return ran && now.Sub(l.Lost) >= minSilence && !heard.After(l.Lost.Add(inFlightGrace))
+		ran := l.Upstream == u.Instance() && l.Lost.Sub(l.Sent) >= max(minRunTime, minRunFactor*closedAfter)
+		return ran && now.Sub(l.Lost) >= minSilence && !lastActivity.After(l.Lost.Add(inFlightGrace))
 	})
 	for _, l := range ls {
 		c.log.Info("upstream crash confirmed, it closes connections and is silent", "upstream", l.Upstream, "fingerprint", l.Fingerprint,
@@ -95,9 +95,9 @@
 	}
 }
 
-// markClosing records that an upstream closes connections, so that others are preferred, and tells
-// peers unless they know. It returns false if that instance is no longer the current one.
-func (f *Fleet) markClosing(l hollowgrade.Life) (listed bool) {
+// markClosing records that an upstream closes connections, so that others are preferred, and reports
+// it to peers unless they know. It returns false if that instance is no longer the current one.
+func (f *Fleet) markClosing(l hollowgrade.Instance) (listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[l]
@@ -121,7 +121,7 @@
 }
 
 // lastActivity returns when an instance of an upstream last sent something, zero if it hasn't.
-func (f *Fleet) lastActivity(l hollowgrade.Life) (t time.Time) {
+func (f *Fleet) lastActivity(l hollowgrade.Instance) (t time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[l]; m != nil {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -119,7 +119,7 @@
 	})
 	t.Run("a cut answer is replaced", func(t *testing.T) {
 		cut := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
-			return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true}, parts: []hollowgrade.Part{{Data: []byte("hel")}}, end: io.ErrUnexpectedEOF}, nil
+			return &fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Signed: true}, parts: []hollowgrade.Part{{Data: []byte("hel")}}, end: io.ErrUnexpectedEOF}, nil
 		}
 		s, _, x := serve(t, "/again/", cut, status(200, "hello"))
 		require.Nil(t, x)
@@ -148,7 +148,7 @@
 		s, f, x := serve(t, "/resume/", events(1, 2, errBroken), events(3, 4, io.EOF))
 		require.Nil(t, x)
 		require.Equal(t, "1,2,3,4,", s.body.String())
-		require.Equal(t, "2", f.sentCalls()[1].After)
+		require.Equal(t, "2", f.sentCalls()[1].LastEventID)
 		require.Equal(t, f.sentCalls()[0].Upstream.ID, s.head.Header.Get("From"))
 	})
 	t.Run("what the caller has is not passed on again", func(t *testing.T) {
@@ -191,7 +191,7 @@
 // go on waiting then.
 func TestSilenceIsWaitedForWhenNothingElseIsLeft(t *testing.T) {
 	late := func(ctx context.Context, _ hollowgrade.Sending) (hollowgrade.Exchange, error) {
-		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Sealed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
+		return &lateExchange{fakeExchange: fakeExchange{ctx: ctx, head: hollowgrade.Head{Status: 200, Signed: true, Stream: true}, end: io.EOF}, after: 3 * time.Second}, nil
 	}
 	t.Run("the budget was spent meanwhile", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -258,7 +258,7 @@
 		require.NoError(t, c.Serve(context.Background(), k, &fakeSink{}))
 		require.Len(t, f.sentCalls(), 1)
 		require.False(t, f.sentCalls()[0].Upstream.Draining)
-		require.False(t, c.fleet.members[f.sentCalls()[0].Upstream.Life()].Draining)
+		require.False(t, c.fleet.members[f.sentCalls()[0].Upstream.Instance()].Draining)
 	})
 }
 
@@ -267,14 +267,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			_, f, x := serve(t, "/once/", unresponsive)
 			requireFault(t, x, fault.DeadlinePassed, hollowgrade.Unknown)
-			require.Equal(t, 5*time.Second, f.sentCalls()[0].Left)
+			require.Equal(t, 5*time.Second, f.sentCalls()[0].TimeLeft)
 		})
 	})
 	t.Run("what is left is passed on, not what was left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeUpstreams{replies: []reply{unresponsive, status(200, "x")}}
 			require.NoError(t, newCore(f).Serve(context.Background(), call("/again/"), &fakeSink{}))
-			require.Less(t, f.sentCalls()[1].Left, f.sentCalls()[0].Left-500*time.Millisecond)
+			require.Less(t, f.sentCalls()[1].TimeLeft, f.sentCalls()[0].TimeLeft-500*time.Millisecond)
 		})
 	})
 	t.Run("when the caller is gone", func(t *testing.T) {
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -35,8 +35,8 @@
 		Call:         f.call,
 		Upstream:     a.pick.upstream(),
 		Organisation: f.organisation.Name,
-		Left:         left,
-		After:        f.lastEventID,
+		TimeLeft:     left,
+		LastEventID:  f.lastEventID,
 		Helpers:      a.reservation.helpersOf(a.pick),
 	}
 }
--- a/core/flow.go
+++ b/core/flow.go
@@ -54,12 +54,12 @@
 	budget       *retry.Window
 	deadline     time.Time
 
-	noMemory     int                       // attempts that failed for want of free memory
-	retryPaid    atomic.Bool               // whether the next retry is already taken out of the budget
-	tried        map[hollowgrade.Life]bool // instances that were picked for the call
-	upstreams    []string                  // the same, in order
-	headSent     bool                      // whether the caller has received a head
-	lastEventID  string                    // id of the last event that the caller has received
+	noMemory     int                           // attempts that failed for want of free memory
+	retryPaid    atomic.Bool                   // whether the next retry is already taken out of the budget
+	tried        map[hollowgrade.Instance]bool // instances that were picked for the call
+	upstreams    []string                      // the same, in order
+	headSent     bool                          // whether the caller has received a head
+	lastEventID  string                        // id of the last event that the caller has received
 	events       int
 	first        time.Duration // until the first part
 	lastEventAt  time.Time     // when the last event arrived
@@ -129,7 +129,7 @@
 		return Try{Err: f.refuse(p)}
 	}
 	u := p.upstream()
-	f.tried[u.Life()] = true
+	f.tried[u.Instance()] = true
 	f.upstreams = append(f.upstreams, u.ID)
 	if n == 1 {
 		f.predicted = p.FirstEvent
@@ -203,14 +203,14 @@
 // those that are take no call now.
 func (f *flow) noUpstreamError() error {
 	r := f.core.fleet.unavailability(f.service.Name, f.tried)
-	if r.limited+r.paused == 0 {
+	if r.limited+r.coolingDown == 0 {
 		return fault.New(fault.NoUpstream, "no upstream of service %s can be tried, %d were", f.service.Name, len(f.tried)).
 			WithRetryAfter(shortRetryAfter)
 	}
 	f.core.log.Info("not sent", "request", f.call.ID, "why", "upstreams ask for rest or name limits", "limited", r.limited,
-		"per_second", round(r.perSecond), "resting", r.paused, "come_back_ms", r.retryAfter.Milliseconds())
+		"per_second", round(r.perSecond), "resting", r.coolingDown, "come_back_ms", r.retryAfter.Milliseconds())
 	return fault.New(fault.Overloaded, "of service %s %d upstreams take %.3g requests a second together, and %d asked for rest",
-		f.service.Name, r.limited, r.perSecond, r.paused).WithRetryAfter(r.retryAfter)
+		f.service.Name, r.limited, r.perSecond, r.coolingDown).WithRetryAfter(r.retryAfter)
 }
 
 // round rounds a figure to two decimals for logs.
--- a/core/limit.go
+++ b/core/limit.go
@@ -27,9 +27,9 @@
 	// report theirs with each heartbeat.
 	wantedRateWindow = 2 * time.Second
 	// limitReportDelay is by how much a peer's report may be older than its stated age, because of
-	// the way here.
+	// the time in transit.
 	limitReportDelay = 500 * time.Millisecond
-	// limitEndReportPeriod is how long peers are told that a limit has ended.
+	// limitEndReportPeriod is how long the end of a limit is reported to peers.
 	limitEndReportPeriod = 10 * time.Second
 )
 
@@ -72,7 +72,7 @@
 	l.accruedUntil = now
 }
 
-// reportable reports whether peers are to be told of the limit.
+// reportable reports whether the limit is to be reported to peers.
 func (l *rateLimit) reportable(now time.Time) bool {
 	return l.named || !l.changedAt.IsZero() && now.Sub(l.changedAt) < limitEndReportPeriod
 }
@@ -106,7 +106,7 @@
 
 // ReceiveLimit applies a peer's report of the limit of an upstream, unless the upstream has reported
 // a later one.
-func (f *Fleet) ReceiveLimit(box string, id hollowgrade.Life, w RateLimit) {
+func (f *Fleet) ReceiveLimit(box string, id hollowgrade.Instance, w RateLimit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
@@ -158,7 +158,7 @@
 }
 
 // withinLimits returns the members whose limits leave room for a request now. The lock is held.
-func (f *Fleet) withinLimits(ms []*member, tried map[hollowgrade.Life]bool, now time.Time, begun bool) (free []*member) {
+func (f *Fleet) withinLimits(ms []*member, tried map[hollowgrade.Instance]bool, now time.Time, begun bool) (free []*member) {
 	if !slices.ContainsFunc(ms, func(m *member) bool { return m.limit.named }) {
 		return ms
 	}
--- a/core/pace.go
+++ b/core/pace.go
@@ -86,7 +86,7 @@
 
 // StillSlow reports whether this process should ask a slow engine again. The process that asked last
 // does, so that a return to normal speed is noticed even if the engine gets no calls.
-func (f *Fleet) StillSlow(id hollowgrade.Life) bool {
+func (f *Fleet) StillSlow(id hollowgrade.Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
@@ -98,7 +98,7 @@
 // age. Box is the process that requested it, empty for this one; why is the request because of which
 // it was asked. Reports to this process are passed on to peers while the engine is slow or when it
 // becomes normal.
-func (f *Fleet) ReceivePace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) {
+func (f *Fleet) ReceivePace(id hollowgrade.Instance, pace float64, age time.Duration, box, why string) {
 	if us := f.applyPace(id, pace, age, box, why); len(us) > 0 {
 		f.requestPaces(us, why)
 	}
@@ -106,7 +106,7 @@
 
 // applyPace is ReceivePace without the requests: it returns the engines that this process has to ask
 // because one was found to be slow.
-func (f *Fleet) applyPace(id hollowgrade.Life, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
+func (f *Fleet) applyPace(id hollowgrade.Instance, pace float64, age time.Duration, box, why string) (us []hollowgrade.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[id]
@@ -118,7 +118,7 @@
 	before, was := m.pace(now), m.slow(now)
 	m.knownPace = knownPace{min(max(pace, 1), maxPace), at, box == ""}
 	after := m.pace(now)
-	// The remaining backlog takes longer or shorter in proportion.
+	// Scale the remaining backlog by the change of the pace.
 	m.busyUntil = now.Add(time.Duration(float64(m.prefillBacklog(now)) * after / before))
 	if box == "" && (was || m.slow(now)) {
 		f.markChanged(m)
@@ -152,8 +152,8 @@
 }
 
 // mayRequestPace reports whether an upstream may be asked: no process is known to have asked it
-// recently, and it has no limit, which is left to calls, and neither leaves nor asked for a pause.
-// The lock is held.
+// recently, it has no limit, which is reserved for calls, and it is neither leaving nor in a
+// cooldown. The lock is held.
 func (f *Fleet) mayRequestPace(m *member, now time.Time) bool {
 	return f.usable(m, now) && !m.limit.named && now.Sub(m.paceAskedAt) >= PaceRecheckInterval && now.Sub(m.knownPace.at) >= PaceRecheckInterval
 }
@@ -210,25 +210,25 @@
 	}
 	if c.paceRequests.Add(1) > maxPaceRequests {
 		c.paceRequests.Add(-1)
-		c.log.Info("speed of upstream not asked", "upstream", u.Life(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
+		c.log.Info("speed of upstream not asked", "upstream", u.Instance(), "request", request, "why", "too many are being asked", "most", maxPaceRequests)
 		return // the next late call makes it suspected again
 	}
-	c.log.Info("upstream asked for its speed", "upstream", u.Life(), "request", request)
+	c.log.Info("upstream asked for its speed", "upstream", u.Instance(), "request", request)
 	go func() {
 		defer c.paceRequests.Add(-1)
 		begin := c.clock.Now()
 		r, err := c.reporter.Report(context.Background(), u)
-		c.fleet.applyReport(u.Life(), request, begin, r.Signals)
+		c.fleet.applyReport(u.Instance(), request, begin, r.Signals)
 		if err != nil {
-			c.log.Info("speed report of upstream failed", "upstream", u.Life(), "request", request, "err", err)
+			c.log.Info("speed report of upstream failed", "upstream", u.Instance(), "request", request, "err", err)
 			return
 		}
-		if r.Born != 0 {
-			c.fleet.InstanceStarted(u.ID, r.Born)
-			u.Born = r.Born // the report is of this instance; that of an unknown one is ignored
+		if r.StartMillis != 0 {
+			c.fleet.InstanceStarted(u.ID, r.StartMillis)
+			u.StartMillis = r.StartMillis // the report is of this instance; that of an unknown one is ignored
 		}
-		c.fleet.ReceivePace(u.Life(), r.Pace, c.clock.Since(begin), "", request)
-		if c.fleet.StillSlow(u.Life()) {
+		c.fleet.ReceivePace(u.Instance(), r.Pace, c.clock.Since(begin), "", request)
+		if c.fleet.StillSlow(u.Instance()) {
 			c.clock.AfterFunc(PaceRecheckInterval, func() { c.recheckPace(u, request) })
 		}
 	}()
@@ -236,7 +236,7 @@
 
 // recheckPace asks a slow engine again, unless another process has asked it since.
 func (c *Core) recheckPace(u hollowgrade.Upstream, request string) {
-	if c.fleet.StillSlow(u.Life()) {
+	if c.fleet.StillSlow(u.Instance()) {
 		c.requestPace(u, request)
 	}
 }
--- a/core/peerrate.go
+++ b/core/peerrate.go
@@ -24,13 +24,13 @@
 }
 
 // plus returns the rate after n more calls.
-func (r rate) plus(now time.Time, n int, memory time.Duration) rate {
-	return rate{r.value(now, memory) + float64(n)/memory.Seconds(), now}
+func (r rate) plus(now time.Time, n int, timeConstant time.Duration) rate {
+	return rate{r.value(now, timeConstant) + float64(n)/timeConstant.Seconds(), now}
 }
 
 // value returns the rate in calls per second. Memory is its time constant.
-func (r rate) value(now time.Time, memory time.Duration) float64 {
-	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/memory.Seconds())
+func (r rate) value(now time.Time, timeConstant time.Duration) float64 {
+	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/timeConstant.Seconds())
 }
 
 // recordPeerCalls counts calls of a service that a peer has placed. The lock is held.
--- a/core/suspend_test.go
+++ b/core/suspend_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-// suspend suspends the machine: no time passes on its steady clock.
+// suspend suspends the machine: no time passes on its monotonic clock.
 func (s *suspendable) suspend(d time.Duration) {
 	s.suspended.Add(int64(d))
 }
@@ -37,7 +37,7 @@
 func (s *suspendable) core(f *fakeUpstreams) *Core {
 	confirmed := s.Now()
 	c := newCore(f, WithClock(s.WorldClock), WithAge(func() (time.Duration, bool) { return s.Since(confirmed), true }))
-	s.Watch(func(time.Duration) { c.Resume() })
+	s.OnSuspension(func(time.Duration) { c.Resume() })
 	return c
 }
 
@@ -67,7 +67,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(10 * time.Second)
-				hollowgrade.Notice(s.WorldClock)
+				hollowgrade.CheckSuspension(s.WorldClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -83,7 +83,7 @@
 			go func() {
 				time.Sleep(time.Second)
 				s.suspend(2 * time.Second)
-				hollowgrade.Notice(s.WorldClock)
+				hollowgrade.CheckSuspension(s.WorldClock)
 			}()
 			err := c.Serve(context.Background(), s.call("/single/"), &fakeSink{})
 			requireFault(t, fault.As(err, hollowgrade.Unknown), fault.DeadlinePassed, hollowgrade.Unknown)
@@ -94,9 +94,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			s, f := newSuspendable(), &fakeUpstreams{replies: []reply{status(200, "yes")}}
 			c := s.core(f)
-			c.Fleet().ReceiveView("b", map[hollowgrade.Life]Share{"u1": {Open: 5}}, true)
+			c.Fleet().ReceiveView("b", map[hollowgrade.Instance]Share{"u1": {Open: 5}}, true)
 			s.suspend(10 * time.Second)
-			hollowgrade.Notice(s.WorldClock)
+			hollowgrade.CheckSuspension(s.WorldClock)
 			_ = c.Serve(context.Background(), s.call("/public/"), &fakeSink{})
 			require.Zero(t, c.Fleet().SyncedPeers())
 		})
--- a/core/unavailability.go
+++ b/core/unavailability.go
@@ -14,26 +14,26 @@
 
 // unavailability says why no upstream of a service takes a call now.
 type unavailability struct {
-	limited    int           // upstreams that only their limits exclude
-	perSecond  float64       // requests per second that these accept from all processes together
-	paused     int           // upstreams that asked for a pause
-	retryAfter time.Duration // retry delay for the caller
+	limited     int           // upstreams that only their limits exclude
+	perSecond   float64       // requests per second that these accept from all processes together
+	coolingDown int           // upstreams that asked for a cooldown
+	retryAfter  time.Duration // retry delay for the caller
 }
 
 // unavailability returns why the untried upstreams of a service take no call now, and assigns the
 // caller a retry delay.
-func (f *Fleet) unavailability(service string, tried map[hollowgrade.Life]bool) (r unavailability) {
+func (f *Fleet) unavailability(service string, tried map[hollowgrade.Instance]bool) (r unavailability) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	var firstPauseEnd time.Time // when the first pause ends
+	var firstCooldownEnd time.Time // when the first cooldown ends
 	for _, m := range f.membersOf(service) {
 		switch {
 		case tried[m.instance] || m.leaving || m.Draining || m.expired(now):
-		case !m.pause.ended(now) || m.pause.trialPending(now):
-			r.paused++
-			if e := m.pause.nextCallAt(); firstPauseEnd.IsZero() || e.Before(firstPauseEnd) {
-				firstPauseEnd = e
+		case !m.cooldown.ended(now) || m.cooldown.trialPending(now):
+			r.coolingDown++
+			if e := m.cooldown.nextCallAt(); firstCooldownEnd.IsZero() || e.Before(firstCooldownEnd) {
+				firstCooldownEnd = e
 			}
 		case m.limit.named:
 			r.limited++
@@ -43,9 +43,9 @@
 	switch {
 	case r.limited > 0:
 		r.retryAfter = f.nextRetryAfter(service, r.perSecond, now)
-	case r.paused > 0:
-		d := firstPauseEnd.Sub(now)
-		r.retryAfter = max(d+time.Duration(f.random()*pauseJitter*float64(d)), minRetryAfter)
+	case r.coolingDown > 0:
+		d := firstCooldownEnd.Sub(now)
+		r.retryAfter = max(d+time.Duration(f.random()*cooldownJitter*float64(d)), minRetryAfter)
 	}
 	return r
 }
--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -66,11 +66,11 @@
 	n.openRequests[d.Upstream]--
 }
 
-func (n *baseline) changes(bool) map[hollowgrade.Life]core.Share {
+func (n *baseline) changes(bool) map[hollowgrade.Instance]core.Share {
 	return nil
 }
 
-func (n *baseline) receiveView(string, map[hollowgrade.Life]core.Share, bool) {}
+func (n *baseline) receiveView(string, map[hollowgrade.Instance]core.Share, bool) {}
 
 func (n *baseline) suspects(core.Plan) []string {
 	return nil
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -392,8 +392,8 @@
 	decide(j *job, left time.Duration) (core.Plan, bool)
 	began(d core.Plan)
 	done(d core.Plan)
-	changes(whole bool) map[hollowgrade.Life]core.Share
-	receiveView(from string, cs map[hollowgrade.Life]core.Share, whole bool)
+	changes(whole bool) map[hollowgrade.Instance]core.Share
+	receiveView(from string, cs map[hollowgrade.Instance]core.Share, whole bool)
 	// suspects returns the engines of a plan that should be asked for their pace.
 	suspects(d core.Plan) []string
 	// receivePace applies an engine's pace and returns whether to report it to other gateways.
@@ -451,7 +451,7 @@
 	g.fleet.Done(d, true)
 }
 
-func (g *gateway) changes(complete bool) map[hollowgrade.Life]core.Share {
+func (g *gateway) changes(complete bool) map[hollowgrade.Instance]core.Share {
 	return g.fleet.Changes(complete)
 }
 
@@ -465,14 +465,14 @@
 
 func (g *gateway) receivePace(id string, pace float64, age time.Duration, box string) (report bool) {
 	was := g.stillSlow(id)
-	g.fleet.ReceivePace(hollowgrade.Life(id), pace, age, box, "")
+	g.fleet.ReceivePace(hollowgrade.Instance(id), pace, age, box, "")
 	return was || g.stillSlow(id)
 }
 
 func (g *gateway) stillSlow(id string) bool {
-	return g.fleet.StillSlow(hollowgrade.Life(id))
+	return g.fleet.StillSlow(hollowgrade.Instance(id))
 }
 
-func (g *gateway) receiveView(from string, cs map[hollowgrade.Life]core.Share, complete bool) {
+func (g *gateway) receiveView(from string, cs map[hollowgrade.Instance]core.Share, complete bool) {
 	g.fleet.ReceiveView(from, cs, complete)
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -40,15 +40,15 @@
 
 // heldRecord is a blocked request as stored under its fingerprint.
 type heldRecord struct {
-	Organisation string             `json:"organisation"`
-	Route        string             `json:"route"`
-	Service      string             `json:"service"`
-	Since        int64              `json:"since"` // Unix ms
-	Until        int64              `json:"until"` // Unix ms
-	Losses       int                `json:"losses"`
-	Odds         float64            `json:"odds"`
-	Upstreams    []hollowgrade.Life `json:"upstreams"`
-	By           string             `json:"by"`
+	Organisation string                 `json:"organisation"`
+	Route        string                 `json:"route"`
+	Service      string                 `json:"service"`
+	Since        int64                  `json:"since"` // Unix ms
+	Until        int64                  `json:"until"` // Unix ms
+	Losses       int                    `json:"losses"`
+	Odds         float64                `json:"odds"`
+	Upstreams    []hollowgrade.Instance `json:"upstreams"`
+	By           string                 `json:"by"`
 }
 
 // encodeBlock encodes a record. Its times are converted from this process's clock, on which it is
@@ -161,16 +161,16 @@
 
 // HeldRequest is a blocked request as shown to operators.
 type HeldRequest struct {
-	Fingerprint  string             `json:"fingerprint"`
-	Organisation string             `json:"organisation"`
-	Route        string             `json:"route"`
-	Service      string             `json:"service"`
-	Since        time.Time          `json:"since"`
-	Until        time.Time          `json:"until"`
-	Losses       int                `json:"losses"`    // in a row
-	Odds         float64            `json:"odds"`      // probability of as many losses with a harmless request
-	Upstreams    []hollowgrade.Life `json:"upstreams"` // that crashed, the latest last
-	By           string             `json:"by"`        // gateway that reached the verdict
+	Fingerprint  string                 `json:"fingerprint"`
+	Organisation string                 `json:"organisation"`
+	Route        string                 `json:"route"`
+	Service      string                 `json:"service"`
+	Since        time.Time              `json:"since"`
+	Until        time.Time              `json:"until"`
+	Losses       int                    `json:"losses"`    // in a row
+	Odds         float64                `json:"odds"`      // probability of as many losses with a harmless request
+	Upstreams    []hollowgrade.Instance `json:"upstreams"` // that crashed, the latest last
+	By           string                 `json:"by"`        // gateway that reached the verdict
 }
 
 // serve registers the handlers that list and lift blocks.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -90,7 +90,7 @@
 }
 
 type holding struct {
-	hollowgrade.Holding
+	hollowgrade.Allocation
 	digest  xxhash.Digest
 	hash    uint64 // chained hash of the last block, for the prefix cache
 	expires time.Time
@@ -212,7 +212,7 @@
 	s.prompt = Tokens(g.Prompt) + len(g.Prefix)
 	s.generated = len(g.Prefix)
 	s.need = s.prompt + g.MaxTokens - len(g.Prefix)
-	if g.HoldOnly {
+	if g.PrefillOnly {
 		s.need = s.prompt
 	}
 	if s.need > e.config.MemoryTokens {
@@ -359,7 +359,7 @@
 
 // advance generates one token and reports whether the sequence is finished.
 func (e *Engine) advance(s *sequence) bool {
-	if s.HoldOnly {
+	if s.PrefillOnly {
 		return true
 	}
 	if s.generated < s.MaxTokens {
@@ -371,14 +371,14 @@
 }
 
 func (e *Engine) holdExport(s *sequence) {
-	if !s.HoldOnly {
+	if !s.PrefillOnly {
 		return
 	}
 	e.used += s.need
 	e.holdings[s.ID] = &holding{
-		Holding: hollowgrade.Holding{ID: s.ID, Kind: hollowgrade.HeldExport, Tokens: s.need},
-		digest:  s.digest,
-		hash:    s.hash,
+		Allocation: hollowgrade.Allocation{ID: s.ID, Kind: hollowgrade.ExportAllocation, Tokens: s.need},
+		digest:     s.digest,
+		hash:       s.hash,
 	}
 }
 
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -15,7 +15,7 @@
 type Lease struct {
 	ID      string
 	Owner   string // request or group that the memory is for
-	Kind    hollowgrade.HoldingKind
+	Kind    hollowgrade.AllocationKind
 	Tokens  int
 	Expires time.Time // after this the memory is released; zero for no expiry
 }
@@ -113,7 +113,7 @@
 }
 
 // Orphans returns the holdings of the engine that have no lease.
-func (m *Memory) Orphans(held []hollowgrade.Holding) (os []hollowgrade.Holding) {
+func (m *Memory) Orphans(held []hollowgrade.Allocation) (os []hollowgrade.Allocation) {
 	for _, h := range held {
 		if _, ok := m.leases[h.ID]; !ok {
 			os = append(os, h)
@@ -123,7 +123,7 @@
 }
 
 // OrphanTokens returns the tokens of the holdings that have no lease.
-func (m *Memory) OrphanTokens(held []hollowgrade.Holding) (tokens int) {
+func (m *Memory) OrphanTokens(held []hollowgrade.Allocation) (tokens int) {
 	for _, h := range m.Orphans(held) {
 		tokens += h.Tokens
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -8,6 +8,8 @@
 // for a harmless request at the current crash rate. After two, or after crashes at three separate
 // times, all gateways together admit one run of it at a time.
 //
+// A blocked request is called held in settings, help, keys of records and log messages.
+//
 // The package decides and keeps the state; package loadview exchanges it between gateways, and
 // package node writes it to the platform's store.
 package quarantine
@@ -29,7 +31,7 @@
 // Loss is a run that was lost because its upstream crashed.
 type Loss struct {
 	Subject
-	Upstream hollowgrade.Life
+	Upstream hollowgrade.Instance
 	Engines  int // that took part in the run: the upstream and those that prefilled parts of the prompt for it
 	Sent     time.Time
 	Lost     time.Time
@@ -54,10 +56,10 @@
 	Subject
 	Since     time.Time
 	Until     time.Time
-	Losses    int                // consecutive
-	Odds      float64            // probability that a harmless request has as many consecutive losses
-	Upstreams []hollowgrade.Life // that crashed, the latest last
-	By        string             // the gateway that decided on the block
+	Losses    int                    // consecutive
+	Odds      float64                // probability that a harmless request has as many consecutive losses
+	Upstreams []hollowgrade.Instance // that crashed, the latest last
+	By        string                 // the gateway that decided on the block
 }
 
 // Update is an update that gateways send to each other.
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -120,7 +120,7 @@
 			Priority:    g.Priority,
 			Prefix:      g.Prefix,
 			Handles:     g.Handles,
-			HoldOnly:    g.HoldOnly,
+			HoldOnly:    g.PrefillOnly,
 			Reservation: g.Reservation,
 		})
 	if err != nil {
@@ -167,7 +167,7 @@
 }
 
 // Holdings implements [hollowgrade.Engine].
-func (e *Engine) Holdings(ctx context.Context) (hs []hollowgrade.Holding, err error) {
+func (e *Engine) Holdings(ctx context.Context) (hs []hollowgrade.Allocation, err error) {
 	err = e.call(ctx, PathHoldings, struct{}{}, &hs)
 	return hs, err
 }
--- a/worldclock_test.go
+++ b/worldclock_test.go
@@ -9,11 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine is one that can be suspended. It stands in virtual time, which is its steady clock.
+// machine simulates a machine that can be suspended. The virtual time of synctest is its monotonic
+// clock.
 type machine struct {
 	started   time.Time
 	suspended time.Duration
-	held      time.Duration // for which the process is held up while it reads the clocks
+	readDelay time.Duration // delay of the process between its readings of the two clocks
 	err       error
 }
 
@@ -22,7 +23,7 @@
 }
 
 func (m *machine) boot() (time.Duration, error) {
-	time.Sleep(m.held)
+	time.Sleep(m.readDelay)
 	return time.Since(m.started) + m.suspended, m.err
 }
 
@@ -31,29 +32,29 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
 			w := NewWorldClock(WithBootClock(m.boot))
-			told := time.Duration(0)
-			w.Watch(func(d time.Duration) { told += d })
+			reported := time.Duration(0)
+			w.OnSuspension(func(d time.Duration) { reported += d })
 			begin := w.Now()
 			time.Sleep(time.Second)
 			require.Equal(t, time.Second, w.Since(begin))
 			m.suspended = 7 * time.Second
-			Notice(w)
+			CheckSuspension(w)
 			require.Equal(t, 8*time.Second, w.Since(begin))
-			require.Equal(t, 7*time.Second, told)
+			require.Equal(t, 7*time.Second, reported)
 			require.Equal(t, 2*time.Second, w.Until(begin.Add(10*time.Second)))
-			require.Equal(t, time.Second, WallTime(w).Sub(begin), "the time of day has counted it already")
+			require.Equal(t, time.Second, WallTime(w).Sub(begin), "the time of day includes the suspension already")
 			n, all := w.Suspensions()
 			require.Equal(t, 1, n)
 			require.Equal(t, 7*time.Second, all)
 			m.suspended += time.Minute
-			time.Sleep(noticeEvery)
-			require.Equal(t, time.Minute+8*time.Second+noticeEvery, w.Since(begin), "without being asked to look")
+			time.Sleep(suspensionCheckInterval)
+			require.Equal(t, time.Minute+8*time.Second+suspensionCheckInterval, w.Since(begin), "Now checks for suspensions by itself")
 		})
 	})
 	t.Run("is the steady clock on one that was not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorldClock(WithBootClock(newMachine().boot))
-			w.Watch(func(time.Duration) { t.Error("it was not suspended") })
+			w.OnSuspension(func(time.Duration) { t.Error("it was not suspended") })
 			begin := w.Now()
 			for range 1000 {
 				time.Sleep(7 * time.Millisecond)
@@ -65,8 +66,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine()
 			w := NewWorldClock(WithBootClock(m.boot))
-			m.held = time.Second
-			Notice(w)
+			m.readDelay = time.Second
+			CheckSuspension(w)
 			n, _ := w.Suspensions()
 			require.Zero(t, n)
 		})
@@ -77,7 +78,7 @@
 			m.err = errors.New("there is no such clock")
 			w := NewWorldClock(WithBootClock(m.boot))
 			m.suspended = time.Hour
-			Notice(w)
+			CheckSuspension(w)
 			n, _ := w.Suspensions()
 			require.Zero(t, n)
 		})
@@ -85,13 +86,13 @@
 	t.Run("reads this machine's clocks", func(t *testing.T) {
 		w := NewWorldClock()
 		begin, steady := w.Now(), time.Now()
-		Notice(w)
+		CheckSuspension(w)
 		require.InDelta(t, time.Since(steady).Seconds(), w.Since(begin).Seconds(), 0.02)
 	})
 }
 
-// BenchmarkWorldClock measures what reading the clock takes: 83 ns on the steady clock alone, 112 ns
-// with a look each 20 ms, 0.48 us with one each time.
+// BenchmarkWorldClock measures the cost of reading the clock: 83 ns for the monotonic clock alone, 112
+// ns with a check each 20 ms, 0.48 us with a check each time.
 func BenchmarkWorldClock(b *testing.B) {
 	w := NewWorldClock()
 	b.Run("steady", func(b *testing.B) {
@@ -106,7 +107,7 @@
 	})
 	b.Run("notice", func(b *testing.B) {
 		for b.Loop() {
-			w.Notice()
+			w.CheckSuspension()
 		}
 	})
 }
