--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -10,8 +10,8 @@
 // hundred gateways reports 14 calls. An update that exceeds it is dropped with a warning.
 const maxPendingEntries = 256
 
-// outbox keeps the update that is pending for other gateways.
-type outbox struct {
+// pendingUpdate keeps the update that is pending for other gateways.
+type pendingUpdate struct {
 	notify chan struct{}
 	log    *log.Logger
 
@@ -21,7 +21,7 @@
 }
 
 // add adds to the pending update.
-func (o *outbox) add(w Update) {
+func (o *pendingUpdate) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := o.pending.Plus(w)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -37,7 +37,7 @@
 	log       *log.Logger
 	upstreams func(service string) int
 	random    func() float64
-	outbox    outbox
+	outbox    pendingUpdate
 
 	mu          sync.Mutex
 	records     map[hollowgrade.Fingerprint]*record
