--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -40,12 +40,12 @@
 
 // Changed returns a channel that receives a value when an update is pending.
 func (t *Table) Changed() <-chan struct{} {
-	return t.outbox.notify
+	return t.pending.notify
 }
 
 // NextUpdate returns the update pending for other gateways and clears it.
 func (t *Table) NextUpdate() Update {
-	o := &t.outbox
+	o := &t.pending
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w := o.pending
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -37,7 +37,7 @@
 	log       *log.Logger
 	upstreams func(service string) int
 	random    func() float64
-	outbox    pendingUpdate
+	pending   pendingUpdate
 
 	mu          sync.Mutex
 	records     map[hollowgrade.Fingerprint]*record
@@ -83,8 +83,8 @@
 	for _, o := range os {
 		o(t)
 	}
-	t.outbox.notify = make(chan struct{}, 1)
-	t.outbox.log = t.log
+	t.pending.notify = make(chan struct{}, 1)
+	t.pending.log = t.log
 	return t
 }
 
@@ -121,7 +121,7 @@
 		return Admission{RetryAfter: trialRetryAfter}
 	}
 	r.trialStart, r.localTrial = now, true
-	t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
+	t.pending.add(Update{Trials: []Trial{{Fingerprint: f, At: now}}})
 	return Admission{Granted: true, Trial: true}
 }
 
@@ -134,7 +134,7 @@
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
 		r.localTrial, r.trialStart = false, time.Time{}
-		t.outbox.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
+		t.pending.add(Update{Trials: []Trial{{Fingerprint: f, At: t.clock.Now(), Over: true}}})
 	}
 }
 
@@ -143,7 +143,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.addLoss(l)
-	t.outbox.add(Update{Losses: []Loss{l}})
+	t.pending.add(Update{Losses: []Loss{l}})
 }
 
 // RecordAnswer records a run of this process that its upstream answered, which clears the request
@@ -280,7 +280,7 @@
 	since := r.block.Since
 	ended := r.clear(at)
 	if peer == "" {
-		t.outbox.add(Update{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
+		t.pending.add(Update{Harmless: []Harmless{{Fingerprint: r.subject.Fingerprint, At: at}}})
 	}
 	if !ended {
 		return
@@ -307,7 +307,7 @@
 	t.log.Warn("request held", "fingerprint", r.subject.Fingerprint, "organisation", r.subject.Organisation, "route", r.subject.Route, "service", r.subject.Service,
 		"losses", n, "upstreams", r.block.Upstreams, "odds", odds, "upstreams_in_all", b.upstreamCount, "ends_without_it", b.crashes,
 		"at_once", b.simultaneous, "by", t.box, "for_ms", d.Milliseconds())
-	t.outbox.add(Update{Blocks: []Block{r.block}})
+	t.pending.add(Update{Blocks: []Block{r.block}})
 }
 
 // evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
