--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -16,7 +16,7 @@
 	log    *log.Logger
 
 	mu          sync.Mutex
-	pending     Update
+	update      Update
 	droppedAdds int
 }
 
@@ -24,14 +24,14 @@
 func (o *pendingUpdate) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n := o.pending.Plus(w)
+	n := o.update.Plus(w)
 	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
 		if o.droppedAdds++; o.droppedAdds == 1 {
 			o.log.Warn("update not sent to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
-	o.pending = n
+	o.update = n
 	select {
 	case o.notify <- struct{}{}:
 	default:
@@ -48,8 +48,8 @@
 	o := &t.pending
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	w := o.pending
-	o.pending, o.droppedAdds = Update{}, 0
+	w := o.update
+	o.update, o.droppedAdds = Update{}, 0
 	return w
 }
 
