--- a/agent/agent.go
+++ b/agent/agent.go
@@ -267,7 +267,7 @@
 }
 
 func (a *Agent) logBrokenPeer(p net.Addr, err error) {
-	a.log.Warn("peer cut off", "peer", p.String(), "err", err)
+	a.log.Warn("connection to peer closed after an invalid frame", "peer", p.String(), "err", err)
 }
 
 // handle serves one exchange by the type of its first frame.
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -405,7 +405,7 @@
 // newPeers returns a service that serves other gateways.
 func newPeers(l net.Listener, h peer.Handler, g *log.Logger) kernel.Service {
 	s := peer.NewServer(h, func(a net.Addr, err error) {
-		g.Warn("peer cut off", "peer", a.String(), "err", err)
+		g.Warn("connection to peer closed after an invalid frame", "peer", a.String(), "err", err)
 	})
 	return newRunner(func(ctx context.Context) {
 		defer s.Close()
