--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -59,7 +59,7 @@
 	minRunTime = 10 * time.Millisecond
 )
 
-// keptLoss is a loss that is kept of a request.
+// keptLoss is a loss kept in the record of a request.
 type keptLoss struct {
 	Loss
 	learnedAt time.Time // when this process learned of it
--- a/quarantine/pending.go
+++ b/quarantine/pending.go
@@ -7,10 +7,10 @@
 )
 
 // maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a
-// hundred gateways reports 14 calls. An update that exceeds it is dropped with a warning.
+// hundred gateways reports 14 calls. An update that would exceed it is dropped with a warning.
 const maxPendingEntries = 256
 
-// pendingUpdate keeps the update that is pending for other gateways.
+// pendingUpdate is the update that has not been sent to other gateways yet.
 type pendingUpdate struct {
 	notify chan struct{}
 	log    *log.Logger
@@ -20,7 +20,7 @@
 	droppedAdds int
 }
 
-// add adds to the pending update.
+// add adds entries, and signals that an update is pending.
 func (o *pendingUpdate) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -16,8 +16,8 @@
 	// block.
 	recordRetention = 10 * time.Minute
 	// maxRecords bounds the requests that are remembered, 2 KB each at most. Those with the oldest
-	// losses are evicted first, blocked ones last. A caller that invents requests has to crash
-	// three upstreams for each that is blocked.
+	// losses are evicted first, blocked ones last. To fill the table with blocked requests, a
+	// caller has to crash three upstreams for each.
 	maxRecords = 4096
 	// evictionBatch is the number of records evicted at a time.
 	evictionBatch = maxRecords / 8
@@ -96,7 +96,7 @@
 // Admission is the decision whether a request may be sent to an upstream.
 type Admission struct {
 	Granted    bool
-	Trial      bool          // it is the one run that is admitted
+	Trial      bool          // whether it is the only run admitted at the time
 	Block      Block         // that refuses the request; zero if another trial is running
 	RetryAfter time.Duration // retry delay if the request is refused
 }
@@ -310,7 +310,7 @@
 	t.pending.add(Update{Blocks: []Block{r.block}})
 }
 
-// evaluateSettled evaluates all requests with losses that have settled since. The lock is held.
+// evaluateSettled evaluates the requests whose new losses have settled. The lock is held.
 func (t *Table) evaluateSettled(now time.Time) {
 	for f := range t.unevaluated {
 		r := t.records[f]
