--- a/feed/poll.go
+++ b/feed/poll.go
@@ -16,15 +16,15 @@
 const (
 	// pollTimeout bounds one poll: a connection and an answer within a region. An answer has at
 	// most maxPageBytes for each topic, which fits into this time on any link. Larger values are
-	// transferred by themselves without a bound on the total time.
+	// transferred separately, without a bound on the total time.
 	pollTimeout = 700 * time.Millisecond
 	// pollFanout is how many readers a process polls at a time, and how many peers besides while
 	// its view is stale, since some may be dead or cut off. Polling all readers would make the
 	// number of polls grow with the square of the number of processes.
 	pollFanout = 3
 	// minLoggedCutBytes is the size from which an answer that was cut is logged as a warning. Polls
-	// of a peer that is away are not: there are many, and "store lost" and the view's age are
-	// logged anyway.
+	// of an unreachable peer are logged for debugging only: there are many, and "store lost" and
+	// the view's age are logged anyway.
 	minLoggedCutBytes = 16 << 10
 )
 
@@ -116,7 +116,7 @@
 
 // pollResult is the result of one poll of a peer.
 type pollResult struct {
-	feeds  int  // that were in the answer
+	feeds  int  // number of feeds in the answer
 	served bool // whether the peer reported that the store serves it
 	bytes  int64
 	more   *Feed            // a feed of which the peer can send the next page at once, or nil
