--- a/core/exchange.go
+++ b/core/exchange.go
@@ -68,8 +68,8 @@
 	return cause(ctx, a.passWhole(x))
 }
 
-// startOverdueTimer has the engines of the attempt asked for their speed if the answer hasn't begun
-// when it is overdue. The returned function stops the timer.
+// startOverdueTimer starts a timer that asks the engines of the attempt for their speed if the answer
+// is overdue. The returned function stops it.
 func (a *attempt) startOverdueTimer() (stop func() bool) {
 	f := a.flow
 	if f.service.Engine == nil {
@@ -149,8 +149,8 @@
 	return f.passAnswer(w)
 }
 
-// markAtFault has other upstreams preferred to the one that the answer names as the reason why the
-// call was not taken: the one that answered, or a helper that is gone, draining or full.
+// markAtFault makes later calls avoid the upstream that the answer names as the reason why the call
+// was refused: the one that answered, or a helper that is gone, draining or full.
 func (a *attempt) markAtFault() {
 	for m, u := range a.pick.entries {
 		if a.head.AtFault == u.ID || a.head.AtFault == u.Address {
