--- a/quarantine/outbox.go
+++ b/quarantine/pending.go
@@ -7,31 +7,31 @@
 )
 
 // maxPendingEntries bounds the pending entries of each kind. After the loss of a hall, each of a
-// hundred gateways reports 14 calls. An update that exceeds it is dropped with a warning.
+// hundred gateways reports 14 calls. An update that would exceed it is dropped with a warning.
 const maxPendingEntries = 256
 
-// outbox keeps the update that is pending for other gateways.
-type outbox struct {
+// pendingUpdate is the update that has not been sent to other gateways yet.
+type pendingUpdate struct {
 	notify chan struct{}
 	log    *log.Logger
 
 	mu          sync.Mutex
-	pending     Update
+	update      Update
 	droppedAdds int
 }
 
-// add adds to the pending update.
-func (o *outbox) add(w Update) {
+// add adds entries, and signals that an update is pending.
+func (o *pendingUpdate) add(w Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n := o.pending.Plus(w)
+	n := o.update.Plus(w)
 	if max(len(n.Losses), len(n.Harmless), len(n.Trials), len(n.Blocks)) > maxPendingEntries {
 		if o.droppedAdds++; o.droppedAdds == 1 {
 			o.log.Warn("update not sent to other gateways", "why", "too many at a time", "most", maxPendingEntries)
 		}
 		return
 	}
-	o.pending = n
+	o.update = n
 	select {
 	case o.notify <- struct{}{}:
 	default:
@@ -40,16 +40,16 @@
 
 // Changed returns a channel that receives a value when an update is pending.
 func (t *Table) Changed() <-chan struct{} {
-	return t.outbox.notify
+	return t.pending.notify
 }
 
 // NextUpdate returns the update pending for other gateways and clears it.
 func (t *Table) NextUpdate() Update {
-	o := &t.outbox
+	o := &t.pending
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	w := o.pending
-	o.pending, o.droppedAdds = Update{}, 0
+	w := o.update
+	o.update, o.droppedAdds = Update{}, 0
 	return w
 }
 
